--- a/node/consensus/election.go
+++ b/node/consensus/election.go
@@ -1,19 +1,18 @@
 package consensus
 
-// mayCampaign excludes learners and replicas that never joined. A replica that
-// was removed may campaign, with the votes of the others only: it may hold the
-// only log that reaches far enough for the others to vote for (thesis, section
-// 4.2.2). The others ignore it while they have a leader.
-func (n *Node) mayCampaign() bool {
+// canCampaign excludes learners and replicas that never joined. A removed replica may campaign, counting only
+// the votes of the members: its log may be the only one up to date enough to be elected (thesis, section
+// 4.2.2). The members ignore it while they have a leader.
+func (n *Node) canCampaign() bool {
 	return len(n.members.Voters) > 0 && !n.members.HasLearner(n.id)
 }
 
-// campaign asks for votes. A pre-vote changes no term anywhere, so a replica
-// that was cut off cannot depose a working leader when it comes back.
+// campaign starts an election, or the pre-vote before it. A pre-vote changes no term anywhere, so a replica
+// that was isolated cannot depose a working leader when it returns.
 func (n *Node) campaign(pre, forced bool) {
 	n.resetElection()
 	if n.log.applied < n.log.committed {
-		return // a committed membership may be among what is not applied
+		return // a committed membership change may not be applied yet
 	}
 	n.leader = ""
 	n.votes = map[NodeID]bool{n.id: true}
@@ -23,7 +22,7 @@
 		n.term, n.vote, n.role = term, n.id, Candidate
 		kind = MsgVote
 	}
-	if n.won() {
+	if n.wonElection() {
 		n.advanceCampaign()
 		return
 	}
@@ -34,7 +33,7 @@
 	}
 }
 
-func (n *Node) won() bool { return n.countVotes(true) >= n.members.quorum() }
+func (n *Node) wonElection() bool { return n.countVotes(true) >= n.members.quorum() }
 
 func (n *Node) countVotes(granted bool) int {
 	count := 0
@@ -55,17 +54,17 @@
 }
 
 func (n *Node) becomeLeader() {
-	n.role, n.leader, n.heard = Leader, n.id, true
+	n.role, n.leader, n.leaderSeen = Leader, n.id, true
 	n.votes = nil
 	n.electionElapsed, n.heartbeatElapsed = 0, 0
 	n.progress = map[NodeID]*Progress{}
 	n.syncProgress()
 	n.uncommitted = 0
-	// An unapplied membership entry of an earlier term may be in the log. And
-	// until an entry of this term is committed, a change of an earlier leader
-	// may still win (Ongaro, "bug in single-server membership changes", 2015).
+	// The log may hold an unapplied membership entry of an earlier term. And until an entry of this term is
+	// committed, a change by an earlier leader may still be committed (Ongaro, "bug in single-server
+	// membership changes", 2015).
 	n.pendingMembership = n.appendEntry(EntryNormal, nil)
-	for _, id := range n.others() {
+	for _, id := range n.otherMembers() {
 		n.sendAppend(id, n.progress[id])
 	}
 	n.maybeCommit()
--- a/node/consensus/log.go
+++ b/node/consensus/log.go
@@ -1,30 +1,27 @@
 package consensus
 
-// raftLog holds the entries after the last snapshot.
-//
-// Invariants: first <= committed <= last; applied <= committed; entries up to
-// stable are synced by the caller.
+// raftLog holds the entries after the compacted part of the log. Invariants: compactedIndex <= committed <=
+// last; applied <= committed; entries up to stable are synced by the caller.
 type raftLog struct {
-	first     uint64 // index of the last entry the snapshot covers
-	firstTerm uint64
-	entries   []Entry
-	stable    uint64
-	committed uint64
-	applied   uint64
+	compactedIndex uint64 // index of the last entry dropped from memory; a snapshot covers it
+	compactedTerm  uint64
+	entries        []Entry
+	stable         uint64
+	committed      uint64
+	applied        uint64
 }
 
-func (l *raftLog) last() uint64 { return l.first + uint64(len(l.entries)) }
+func (l *raftLog) last() uint64 { return l.compactedIndex + uint64(len(l.entries)) }
 
-// term returns the term of the entry at i, and false when it is compacted
-// away or not there yet.
+// term returns the term of the entry at i, and false if that entry is compacted or does not exist yet.
 func (l *raftLog) term(i uint64) (uint64, bool) {
 	switch {
-	case i == l.first:
-		return l.firstTerm, true
-	case i < l.first || i > l.last():
+	case i == l.compactedIndex:
+		return l.compactedTerm, true
+	case i < l.compactedIndex || i > l.last():
 		return 0, false
 	default:
-		return l.entries[i-l.first-1].Term, true
+		return l.entries[i-l.compactedIndex-1].Term, true
 	}
 }
 
@@ -33,13 +30,13 @@
 	return t
 }
 
-// slice returns the entries in (after, upTo], cut at maxBytes but never empty
-// when the range is not.
+// slice returns the entries in (after, upTo], limited to maxBytes of data but at least one if the range is
+// not empty.
 func (l *raftLog) slice(after, upTo uint64, maxBytes int) []Entry {
-	if after < l.first || after >= upTo {
+	if after < l.compactedIndex || after >= upTo {
 		return nil
 	}
-	all := l.entries[after-l.first : upTo-l.first]
+	all := l.entries[after-l.compactedIndex : upTo-l.compactedIndex]
 	size := 0
 	for i := range all {
 		size += len(all[i].Data)
@@ -50,21 +47,20 @@
 	return all
 }
 
-// upToDate is the voting restriction of the Raft paper, section 5.4.1.
-func (l *raftLog) upToDate(index, term uint64) bool {
+// isUpToDate implements the election restriction (Raft paper, section 5.4.1).
+func (l *raftLog) isUpToDate(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index >= l.last()
 }
 
-// appendFrom stores entries that follow prev and returns the last index they
-// reach. It drops what conflicts but keeps a longer log that agrees, because
-// a late message must not shorten it.
+// appendFrom stores entries that follow prev and returns the index of the last one. It removes conflicting
+// entries but keeps a longer log that agrees, because a delayed message must not shorten it.
 func (l *raftLog) appendFrom(prev uint64, entries []Entry) uint64 {
 	for i, e := range entries {
 		if t, ok := l.term(e.Index); ok && t == e.Term {
 			continue
 		}
-		if e.Index <= l.first {
+		if e.Index <= l.compactedIndex {
 			continue
 		}
 		l.truncateAfter(e.Index - 1)
@@ -76,28 +72,28 @@
 
 func (l *raftLog) truncateAfter(i uint64) {
 	if i < l.committed {
-		panic("consensus: a committed entry would be dropped")
+		panic("consensus: attempt to truncate a committed entry")
 	}
-	// The full slice expression makes the next append copy, so entries
-	// handed out in an earlier Ready stay as they were.
-	n := i - l.first
+	// The full slice expression makes the next append copy, so that entries handed out in an earlier Ready do
+	// not change.
+	n := i - l.compactedIndex
 	l.entries = l.entries[:n:n]
 	l.stable = min(l.stable, i)
 }
 
-// compact forgets the entries up to i, which a snapshot now covers.
+// compact drops the entries up to i, which a snapshot covers.
 func (l *raftLog) compact(i uint64) {
-	if i <= l.first {
+	if i <= l.compactedIndex {
 		return
 	}
 	t, _ := l.term(i)
-	rest := l.entries[i-l.first:]
+	rest := l.entries[i-l.compactedIndex:]
 	l.entries = append([]Entry(nil), rest...)
-	l.first, l.firstTerm = i, t
+	l.compactedIndex, l.compactedTerm = i, t
 }
 
 func (l *raftLog) restore(s *Snapshot) {
-	l.first, l.firstTerm = s.Index, s.Term
+	l.compactedIndex, l.compactedTerm = s.Index, s.Term
 	l.entries = nil
 	l.stable, l.committed, l.applied = s.Index, s.Index, s.Index
 }
--- a/node/consensus/membership.go
+++ b/node/consensus/membership.go
@@ -8,24 +8,24 @@
 )
 
 // Has reports whether id is a voter.
-func (m Membership) Has(id NodeID) bool { return has(m.Voters, id) }
+func (m Membership) Has(id NodeID) bool { return containsPeer(m.Voters, id) }
 
 // HasLearner reports whether id is a learner.
-func (m Membership) HasLearner(id NodeID) bool { return has(m.Learners, id) }
+func (m Membership) HasLearner(id NodeID) bool { return containsPeer(m.Learners, id) }
 
-func has(peers []Peer, id NodeID) bool {
+func containsPeer(peers []Peer, id NodeID) bool {
 	return slices.ContainsFunc(peers, func(p Peer) bool { return p.ID == id })
 }
 
-// All returns voters and learners.
+// All returns the voters and the learners.
 func (m Membership) All() []Peer {
 	return append(slices.Clone(m.Voters), m.Learners...)
 }
 
 func (m Membership) quorum() int { return len(m.Voters)/2 + 1 }
 
-// ProposeMembership replaces the membership. It must differ from the current
-// one by at most one voter, and only one change may be under way.
+// ProposeMembership proposes a new membership. It must differ from the current one by at most one voter, and
+// only one change may be in progress.
 func (n *Node) ProposeMembership(m Membership) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -52,7 +52,7 @@
 	seen := map[NodeID]bool{}
 	for _, p := range to.All() {
 		if p.ID == "" || seen[p.ID] {
-			return errors.NotValidf("membership with replica %q twice or unnamed", p.ID)
+			return errors.NotValidf("membership with unnamed or duplicate replica %q", p.ID)
 		}
 		seen[p.ID] = true
 	}
--- a/node/consensus/node.go
+++ b/node/consensus/node.go
@@ -6,30 +6,28 @@
 	"slices"
 )
 
-// Config sets up a Node. Times are in ticks.
+// Config configures a Node. Times are in ticks.
 type Config struct {
 	ID             NodeID
-	ElectionTicks  int // a follower waits this long, or up to twice it, for its leader
+	ElectionTicks  int // a follower campaigns after this long, or up to twice as long, without a leader
 	HeartbeatTicks int
-	MaxBatchBytes  int // bound of the entries in one message
-	// MaxUncommittedBytes bounds what a leader that cannot commit piles up; 0
-	// is no bound.
+	MaxBatchBytes  int // limit for the entries in one message
+	// MaxUncommittedBytes limits the uncommitted proposals of a leader; 0 means no limit.
 	MaxUncommittedBytes int
 	Rand                *rand.Rand
 
-	// What the storage held, empty for a new replica.
+	// Contents of the storage; empty for a new replica.
 	HardState HardState
 	Snapshot  *Snapshot
 	Entries   []Entry
 }
 
-// Node is one replica. It is not safe for concurrent use: one goroutine owns
-// it.
+// Node is one Raft replica. It is not safe for concurrent use: one goroutine owns it.
 type Node struct {
-	cfg  Config
-	id   NodeID
-	log  raftLog
-	snap *Snapshot
+	cfg      Config
+	id       NodeID
+	log      raftLog
+	snapshot *Snapshot
 
 	term   uint64
 	vote   NodeID
@@ -37,8 +35,8 @@
 	leader NodeID
 
 	members  Membership
-	progress map[NodeID]*Progress // leader only
-	votes    map[NodeID]bool      // candidates only
+	progress map[NodeID]*Progress // only on the leader
+	votes    map[NodeID]bool      // only on candidates
 
 	electionElapsed  int
 	heartbeatElapsed int
@@ -51,20 +49,20 @@
 	readSeq uint64
 	reads   []pendingRead
 
-	messages     []Message
-	readStates   []ReadState
-	savedHard    HardState
-	newSnapshot  *Snapshot
-	appendDue    bool // entries were proposed since the last broadcast
-	uncommitted  int  // bytes proposed in this term and not committed yet
-	heard        bool // of a leader, since the start
-	handedOut    bool
-	handedCommit uint64
+	messages         []Message
+	readStates       []ReadState
+	savedHardState   HardState
+	receivedSnapshot *Snapshot
+	appendDue        bool // entries were proposed since the last broadcast
+	uncommitted      int  // bytes proposed in this term and not committed yet
+	leaderSeen       bool // a leader was heard from since the start
+	readyPending     bool
+	readyCommit      uint64
 }
 
-// New returns a Node that continues from what cfg says was stored.
+// New returns a Node that continues from the stored state in cfg.
 func New(cfg Config) *Node {
-	n := &Node{cfg: cfg, id: cfg.ID, snap: cfg.Snapshot}
+	n := &Node{cfg: cfg, id: cfg.ID, snapshot: cfg.Snapshot}
 	if cfg.Snapshot != nil {
 		n.log.restore(cfg.Snapshot)
 		n.members = cfg.Snapshot.Membership
@@ -78,16 +76,15 @@
 	n.log.committed = max(n.log.committed, min(cfg.HardState.Commit, n.log.last()))
 	n.term, n.vote = cfg.HardState.Term, cfg.HardState.Vote
 	if last := n.log.lastTerm(); last > n.term {
-		// The snapshot was synced, the hard state after it was not.
+		// The snapshot was synced, but not the hard state after it.
 		n.term, n.vote = last, ""
 	}
-	n.savedHard = n.hardState()
+	n.savedHardState = n.hardState()
 	n.becomeFollower(n.term, "")
 	return n
 }
 
-// Bootstrap returns the snapshot from which the first replica of a new
-// cluster starts, as its only voter.
+// Bootstrap returns the initial snapshot of a new cluster with p as its only voter.
 func Bootstrap(p Peer, data []byte) *Snapshot {
 	return &Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: []Peer{p}}, Data: data}
 }
@@ -96,11 +93,11 @@
 	return HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed}
 }
 
-// Tick lets one unit of time pass.
+// Tick advances the time by one tick.
 func (n *Node) Tick() {
 	n.electionElapsed++
 	if n.role != Leader {
-		if n.electionElapsed >= n.timeout && n.mayCampaign() {
+		if n.electionElapsed >= n.timeout && n.canCampaign() {
 			n.campaign(true, false)
 		}
 		return
@@ -119,9 +116,9 @@
 	}
 }
 
-// checkQuorum makes a leader step down that has not heard from a quorum for
-// an election timeout. Together with the followers' refusal to vote while
-// they hear from a leader this bounds how long two leaders can coexist.
+// checkQuorum makes a leader step down if it has not heard from a quorum for an election timeout. Together
+// with the followers' refusal to vote while they hear from a leader, this bounds how long two leaders can
+// coexist.
 func (n *Node) checkQuorum() {
 	active := 0
 	for _, v := range n.members.Voters {
@@ -149,25 +146,25 @@
 	n.resetElection()
 }
 
-// resetElection draws when to campaign next. A replica that has heard of no leader since it started waits for
-// one heartbeat of a leader that lives, not for an election timeout: it does not know of a leader that was
-// lost. After a start of all replicas nobody else ends the wait.
+// resetElection draws the next election timeout. A replica that has heard from no leader since it started
+// waits only for one heartbeat of a possible leader instead of a full election timeout: it knows of no leader
+// that could have failed. This shortens the election after all replicas restart.
 func (n *Node) resetElection() {
 	n.electionElapsed = 0
 	wait := n.cfg.ElectionTicks
-	if !n.heard {
+	if !n.leaderSeen {
 		wait = min(wait, n.cfg.HeartbeatTicks+1)
 	}
 	n.timeout = wait + n.cfg.Rand.IntN(n.cfg.ElectionTicks)
 }
 
-// others returns the replicas that the leader sends to, always in one order,
-// so that a run can be repeated.
-func (n *Node) others() []NodeID {
+// otherMembers returns the replicas that the leader sends to, in sorted order so that a run can be
+// reproduced.
+func (n *Node) otherMembers() []NodeID {
 	return slices.Sorted(maps.Keys(n.progress))
 }
 
-// syncProgress makes progress cover exactly the other members.
+// syncProgress adds and removes progress entries to match the other members.
 func (n *Node) syncProgress() {
 	for _, p := range n.members.All() {
 		if p.ID != n.id && n.progress[p.ID] == nil {
@@ -187,9 +184,8 @@
 	return e.Index
 }
 
-// Propose appends a command to the leader's log and returns its index and
-// term. It is committed if an entry with that index and that term is.
-// The followers get it with the next Ready, together with what else comes.
+// Propose appends a command to the leader's log and returns its index and term. The command is committed if
+// an entry with this index and term is. Followers get it with the next Ready, batched with other proposals.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if n.role != Leader || n.transferee != "" {
 		return 0, 0, ErrNotLeader
@@ -230,11 +226,11 @@
 	n.messages = append(n.messages, m)
 }
 
-// broadcastHeartbeat also puts off the next periodic one: a read's round tells
-// the followers the same.
+// broadcastHeartbeat sends heartbeats and restarts the heartbeat timer, since the round of a read serves the
+// same purpose as a periodic one.
 func (n *Node) broadcastHeartbeat() {
 	n.heartbeatElapsed = 0
-	for _, id := range n.others() {
+	for _, id := range n.otherMembers() {
 		pr := n.progress[id]
 		n.send(Message{Kind: MsgHeartbeat, To: id, Commit: min(n.log.committed, pr.Match), ReadSeq: n.readSeq})
 	}
@@ -242,7 +238,7 @@
 
 func (n *Node) broadcastAppend() {
 	n.appendDue = false
-	for _, id := range n.others() {
+	for _, id := range n.otherMembers() {
 		if pr := n.progress[id]; !pr.probing {
 			n.sendAppend(id, pr)
 		}
@@ -267,16 +263,16 @@
 }
 
 func (n *Node) sendSnapshot(id NodeID, pr *Progress) {
-	if n.snap == nil {
+	if n.snapshot == nil {
 		return
 	}
-	pr.Snapshot = n.snap.Index
+	pr.Snapshot = n.snapshot.Index
 	pr.snapshotWait = 0
-	n.send(Message{Kind: MsgSnapshot, To: id, Snapshot: n.snap})
+	n.send(Message{Kind: MsgSnapshot, To: id, Snapshot: n.snapshot})
 }
 
-// maybeCommit moves the commit index to what a quorum has synced, if that
-// entry is of the current term (Raft paper, section 5.4.2).
+// maybeCommit advances the commit index to what a quorum has synced, if the entry there is of the current
+// term (Raft paper, section 5.4.2).
 func (n *Node) maybeCommit() bool {
 	index := n.quorumValue(func(pr *Progress) uint64 { return pr.Match }, n.log.stable)
 	t, ok := n.log.term(index)
--- a/node/consensus/reads.go
+++ b/node/consensus/reads.go
@@ -4,8 +4,7 @@
 	id, seq, index uint64
 }
 
-// ReadIndex asks for a linearizable read point. The answer comes in
-// Ready.Reads under id.
+// ReadIndex requests a linearizable read index. The answer is returned in Ready.Reads under id.
 func (n *Node) ReadIndex(id uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -17,8 +16,8 @@
 	return nil
 }
 
-// confirmReads releases the reads whose heartbeat round a quorum answered,
-// once an entry of this term is committed (thesis, section 6.4).
+// confirmReads releases the reads whose heartbeat round a quorum has acknowledged, once an entry of this term
+// is committed (thesis, section 6.4).
 func (n *Node) confirmReads() {
 	if t, _ := n.log.term(n.log.committed); t != n.term {
 		return
--- a/node/consensus/ready.go
+++ b/node/consensus/ready.go
@@ -4,42 +4,41 @@
 
 // HasReady reports whether Ready would return work.
 func (n *Node) HasReady() bool {
-	return n.hardStateDue() || n.appendDue || n.log.stable < n.log.last() || n.newSnapshot != nil ||
+	return n.hardStateChanged() || n.appendDue || n.log.stable < n.log.last() || n.receivedSnapshot != nil ||
 		len(n.messages) > 0 || n.log.applied < n.log.committed || len(n.readStates) > 0
 }
 
-// hardStateDue reports whether term or vote are not synced yet.
-func (n *Node) hardStateDue() bool {
-	return n.term != n.savedHard.Term || n.vote != n.savedHard.Vote
+// hardStateChanged reports whether the term or the vote is not synced yet.
+func (n *Node) hardStateChanged() bool {
+	return n.term != n.savedHardState.Term || n.vote != n.savedHardState.Vote
 }
 
-// Ready hands out the work that has come up. Until Advance it must not be
-// called again, and nothing may be stepped, proposed or ticked.
+// Ready returns the pending work. Until Advance is called, Ready must not be called again, and nothing may be
+// stepped, proposed or ticked.
 func (n *Node) Ready() Ready {
-	if n.handedOut {
-		panic("consensus: Ready before Advance")
+	if n.readyPending {
+		panic("consensus: Ready called before Advance")
 	}
-	n.handedOut = true
+	n.readyPending = true
 	if n.role == Leader && n.appendDue {
 		n.broadcastAppend()
 	}
 	n.appendDue = false
 	rd := Ready{
-		Snapshot: n.newSnapshot,
+		Snapshot: n.receivedSnapshot,
 		Messages: n.messages,
 		Reads:    n.readStates,
-		Entries:  n.log.slice(max(n.log.stable, n.log.first), n.log.last(), maxInt),
+		Entries:  n.log.slice(max(n.log.stable, n.log.compactedIndex), n.log.last(), maxInt),
 	}
-	if !n.hardStateDue() && n.role == Leader {
+	if !n.hardStateChanged() && n.role == Leader {
 		rd.Early, rd.Messages = splitAppends(rd.Messages)
 	}
-	if hs := n.hardState(); n.hardStateDue() || hs != n.savedHard && len(rd.Entries) > 0 {
+	if hs := n.hardState(); n.hardStateChanged() || hs != n.savedHardState && len(rd.Entries) > 0 {
 		rd.HardState = &hs
 	}
-	// Only synced entries are applied: an entry of this very batch waits for
-	// the next Ready.
-	n.handedCommit = min(n.log.committed, n.log.stable)
-	rd.Committed = n.log.slice(n.log.applied, n.handedCommit, maxInt)
+	// Only synced entries are applied: the entries of this Ready wait for the next one.
+	n.readyCommit = min(n.log.committed, n.log.stable)
+	rd.Committed = n.log.slice(n.log.applied, n.readyCommit, maxInt)
 	return rd
 }
 
@@ -56,12 +55,12 @@
 
 const maxInt = int(^uint(0) >> 1)
 
-// Advance says that the work of rd is done.
+// Advance reports that the work of rd is done.
 func (n *Node) Advance(rd Ready) {
-	n.handedOut = false
-	n.messages, n.readStates, n.newSnapshot = nil, nil, nil
+	n.readyPending = false
+	n.messages, n.readStates, n.receivedSnapshot = nil, nil, nil
 	if rd.HardState != nil {
-		n.savedHard = *rd.HardState
+		n.savedHardState = *rd.HardState
 	}
 	if k := len(rd.Entries); k > 0 {
 		n.log.stable = rd.Entries[k-1].Index
@@ -72,22 +71,22 @@
 			n.applyMembership(e.Data)
 		}
 	}
-	n.resignIfRemoved()
+	n.stepDownIfRemoved()
 	if n.role == Leader && n.maybeCommit() {
 		n.confirmReads()
 		n.broadcastCommit()
 	}
 }
 
-// broadcastCommit tells followers of a new commit index at once, so that they
-// apply without waiting for the next heartbeat.
+// broadcastCommit sends a new commit index to the followers at once, so that they need not wait for the next
+// heartbeat to apply entries.
 func (n *Node) broadcastCommit() {
 	n.broadcastAppend()
 }
 
-// resignIfRemoved ends the lead of a replica outside the membership, once what
-// it had to commit is committed.
-func (n *Node) resignIfRemoved() {
+// stepDownIfRemoved ends the leadership of a replica outside the membership, once an entry of its term is
+// applied.
+func (n *Node) stepDownIfRemoved() {
 	t, _ := n.log.term(n.log.applied)
 	if n.role == Leader && !n.members.Has(n.id) && t == n.term {
 		n.becomeFollower(n.term, "")
@@ -97,14 +96,14 @@
 func (n *Node) applyMembership(data []byte) {
 	var m Membership
 	if err := cbor.Unmarshal(data, &m); err != nil {
-		panic("consensus: a committed membership does not decode: " + err.Error())
+		panic("consensus: cannot decode a committed membership: " + err.Error())
 	}
 	n.members = m
 	if n.role != Leader {
 		return
 	}
 	n.syncProgress()
-	for _, id := range n.others() {
+	for _, id := range n.otherMembers() {
 		if pr := n.progress[id]; pr.probing {
 			n.sendAppend(id, pr)
 		}
@@ -114,9 +113,9 @@
 	}
 }
 
-// Capture returns a snapshot of what is applied, without its data. It is nil
-// when the last snapshot covers that already. The caller adds the data, stores
-// it and hands it to Compact, while the node goes on.
+// Capture returns a snapshot of the applied state without its data, or nil if the last snapshot already
+// covers it. The caller adds the data, stores the snapshot and passes it to Compact, while the node
+// continues.
 func (n *Node) Capture() *Snapshot {
 	index := n.log.applied
 	t, ok := n.log.term(index)
@@ -126,32 +125,32 @@
 	return &Snapshot{Index: index, Term: t, Membership: n.members}
 }
 
-// Compact takes a captured snapshot, which must be durable, as this node's own.
-// It reports false when one that was received meanwhile covers more.
+// Compact adopts a captured snapshot, which must be durable, as the node's own. It returns false if a
+// snapshot received meanwhile covers more.
 func (n *Node) Compact(s *Snapshot) bool {
 	t, ok := n.log.term(s.Index)
 	if !ok || t != s.Term || s.Index <= n.snapshotIndex() {
 		return false
 	}
-	n.snap = s
+	n.snapshot = s
 	return true
 }
 
 func (n *Node) snapshotIndex() uint64 {
-	if n.snap == nil {
+	if n.snapshot == nil {
 		return 0
 	}
-	return n.snap.Index
+	return n.snapshot.Index
 }
 
-// TrimLog drops entries up to index from memory; a snapshot must cover them.
+// TrimLog drops the entries up to index from memory; a snapshot must cover them.
 func (n *Node) TrimLog(index uint64) {
-	if n.snap != nil && index <= n.snap.Index && index <= n.log.stable {
+	if n.snapshot != nil && index <= n.snapshot.Index && index <= n.log.stable {
 		n.log.compact(index)
 	}
 }
 
-// Status is a copy of what the node knows.
+// Status is a copy of the node's state.
 type Status struct {
 	ID                 NodeID
 	Role               Role
@@ -167,7 +166,7 @@
 
 // Status returns the node's current status.
 func (n *Node) Status() Status {
-	s := Status{ID: n.id, Role: n.role, Term: n.term, Leader: n.leader, First: n.log.first, Last: n.log.last(),
+	s := Status{ID: n.id, Role: n.role, Term: n.term, Leader: n.leader, First: n.log.compactedIndex, Last: n.log.last(),
 		Committed: n.log.committed, Applied: n.log.applied, Membership: n.members, SnapshotIndex: n.snapshotIndex(),
 		MembershipPending: n.role == Leader && n.pendingMembership > n.log.applied}
 	if n.role == Leader {
@@ -179,13 +178,13 @@
 	return s
 }
 
-// Membership returns the membership in force here.
+// Membership returns the applied membership.
 func (n *Node) Membership() Membership { return n.members }
 
-// HardState returns the hard state as it would be saved now.
+// HardState returns the current hard state, which may not be synced yet.
 func (n *Node) HardState() HardState { return n.hardState() }
 
-// EntriesAfter returns the entries in memory after index.
+// EntriesAfter returns the entries after index that are in memory.
 func (n *Node) EntriesAfter(index uint64) []Entry {
 	return n.log.slice(index, n.log.last(), maxInt)
 }
--- a/node/consensus/step.go
+++ b/node/consensus/step.go
@@ -1,14 +1,14 @@
 package consensus
 
-// The first retry of a snapshot comes after this many election timeouts; the
-// wait then doubles at most so many times.
+// A snapshot is first resent after snapshotRetryTimeouts election timeouts; the wait then doubles at most
+// maxSnapshotDoublings times.
 const (
 	snapshotRetryTimeouts = 4
 	maxSnapshotDoublings  = 5
 )
 
-// Step takes in a message. Messages for another NodeID are dropped: they are
-// meant for a disk that is gone.
+// Step handles a message from another replica. Messages for another NodeID are dropped: they are meant for a
+// replica whose disk was replaced.
 func (n *Node) Step(m Message) {
 	if m.To != n.id {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// stepHigherTerm adopts the term where the message proves it is real, and
-// reports whether the message should be handled further.
+// stepHigherTerm adopts the message's term, unless it is that of a pre-vote, and reports whether the message
+// should be processed further.
 func (n *Node) stepHigherTerm(m Message) bool {
 	switch m.Kind {
 	case MsgPreVote, MsgVote:
@@ -54,7 +54,7 @@
 			n.becomeFollower(m.Term, "")
 			return false
 		}
-		// A granted pre-vote carries the term that would be campaigned for.
+		// A granted pre-vote carries the term of the election that would follow.
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
 		n.becomeFollower(m.Term, m.From)
 	default:
@@ -63,13 +63,12 @@
 	return true
 }
 
-// inLease reports whether a leader was heard from within an election timeout.
+// inLease reports whether a leader was heard from within the last election timeout.
 func (n *Node) inLease() bool {
 	return n.leader != "" && n.electionElapsed < n.cfg.ElectionTicks
 }
 
-// stepLowerTerm tells a deposed leader or a candidate that is behind the
-// current term.
+// stepLowerTerm tells a deposed leader, or a candidate whose term is outdated, the current term.
 func (n *Node) stepLowerTerm(m Message) {
 	switch m.Kind {
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
@@ -80,7 +79,7 @@
 }
 
 func (n *Node) stepVote(m Message) {
-	upToDate := n.log.upToDate(m.Index, m.LogTerm)
+	upToDate := n.log.isUpToDate(m.Index, m.LogTerm)
 	if m.Kind == MsgPreVote {
 		grant := upToDate && m.Term > n.term
 		term := n.term
@@ -111,7 +110,7 @@
 		n.votes[m.From] = !m.Reject
 	}
 	switch {
-	case n.won():
+	case n.wonElection():
 		n.advanceCampaign()
 	case n.countVotes(false) >= n.members.quorum():
 		n.becomeFollower(n.term, "")
@@ -120,12 +119,12 @@
 
 func (n *Node) stepFromLeader(m Message) {
 	if n.role == Leader {
-		return // cannot happen: one leader a term
+		return // impossible: a term has one leader
 	}
 	if n.role != Follower {
 		n.becomeFollower(m.Term, m.From)
 	}
-	n.leader, n.heard = m.From, true
+	n.leader, n.leaderSeen = m.From, true
 	n.electionElapsed = 0
 	switch m.Kind {
 	case MsgAppend:
@@ -152,8 +151,8 @@
 	n.send(Message{Kind: MsgAppendReply, To: m.From, Index: match})
 }
 
-// rejectHint returns the last index that can agree with the leader: entries of
-// a term above the leader's at that place are skipped in one go.
+// rejectHint returns the highest index that may match the leader's log. It skips at once all entries with a
+// term above that of the leader's entry at the rejected index.
 func (n *Node) rejectHint(m Message) uint64 {
 	hint := min(n.log.last(), m.Index-1)
 	for hint > n.log.committed {
@@ -172,14 +171,14 @@
 		return
 	}
 	if t, ok := n.log.term(s.Index); ok && t == s.Term {
-		// What follows in the log may be acknowledged already: keep it.
+		// The entries after it may be acknowledged already: keep them.
 		n.log.committed = s.Index
 		n.send(Message{Kind: MsgAppendReply, To: m.From, Index: s.Index})
 		return
 	}
 	n.log.restore(s)
 	n.members = s.Membership
-	n.snap, n.newSnapshot = s, s
+	n.snapshot, n.receivedSnapshot = s, s
 	n.send(Message{Kind: MsgAppendReply, To: m.From, Index: s.Index})
 }
 
@@ -217,7 +216,7 @@
 
 func (n *Node) handleReject(m Message, pr *Progress) {
 	if m.Index <= pr.Match && m.Index != 0 {
-		return // late: the follower has since acknowledged more
+		return // delayed: the follower has acknowledged more since
 	}
 	pr.probing = true
 	pr.Next = max(pr.Match, min(m.Hint, n.log.last())) + 1
@@ -236,9 +235,8 @@
 	}
 }
 
-// retrySnapshot lets a snapshot that was not acknowledged be sent again. The
-// wait doubles, because a large one takes long on a slow link and a copy
-// behind it would only make that longer.
+// retrySnapshot allows an unacknowledged snapshot to be sent again. The wait doubles each time, because a
+// large snapshot takes long on a slow link and a second copy would delay it further.
 func (n *Node) retrySnapshot(pr *Progress) {
 	wait := snapshotRetryTimeouts * n.cfg.ElectionTicks << min(pr.snapshotRetries, maxSnapshotDoublings)
 	if pr.Snapshot == 0 || pr.snapshotWait < wait {
--- a/node/consensus/transfer.go
+++ b/node/consensus/transfer.go
@@ -1,6 +1,6 @@
 package consensus
 
-// TransferLeadership lets the voter take over once its log is whole.
+// TransferLeadership lets the voter take over once its log is complete. Proposals are refused meanwhile.
 func (n *Node) TransferLeadership(to NodeID) {
 	if n.role != Leader || to == n.id || !n.members.Has(to) {
 		return
@@ -17,7 +17,7 @@
 	}
 }
 
-// tickTransfer takes proposals again when the transferee stays silent.
+// tickTransfer cancels a transfer after an election timeout, so that proposals are accepted again.
 func (n *Node) tickTransfer() {
 	if n.transferee == "" {
 		return
@@ -28,9 +28,8 @@
 	}
 }
 
-// Resign returns a message by which a leader that can store nothing any more lets
-// another voter take over, the one whose log is longest. It changes nothing here:
-// what the leader has not synced was never acknowledged.
+// Resign returns the message by which a leader whose storage has failed makes its successor campaign. It does
+// not change the node: entries that the leader has not synced were never acknowledged.
 func (n *Node) Resign() []Message {
 	to := n.Successor()
 	if to == "" {
@@ -39,8 +38,8 @@
 	return []Message{{Kind: MsgTimeoutNow, From: n.id, To: to, Term: n.term}}
 }
 
-// Successor is the other voter that a leader should hand the lead to: the one whose log
-// is longest among those that answer. It is empty where there is none, or no lead.
+// Successor returns the active voter with the longest log other than the leader itself, or "" if there is
+// none or this node does not lead.
 func (n *Node) Successor() NodeID {
 	best := NodeID("")
 	if n.role != Leader {
--- a/node/ledger/fakes_test.go
+++ b/node/ledger/fakes_test.go
@@ -229,9 +229,9 @@
 func (w *world) startSweep(entry int, holder wire.ClaimRequest) *request {
 	r := &request{w: w, entry: entry, life: w.lives[entry], key: holder.ClaimKey, resume: make(chan struct{}), sweep: true}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	r.call.Deadline = w.clock.Now().Add(sweepTime)
+	r.call.Deadline = w.clock.Now().Add(sweepTimeout)
 	run := w.runner(r)
-	r.begin(func() { run.settleOld(r.ctx, holder) })
+	r.begin(func() { run.sweepClaim(r.ctx, holder) })
 	return r
 }
 
@@ -244,9 +244,9 @@
 			r.attempts = append(r.attempts, id)
 			return id
 		},
-		member:     func(id wire.MemberID) (wire.Member, bool) { m, ok := w.members[entry][id]; return m, ok },
-		unrecorded: func(s wire.SettleRequest) { w.owed[entry] = append(w.owed[entry], s) },
-		record:     func(timeline.Kind, dispatch.Call, string) {}}
+		member:      func(id wire.MemberID) (wire.Member, bool) { m, ok := w.members[entry][id]; return m, ok },
+		settleLater: func(s wire.SettleRequest) { w.owed[entry] = append(w.owed[entry], s) },
+		record:      func(timeline.Kind, dispatch.Call, string) {}}
 }
 
 // begin runs f in the request's own goroutine until its first exchange.
--- a/node/ledger/holder.go
+++ b/node/ledger/holder.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// An attempt that its gate has not seen may be under way from a live entry.
-	// It is given this many pauses to arrive before it is cancelled.
-	unseenPolls = 4
-	unseenPause = 25 * time.Millisecond
+	// An attempt that its gate has not seen may still be on its way from a live entry. The gate is polled
+	// this often before the attempt is cancelled.
+	unseenPolls        = 4
+	unseenPollInterval = 25 * time.Millisecond
 )
 
 func holderEndpoint(h wire.ClaimRequest) *routing.Endpoint {
 	return &routing.Endpoint{Member: wire.Member{ID: h.Endpoint, Gate: h.Gate, Incarnation: h.Incarnation}}
 }
 
-func (r *runner) answerOfHolder(ctx context.Context, holder wire.ClaimRequest, c dispatch.Call) (wire.Outcome, error) {
+func (r *runner) attachToHolder(ctx context.Context, holder wire.ClaimRequest, c dispatch.Call) (wire.Outcome, error) {
 	c.Attempt = holder.Attempt
 	answer, err := r.gates.Attach(ctx, holderEndpoint(holder), c, 0)
 	return readOutcome(answer, err)
 }
 
-// settleHeld finds out from the gate what became of the attempt that holds
-// the key, waits for its answer if it runs, and records it.
-func (r *runner) settleHeld(ctx context.Context, holder wire.ClaimRequest, c dispatch.Call) (*Result, error) {
+// resolveHeldKey asks the gate for the state of the attempt that holds the key, waits for its answer if it is
+// running, and records the outcome.
+func (r *runner) resolveHeldKey(ctx context.Context, holder wire.ClaimRequest, c dispatch.Call) (*Result, error) {
 	st, err := r.askGate(ctx, holder, c)
 	if err != nil {
-		return r.gateSilent(holder)
+		return r.handleUnreachableGate(holder)
 	}
-	if result, err, known := r.settleWithoutAnswer(holder, st); known {
+	if result, err, settled := r.settleIfUnanswerable(holder, st); settled {
 		return result, err
 	}
-	outcome, err := r.answerOfHolder(ctx, holder, c)
+	outcome, err := r.attachToHolder(ctx, holder, c)
 	if err != nil {
-		return r.failedAttach(holder, err)
+		return r.handleFailedAttach(holder, err)
 	}
-	stands, err := r.settle(holder, outcome)
+	recorded, err := r.settle(holder, outcome)
 	if err != nil {
 		return nil, err
 	}
-	return answerOf(stands, holder.RequestID != c.Request)
+	return resultOf(recorded, holder.RequestID != c.Request)
 }
 
-// askGate returns what the gate knows. An attempt that it has not seen is
-// cancelled after a short wait.
+// askGate returns the state of the holder's attempt at its gate. An attempt that stays unseen for unseenPolls
+// polls is cancelled.
 func (r *runner) askGate(ctx context.Context, holder wire.ClaimRequest, c dispatch.Call) (wire.AttemptStatus, error) {
 	e := holderEndpoint(holder)
 	for range unseenPolls {
@@ -57,80 +57,79 @@
 		if err != nil || st.State != wire.AttemptUnseen || st.Incarnation != holder.Incarnation {
 			return st, err
 		}
-		if r.clock.Now().Add(unseenPolls * unseenPause).After(c.Deadline) {
+		if r.clock.Now().Add(unseenPolls * unseenPollInterval).After(c.Deadline) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-r.clock.After(unseenPause):
+		case <-r.clock.After(unseenPollInterval):
 		}
 	}
 	return r.gates.CancelClaimed(ctx, e, holder.Attempt)
 }
 
-// settleWithoutAnswer handles the states in which no answer can come.
-func (r *runner) settleWithoutAnswer(holder wire.ClaimRequest, st wire.AttemptStatus) (result *Result, err error, known bool) {
+// settleIfUnanswerable settles the key if no answer can come any more, and reports whether it did.
+func (r *runner) settleIfUnanswerable(holder wire.ClaimRequest, st wire.AttemptStatus) (result *Result, err error, settled bool) {
 	switch {
 	case st.Incarnation != holder.Incarnation, st.State == wire.AttemptForgotten:
-		result, err = r.settleUnknown(holder)
+		result, err = r.settleOutcomeUnknown(holder)
 		return result, err, true
 	case st.State == wire.AttemptTombstoned:
-		return nil, r.release(holder, verdict.New(verdict.NotRun, verdict.CodeInProgress, "an earlier attempt was cancelled before it ran")), true
+		return nil, r.releaseKey(holder, verdict.New(verdict.NotRun, verdict.CodeInProgress, "an earlier attempt was cancelled before it ran")), true
 	}
 	return nil, nil, false
 }
 
-// release frees the key of an attempt that never runs.
-func (r *runner) release(holder wire.ClaimRequest, cause error) error {
+// releaseKey frees the key of an attempt that will never run, and returns cause.
+func (r *runner) releaseKey(holder wire.ClaimRequest, cause error) error {
 	if _, err := r.settle(holder, wire.Outcome{Verdict: verdict.NotRun}); err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "the key's release could not be recorded: %v", err)
+		return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "the release of the key could not be recorded: %v", err)
 	}
 	return cause
 }
 
-// gateSilent handles a gate that gives no answer. Only a new incarnation
-// proves that the answer is lost; without one the key stays held, so that a
-// later resend can ask again.
-func (r *runner) gateSilent(holder wire.ClaimRequest) (*Result, error) {
-	if r.restarted(holder) {
-		return r.settleUnknown(holder)
+// handleUnreachableGate handles a gate that does not respond. Only a new incarnation proves that the answer
+// is lost; without one the key stays held, so that a later resend can ask again.
+func (r *runner) handleUnreachableGate(holder wire.ClaimRequest) (*Result, error) {
+	if r.gateRestarted(holder) {
+		return r.settleOutcomeUnknown(holder)
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "the gate that holds the call is not reached")
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "the gate that holds the call is unreachable")
 }
 
-// restarted reports whether a later incarnation of the gate has joined.
-func (r *runner) restarted(holder wire.ClaimRequest) bool {
+// gateRestarted reports whether a later incarnation of the gate has joined.
+func (r *runner) gateRestarted(holder wire.ClaimRequest) bool {
 	m, ok := r.member(holder.Endpoint)
 	return ok && m.Incarnation > holder.Incarnation
 }
 
-// failedAttach handles an attempt of which no whole answer was read. Only what
-// the gate itself says of it is recorded, never a fault of the connection.
-func (r *runner) failedAttach(holder wire.ClaimRequest, cause error) (*Result, error) {
+// handleFailedAttach handles an attempt whose answer could not be read completely. It records only what the
+// gate reports, never a connection error.
+func (r *runner) handleFailedAttach(holder wire.ClaimRequest, cause error) (*Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	st, err := r.gates.Status(ctx, holderEndpoint(holder), holder.Attempt)
 	if err != nil {
-		return r.gateSilent(holder)
+		return r.handleUnreachableGate(holder)
 	}
-	if result, err, known := r.settleWithoutAnswer(holder, st); known {
+	if result, err, settled := r.settleIfUnanswerable(holder, st); settled {
 		return result, err
 	}
 	switch {
 	case st.State == wire.AttemptUnseen:
-		return r.settleUnknown(holder) // it was known before, so it was forgotten since
+		return r.settleOutcomeUnknown(holder) // it was known to the gate earlier, so the gate has forgotten it
 	case st.State != wire.AttemptDone, st.End == wire.EndWhole:
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the call's answer did not come in time; ask again with the same key")
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the call did not answer in time; retry with the same key")
 	case verdict.Of(cause) == verdict.NotRun:
-		return nil, r.release(holder, cause)
+		return nil, r.releaseKey(holder, cause)
 	}
-	return r.settleUnknown(holder)
+	return r.settleOutcomeUnknown(holder)
 }
 
-func (r *runner) settleUnknown(holder wire.ClaimRequest) (*Result, error) {
-	stands, err := r.settle(holder, wire.Outcome{Verdict: verdict.MayHaveRun})
+func (r *runner) settleOutcomeUnknown(holder wire.ClaimRequest) (*Result, error) {
+	recorded, err := r.settle(holder, wire.Outcome{Verdict: verdict.MayHaveRun})
 	if err != nil {
 		return nil, err
 	}
-	return answerOf(stands, true)
+	return resultOf(recorded, true)
 }
--- a/node/ledger/interfaces.go
+++ b/node/ledger/interfaces.go
@@ -8,14 +8,14 @@
 	"caperdrum.org/node/routing"
 )
 
-// control is the replicated ledger. A call that fails may still take effect,
-// also later and also twice.
+// control is the client of the replicated ledger. A call that returns an error may still take effect,
+// possibly later or twice.
 type control interface {
 	Claim(context.Context, wire.ClaimRequest) (wire.ClaimReply, error)
 	Settle(context.Context, wire.SettleRequest) (wire.SettleReply, error)
 }
 
-// gates carries attempts, and questions about them, to the gates.
+// gates submits attempts to gates and queries their state.
 type gates interface {
 	Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Answer, error)
 	Attach(ctx context.Context, e *routing.Endpoint, c dispatch.Call, offset int64) (*dispatch.Answer, error)
@@ -23,7 +23,7 @@
 	CancelClaimed(ctx context.Context, e *routing.Endpoint, id wire.AttemptID) (wire.AttemptStatus, error)
 }
 
-// chooser picks the endpoint of an attempt.
+// chooser selects the endpoint for an attempt.
 type chooser interface {
 	Choose(routing.Request) *routing.Endpoint
 }
--- a/node/ledger/limits_test.go
+++ b/node/ledger/limits_test.go
@@ -23,13 +23,13 @@
 
 func TestLimits(t *testing.T) {
 	w := newWorld(t)
-	for _, key := range []string{"\xff", strings.Repeat("k", maxKey+1)} {
+	for _, key := range []string{"\xff", strings.Repeat("k", maxKeyBytes+1)} {
 		v := verdict.From(runAlone(w, 0, key).err)
 		if v.Verdict != verdict.NotRun || v.Code != verdict.CodeInvalid {
 			t.Fatalf("key %q: %v", key, v)
 		}
 	}
-	w.padding = strings.Repeat("x", maxOutcome)
+	w.padding = strings.Repeat("x", maxAnswerBytes)
 	for entry := range entries {
 		v := verdict.From(runAlone(w, entry, "large").err)
 		if v.Verdict != verdict.Ran || w.runs[wire.ClaimKey{Customer: "a", Key: "large"}] != 1 {
@@ -38,7 +38,7 @@
 	}
 	w.padding, w.full = "", true
 	v := verdict.From(runAlone(w, 0, "new").err)
-	if v.Verdict != verdict.NotRun || v.Code != verdict.CodeLedgerFull || v.RetryAfter != fullComeBack {
+	if v.Verdict != verdict.NotRun || v.Code != verdict.CodeLedgerFull || v.RetryAfter != ledgerFullRetryAfter {
 		t.Fatalf("a full ledger: %v", v)
 	}
 }
--- a/node/ledger/service.go
+++ b/node/ledger/service.go
@@ -1,6 +1,5 @@
-// Package ledger is the entry's side of the idempotency ledger: a keyed call
-// to a service that is not idempotent runs at most once, whichever entry a
-// resend reaches, and every resend gets the recorded answer.
+// Package ledger implements the entry's side of the idempotency ledger: a keyed call to a service that is not
+// idempotent runs at most once, whichever entry a resend reaches, and every resend gets the recorded answer.
 package ledger
 
 import (
@@ -17,14 +16,14 @@
 	"caperdrum.org/node/routing"
 )
 
-// Methods of the control role that this package calls.
+// Control methods that this package calls.
 const (
 	MethodClaim  = "control.claim"
 	MethodSettle = "control.settle"
 	MethodHeld   = "control.held"
 )
 
-// Params are what the service needs.
+// Params holds the dependencies of the service.
 type Params struct {
 	dig.In
 	Ring     *timeline.Ring
@@ -33,12 +32,12 @@
 	Dispatch *dispatch.Service   `name:"dispatch"`
 }
 
-// Service runs keyed calls.
+// Service runs keyed calls and settles their claims.
 type Service struct {
 	runner
-	ring  *timeline.Ring
-	sync  *configsync.Service
-	later *unrecorded
+	ring        *timeline.Ring
+	sync        *configsync.Service
+	settleQueue *settleQueue
 
 	cancel context.CancelFunc
 }
@@ -47,7 +46,7 @@
 func New(p Params) *Service {
 	s := &Service{ring: p.Ring, sync: p.Sync}
 	s.runner = runner{
-		control:    leader{p.Sync.Control()},
+		control:    leaderClient{p.Sync.Control()},
 		gates:      p.Dispatch,
 		chooser:    p.Routing,
 		clock:      clockwork.NewRealClock(),
@@ -55,8 +54,8 @@
 		member:     s.member,
 		record:     s.record,
 	}
-	s.later = newUnrecorded(s.control, s.clock)
-	s.unrecorded = s.later.add
+	s.settleQueue = newSettleQueue(s.control, s.clock)
+	s.settleLater = s.settleQueue.add
 	return s
 }
 
@@ -64,28 +63,27 @@
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	go s.later.run(ctx)
+	go s.settleQueue.run(ctx)
 	go s.sweep(ctx)
 	return nil
 }
 
-// Stop implements kernel.Stopper. What is not recorded by then is left to
-// resends.
+// Stop implements kernel.Stopper. Outcomes that are not recorded by then are left to resends.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
 	return nil
 }
 
-// leader is the control interface over the peer links.
-type leader struct{ control *peer.Control }
+// leaderClient implements control by calls to the leader over the peer links.
+type leaderClient struct{ control *peer.Control }
 
-func (l leader) Claim(ctx context.Context, r wire.ClaimRequest) (wire.ClaimReply, error) {
+func (l leaderClient) Claim(ctx context.Context, r wire.ClaimRequest) (wire.ClaimReply, error) {
 	var reply wire.ClaimReply
 	err := l.control.CallLeader(ctx, MethodClaim, r, &reply)
 	return reply, err
 }
 
-func (l leader) Settle(ctx context.Context, r wire.SettleRequest) (wire.SettleReply, error) {
+func (l leaderClient) Settle(ctx context.Context, r wire.SettleRequest) (wire.SettleReply, error) {
 	var reply wire.SettleReply
 	err := l.control.CallLeader(ctx, MethodSettle, r, &reply)
 	return reply, err
--- a/node/ledger/unrecorded.go
+++ b/node/ledger/settlequeue.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	unrecordedMax   = 8192
-	unrecordedBytes = 16 << 20               // of answers
-	unrecordedBatch = 64                     // recorded at a time
-	unrecordedPause = 300 * time.Millisecond // between two tries, on average
+	maxQueued        = 8192
+	maxQueuedBytes   = 16 << 20               // limit of the answers' total size
+	settleBatchSize  = 64                     // settlements recorded concurrently
+	settleRetryPause = 300 * time.Millisecond // average pause between two attempts
 )
 
 var (
@@ -24,10 +24,10 @@
 	droppedVar    = expvar.NewInt("ledger_unrecorded_dropped")
 )
 
-// unrecorded holds the settlements that control has not confirmed and repeats
-// each until it has. They stay true however late they arrive: a settlement
-// names its attempt and has no effect on any other.
-type unrecorded struct {
+// settleQueue holds the settlements that control has not confirmed and retries each until it has. A
+// settlement stays valid however late it arrives, because it names its attempt and has no effect on any
+// other.
+type settleQueue struct {
 	settle func(context.Context, wire.SettleRequest) error
 	clock  clockwork.Clock
 	wake   chan struct{}
@@ -37,20 +37,20 @@
 	bytes int
 }
 
-func newUnrecorded(c control, clock clockwork.Clock) *unrecorded {
-	return &unrecorded{clock: clock, wake: make(chan struct{}, 1), settle: func(ctx context.Context, r wire.SettleRequest) error {
+func newSettleQueue(c control, clock clockwork.Clock) *settleQueue {
+	return &settleQueue{clock: clock, wake: make(chan struct{}, 1), settle: func(ctx context.Context, r wire.SettleRequest) error {
 		_, err := c.Settle(ctx, r)
 		return err
 	}}
 }
 
-// add keeps r. Beyond the bounds it is dropped: its key then stays held until a
-// resend asks the gate.
-func (u *unrecorded) add(r wire.SettleRequest) {
+// add queues r. If the queue is full, r is dropped: its key then stays held until a resend or a sweep asks
+// the gate.
+func (u *settleQueue) add(r wire.SettleRequest) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	size := len(r.Outcome.Body)
-	if len(u.list) >= unrecordedMax || u.bytes+size > unrecordedBytes {
+	if len(u.list) >= maxQueued || u.bytes+size > maxQueuedBytes {
 		droppedVar.Add(1)
 		return
 	}
@@ -63,11 +63,11 @@
 	}
 }
 
-// take removes and returns the oldest settlements.
-func (u *unrecorded) take() []wire.SettleRequest {
+// take removes and returns up to settleBatchSize of the oldest settlements.
+func (u *settleQueue) take() []wire.SettleRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	n := min(len(u.list), unrecordedBatch)
+	n := min(len(u.list), settleBatchSize)
 	batch := u.list[:n:n]
 	u.list = append([]wire.SettleRequest(nil), u.list[n:]...)
 	for _, r := range batch {
@@ -77,7 +77,7 @@
 	return batch
 }
 
-func (u *unrecorded) run(ctx context.Context) {
+func (u *settleQueue) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -88,14 +88,14 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-u.clock.After(unrecordedPause/2 + rand.N(unrecordedPause)):
+			case <-u.clock.After(settleRetryPause/2 + rand.N(settleRetryPause)):
 			}
 		}
 	}
 }
 
-// step records what it can and reports whether some is left.
-func (u *unrecorded) step(ctx context.Context) bool {
+// step records queued settlements until one fails, and reports whether any are left.
+func (u *settleQueue) step(ctx context.Context) bool {
 	for batch := u.take(); len(batch) > 0; batch = u.take() {
 		if !u.record(ctx, batch) {
 			return true
@@ -104,8 +104,8 @@
 	return false
 }
 
-// record reports whether the whole batch was recorded; the rest is kept.
-func (u *unrecorded) record(ctx context.Context, batch []wire.SettleRequest) bool {
+// record records a batch, queues what failed again, and reports whether all succeeded.
+func (u *settleQueue) record(ctx context.Context, batch []wire.SettleRequest) bool {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	failed := make([]bool, len(batch))
--- a/node/ledger/unrecorded_test.go
+++ b/node/ledger/settlequeue_test.go
@@ -14,7 +14,7 @@
 // TestUnrecorded fails every other settlement. Each is recorded once, in the
 // end, and nothing is kept beyond the bounds.
 func TestUnrecorded(t *testing.T) {
-	u := newUnrecorded(nil, clockwork.NewFakeClock())
+	u := newSettleQueue(nil, clockwork.NewFakeClock())
 	var mu sync.Mutex
 	tries, recorded := 0, map[string]int{}
 	u.settle = func(_ context.Context, r wire.SettleRequest) error {
@@ -26,12 +26,12 @@
 		recorded[r.Key]++
 		return nil
 	}
-	for i := range 3*unrecordedBatch + 5 {
+	for i := range 3*settleBatchSize + 5 {
 		u.add(wire.SettleRequest{ClaimKey: wire.ClaimKey{Key: string(rune('a' + i))}})
 	}
 	for u.step(context.Background()) {
 	}
-	if len(recorded) != 3*unrecordedBatch+5 || u.bytes != 0 {
+	if len(recorded) != 3*settleBatchSize+5 || u.bytes != 0 {
 		t.Fatalf("%d recorded, %d bytes left", len(recorded), u.bytes)
 	}
 	for key, n := range recorded {
@@ -39,11 +39,11 @@
 			t.Errorf("%q recorded %d times", key, n)
 		}
 	}
-	large := wire.SettleRequest{Outcome: wire.Outcome{Body: make([]byte, maxOutcome)}}
-	for range unrecordedBytes/maxOutcome + 1 {
+	large := wire.SettleRequest{Outcome: wire.Outcome{Body: make([]byte, maxAnswerBytes)}}
+	for range maxQueuedBytes/maxAnswerBytes + 1 {
 		u.add(large)
 	}
-	if len(u.list) != unrecordedBytes/maxOutcome || u.bytes != unrecordedBytes {
+	if len(u.list) != maxQueuedBytes/maxAnswerBytes || u.bytes != maxQueuedBytes {
 		t.Fatalf("%d kept with %d bytes", len(u.list), u.bytes)
 	}
 }
--- a/node/ledger/sweep.go
+++ b/node/ledger/sweep.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	sweepPause   = 5 * time.Second // between two questions for unsettled claims, on average
-	sweepTime    = 5 * time.Second // to settle one claim
-	sweepWorkers = 8
+	sweepInterval = 5 * time.Second // average pause between two requests for unsettled claims
+	sweepTimeout  = 5 * time.Second // for settling one claim
+	sweepWorkers  = 8
 )
 
-// sweep settles claims whose entry may have died, before their gate forgets
-// what became of them. It ends with ctx.
+// sweep settles claims whose entry may have died, before their gate forgets their outcome. It returns when
+// ctx ends.
 func (s *Service) sweep(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.clock.After(sweepPause/2 + rand.N(sweepPause)):
+		case <-s.clock.After(sweepInterval/2 + rand.N(sweepInterval)):
 		}
 		var reply wire.HeldReply
 		if s.sync.Control().CallLeader(ctx, MethodHeld, struct{}{}, &reply) == nil {
-			s.settleAll(ctx, reply.Claims)
+			s.sweepClaims(ctx, reply.Claims)
 		}
 	}
 }
 
-func (s *Service) settleAll(ctx context.Context, claims []wire.ClaimRequest) {
+func (s *Service) sweepClaims(ctx context.Context, claims []wire.ClaimRequest) {
 	work := make(chan wire.ClaimRequest)
 	var wg sync.WaitGroup
 	for range min(sweepWorkers, len(claims)) {
 		wg.Go(func() {
 			for c := range work {
-				s.settleOld(ctx, c)
+				s.sweepClaim(ctx, c)
 			}
 		})
 	}
@@ -49,13 +49,12 @@
 	wg.Wait()
 }
 
-// settleOld does for an old claim what a resend of its key would do, but runs
-// nothing anew.
-func (r *runner) settleOld(ctx context.Context, holder wire.ClaimRequest) {
-	ctx, cancel := context.WithTimeout(ctx, sweepTime)
+// sweepClaim does for an old claim what a resend of its key would do, but never runs a new attempt.
+func (r *runner) sweepClaim(ctx context.Context, holder wire.ClaimRequest) {
+	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
-	call := dispatch.Call{Request: holder.RequestID, Customer: holder.Customer, Attempt: holder.Attempt, Claimed: true, Deadline: r.clock.Now().Add(sweepTime)}
-	_, err := r.settleHeld(ctx, holder, call)
+	call := dispatch.Call{Request: holder.RequestID, Customer: holder.Customer, Attempt: holder.Attempt, Claimed: true, Deadline: r.clock.Now().Add(sweepTimeout)}
+	_, err := r.resolveHeldKey(ctx, holder, call)
 	detail := string(holder.Attempt)
 	if err != nil {
 		detail += ": " + err.Error()
--- a/node/replica/calls.go
+++ b/node/replica/calls.go
@@ -11,8 +11,8 @@
 	"caperdrum.org/node/state"
 )
 
-// Propose commits c and returns its result. ErrNotLeader says that c was not
-// taken; after any other error it may be applied later.
+// Propose commits c and returns its result. ErrNotLeader means that c was not accepted; after any other error
+// c may still be applied later.
 func (r *Replica) Propose(ctx context.Context, c state.Command) (state.Result, error) {
 	c.Now = r.opts.Clock.Now().UnixMilli()
 	data, err := c.Encode()
@@ -21,43 +21,42 @@
 	}
 	p := &proposal{data: data, answer: make(chan proposalAnswer, 1)}
 	select {
-	case r.propose <- p:
+	case r.proposals <- p:
 	case <-ctx.Done():
 		return state.Result{}, ErrNotLeader
 	case <-r.done:
 		return state.Result{}, ErrNotLeader
 	}
 	began := r.opts.Clock.Now()
-	res, err := r.outcome(ctx, p)
-	if !errNotTaken(err) {
+	res, err := r.awaitResult(ctx, p)
+	if !isNotLeader(err) {
 		r.logCommand(len(data), began, err)
 	}
 	return res, err
 }
 
-// errNotTaken reports whether err says that this replica does not lead, which callers
-// find out all the time.
-func errNotTaken(err error) bool { return errors.Is(err, ErrNotLeader) }
+// isNotLeader reports whether err says that this replica is not the leader, an expected error that is not
+// logged.
+func isNotLeader(err error) bool { return errors.Is(err, ErrNotLeader) }
 
-func (r *Replica) outcome(ctx context.Context, p *proposal) (state.Result, error) {
+func (r *Replica) awaitResult(ctx context.Context, p *proposal) (state.Result, error) {
 	select {
 	case a := <-p.answer:
 		return a.result, a.err
 	case <-ctx.Done():
-		return state.Result{}, errLost
+		return state.Result{}, errLeadershipLost
 	case <-r.done:
 		return state.Result{}, errStopped
 	}
 }
 
-// ReadBarrier returns once the view holds everything that was committed
-// before the call.
+// ReadBarrier returns once the view includes everything committed before the call.
 func (r *Replica) ReadBarrier(ctx context.Context) error {
 	_, err := r.ReadIndex(ctx)
 	return err
 }
 
-// ReadIndex is ReadBarrier and returns the log index that was waited for.
+// ReadIndex is ReadBarrier, and also returns the log index that it waited for.
 func (r *Replica) ReadIndex(ctx context.Context) (uint64, error) {
 	began := r.opts.Clock.Now()
 	index, err := r.readIndex(ctx)
@@ -66,14 +65,14 @@
 }
 
 func (r *Replica) readIndex(ctx context.Context) (uint64, error) {
-	rd := &reader{answer: make(chan error, 1)}
-	err := r.do(ctx, func() {
+	rd := &pendingRead{answer: make(chan error, 1)}
+	err := r.runOnLoop(ctx, func() {
 		r.nextID++
 		if err := r.node.ReadIndex(r.nextID); err != nil {
 			rd.answer <- err
 			return
 		}
-		r.readers[r.nextID] = rd
+		r.pendingReads[r.nextID] = rd
 	})
 	if err != nil {
 		return 0, err
@@ -84,12 +83,12 @@
 	return rd.index, nil
 }
 
-// WaitApplied returns once the view holds the entry at index.
+// WaitApplied returns once the view includes the entry at index.
 func (r *Replica) WaitApplied(ctx context.Context, index uint64) error {
 	w := &applyWaiter{index: index, answer: make(chan error, 1)}
-	err := r.do(ctx, func() {
-		r.waiters = append(r.waiters, w)
-		r.releaseWaiters()
+	err := r.runOnLoop(ctx, func() {
+		r.applyWaiters = append(r.applyWaiters, w)
+		r.releaseApplyWaiters()
 	})
 	if err != nil {
 		return err
@@ -108,8 +107,8 @@
 	}
 }
 
-// do runs f on the owning goroutine.
-func (r *Replica) do(ctx context.Context, f func()) error {
+// runOnLoop runs f on the goroutine that owns the node and the state.
+func (r *Replica) runOnLoop(ctx context.Context, f func()) error {
 	ran := make(chan struct{})
 	select {
 	case r.calls <- func() { f(); close(ran) }:
@@ -122,9 +121,9 @@
 	return nil
 }
 
-// Held is state.Machine.Held for the leader's state and clock.
+// Held returns state.Machine.Held at the leader's clock, and nothing if this replica does not lead.
 func (r *Replica) Held(ctx context.Context, age time.Duration, n int, skip func(wire.AttemptID) bool) (held []wire.ClaimRequest, err error) {
-	err = r.do(ctx, func() {
+	err = r.runOnLoop(ctx, func() {
 		if r.node.Status().Role == consensus.Leader {
 			held = r.machine.Held(r.opts.Clock.Now(), age, n, skip)
 		}
--- a/node/replica/compact.go
+++ b/node/replica/compact.go
@@ -7,53 +7,53 @@
 	"caperdrum.org/node/state"
 )
 
-// captured is a snapshot that another goroutine encoded and stored.
-type captured struct {
+// snapshotResult is a snapshot that a background goroutine has encoded and stored.
+type snapshotResult struct {
 	snap *consensus.Snapshot
 	err  error
 }
 
-// maybeCompact replaces a long log by a snapshot. The loop only captures the
-// state and, once the snapshot is durable, starts the log behind it; encoding
-// and writing take longer than an election timeout and run beside the loop.
+// maybeCompact replaces a long log by a snapshot. The loop only captures the state and, once the snapshot is
+// durable, starts a new log file after it; encoding and writing take longer than an election timeout and run
+// in the background.
 func (r *Replica) maybeCompact() error {
 	select {
-	case c := <-r.captured:
-		return r.install(c)
+	case c := <-r.snapshotDone:
+		return r.finishSnapshot(c)
 	default:
 	}
-	if !r.capturing && r.log.Size() >= max(r.compactBytes, r.snapshotBytes) {
-		r.capture()
+	if !r.snapshotRunning && r.log.Size() >= max(r.compactBytes, r.snapshotBytes) {
+		r.startSnapshot()
 	}
 	return nil
 }
 
-// capture starts a snapshot of what is applied. At most one is in work.
-func (r *Replica) capture() {
+// startSnapshot starts a snapshot of the applied state. At most one is in progress.
+func (r *Replica) startSnapshot() {
 	snap := r.node.Capture()
 	if snap == nil {
 		return
 	}
 	image := r.machine.Capture()
-	r.capturing = true
+	r.snapshotRunning = true
 	go func() {
-		err := r.store(snap, image)
-		r.captured <- captured{snap, errors.Trace(err)}
+		err := r.writeSnapshot(snap, image)
+		r.snapshotDone <- snapshotResult{snap, errors.Trace(err)}
 	}()
 }
 
-// store runs beside the loop: it uses nothing that the loop changes.
-func (r *Replica) store(snap *consensus.Snapshot, image *state.Image) (err error) {
+// writeSnapshot runs concurrently with the loop and must not use anything that the loop changes.
+func (r *Replica) writeSnapshot(snap *consensus.Snapshot, image *state.Image) (err error) {
 	if snap.Data, err = image.Encode(); err != nil {
 		return err
 	}
 	return r.log.WriteSnapshot(snap)
 }
 
-// install starts the log behind a snapshot that is durable. The new file holds
-// every entry that came after the capture.
-func (r *Replica) install(c captured) error {
-	r.capturing = false
+// finishSnapshot starts a new log file after a durable snapshot. The file begins with every entry that came
+// after the capture.
+func (r *Replica) finishSnapshot(c snapshotResult) error {
+	r.snapshotRunning = false
 	if c.err != nil {
 		return c.err
 	}
@@ -66,26 +66,26 @@
 	}
 	r.snapshotBytes = int64(len(c.snap.Data))
 	r.opts.Log.Info("snapshot stored", "index", index, "bytes", len(c.snap.Data))
-	r.trim(index)
+	r.trimLog(index)
 	return nil
 }
 
-// dropCapture waits for the snapshot in work and makes it void. A received
-// snapshot replaces it, and nothing may write to the folder after Run.
-func (r *Replica) dropCapture() error {
-	if !r.capturing {
+// discardSnapshot waits for a snapshot in progress and discards its result. A received snapshot supersedes
+// it, and nothing may write to the folder after Run has returned.
+func (r *Replica) discardSnapshot() error {
+	if !r.snapshotRunning {
 		return nil
 	}
-	r.capturing = false
-	return (<-r.captured).err
+	r.snapshotRunning = false
+	return (<-r.snapshotDone).err
 }
 
-// trim keeps the newest entries before the snapshot for followers that lag a
-// little, bounded in number and bytes.
-func (r *Replica) trim(index uint64) {
+// trimLog keeps the last entries before the snapshot in memory for followers that lag slightly: at most
+// trailingEntries of them and trailingBytes of data.
+func (r *Replica) trimLog(index uint64) {
 	first := r.node.Status().First
-	if index > trailing {
-		first = max(first, index-trailing)
+	if index > trailingEntries {
+		first = max(first, index-trailingEntries)
 	}
 	entries := r.node.EntriesAfter(first)
 	entries = entries[:index-first]
--- a/node/replica/compact_test.go
+++ b/node/replica/compact_test.go
@@ -105,11 +105,11 @@
 		}
 		until(func() (working bool) {
 			r.fence(t)
-			r.do(context.Background(), func() { working = r.capturing && len(r.captured) == 0 })
+			r.runOnLoop(context.Background(), func() { working = r.snapshotRunning && len(r.snapshotDone) == 0 })
 			return working
 		})
 		stop()
-		if fs.busy.Load() > 0 || fs.overlaps.Load() > 0 || r.capturing {
+		if fs.busy.Load() > 0 || fs.overlaps.Load() > 0 || r.snapshotRunning {
 			t.Fatalf("round %d: in work after the stop, or %d at a time", round, fs.overlaps.Load()+1)
 		}
 	}
@@ -123,10 +123,10 @@
 		t.Fatal("init")
 	}
 	until(r.IsLeader)
-	var c captured
-	r.do(ctx, func() { r.capture(); c = <-r.captured })
+	var c snapshotResult
+	r.runOnLoop(ctx, func() { r.startSnapshot(); c = <-r.snapshotDone })
 	last := r.fenceAfter(t, r.fence(t))
-	r.do(ctx, func() { r.captured <- c })
+	r.runOnLoop(ctx, func() { r.snapshotDone <- c })
 	until(func() bool { return r.Status().SnapshotIndex == c.snap.Index })
 	if applied := r.Status().Applied; applied <= c.snap.Index {
 		t.Fatalf("applied %d, captured %d", applied, c.snap.Index)
@@ -148,17 +148,17 @@
 	until(r.IsLeader)
 	n := r.fence(t)
 	var received *consensus.Snapshot
-	r.do(ctx, func() {
+	r.runOnLoop(ctx, func() {
 		data, _ := r.machine.Snapshot()
 		s := r.node.Status()
 		received = &consensus.Snapshot{Index: s.Last + 100, Term: s.Term + 1, Data: data,
 			Membership: consensus.Membership{Voters: []consensus.Peer{r.self}}}
-		r.capture()
+		r.startSnapshot()
 		r.node.Step(consensus.Message{Kind: consensus.MsgSnapshot, From: "other", To: r.self.ID, Term: s.Term + 1, Snapshot: received})
 	})
-	r.do(ctx, func() {
-		if s := r.node.Status(); r.capturing || len(r.captured) > 0 || s.SnapshotIndex != received.Index {
-			t.Errorf("still in work: %v, status %+v", r.capturing, s)
+	r.runOnLoop(ctx, func() {
+		if s := r.node.Status(); r.snapshotRunning || len(r.snapshotDone) > 0 || s.SnapshotIndex != received.Index {
+			t.Errorf("still in work: %v, status %+v", r.snapshotRunning, s)
 		}
 	})
 	stop()
@@ -216,18 +216,18 @@
 		f()
 		*of = max(*of, time.Since(start))
 	}
-	call := func(f func()) { longest(&w.loop, func() { r.do(context.Background(), f) }) }
+	call := func(f func()) { longest(&w.loop, func() { r.runOnLoop(context.Background(), f) }) }
 	var image *state.Image
-	r.do(context.Background(), func() { image = r.machine.Capture() })
+	r.runOnLoop(context.Background(), func() { image = r.machine.Capture() })
 	longest(&w.encode, func() { image.Encode() })
 	before := r.Status().SnapshotIndex
 	longest(&w.whole, func() {
 		call(func() {
-			r.capture()
+			r.startSnapshot()
 			if !onLoop {
 				return
 			}
-			if err := r.install(<-r.captured); err != nil {
+			if err := r.finishSnapshot(<-r.snapshotDone); err != nil {
 				b.Error(err)
 			}
 		})
--- a/node/replica/loop.go
+++ b/node/replica/loop.go
@@ -8,11 +8,11 @@
 	"caperdrum.org/node/consensus"
 )
 
-// Run owns the consensus node until ctx ends or the folder is corrupt. After a
-// disk error the replica takes no part until the disk takes bytes again.
+// Run owns the consensus node until ctx ends or the folder is corrupt. After a disk error the replica is
+// suspended until the disk accepts writes again.
 func (r *Replica) Run(ctx context.Context) error {
 	defer func() { r.log.Close() }()
-	defer r.dropCapture()
+	defer r.discardSnapshot()
 	defer close(r.done)
 	for {
 		err := r.serve(ctx)
@@ -45,34 +45,35 @@
 			r.requestStamp()
 		case f := <-r.calls:
 			f()
-		case messages := <-r.steps:
+		case messages := <-r.inbox:
 			r.step(messages)
-		case p := <-r.propose:
-			r.take(p)
+		case p := <-r.proposals:
+			r.acceptProposal(p)
 		}
 		r.drain()
-		if err := r.process(); err != nil {
+		if err := r.processReady(); err != nil {
 			return err
 		}
-		r.stampLead()
+		r.confirmNewLeadership()
 	}
 }
 
-// stampLead has a new lead confirmed at once: processes that have just started wait for it.
-func (r *Replica) stampLead() {
-	if s := r.node.Status(); s.Role == consensus.Leader && s.Term != r.stamped {
-		r.stamped = s.Term
+// confirmNewLeadership requests a quorum confirmation as soon as this replica becomes leader, because
+// processes that have just started wait for it.
+func (r *Replica) confirmNewLeadership() {
+	if s := r.node.Status(); s.Role == consensus.Leader && s.Term != r.confirmedTerm {
+		r.confirmedTerm = s.Term
 		r.requestStamp()
 	}
 }
 
-// drain takes in what else is waiting, so that one sync serves it all.
+// drain accepts the other waiting proposals and messages, so that one sync covers them all.
 func (r *Replica) drain() {
 	for range maxProposals {
 		select {
-		case p := <-r.propose:
-			r.take(p)
-		case messages := <-r.steps:
+		case p := <-r.proposals:
+			r.acceptProposal(p)
+		case messages := <-r.inbox:
 			r.step(messages)
 		default:
 			return
@@ -86,7 +87,7 @@
 	}
 }
 
-func (r *Replica) take(p *proposal) {
+func (r *Replica) acceptProposal(p *proposal) {
 	index, term, err := r.node.Propose(p.data)
 	if err == consensus.ErrOverloaded {
 		err = errOverloaded
@@ -96,24 +97,24 @@
 		return
 	}
 	p.term = term
-	if old := r.waiting[index]; old != nil {
-		old.answer <- proposalAnswer{err: errLost}
+	if old := r.pendingProposals[index]; old != nil {
+		old.answer <- proposalAnswer{err: errLeadershipLost}
 	}
-	r.waiting[index] = p
+	r.pendingProposals[index] = p
 }
 
-// requestStamp lets a quorum confirm that this leader still leads.
+// requestStamp asks a quorum to confirm that this replica still leads. The stamp is the time of the request.
 func (r *Replica) requestStamp() {
 	if r.node.Status().Role != consensus.Leader {
 		return
 	}
 	at := r.opts.StampClock.Now()
-	rd := &reader{answer: make(chan error, 1)}
+	rd := &pendingRead{answer: make(chan error, 1)}
 	r.nextID++
 	if r.node.ReadIndex(r.nextID) != nil {
 		return
 	}
-	r.readers[r.nextID] = rd
+	r.pendingReads[r.nextID] = rd
 	go func() {
 		if r.wait(context.Background(), rd.answer) == nil {
 			r.SetStamp(at)
@@ -121,8 +122,8 @@
 	}()
 }
 
-// process does the work of every Ready, in the order that Ready documents.
-func (r *Replica) process() error {
+// processReady does the work of each Ready, in the order documented there.
+func (r *Replica) processReady() error {
 	if r.fatal != nil {
 		return r.fatal
 	}
@@ -137,7 +138,7 @@
 			if err := r.machine.Restore(rd.Snapshot.Data); err != nil {
 				return errors.Trace(err)
 			}
-			r.opts.Log.Info("snapshot taken over", "index", rd.Snapshot.Index, "term", rd.Snapshot.Term, "bytes", len(rd.Snapshot.Data), "version", r.machine.View().Config.Version)
+			r.opts.Log.Info("snapshot installed", "index", rd.Snapshot.Index, "term", rd.Snapshot.Term, "bytes", len(rd.Snapshot.Data), "version", r.machine.View().Config.Version)
 		}
 		answers, err := r.apply(rd.Committed)
 		if err != nil {
@@ -148,7 +149,7 @@
 		if rd.Snapshot != nil || len(rd.Committed) > 0 {
 			r.publish()
 		}
-		// The proposer must find its command in the view.
+		// Answer after publishing: the proposer must find its command in the view.
 		for _, a := range answers {
 			a.to.answer <- a.proposalAnswer
 		}
@@ -158,17 +159,17 @@
 	}
 	s := r.node.Status()
 	r.status.Store(&s)
-	r.logBeliefs(s)
-	r.releaseWaiters()
+	r.logStatusChanges(s)
+	r.releaseApplyWaiters()
 	if s.Role != consensus.Leader {
-		r.failWaiting()
+		r.failPendingProposals()
 	}
 	return nil
 }
 
 func (r *Replica) save(rd consensus.Ready) error {
 	if rd.Snapshot != nil {
-		if err := r.dropCapture(); err != nil {
+		if err := r.discardSnapshot(); err != nil {
 			return err
 		}
 		hs := r.currentHardState(rd)
@@ -176,7 +177,7 @@
 	}
 	began := r.opts.Clock.Now()
 	err := r.log.Save(rd.HardState, rd.Entries)
-	r.logSave(len(rd.Entries), began)
+	r.logSlowSave(len(rd.Entries), began)
 	return err
 }
 
@@ -189,7 +190,7 @@
 
 func (r *Replica) send(messages []consensus.Message) {
 	if len(messages) > 0 {
-		r.logSent(messages)
+		r.logSentMessages(messages)
 		r.opts.Transport.Send(r.node.Membership().All(), messages)
 	}
 }
@@ -199,7 +200,7 @@
 	to *proposal
 }
 
-// apply returns the answers that are due once the view is published.
+// apply returns the answers to send once the view is published.
 func (r *Replica) apply(entries []consensus.Entry) ([]appliedProposal, error) {
 	var answers []appliedProposal
 	for _, e := range entries {
@@ -211,10 +212,10 @@
 			}
 			answer.result = res
 		}
-		if p := r.waiting[e.Index]; p != nil {
-			delete(r.waiting, e.Index)
+		if p := r.pendingProposals[e.Index]; p != nil {
+			delete(r.pendingProposals, e.Index)
 			if p.term != e.Term {
-				answer = proposalAnswer{err: errLost}
+				answer = proposalAnswer{err: errLeadershipLost}
 			}
 			answers = append(answers, appliedProposal{answer, p})
 		}
@@ -222,56 +223,56 @@
 	return answers, nil
 }
 
-// failWaiting answers proposals of a lost leadership. They may still commit.
-func (r *Replica) failWaiting() {
-	for index, p := range r.waiting {
-		delete(r.waiting, index)
-		p.answer <- proposalAnswer{err: errLost}
+// failPendingProposals answers the proposals of a lost leadership. They may still be committed.
+func (r *Replica) failPendingProposals() {
+	for index, p := range r.pendingProposals {
+		delete(r.pendingProposals, index)
+		p.answer <- proposalAnswer{err: errLeadershipLost}
 	}
 }
 
 func (r *Replica) answerReads(reads []consensus.ReadState) {
 	for _, rs := range reads {
-		rd := r.readers[rs.ID]
-		delete(r.readers, rs.ID)
+		rd := r.pendingReads[rs.ID]
+		delete(r.pendingReads, rs.ID)
 		switch {
 		case rd == nil:
 		case rs.Failed:
 			rd.answer <- consensus.ErrNotLeader
 		default:
 			rd.index = rs.Index
-			r.waiters = append(r.waiters, &applyWaiter{index: rs.Index, answer: rd.answer})
+			r.applyWaiters = append(r.applyWaiters, &applyWaiter{index: rs.Index, answer: rd.answer})
 		}
 	}
 }
 
-func (r *Replica) releaseWaiters() {
+func (r *Replica) releaseApplyWaiters() {
 	applied := r.node.Status().Applied
-	kept := r.waiters[:0]
-	for _, w := range r.waiters {
+	kept := r.applyWaiters[:0]
+	for _, w := range r.applyWaiters {
 		if w.index <= applied {
 			w.answer <- nil
 		} else {
 			kept = append(kept, w)
 		}
 	}
-	r.waiters = kept
+	r.applyWaiters = kept
 }
 
-// publish shows the state. After an outage the state begins at what is on the disk:
-// the view from before stays until it has caught up, since no process may go back.
+// publish makes the applied state visible. After an outage the state restarts from what is on the disk: the
+// earlier view stays published until the state has caught up, because readers must never see an older state.
 func (r *Replica) publish() {
 	s := r.node.Status()
 	r.status.Store(&s)
-	if s.Applied < r.floor {
+	if s.Applied < r.viewFloor {
 		return
 	}
 	r.view.Store(r.machine.View())
-	r.announce()
+	r.notifyChanged()
 }
 
-// announce wakes all who wait for a change.
-func (r *Replica) announce() {
+// notifyChanged wakes everyone waiting on Changed.
+func (r *Replica) notifyChanged() {
 	next := make(chan struct{})
 	close(*r.changed.Swap(&next))
 }
--- a/node/replica/outage.go
+++ b/node/replica/outage.go
@@ -15,27 +15,26 @@
 	"caperdrum.org/node/wal"
 )
 
-// reopenInterval is how often a replica whose disk failed tries to write again.
-// Each try reads the folder and writes what it holds: 16 MB of log at most before a
-// snapshot is due.
+// reopenInterval is how often a suspended replica tries to write again. Each attempt reads the folder and
+// rewrites its log: at most 16 MB until a snapshot is due.
 const reopenInterval = 500 * time.Millisecond
 
 var (
-	outagesVar   = expvar.NewMap("replica_outages")   // of the disk, by what was wrong
-	suspendedVar = expvar.NewInt("replica_suspended") // 1 while the replica takes no part
+	outagesVar   = expvar.NewMap("replica_outages")   // disk outages by fault
+	suspendedVar = expvar.NewInt("replica_suspended") // 1 while the replica is suspended
 )
 
-// outage is a disk that takes no bytes.
+// outage describes a disk that accepts no writes.
 type outage struct {
 	err  error
 	kind string
 	at   time.Time
 }
 
-// errOutage says that the replica takes no part while its disk fails.
-var errOutage = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "the disk of this control process takes no writes")
+// errOutage is returned while the replica is suspended by a disk fault.
+var errOutage = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "the disk of this control process accepts no writes")
 
-// diskFault names what is wrong with a disk, for logs and metrics.
+// diskFault classifies a disk error for logs and metrics.
 func diskFault(err error) string {
 	switch cause := errors.Cause(err); {
 	case errors.Is(cause, syscall.ENOSPC), errors.Is(cause, syscall.EDQUOT), errors.Is(cause, syscall.EFBIG):
@@ -48,7 +47,7 @@
 	return "other"
 }
 
-// Outage returns why the replica takes no part now, or nil. It never blocks.
+// Outage returns the disk error that suspends the replica, or nil. It never blocks.
 func (r *Replica) Outage() error {
 	if o := r.outage.Load(); o != nil {
 		return o.err
@@ -56,10 +55,9 @@
 	return nil
 }
 
-// suspend takes the replica out of the cluster until its disk takes bytes again. A
-// replica that cannot sync must not vote, acknowledge or lead: what it knows in
-// memory beyond its disk is forgotten, and a leader lets another voter take over.
-// It returns nil when the replica may go on, or when ctx has ended.
+// suspend takes the replica out of the cluster until its disk accepts writes again. A replica that cannot
+// sync must not vote, acknowledge or lead: it drops its unsynced state, and a leader hands over to another
+// voter. It returns nil when the replica may resume or ctx has ended.
 func (r *Replica) suspend(ctx context.Context, cause error) error {
 	if errors.Is(cause, wal.ErrCorrupt) {
 		return cause
@@ -71,7 +69,7 @@
 	defer suspendedVar.Set(0)
 	r.opts.Log.Error(cause, "replica suspended", "disk", o.kind, "role", r.node.Status().Role.String(), "term", r.node.Status().Term)
 	r.send(r.node.Resign())
-	r.leaveCluster()
+	r.stopParticipating()
 	retry := r.opts.Clock.NewTicker(reopenInterval)
 	defer retry.Stop()
 	for {
@@ -80,8 +78,8 @@
 			return nil
 		case f := <-r.calls:
 			f()
-		case <-r.steps: // consensus repeats what matters
-		case p := <-r.propose:
+		case <-r.inbox: // dropped; consensus resends what matters
+		case p := <-r.proposals:
 			p.answer <- proposalAnswer{err: ErrNotLeader}
 		case <-retry.Chan():
 			err := r.reopen()
@@ -90,7 +88,7 @@
 			}
 			if err == nil {
 				r.outage.Store(nil)
-				r.opts.Log.Info("replica goes on", "disk", o.kind, "suspended", r.opts.Clock.Since(o.at), "last", r.node.Status().Last, "applied_before", r.floor)
+				r.opts.Log.Info("replica goes on", "disk", o.kind, "suspended", r.opts.Clock.Since(o.at), "last", r.node.Status().Last, "applied_before", r.viewFloor)
 				return nil
 			}
 			r.opts.Log.V(logging.Detail).Info("disk still fails", "disk", diskFault(err), "suspended", r.opts.Clock.Since(o.at), "error", err.Error())
@@ -98,30 +96,30 @@
 	}
 }
 
-// leaveCluster makes the replica one that knows nobody, and answers all who wait.
-func (r *Replica) leaveCluster() {
+// stopParticipating replaces the node by an empty one without peers, and answers all pending calls.
+func (r *Replica) stopParticipating() {
 	status := r.node.Status()
 	status.Role, status.Leader, status.Progress = consensus.Follower, "", nil
-	r.floor = max(r.floor, status.Applied)
-	if err := r.dropCapture(); err != nil {
-		r.opts.Log.Info("snapshot given up", "error", err.Error())
+	r.viewFloor = max(r.viewFloor, status.Applied)
+	if err := r.discardSnapshot(); err != nil {
+		r.opts.Log.Info("snapshot discarded", "error", err.Error())
 	}
 	r.log.Close()
 	r.node = r.newNode(consensus.HardState{}, nil, nil)
 	r.status.Store(&status)
-	r.failWaiting()
-	for id, rd := range r.readers {
-		delete(r.readers, id)
+	r.failPendingProposals()
+	for id, rd := range r.pendingReads {
+		delete(r.pendingReads, id)
 		rd.answer <- ErrNotLeader
 	}
-	for _, w := range r.waiters {
+	for _, w := range r.applyWaiters {
 		w.answer <- errOutage
 	}
-	r.waiters = nil
-	r.announce()
+	r.applyWaiters = nil
+	r.notifyChanged()
 }
 
-// reopen goes on from what is on the disk, written anew.
+// reopen restarts from the state on the disk, which wal.Reopen rewrites to a new log file.
 func (r *Replica) reopen() error {
 	log, stored, err := wal.Reopen(r.opts.FS)
 	if err != nil {
--- a/node/replica/replica.go
+++ b/node/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica drives consensus: it syncs, sends and applies what the pure
-// state machine hands out, and lets the other services propose commands and
-// read the state. One goroutine owns the consensus node and the state.
+// Package replica drives the consensus node: it syncs, sends and applies what the node hands out, and lets
+// other services propose commands and read the replicated state. A single goroutine owns the node and the
+// state.
 package replica
 
 import (
@@ -25,29 +25,28 @@
 )
 
 const (
-	tickInterval   = 50 * time.Millisecond
-	electionTicks  = 12
-	heartbeatTicks = 3
-	maxBatchBytes  = 1 << 20
-	maxProposals   = 512      // proposals taken into one sync
-	compactBytes   = 16 << 20 // log file size that calls for a snapshot
-	trailing       = 1000     // entries kept before a snapshot for followers that lag
-	trailingBytes  = 4 << 20  // and their bytes
-	maxUncommitted = 8 << 20  // bytes that may wait for a quorum; below compactBytes
-	stampInterval  = 500 * time.Millisecond
+	tickInterval        = 50 * time.Millisecond
+	electionTicks       = 12
+	heartbeatTicks      = 3
+	maxBatchBytes       = 1 << 20
+	maxProposals        = 512      // proposals and message batches handled per sync
+	compactBytes        = 16 << 20 // log file size that triggers a snapshot
+	trailingEntries     = 1000     // entries kept in memory before a snapshot, for followers that lag
+	trailingBytes       = 4 << 20  // limit of their data in bytes
+	maxUncommittedBytes = 8 << 20  // bytes that may wait for a quorum; must be below compactBytes
+	stampInterval       = 500 * time.Millisecond
 )
 
-// neverStamped stands for no confirmation yet. Any other figure may be that of one: a leader's is from before this
-// process's start, where it has just started.
+// neverStamped means that no quorum has confirmed the view yet. Any other value may be a real stamp,
+// including negative ones: a leader's confirmation may predate the start of this process.
 const neverStamped = math.MinInt64
 
-// Transport sends messages to other replicas. It never blocks and may lose
-// messages.
+// Transport sends messages to other replicas. Send never blocks and may lose messages.
 type Transport interface {
 	Send(peers []consensus.Peer, messages []consensus.Message)
 }
 
-// Options set up a Replica.
+// Options configure a Replica.
 type Options struct {
 	Name      wire.MemberID
 	Address   string // peer address of this process
@@ -55,9 +54,9 @@
 	Transport Transport
 	Log       logr.Logger
 	Seed      uint64
-	Clock     clockwork.Clock // nil is the system's
-	// StampClock is by which confirmations age; nil is Clock where there is one, else the system's
-	// with the time in suspension.
+	Clock     clockwork.Clock // nil means the system clock
+	// StampClock measures the age of confirmations. If it is nil, Clock is used; if that is nil too, the
+	// system clock that includes time in suspend.
 	StampClock clockwork.Clock
 }
 
@@ -69,30 +68,30 @@
 	node    *consensus.Node
 	machine *state.Machine
 
-	calls   chan func()
-	propose chan *proposal
-	steps   chan []consensus.Message
-	done    chan struct{}
-
-	waiting map[uint64]*proposal
-	readers map[uint64]*reader
-
-	captured      chan captured // the snapshot in work, once it is durable
-	capturing     bool
-	compactBytes  int64 // log file size that calls for a snapshot
-	snapshotBytes int64 // size of the last snapshot
-	fatal         error // the disk failed outside process
-	nextID        uint64
-	stamped       uint64 // the last term in which this replica led and asked for a confirmation at once
-	waiters       []*applyWaiter
-	floor         uint64 // applied before an outage; the view never goes below
-	beliefs       beliefs
-
-	outage  atomic.Pointer[outage] // nil while the replica takes part
+	calls     chan func()
+	proposals chan *proposal
+	inbox     chan []consensus.Message
+	done      chan struct{}
+
+	pendingProposals map[uint64]*proposal
+	pendingReads     map[uint64]*pendingRead
+
+	snapshotDone    chan snapshotResult // result of the snapshot in progress
+	snapshotRunning bool
+	compactBytes    int64 // log file size that triggers a snapshot
+	snapshotBytes   int64 // size of the last snapshot in bytes
+	fatal           error // disk error outside processReady
+	nextID          uint64
+	confirmedTerm   uint64 // last term in which this replica led and requested a stamp
+	applyWaiters    []*applyWaiter
+	viewFloor       uint64 // index applied before an outage; no earlier view is published
+	logged          loggedStatus
+
+	outage  atomic.Pointer[outage] // nil unless suspended
 	view    atomic.Pointer[state.View]
 	status  atomic.Pointer[consensus.Status]
 	changed atomic.Pointer[chan struct{}]
-	stamp   atomic.Int64 // time of the last quorum confirmation, nanoseconds since start; neverStamped
+	stamp   atomic.Int64 // time of the last quorum confirmation, nanoseconds since start, or neverStamped
 	start   time.Time
 }
 
@@ -107,7 +106,7 @@
 	err    error
 }
 
-type reader struct {
+type pendingRead struct {
 	index  uint64
 	answer chan error
 }
@@ -117,18 +116,18 @@
 	answer chan error
 }
 
-// Errors of a Replica. All carry a verdict for the command.
+// Errors of a Replica. Each carries the verdict for the command.
 var (
-	errOverloaded = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many commands wait for a quorum")
+	errOverloaded = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many commands are waiting for a quorum")
 
-	errStopped = verdict.New(verdict.MayHaveRun, verdict.CodeShutdown, "the control process is stopping")
-	errLost    = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "leadership was lost before the command was committed")
+	errStopped        = verdict.New(verdict.MayHaveRun, verdict.CodeShutdown, "the control process is stopping")
+	errLeadershipLost = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "leadership was lost before the command was committed")
 )
 
-// ErrNotLeader says that the command was not taken.
+// ErrNotLeader means that the command was not accepted.
 var ErrNotLeader = consensus.ErrNotLeader
 
-// Open reads the data folder. Run must be called to make progress.
+// Open reads the data folder and returns a replica that makes progress only while Run runs.
 func Open(opts Options) (*Replica, error) {
 	if opts.StampClock == nil {
 		opts.StampClock = opts.Clock
@@ -145,13 +144,13 @@
 	}
 	r := &Replica{
 		opts: opts, log: log, machine: state.New(),
-		self:    consensus.Peer{ID: consensus.NodeID(string(opts.Name) + "/" + stored.DiskID), Address: opts.Address},
-		calls:   make(chan func()),
-		propose: make(chan *proposal, maxProposals),
-		steps:   make(chan []consensus.Message, 64),
-		done:    make(chan struct{}), captured: make(chan captured, 1),
-		compactBytes: compactBytes,
-		waiting:      map[uint64]*proposal{}, readers: map[uint64]*reader{},
+		self:      consensus.Peer{ID: consensus.NodeID(string(opts.Name) + "/" + stored.DiskID), Address: opts.Address},
+		calls:     make(chan func()),
+		proposals: make(chan *proposal, maxProposals),
+		inbox:     make(chan []consensus.Message, 64),
+		done:      make(chan struct{}), snapshotDone: make(chan snapshotResult, 1),
+		compactBytes:     compactBytes,
+		pendingProposals: map[uint64]*proposal{}, pendingReads: map[uint64]*pendingRead{},
 		start: opts.StampClock.Now(),
 	}
 	if stored.Snapshot != nil {
@@ -160,11 +159,11 @@
 		}
 	}
 	r.node = r.newNode(stored.HardState, stored.Snapshot, stored.Entries)
-	r.beliefs.since = opts.Clock.Now()
+	r.logged.since = opts.Clock.Now()
 	opened := r.node.Status()
-	opts.Log.Info("log read", "replica", r.self.ID, "term", opened.Term, "vote", stored.HardState.Vote, "first", opened.First, "last", opened.Last, "committed", opened.Committed,
-		"snapshot", opened.SnapshotIndex, "version", r.machine.View().Config.Version, "voters", names(opened.Membership.Voters))
-	r.hurry()
+	opts.Log.Info("log opened", "replica", r.self.ID, "term", opened.Term, "vote", stored.HardState.Vote, "first", opened.First, "last", opened.Last, "committed", opened.Committed,
+		"snapshot", opened.SnapshotIndex, "version", r.machine.View().Config.Version, "voters", peerIDs(opened.Membership.Voters))
+	r.shortenFirstElection()
 	ch := make(chan struct{})
 	r.changed.Store(&ch)
 	r.stamp.Store(neverStamped)
@@ -172,10 +171,10 @@
 	return r, nil
 }
 
-// hurry spends half of the first election timeout at once: after a loss of all
-// processes nobody leads, and callers wait. While there is a leader its voters
-// refuse the pre-vote, so a single restart disturbs nothing.
-func (r *Replica) hurry() {
+// shortenFirstElection skips half of the first election timeout: after a restart of all processes there is no
+// leader, and callers wait. While there is a leader its voters refuse the pre-vote, so the restart of one
+// process disturbs nothing.
+func (r *Replica) shortenFirstElection() {
 	for range electionTicks / 2 {
 		r.node.Tick()
 	}
@@ -184,14 +183,14 @@
 func (r *Replica) newNode(hs consensus.HardState, snap *consensus.Snapshot, entries []consensus.Entry) *consensus.Node {
 	return consensus.New(consensus.Config{
 		ID: r.self.ID, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
-		MaxBatchBytes: maxBatchBytes, MaxUncommittedBytes: maxUncommitted,
-		// Replicas with one seed must not wait alike, or no election ends.
+		MaxBatchBytes: maxBatchBytes, MaxUncommittedBytes: maxUncommittedBytes,
+		// Replicas with the same seed must draw different timeouts, or no election succeeds.
 		Rand:      rand.New(rand.NewPCG(r.opts.Seed, xxhash.Sum64String(string(r.self.ID)))),
 		HardState: hs, Snapshot: snap, Entries: entries,
 	})
 }
 
-// Self returns this replica's identity.
+// Self returns this replica's ID and address.
 func (r *Replica) Self() consensus.Peer { return r.self }
 
 // View returns the current state. It never blocks.
@@ -200,11 +199,11 @@
 // Status returns the consensus status. It never blocks.
 func (r *Replica) Status() consensus.Status { return *r.status.Load() }
 
-// Changed returns a channel that is closed at the next change of the view.
+// Changed returns a channel that is closed when the view next changes.
 func (r *Replica) Changed() <-chan struct{} { return *r.changed.Load() }
 
-// StampAge returns how long ago a quorum confirmed that the view was current,
-// or a negative duration when that never happened.
+// StampAge returns the time since a quorum last confirmed that the view was current, or a negative duration
+// if none has.
 func (r *Replica) StampAge() time.Duration {
 	s := r.stamp.Load()
 	if s == neverStamped {
@@ -213,8 +212,8 @@
 	return r.opts.StampClock.Since(r.start) - time.Duration(s)
 }
 
-// SetStamp records that the view is known to be current as of the given time. Who waits for a change is woken by
-// the first one, and by the first after a gap: there may be nothing else to wait for.
+// SetStamp records that the view was confirmed as current at the given time. It wakes waiters on the first
+// stamp and on the first after a gap, because nothing else may change meanwhile.
 func (r *Replica) SetStamp(at time.Time) {
 	s := int64(at.Sub(r.start))
 	for {
@@ -224,20 +223,20 @@
 		}
 		if r.stamp.CompareAndSwap(old, s) {
 			if old == neverStamped {
-				r.opts.Log.Info("first confirmation by a quorum", "made_before", r.StampAge(), "after_start", r.opts.StampClock.Since(r.start))
+				r.opts.Log.Info("first quorum confirmation", "made_before", r.StampAge(), "after_start", r.opts.StampClock.Since(r.start))
 			}
-			if old == neverStamped || time.Duration(s-old) > stampGap {
-				r.announce()
+			if old == neverStamped || time.Duration(s-old) > maxStampGap {
+				r.notifyChanged()
 			}
 			return
 		}
 	}
 }
 
-// stampGap is between two confirmations that follow each other without a gap: several of a leader's intervals.
-const stampGap = 4 * stampInterval
+// maxStampGap is the longest time between two stamps that does not count as a gap.
+const maxStampGap = 4 * stampInterval
 
-// Leader returns the leader's identity; it is empty when none is known.
+// Leader returns the current leader, or an empty Peer if none is known.
 func (r *Replica) Leader() consensus.Peer {
 	s := r.status.Load()
 	for _, p := range s.Membership.All() {
@@ -248,26 +247,26 @@
 	return consensus.Peer{}
 }
 
-// IsLeader reports whether this replica leads, as far as it knows.
+// IsLeader reports whether this replica believes that it leads.
 func (r *Replica) IsLeader() bool { return r.status.Load().Role == consensus.Leader }
 
-// Step hands in messages from other replicas. It drops them when the replica
-// is too busy; consensus repeats what matters.
+// Step queues messages from other replicas. It drops them if the queue is full; consensus resends what
+// matters.
 func (r *Replica) Step(messages []consensus.Message) {
 	select {
-	case r.steps <- messages:
+	case r.inbox <- messages:
 	case <-r.done:
 	default:
 	}
 }
 
-// ErrInitialized says that the replica already belongs to a cluster.
+// ErrInitialized means that the replica already belongs to a cluster.
 var ErrInitialized = errors.New("replica: this data folder already belongs to a cluster")
 
 // Init makes this replica the only voter of a new cluster.
 func (r *Replica) Init(ctx context.Context) error {
 	var result error
-	err := r.do(ctx, func() { result = r.init() })
+	err := r.runOnLoop(ctx, func() { result = r.init() })
 	if err != nil {
 		return err
 	}
@@ -292,10 +291,11 @@
 	return nil
 }
 
-// ChangeMembership proposes a membership that differs by at most one voter.
+// ChangeMembership proposes the membership that change returns, if it returns true. It may differ from the
+// current one by at most one voter.
 func (r *Replica) ChangeMembership(ctx context.Context, change func(consensus.Status) (consensus.Membership, bool)) error {
 	var result error
-	err := r.do(ctx, func() {
+	err := r.runOnLoop(ctx, func() {
 		if m, ok := change(r.node.Status()); ok {
 			result = r.node.ProposeMembership(m)
 		}
@@ -306,10 +306,9 @@
 	return result
 }
 
-// TransferLeadership hands the lead to another voter, if there is one that is
-// up to date.
+// TransferLeadership transfers leadership to another voter, if one is reachable.
 func (r *Replica) TransferLeadership(ctx context.Context) error {
-	return r.do(ctx, func() {
+	return r.runOnLoop(ctx, func() {
 		if to := r.node.Successor(); to != "" {
 			r.node.TransferLeadership(to)
 		}
--- a/node/replica/slowdisk_test.go
+++ b/node/replica/slowdisk_test.go
@@ -49,13 +49,13 @@
 	}
 	var lines []string
 	r := &Replica{log: log, opts: Options{Clock: clock, Log: funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{})}}
-	for i, takes := range []time.Duration{slowSave - time.Millisecond, slowSave, 8 * time.Second} {
+	for i, takes := range []time.Duration{slowSaveTime - time.Millisecond, slowSaveTime, 8 * time.Second} {
 		fs.takes = takes
 		if err := r.save(consensus.Ready{Entries: []consensus.Entry{{Index: uint64(i) + 1, Term: 1}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(lines) != 2 || !strings.Contains(lines[1], "log written slowly") || !strings.Contains(lines[1], "8s") {
+	if len(lines) != 2 || !strings.Contains(lines[1], "slow log write") || !strings.Contains(lines[1], "8s") {
 		t.Errorf("logged %q", lines)
 	}
 }
--- a/node/state/bench_test.go
+++ b/node/state/bench_test.go
@@ -92,7 +92,7 @@
 			for b.Loop() {
 				apply(b, m, Command{Now: 1, Claims: claims(i, 1)})
 				if copied {
-					m.parts.members = nil
+					m.cache.members = nil
 				}
 				m.View()
 				i++
--- a/node/state/put_test.go
+++ b/node/state/config_test.go
@@ -21,7 +21,7 @@
 		hashes := map[uint64]uint64{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "puts") {
 			put := &wire.PutRequest{Version: uint64(rapid.IntRange(1, 40).Draw(t, "version")), Text: fmt.Sprintf("[customer:a]\nshare = 1\n[customer:b%d]\n[customer:c]\n", i)}
-			res := m.put(put)
+			res := m.applyPut(put)
 			if res.Applied != (put.Version > version) {
 				t.Fatalf("version %d over %d: applied %v", put.Version, version, res.Applied)
 			}
--- a/node/state/encode.go
+++ b/node/state/encode.go
@@ -7,12 +7,12 @@
 	"caperdrum.org/api/wire"
 )
 
-// packedCommand is the first byte of a packed command. An encoded Command that is not
-// packed begins with the head of a CBOR map, 0xa0 or above.
-const packedCommand = 1
+// packedCommandTag is the first byte of a compressed command. An uncompressed one starts with the head of a
+// CBOR map, which is 0xa0 or above.
+const packedCommandTag = 1
 
-// Encode returns c as Apply reads it. Long commands are packed: what the leader sends to
-// its followers keeps heartbeats waiting, and a large text of alike routes shrinks to a
+// Encode returns c in the form that Apply decodes. Commands of wire.PackFrom bytes or more are compressed,
+// since a large command delays the heartbeats queued behind it; a long text of similar routes shrinks to a
 // tenth.
 func (c Command) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(c)
@@ -22,14 +22,14 @@
 	if len(data) < wire.PackFrom {
 		return data, nil
 	}
-	return append([]byte{packedCommand}, wire.Pack(data)...), nil
+	return append([]byte{packedCommandTag}, wire.Pack(data)...), nil
 }
 
 func decodeCommand(data []byte) (c Command, err error) {
-	if len(data) > 0 && data[0] == packedCommand {
+	if len(data) > 0 && data[0] == packedCommandTag {
 		if data, err = wire.Unpack(data[1:]); err != nil {
-			return c, errors.Annotate(err, "state: command")
+			return c, errors.Annotate(err, "state: decode command")
 		}
 	}
-	return c, errors.Annotate(decoding.Unmarshal(data, &c), "state: command")
+	return c, errors.Annotate(decMode.Unmarshal(data, &c), "state: decode command")
 }
--- a/node/state/evacuations.go
+++ b/node/state/evacuations.go
@@ -7,10 +7,10 @@
 	"caperdrum.org/api/wire"
 )
 
-// evacuate carries out an order that was made for the data centre's present revision, or that
-// asks for what is in force already. Each of these makes earlier orders void that are still on
-// their way: a start that was delayed must not undo an end that was acknowledged.
-func (m *Machine) evacuate(o *wire.EvacuationOrder) wire.EvacuationResult {
+// applyEvacuation executes an order that was based on the data centre's current revision, or that requests
+// the state already in force. Either way the revision increases, which invalidates orders still in transit: a
+// delayed start must not undo an end that was acknowledged.
+func (m *Machine) applyEvacuation(o *wire.EvacuationOrder) wire.EvacuationResult {
 	current := m.s.Evacuations.Of(o.DataCenter)
 	if current.Out != o.Out && current.Revision != o.Base {
 		return wire.EvacuationResult{Evacuation: current, Overtaken: true}
@@ -24,7 +24,7 @@
 	return wire.EvacuationResult{Evacuation: next, Changed: current.Out != o.Out}
 }
 
-// setEvacuation replaces the list, which views share.
+// setEvacuation builds a new list, because views share the old one.
 func (m *Machine) setEvacuation(e wire.Evacuation) {
 	list := slices.DeleteFunc(slices.Clone(m.s.Evacuations.List), func(x wire.Evacuation) bool { return x.DataCenter == e.DataCenter })
 	list = append(list, e)
--- a/node/state/ledger.go
+++ b/node/state/ledger.go
@@ -9,20 +9,19 @@
 	"caperdrum.org/api/wire"
 )
 
-// LedgerLifetime is how long a key is kept after its claim, and again after
-// its settlement. A resend that comes later is a new call.
+// LedgerLifetime is how long a key is kept after its claim, and again after its settlement. A resend after
+// that counts as a new call.
 const LedgerLifetime = 24 * time.Hour
 
-// ledgerEntryBytes is what an entry costs besides its strings and its answer:
-// map slot, structs and expiry record, as measured.
-const ledgerEntryBytes = 430
+// ledgerEntryOverhead is the memory of an entry in bytes, without its strings and its answer: map slot,
+// structs and expiry record.
+const ledgerEntryOverhead = 430
 
-// ledgerEntry is immutable, so that a snapshot can be encoded while commands
-// are applied.
+// ledgerEntry is immutable, so that a snapshot can be encoded while commands are applied.
 type ledgerEntry struct {
 	Claim   wire.ClaimRequest `cbor:"1,keyasint"`
 	Outcome *wire.Outcome     `cbor:"2,keyasint,omitempty"`
-	At      int64             `cbor:"3,keyasint"` // of the claim, then of the settlement
+	At      int64             `cbor:"3,keyasint"` // time of the claim, then of the settlement; milliseconds since the Unix epoch
 }
 
 func (e *ledgerEntry) size() int64 {
@@ -31,20 +30,19 @@
 	if e.Outcome != nil {
 		n += len(e.Outcome.ContentType) + len(e.Outcome.Body)
 	}
-	return int64(ledgerEntryBytes + n)
+	return int64(ledgerEntryOverhead + n)
 }
 
-// ledger maps idempotency keys to the attempt that holds each, and to its
-// outcome once that is known.
+// ledger maps each idempotency key to the attempt that holds it and, once known, to its outcome.
 type ledger struct {
-	entries map[wire.ClaimKey]*ledgerEntry
-	expiry  []expiring     // in order of time; an entry that changed since has a later record
-	open    []*ledgerEntry // unsettled claims in order of time, and some that are no longer in entries
-	openNow int            // unsettled claims in entries
-	bytes   int64
+	entries        map[wire.ClaimKey]*ledgerEntry
+	expiryQueue    []expiryRecord // ordered by time; an entry that changed has a later record as well
+	unsettled      []*ledgerEntry // unsettled claims ordered by time, with some that have since left entries
+	unsettledCount int            // number of unsettled claims in entries
+	bytes          int64
 }
 
-type expiring struct {
+type expiryRecord struct {
 	key wire.ClaimKey
 	at  int64
 }
@@ -54,8 +52,8 @@
 	for _, e := range list {
 		l.put(e)
 	}
-	sort.SliceStable(l.expiry, func(i, j int) bool { return l.expiry[i].at < l.expiry[j].at })
-	sort.SliceStable(l.open, func(i, j int) bool { return l.open[i].At < l.open[j].At })
+	sort.SliceStable(l.expiryQueue, func(i, j int) bool { return l.expiryQueue[i].at < l.expiryQueue[j].at })
+	sort.SliceStable(l.unsettled, func(i, j int) bool { return l.unsettled[i].At < l.unsettled[j].At })
 	return l
 }
 
@@ -64,26 +62,25 @@
 	l.remove(key)
 	l.entries[key] = e
 	l.bytes += e.size()
-	l.expiry = append(l.expiry, expiring{key, e.At})
+	l.expiryQueue = append(l.expiryQueue, expiryRecord{key, e.At})
 	if e.Outcome == nil {
-		l.open = append(l.open, e)
-		l.openNow++
+		l.unsettled = append(l.unsettled, e)
+		l.unsettledCount++
 	}
-	if len(l.open) > 2*l.openNow+openSlack {
-		l.open = slices.DeleteFunc(l.open, func(e *ledgerEntry) bool { return l.entries[e.Claim.ClaimKey] != e })
+	if len(l.unsettled) > 2*l.unsettledCount+unsettledSlack {
+		l.unsettled = slices.DeleteFunc(l.unsettled, func(e *ledgerEntry) bool { return l.entries[e.Claim.ClaimKey] != e })
 	}
 }
 
-// openSlack is how many settled claims stay in open at least, so that it is
-// cleaned at a constant cost per claim.
-const openSlack = 1024
+// unsettledSlack is the minimum number of stale elements in ledger.unsettled before it is compacted, which
+// keeps the amortized cost per claim constant.
+const unsettledSlack = 1024
 
-// held returns up to n unsettled claims that were made at limit or before and
-// that skip does not name, the oldest first. The cost is at most that of twice
-// the unsettled claims.
-func (l *ledger) held(limit int64, n int, skip func(wire.AttemptID) bool) []wire.ClaimRequest {
+// unsettledClaims returns up to n unsettled claims made at or before limit, oldest first, without those for
+// which skip is true. It visits at most twice the number of unsettled claims plus unsettledSlack.
+func (l *ledger) unsettledClaims(limit int64, n int, skip func(wire.AttemptID) bool) []wire.ClaimRequest {
 	var out []wire.ClaimRequest
-	for _, e := range l.open {
+	for _, e := range l.unsettled {
 		if len(out) >= n || e.At > limit {
 			break
 		}
@@ -98,7 +95,7 @@
 	if e := l.entries[key]; e != nil {
 		l.bytes -= e.size()
 		if e.Outcome == nil {
-			l.openNow--
+			l.unsettledCount--
 		}
 		delete(l.entries, key)
 	}
@@ -120,15 +117,14 @@
 	case e.Outcome != nil:
 		return wire.ClaimReply{State: wire.ClaimSettled, Holder: &holder, Outcome: e.Outcome}
 	case e.Claim.Attempt == c.Attempt:
-		return wire.ClaimReply{State: wire.ClaimGranted} // the claim was sent twice
+		return wire.ClaimReply{State: wire.ClaimGranted} // duplicate of the same claim
 	default:
 		return wire.ClaimReply{State: wire.ClaimHeld, Holder: &holder}
 	}
 }
 
-// settle records the first outcome of the attempt that holds the key. An
-// outcome for another attempt has no effect; the outcome that stands is
-// returned. An answer that comes to light later replaces MayHaveRun.
+// settle records the first outcome of the attempt that holds the key and returns the recorded outcome. An
+// outcome of another attempt has no effect. An answer that becomes known later replaces MayHaveRun.
 func (l *ledger) settle(s wire.SettleRequest, now int64) wire.SettleReply {
 	e := l.entries[s.ClaimKey]
 	if e == nil || e.Claim.Attempt != s.Attempt {
@@ -146,15 +142,15 @@
 	return wire.SettleReply{Outcome: out}
 }
 
-// expire drops the entries that did not change for LedgerLifetime.
+// expire removes the entries that have not changed for LedgerLifetime.
 func (l *ledger) expire(now int64) {
 	limit := now - LedgerLifetime.Milliseconds()
 	k := 0
-	for k < len(l.expiry) && l.expiry[k].at < limit {
-		if e := l.entries[l.expiry[k].key]; e != nil && e.At < limit {
-			l.remove(l.expiry[k].key)
+	for k < len(l.expiryQueue) && l.expiryQueue[k].at < limit {
+		if e := l.entries[l.expiryQueue[k].key]; e != nil && e.At < limit {
+			l.remove(l.expiryQueue[k].key)
 		}
 		k++
 	}
-	l.expiry = l.expiry[k:]
+	l.expiryQueue = l.expiryQueue[k:]
 }
--- a/node/state/machine_test.go
+++ b/node/state/machine_test.go
@@ -301,7 +301,7 @@
 	}
 	for i := range entries {
 		id := fmt.Sprint(i)
-		m.remember(changeRecord{ID: id})
+		m.recordChange(changeRecord{ID: id})
 		m.s.Members[wire.MemberID(id)] = wire.Member{ID: wire.MemberID(id)}
 	}
 	data, err := m.Snapshot()
--- a/node/state/members.go
+++ b/node/state/members.go
@@ -8,32 +8,32 @@
 	"caperdrum.org/node/textdelta"
 )
 
-// viewParts are the parts of a View that most commands leave as they are.
-type viewParts struct {
+// viewCache holds the parts of a View that most commands leave unchanged.
+type viewCache struct {
 	history    *textdelta.History
 	members    map[wire.MemberID]wire.Member
-	membersSeq uint64 // of members
-	whole      *wholeList
+	membersSeq uint64 // MembersSeq at which members was copied
+	fullList   *fullMemberList
 }
 
-// memberView returns an immutable copy of the members. It is made anew only
-// after the members changed.
+// memberView returns an immutable copy of the members. It copies them only if they have changed since the
+// last call.
 func (m *Machine) memberView() map[wire.MemberID]wire.Member {
-	if m.parts.members == nil || m.parts.membersSeq != m.s.MembersSeq {
-		m.parts.members, m.parts.membersSeq = maps.Clone(m.s.Members), m.s.MembersSeq
-		m.parts.whole = &wholeList{}
+	if m.cache.members == nil || m.cache.membersSeq != m.s.MembersSeq {
+		m.cache.members, m.cache.membersSeq = maps.Clone(m.s.Members), m.s.MembersSeq
+		m.cache.fullList = &fullMemberList{}
 	}
-	return m.parts.members
+	return m.cache.members
 }
 
-// wholeList is the list of all members as processes get it that hold none: made, and packed, once for all of
-// them. Views with the same members share it.
-type wholeList struct {
+// fullMemberList is the complete member list for processes that have none yet. It is built and compressed
+// once and shared by all views with the same members.
+type fullMemberList struct {
 	once sync.Once
 	list *wire.MembersDelta
 }
 
-func (w *wholeList) delta(v *View) *wire.MembersDelta {
+func (w *fullMemberList) delta(v *View) *wire.MembersDelta {
 	w.once.Do(func() {
 		d := &wire.MembersDelta{To: v.MembersSeq, Whole: true, Changed: make([]wire.Member, 0, len(v.Members))}
 		for _, m := range v.Members {
@@ -44,19 +44,19 @@
 	return w.list
 }
 
-// Delta returns what changed in the members after sequence number seq, or the
-// whole list when that is not known any more. It is nil when nothing changed,
-// or when seq is higher than the view's: then the view is behind the caller.
+// Delta returns the changes to the members after sequence number seq, or the full list if the log does not
+// reach back that far. It returns nil if nothing changed, or if seq is above the view's: then the view is
+// older than the caller's.
 func (v *View) Delta(seq uint64) *wire.MembersDelta {
 	if seq >= v.MembersSeq {
 		return nil
 	}
 	d := &wire.MembersDelta{From: seq, To: v.MembersSeq}
-	if seq == 0 || len(v.log) == 0 || v.log[0].seq > seq+1 {
-		return v.whole.delta(v)
+	if seq == 0 || len(v.memberLog) == 0 || v.memberLog[0].seq > seq+1 {
+		return v.fullList.delta(v)
 	}
 	latest := map[wire.MemberID]bool{}
-	for _, c := range v.log[seq+1-v.log[0].seq:] { // the log has no gaps
+	for _, c := range v.memberLog[seq+1-v.memberLog[0].seq:] { // valid index, because the log has no gaps
 		latest[c.id] = true
 	}
 	for id := range latest {
--- a/node/state/orders.go
+++ b/node/state/orders.go
@@ -6,42 +6,42 @@
 	"caperdrum.org/api/wire"
 )
 
-// OrderCommand changes the orders. Each part is judged on its own.
+// OrderCommand ends and issues orders and updates the forecast. Each part succeeds or fails on its own.
 type OrderCommand struct {
 	Epoch    uint64             `cbor:"1,keyasint"`           // leader's term
-	Elapsed  int64              `cbor:"2,keyasint"`           // milliseconds on the leader's monotonic clock since any fixed point of its term
-	Rate     int64              `cbor:"3,keyasint,omitempty"` // weight store, bytes per second; 0 means no limit
-	Burst    int64              `cbor:"4,keyasint,omitempty"` // weight store, bytes
+	Elapsed  int64              `cbor:"2,keyasint"`           // milliseconds on the leader's monotonic clock since a fixed point in its term
+	Rate     int64              `cbor:"3,keyasint,omitempty"` // weight store bandwidth, bytes per second; 0 means no limit
+	Burst    int64              `cbor:"4,keyasint,omitempty"` // weight store burst, bytes
 	End      []wire.OrderReport `cbor:"5,keyasint,omitempty"`
 	Issue    []OrderIssue       `cbor:"6,keyasint,omitempty"`
 	Forecast []ForecastSlot     `cbor:"7,keyasint,omitempty"`
 }
 
-// OrderIssue asks for a token and opens an order. It is refused when After is
-// not the upstream's highest token (the decision was made on an older
-// picture), when an order is open there, or when the budget lacks the bytes.
+// OrderIssue requests a fencing token and opens an order. It is refused if After is not the upstream's
+// highest token (the decision was based on outdated state), if the upstream has an open order, or if the
+// budget has too few bytes left.
 type OrderIssue struct {
 	After uint64     `cbor:"1,keyasint"`
 	Order wire.Order `cbor:"2,keyasint"` // without a token
 }
 
-// Refusal says why an order was not issued; empty when it was.
+// Refusal says why an order was not issued; it is empty if it was issued.
 type Refusal string
 
-// Reasons not to issue an order.
+// Reasons for not issuing an order.
 const (
-	RefusedStale  Refusal = "a newer token was drawn"
-	RefusedOpen   Refusal = "an order is open"
-	RefusedBudget Refusal = "the weight store's budget lacks the bytes"
+	RefusedStale  Refusal = "a newer token was issued"
+	RefusedOpen   Refusal = "the upstream has an open order"
+	RefusedBudget Refusal = "the weight store budget is exhausted"
 )
 
-// IssueResult answers an OrderIssue.
+// IssueResult is the result of an OrderIssue.
 type IssueResult struct {
 	Token   uint64
 	Refused Refusal
 }
 
-// OrderRecord is the last order of an upstream.
+// OrderRecord holds the last order of an upstream.
 type OrderRecord struct {
 	Order  wire.Order      `cbor:"1,keyasint"`
 	State  wire.OrderState `cbor:"2,keyasint"`
@@ -56,34 +56,33 @@
 	Peak    uint32 `cbor:"3,keyasint"` // attempts in flight or waiting, in thousandths
 }
 
-// ForecastSlots is the number of slots of a day.
+// ForecastSlots is the number of forecast slots per day.
 const ForecastSlots = 96
 
-// bucket is the weight store's token bucket. It is refilled only by time that
-// one leader measured between two of its commands, so neither a skewed clock
-// nor a change of leader can add to it.
+// bucket is the weight store's token bucket. Only time that one leader measured between two of its commands
+// refills it, so neither a skewed clock nor a change of leader can add bytes.
 type bucket struct {
 	Epoch   uint64 `cbor:"1,keyasint"`
 	Elapsed int64  `cbor:"2,keyasint"`
 	Level   int64  `cbor:"3,keyasint"` // thousandths of a byte
 }
 
-const milli = 1000
+const bucketScale = 1000
 
 func (b *bucket) refill(c *OrderCommand) {
-	full := c.Burst * milli
+	full := c.Burst * bucketScale
 	switch {
 	case b.Epoch == 0:
 		b.Level = full
 	case b.Epoch == c.Epoch && c.Elapsed > b.Elapsed:
-		// Compared by division, since the product may overflow.
+		// Divide instead of multiplying, since the product may overflow.
 		if c.Rate > 0 && c.Elapsed-b.Elapsed > (full-b.Level)/c.Rate {
 			b.Level = full
 		} else {
 			b.Level += (c.Elapsed - b.Elapsed) * c.Rate
 		}
 	case b.Epoch == c.Epoch:
-		return // proposals of one leader that overtook each other
+		return // commands of one leader that were committed out of order
 	}
 	b.Epoch, b.Elapsed = c.Epoch, c.Elapsed
 	b.Level = min(b.Level, full)
@@ -93,10 +92,10 @@
 	if c.Rate <= 0 || bytes <= 0 {
 		return true
 	}
-	if b.Level < bytes*milli {
+	if b.Level < bytes*bucketScale {
 		return false
 	}
-	b.Level -= bytes * milli
+	b.Level -= bytes * bucketScale
 	return true
 }
 
@@ -105,20 +104,20 @@
 		m.s.Bucket.refill(c)
 	}
 	if len(c.End)+len(c.Issue) > 0 {
-		m.s.Orders = cloneOrEmpty(m.s.Orders) // views share the old one
+		m.s.Orders = cloneOrEmpty(m.s.Orders) // views share the old map
 	}
 	for _, report := range c.End {
 		m.endOrder(report)
 	}
 	var out []IssueResult
-	short := false // once bytes lack, no later and less urgent load overtakes
+	budgetExhausted := false // later, less urgent loads must not overtake one that was refused
 	for _, issue := range c.Issue {
-		if short && issue.Order.Bytes > 0 {
+		if budgetExhausted && issue.Order.Bytes > 0 {
 			out = append(out, IssueResult{Refused: RefusedBudget})
 			continue
 		}
-		r := m.issue(c, issue)
-		short = short || r.Refused == RefusedBudget
+		r := m.issueOrder(c, issue)
+		budgetExhausted = budgetExhausted || r.Refused == RefusedBudget
 		out = append(out, r)
 	}
 	m.applyForecast(c.Forecast)
@@ -141,7 +140,7 @@
 	m.s.Orders[r.Upstream] = rec
 }
 
-func (m *Machine) issue(c *OrderCommand, i OrderIssue) IssueResult {
+func (m *Machine) issueOrder(c *OrderCommand, i OrderIssue) IssueResult {
 	id := i.Order.Upstream
 	switch {
 	case m.s.Orders[id].State == wire.OrderOpen:
@@ -152,7 +151,7 @@
 		return IssueResult{Refused: RefusedBudget}
 	}
 	order := i.Order
-	order.Token = m.fence(id)
+	order.Token = m.issueToken(id)
 	m.s.Orders[id] = OrderRecord{Order: order, State: wire.OrderOpen, Issued: m.s.Now}
 	return IssueResult{Token: order.Token}
 }
--- a/node/state/quarantine.go
+++ b/node/state/quarantine.go
@@ -2,9 +2,9 @@
 
 import "caperdrum.org/api/wire"
 
-// quarantine carries out what a command says of calls that end upstreams.
-func (m *Machine) quarantine(c *Command, r *Result) {
-	expires := m.s.Now >= m.expireAt
+// applyQuarantine executes the parts of a command that concern quarantined calls, and expires old entries.
+func (m *Machine) applyQuarantine(c *Command, r *Result) {
+	expires := m.s.Now >= m.quarantineExpiry
 	if expires {
 		m.s.Quarantine.Expire(m.s.Now)
 	}
@@ -19,10 +19,10 @@
 		}
 	}
 	if expires || r.Quarantine != nil {
-		m.showQuarantine()
+		m.refreshQuarantine()
 	}
 }
 
-func (m *Machine) showQuarantine() {
-	m.suspects, m.quarantined, m.expireAt = m.s.Quarantine.Suspects(), m.s.Quarantine.Entries(), m.s.Quarantine.Due()
+func (m *Machine) refreshQuarantine() {
+	m.suspects, m.quarantineEntries, m.quarantineExpiry = m.s.Quarantine.Suspects(), m.s.Quarantine.Entries(), m.s.Quarantine.Due()
 }
--- a/node/state/rollouts.go
+++ b/node/state/rollouts.go
@@ -7,8 +7,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// rollouts carries out the parts of a command that concern roll-outs.
-func (m *Machine) rollouts(c *Command, r *Result) {
+// applyRollouts executes the parts of a command that concern rollouts.
+func (m *Machine) applyRollouts(c *Command, r *Result) {
 	if c.StartRollout != nil {
 		res := m.startRollout(c.StartRollout)
 		r.Rollout = &res
@@ -19,8 +19,8 @@
 	}
 }
 
-// startRollout starts a roll-out. An order for what runs already, or for what was ordered within
-// its span, is one that was sent again: its first answer may have been lost.
+// startRollout starts a rollout. An order equal to a running rollout, or to one that started within its span,
+// is treated as a resend, since the first answer may have been lost.
 func (m *Machine) startRollout(o *wire.RolloutOrder) wire.RolloutResult {
 	current := m.s.Rollouts.Of(o.Service)
 	switch {
@@ -41,7 +41,7 @@
 	return wire.RolloutResult{Rollout: next, Changed: true}
 }
 
-// stepRollout takes over a decision that was made for the roll-out's present revision.
+// stepRollout applies a decision that was based on the rollout's current revision.
 func (m *Machine) stepRollout(s *wire.RolloutStep) wire.RolloutResult {
 	current := m.s.Rollouts.Of(s.Service)
 	if !current.Running() || current.Revision != s.Base {
@@ -60,7 +60,7 @@
 	return wire.RolloutResult{Rollout: next, Changed: true}
 }
 
-// otherVersions adds to known the versions of the service's upstreams besides the target.
+// otherVersions returns known plus the versions of the service's upstreams other than target, sorted.
 func (m *Machine) otherVersions(service, target string, known []string) []string {
 	out := slices.Clone(known)
 	for _, x := range m.s.Members {
@@ -81,7 +81,7 @@
 	return false
 }
 
-// setRollout replaces the list, which views share.
+// setRollout builds a new list, because views share the old one.
 func (m *Machine) setRollout(r wire.Rollout) {
 	list := slices.DeleteFunc(slices.Clone(m.s.Rollouts.List), func(x wire.Rollout) bool { return x.Service == r.Service })
 	list = append(list, r)
--- a/node/state/rollouts_test.go
+++ b/node/state/rollouts_test.go
@@ -128,7 +128,7 @@
 		t.Fatalf("without upstreams: %+v", res)
 	}
 	m = New()
-	m.join(one)
+	m.addMember(one)
 	if res := m.startRollout(&wire.RolloutOrder{Service: "desk", Target: "v1", Span: time.Second}); res.Rollout.State != wire.RolloutCompleted {
 		t.Fatalf("%+v", res)
 	}
@@ -140,7 +140,7 @@
 	for i, version := range []string{"v1", "v2", "v0", "v1"} {
 		x := wire.AnnouncedUpstream(wire.MemberID(fmt.Sprint("i-", i)), "desk", "10.0.0.1:80", "north", false)
 		x.Version = version
-		m.join(x)
+		m.addMember(x)
 		if i == 1 {
 			m.startRollout(&wire.RolloutOrder{Service: "desk", Target: "v2", Span: time.Second})
 		}
--- a/node/state/snapshot.go
+++ b/node/state/snapshot.go
@@ -15,8 +15,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// encoding gives equal states equal bytes.
-var encoding = func() cbor.EncMode {
+// encMode is deterministic: equal states have equal encodings.
+var encMode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err) // the options are constant
@@ -24,10 +24,9 @@
 	return mode
 }()
 
-// decoding takes whatever encoding wrote. The library's own limits (131072
-// elements) are below the size of a ledger, and a text that is not UTF-8 must
-// not stop a replica once it is in the log.
-var decoding = func() cbor.DecMode {
+// decMode accepts everything that encMode writes. The library's default limit of 131072 elements is below the
+// size of a ledger, and a text that is not valid UTF-8 must not stop a replica once it is in the log.
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: math.MaxInt32, MaxMapPairs: math.MaxInt32, UTF8: cbor.UTF8DecodeInvalid}.DecMode()
 	if err != nil {
 		panic(err) // the options are constant
@@ -35,14 +34,14 @@
 	return mode
 }()
 
-// Image is the state at one moment. It stays as it is while the Machine goes
-// on, so that it can be encoded by another goroutine.
+// Image is a point-in-time copy of the state. It does not change while the Machine applies further commands,
+// so another goroutine can encode it.
 type Image struct {
 	s      stored
 	ledger []*ledgerEntry
 }
 
-// Capture takes an Image. It copies references, not contents.
+// Capture returns an Image of the current state. It copies references and maps, not their contents.
 func (m *Machine) Capture() *Image {
 	s := m.s
 	s.Changes = slices.Clip(s.Changes)
@@ -57,9 +56,8 @@
 	return &Image{s, list}
 }
 
-// Encode returns the bytes that Restore reads, a CBOR sequence (RFC 8742) of
-// the state without the ledger and of the ledger's parts. Equal states give
-// equal bytes.
+// Encode returns the snapshot that Restore reads: a CBOR sequence (RFC 8742) of the state without the ledger,
+// followed by the parts of the ledger. Equal states have equal encodings.
 func (i *Image) Encode() ([]byte, error) {
 	slices.SortFunc(i.ledger, func(a, b *ledgerEntry) int { return compareKeys(a.Claim.ClaimKey, b.Claim.ClaimKey) })
 	parts, err := encodeLedger(i.ledger)
@@ -69,7 +67,7 @@
 	s := i.s
 	s.Ledger = len(parts)
 	s.packText()
-	head, err := encoding.Marshal(s)
+	head, err := encMode.Marshal(s)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -91,18 +89,18 @@
 	return err
 }
 
-// The ledger is most of a snapshot. It is coded in parts of ledgerPart entries
-// by up to codecWorkers goroutines, because a restart waits for it.
+// The ledger is the largest part of a snapshot. It is encoded and decoded in parts of ledgerPartEntries
+// entries by up to codecWorkers goroutines, because a restart waits for it.
 const (
-	ledgerPart   = 4096
-	codecWorkers = 4
+	ledgerPartEntries = 4096
+	codecWorkers      = 4
 )
 
 func encodeLedger(list []*ledgerEntry) ([][]byte, error) {
-	chunks := slices.Collect(slices.Chunk(list, ledgerPart))
+	chunks := slices.Collect(slices.Chunk(list, ledgerPartEntries))
 	parts := make([][]byte, len(chunks))
 	err := parallel(len(chunks), func(k int) (err error) {
-		parts[k], err = encoding.Marshal(chunks[k])
+		parts[k], err = encMode.Marshal(chunks[k])
 		return err
 	})
 	return parts, err
@@ -112,25 +110,25 @@
 	var parts []cbor.RawMessage
 	for len(data) > 0 {
 		var part cbor.RawMessage
-		rest, err := decoding.UnmarshalFirst(data, &part)
+		rest, err := decMode.UnmarshalFirst(data, &part)
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
 		parts, data = append(parts, part), rest
 	}
 	if len(parts) != n {
-		return nil, errors.Errorf("%d parts of the ledger, want %d", len(parts), n)
+		return nil, errors.Errorf("snapshot has %d ledger parts, want %d", len(parts), n)
 	}
 	chunks := make([][]*ledgerEntry, n)
-	err := parallel(n, func(k int) error { return decoding.Unmarshal(parts[k], &chunks[k]) })
+	err := parallel(n, func(k int) error { return decMode.Unmarshal(parts[k], &chunks[k]) })
 	list := slices.Concat(chunks...)
 	if err == nil && slices.Contains(list, nil) {
-		err = errors.New("empty entry in the ledger")
+		err = errors.New("snapshot has an empty ledger entry")
 	}
 	return list, err
 }
 
-// parallel calls f for 0 to n-1 and returns the first error by number.
+// parallel calls f for 0 to n-1 and returns the error with the lowest index.
 func parallel(n int, f func(int) error) error {
 	errs := make([]error, n)
 	var next atomic.Int64
@@ -158,5 +156,5 @@
 	return strings.Compare(a.Key, b.Key)
 }
 
-// Snapshot encodes the whole state.
+// Snapshot encodes the complete state.
 func (m *Machine) Snapshot() ([]byte, error) { return m.Capture().Encode() }
--- a/node/state/teams.go
+++ b/node/state/teams.go
@@ -10,17 +10,17 @@
 	"caperdrum.org/api/wire"
 )
 
-// TeamCommand changes the teams. Exactly one part is set.
+// TeamCommand changes the teams or their keys. Exactly one of its parts is set.
 type TeamCommand struct {
-	Put    *Team  `cbor:"1,keyasint,omitempty"` // adds a team or replaces its rights; keys stay
+	Put    *Team  `cbor:"1,keyasint,omitempty"` // adds a team or replaces its permissions; its keys stay
 	Delete string `cbor:"2,keyasint,omitempty"`
 	AddKey *Key   `cbor:"3,keyasint,omitempty"`
-	EndKey string `cbor:"4,keyasint,omitempty"` // id of a key that ends at EndAt
+	EndKey string `cbor:"4,keyasint,omitempty"` // id of the key that expires at EndAt
 	EndAt  int64  `cbor:"5,keyasint,omitempty"` // milliseconds since the Unix epoch
 	Author string `cbor:"6,keyasint,omitempty"`
 }
 
-// Team is a group of operators and what they may do.
+// Team is a group of operators with their permissions.
 type Team struct {
 	Name      string    `cbor:"1,keyasint"`
 	Role      wire.Role `cbor:"2,keyasint"`
@@ -28,27 +28,26 @@
 	Pipelines []string  `cbor:"4,keyasint,omitempty"`
 }
 
-// Key is a bearer key. Only the hash of its secret is kept; the secret has
-// 256 random bits, so a plain hash cannot be searched.
+// Key is a bearer key. Only the hash of its secret is stored; the secret has 256 random bits, so an unsalted
+// hash resists guessing.
 type Key struct {
 	ID    string            `cbor:"1,keyasint"`
 	Team  string            `cbor:"2,keyasint"`
 	Hash  [sha256.Size]byte `cbor:"3,keyasint"`
 	Made  int64             `cbor:"4,keyasint"`
-	EndAt int64             `cbor:"5,keyasint,omitempty"` // zero: does not end
+	EndAt int64             `cbor:"5,keyasint,omitempty"` // 0: never expires
 }
 
-// TeamResult answers a TeamCommand.
+// TeamResult is the result of a TeamCommand.
 type TeamResult struct {
 	Done   bool
 	Reason string
 }
 
-// maxKeys bounds the keys of one team; two are enough to change keys without
-// a gap.
-const maxKeys = 8
+// maxTeamKeys limits the keys per team; two are enough to replace a key without an interruption.
+const maxTeamKeys = 8
 
-func (m *Machine) team(c *TeamCommand) TeamResult {
+func (m *Machine) applyTeam(c *TeamCommand) TeamResult {
 	m.dropEndedKeys()
 	switch {
 	case c.Put != nil:
@@ -104,13 +103,13 @@
 	count := 0
 	for _, other := range m.s.Keys {
 		if other.ID == k.ID {
-			return TeamResult{Done: true} // sent twice
+			return TeamResult{Done: true} // duplicate of the same command
 		}
 		if other.Team == k.Team {
 			count++
 		}
 	}
-	if count >= maxKeys {
+	if count >= maxTeamKeys {
 		return TeamResult{Reason: "the team has too many keys: end one first"}
 	}
 	k.Made = m.s.Now
@@ -133,13 +132,13 @@
 	m.s.Keys = slices.DeleteFunc(slices.Clone(m.s.Keys), func(k Key) bool { return k.EndAt != 0 && k.EndAt < m.s.Now })
 }
 
-// Teams is an immutable picture of the teams and their keys.
+// Teams is an immutable copy of the teams and their keys.
 type Teams struct {
 	byName map[string]Team
 	keys   []Key
 }
 
-func (m *Machine) teams() *Teams {
+func (m *Machine) buildTeams() *Teams {
 	byName := make(map[string]Team, len(m.s.Teams))
 	for name, t := range m.s.Teams {
 		byName[name] = t
@@ -147,7 +146,8 @@
 	return &Teams{byName: byName, keys: m.s.Keys}
 }
 
-// Authenticate returns the team of a key that is valid at the given time.
+// Authenticate returns the team that owns the key, if the secret matches and the key is valid at the given
+// time.
 func (t *Teams) Authenticate(id, secret string, now time.Time) (Team, bool) {
 	hash := sha256.Sum256([]byte(secret))
 	for _, k := range t.keys {
@@ -163,8 +163,7 @@
 	return Team{}, false
 }
 
-// List returns the teams in the order of their names, with their keys but
-// without anything secret.
+// List returns the teams sorted by name, with their keys but without secrets.
 func (t *Teams) List() []wire.TeamInfo {
 	var out []wire.TeamInfo
 	for _, team := range t.byName {
@@ -180,11 +179,11 @@
 	return out
 }
 
-// historyShown is how many changes a view lists.
-const historyShown = 200
+// maxHistoryEntries is the number of changes that a view lists.
+const maxHistoryEntries = 200
 
-func (m *Machine) history() []wire.ChangeInfo {
-	records := m.s.Changes[max(0, len(m.s.Changes)-historyShown):]
+func (m *Machine) buildHistory() []wire.ChangeInfo {
+	records := m.s.Changes[max(0, len(m.s.Changes)-maxHistoryEntries):]
 	out := make([]wire.ChangeInfo, len(records))
 	for i, r := range records {
 		out[i] = wire.ChangeInfo{Number: r.Number, ChangeID: r.ID, Author: r.Author, Accepted: r.Result.Accepted,
--- a/node/wal/fuzz_test.go
+++ b/node/wal/fuzz_test.go
@@ -33,7 +33,7 @@
 		if n, _ := replay(data[:good], again); n != good || len(again.Entries) != len(st.Entries) {
 			t.Fatalf("the accepted part reads back as %d bytes, not %d (%v)", n, good, err)
 		}
-		st.settle()
+		st.reconcile()
 	})
 }
 
--- a/node/wal/open.go
+++ b/node/wal/open.go
@@ -11,18 +11,18 @@
 	"caperdrum.org/node/disk"
 )
 
-// Stored is what the folder held when it was opened.
+// Stored is the content of the folder when it was opened.
 type Stored struct {
-	DiskID    string // random, made with the folder
+	DiskID    string // random, generated when the folder was initialized
 	HardState consensus.HardState
 	Snapshot  *consensus.Snapshot
 	Entries   []consensus.Entry
 
-	base base // where the newest log file that says so begins
+	base base // from the newest log file that starts with a base record
 }
 
-// Open reads the folder and returns the log, ready for Save. An error that
-// wraps ErrCorrupt says in which file the damage is.
+// Open reads the folder and returns the log, ready for Save. An error that wraps ErrCorrupt names the damaged
+// file.
 func Open(fs disk.FS) (*Log, *Stored, error) {
 	l := &Log{fs: fs}
 	st := &Stored{}
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, nil, errors.Trace(err)
 	}
-	if err := l.identity(names, st); err != nil {
+	if err := l.loadDiskID(names, st); err != nil {
 		return nil, nil, errors.Trace(err)
 	}
 	if err := l.readSnapshot(names, st); err != nil {
@@ -39,27 +39,27 @@
 	if err := l.readLogs(names, st); err != nil {
 		return nil, nil, errors.Trace(err)
 	}
-	interrupted, err := st.settle()
+	interrupted, err := st.reconcile()
 	if err != nil {
 		return nil, nil, err
 	}
 	switch {
 	case interrupted:
-		err = l.restart(base{Index: st.Snapshot.Index, Term: st.Snapshot.Term}, st.HardState, st.Entries)
+		err = l.startAfterBase(base{Index: st.Snapshot.Index, Term: st.Snapshot.Term}, st.HardState, st.Entries)
 	case l.file == nil:
-		err = l.roll(1)
+		err = l.rollFile(1)
 	}
 	return l, st, errors.Trace(err)
 }
 
-// identity reads the folder's id, or makes it in a new folder. A folder with a
-// log and no id is not new: its replica may have voted under the lost one.
-func (l *Log) identity(names []string, st *Stored) error {
+// loadDiskID reads the folder's disk ID, or generates one for a new folder. A folder that has logs or
+// snapshots but no ID is not new: its replica may have voted under the lost ID.
+func (l *Log) loadDiskID(names []string, st *Stored) error {
 	id, err := l.fs.ReadFile(identityName)
 	if os.IsNotExist(errors.Cause(err)) {
 		for _, name := range names {
 			if strings.HasPrefix(name, logPrefix) || strings.HasPrefix(name, snapPrefix) {
-				return errors.Annotatef(ErrCorrupt, "%s is missing beside %s", identityName, name)
+				return errors.Annotatef(ErrCorrupt, "%s is missing, but the folder has %s", identityName, name)
 			}
 		}
 		st.DiskID = uuid.NewString()
@@ -110,8 +110,8 @@
 			return errors.Trace(err)
 		}
 		files[i] = data
-		if beginsAnew(data) {
-			from = i // what older files hold no longer counts, nor whether it is whole
+		if startsWithBase(data) {
+			from = i // older files are superseded, even if they are damaged
 		}
 	}
 	for i, name := range logs {
@@ -125,7 +125,7 @@
 			return errors.Annotatef(ErrCorrupt, "%s at byte %d", name, good)
 		}
 		if newest {
-			if err := l.continueFile(name, int64(good)); err != nil {
+			if err := l.openForAppend(name, int64(good)); err != nil {
 				return errors.Trace(err)
 			}
 		}
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// continueFile cuts a torn tail off and opens the file for more.
-func (l *Log) continueFile(name string, size int64) error {
+// openForAppend truncates a torn tail and opens the file for appending.
+func (l *Log) openForAppend(name string, size int64) error {
 	f, err := l.fs.Append(name)
 	if err != nil {
 		return errors.Trace(err)
@@ -142,7 +142,7 @@
 	if err := f.Truncate(size); err != nil {
 		return errors.Trace(err)
 	}
-	l.file, l.name, l.written = f, name, size
+	l.file, l.name, l.size = f, name, size
 	return errors.Trace(f.Sync())
 }
 
@@ -161,9 +161,9 @@
 	}
 }
 
-// settle makes snapshot, hard state and entries fit each other. It reports
-// whether a crash came between storing the snapshot and starting the log anew.
-func (st *Stored) settle() (interrupted bool, err error) {
+// reconcile makes snapshot, hard state and entries consistent. It reports whether a crash came between
+// storing the snapshot and starting the new log file.
+func (st *Stored) reconcile() (interrupted bool, err error) {
 	var covered base
 	if st.Snapshot != nil {
 		covered = base{Index: st.Snapshot.Index, Term: st.Snapshot.Term}
@@ -173,7 +173,7 @@
 	}
 	interrupted = covered.Index > st.base.Index
 	if interrupted {
-		st.Entries = following(st.Entries, covered)
+		st.Entries = entriesAfter(st.Entries, covered)
 	}
 	for i, e := range st.Entries {
 		if want := covered.Index + uint64(i) + 1; e.Index != want {
@@ -188,10 +188,9 @@
 	return interrupted, nil
 }
 
-// following returns the entries after the snapshot at b, if they belong to the
-// log that the snapshot was made of: the entry at its index has its term
-// (Raft paper, section 7).
-func following(entries []consensus.Entry, b base) []consensus.Entry {
+// entriesAfter returns the entries after the snapshot at b, if they belong to the same log history: the entry
+// at the snapshot's index must have its term (Raft paper, section 7).
+func entriesAfter(entries []consensus.Entry, b base) []consensus.Entry {
 	for i, e := range entries {
 		if e.Index == b.Index && e.Term == b.Term {
 			return entries[i+1:]
--- a/node/wal/record.go
+++ b/node/wal/record.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	headerSize = 12
-	maxRecord  = 1 << 30 // bytes of a body; also bounds a snapshot
+	headerSize     = 12
+	maxRecordBytes = 1 << 30 // maximum body size; also limits a snapshot
 )
 
 var (
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 	errTorn     = errors.New("wal: torn record")
-	errTooLarge = errors.New("wal: record over 1 GiB")
+	errTooLarge = errors.New("wal: record exceeds 1 GiB")
 )
 
-// record is the body of one stored record.
+// record is the body of a log record.
 type record struct {
 	HardState *consensus.HardState `cbor:"1,keyasint,omitempty"`
 	Entries   []consensus.Entry    `cbor:"2,keyasint,omitempty"`
 	Base      *base                `cbor:"3,keyasint,omitempty"`
 }
 
-// base makes the log begin anew after a snapshot.
+// base is the position of a snapshot. A record with a base restarts the log after that snapshot.
 type base struct {
 	Index uint64 `cbor:"1,keyasint"`
 	Term  uint64 `cbor:"2,keyasint"`
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if len(body) > maxRecord {
+	if len(body) > maxRecordBytes {
 		return nil, errTooLarge
 	}
 	out := make([]byte, headerSize, headerSize+len(body))
@@ -51,18 +51,17 @@
 
 func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
-// nextRecord returns the body of the first record of data and what follows.
-// errTorn says that a write was cut short there: nothing but the start of a
-// record is left, or nothing but zeros from some byte on.
+// nextRecord returns the body of the first record in data and the bytes after it. errTorn means that a write
+// was interrupted there: only the start of a record is left, or only zeros from some byte on.
 func nextRecord(data []byte) (body, rest []byte, err error) {
 	if len(data) < headerSize {
 		return nil, nil, errTorn
 	}
 	if checksum(data[:8]) != binary.LittleEndian.Uint32(data[8:]) {
-		return nil, nil, tornOrCorrupt(data[headerSize-1:])
+		return nil, nil, classifyDamage(data[headerSize-1:])
 	}
 	size := int(binary.LittleEndian.Uint32(data))
-	if size > maxRecord {
+	if size > maxRecordBytes {
 		return nil, nil, ErrCorrupt
 	}
 	if size > len(data)-headerSize {
@@ -71,13 +70,14 @@
 	end := headerSize + size
 	body, rest = data[headerSize:end], data[end:]
 	if checksum(body) != binary.LittleEndian.Uint32(data[4:]) {
-		return nil, nil, tornOrCorrupt(data[end-1:])
+		return nil, nil, classifyDamage(data[end-1:])
 	}
 	return body, rest, nil
 }
 
-// tornOrCorrupt judges a damaged part by its last byte and all after it.
-func tornOrCorrupt(tail []byte) error {
+// classifyDamage tells a torn write from corruption: after a torn write, the last byte of the damaged part
+// and all bytes after it are zero.
+func classifyDamage(tail []byte) error {
 	for _, x := range tail {
 		if x != 0 {
 			return ErrCorrupt
@@ -98,8 +98,8 @@
 	return s, nil
 }
 
-// replay applies the records of one file to st and returns how many bytes of
-// it are whole records. A torn tail is not an error.
+// replay applies the records of one file to st and returns the length of the valid prefix in bytes. A torn
+// tail is not an error.
 func replay(data []byte, st *Stored) (int, error) {
 	good := 0
 	for good < len(data) {
--- a/node/wal/reopen.go
+++ b/node/wal/reopen.go
@@ -11,11 +11,10 @@
 	"caperdrum.org/node/disk"
 )
 
-// Reopen opens the folder again after a write or sync has failed, and writes all
-// that it goes on with to a new log file. What is read after a failed sync may
-// come from memory and not be on the disk, so nothing of the old file is relied
-// on once the new one is synced. It fails while the disk takes no bytes, and may
-// be tried again.
+// Reopen opens the folder again after a failed write or sync, and writes the current state to a new log file.
+// Data read after a failed sync may come from the page cache and not be on the disk, so nothing in the old
+// file is relied on once the new one is synced. It fails while the disk accepts no writes, and may be
+// retried.
 func Reopen(fs disk.FS) (*Log, *Stored, error) {
 	l, st, err := Open(fs)
 	if err != nil {
@@ -28,7 +27,7 @@
 	return l, st, nil
 }
 
-// rewrite goes on in a new log file that begins with everything stored.
+// rewrite continues in a new log file that starts with everything stored.
 func (l *Log) rewrite(st *Stored) error {
 	number, err := strconv.ParseUint(strings.TrimPrefix(l.name, logPrefix), 10, 64)
 	if err != nil {
@@ -39,20 +38,20 @@
 		b = base{Index: st.Snapshot.Index, Term: st.Snapshot.Term}
 	}
 	old := l.name
-	if err := l.roll(number + 1); err != nil {
+	if err := l.rollFile(number + 1); err != nil {
 		return err
 	}
 	if err := l.write(record{Base: &b, HardState: &st.HardState, Entries: st.Entries}); err != nil {
 		if l.name != old {
-			l.fs.Remove(l.name) // else each try leaves a file behind; what is left is torn, and cut off
+			l.fs.Remove(l.name) // or each retry leaves a file behind; a torn one left by a failed removal is truncated by Open
 		}
 		return err
 	}
-	return l.removeOld(b.Index)
+	return l.removeObsolete(b.Index)
 }
 
-// beginsAnew reports whether a log file's first record replaces all older files.
-func beginsAnew(data []byte) bool {
+// startsWithBase reports whether the first record of a log file supersedes all older files.
+func startsWithBase(data []byte) bool {
 	body, _, err := nextRecord(data)
 	if err != nil {
 		return false
@@ -61,5 +60,5 @@
 	return cbor.Unmarshal(body, &r) == nil && r.Base != nil
 }
 
-// logName is the name of the log file with that number.
+// logName returns the name of the log file with the given number.
 func logName(number uint64) string { return fmt.Sprintf("%s%020d", logPrefix, number) }
--- a/node/wal/wal.go
+++ b/node/wal/wal.go
@@ -1,11 +1,8 @@
-// Package wal stores a replica's log and snapshots in one data folder. Save
-// returns only when everything given to it is synced.
-//
-// A log file is a sequence of records, one for each Save: length, CRC-32C of
-// the body, CRC-32C of these two, and a CBOR body. A record that was being
-// written when the process died is shorter than it says or ends in zeros; it
-// is cut off when the log is opened. Any other damage is corruption, and
-// opening fails.
+// Package wal stores a replica's log and snapshots in one data folder. Save returns only after everything
+// given to it is synced. A log file is a sequence of records, one per Save. A record consists of the length,
+// the CRC-32C of the body, the CRC-32C of these two fields, and a CBOR body. A record whose write was
+// interrupted is shorter than its length or ends in zeros; Open truncates it. Any other damage is corruption
+// and makes Open fail.
 package wal
 
 import (
@@ -18,9 +15,9 @@
 	"caperdrum.org/node/disk"
 )
 
-// ErrCorrupt says that stored bytes are damaged in a way that a crash cannot
-// explain. The replica must be replaced, not restarted.
-var ErrCorrupt = errors.New("wal: corrupt; move the data folder away and start the process with an empty one: it comes back as a new replica")
+// ErrCorrupt means that stored bytes are damaged in a way that a crash cannot explain. The replica must be
+// replaced, not restarted.
+var ErrCorrupt = errors.New("wal: corrupt; move the data folder away and start the process with an empty one: it will join as a new replica")
 
 const (
 	identityName = "disk-id"
@@ -28,17 +25,17 @@
 	snapPrefix   = "snap-"
 )
 
-// Log is an open log. It is not safe for concurrent use, but for WriteSnapshot.
+// Log is an open log. It is not safe for concurrent use, except for WriteSnapshot.
 type Log struct {
-	fs      disk.FS
-	file    disk.File
-	name    string
-	failed  error
-	written int64
+	fs     disk.FS
+	file   disk.File
+	name   string
+	failed error
+	size   int64
 }
 
-// Save appends a hard state and entries and syncs them. After an error the log
-// is unusable: what reached the disk is unknown.
+// Save appends a hard state and entries and syncs them. After an error the log is unusable, since it is
+// unknown what reached the disk.
 func (l *Log) Save(hs *consensus.HardState, entries []consensus.Entry) error {
 	if hs == nil && len(entries) == 0 {
 		return l.failed
@@ -57,7 +54,7 @@
 	if _, err := l.file.Write(data); err != nil {
 		return l.fail(err)
 	}
-	l.written += int64(len(data))
+	l.size += int64(len(data))
 	if err := l.file.Sync(); err != nil {
 		return l.fail(err)
 	}
@@ -69,11 +66,11 @@
 	return l.failed
 }
 
-// Size returns the bytes in the current log file.
-func (l *Log) Size() int64 { return l.written }
+// Size returns the size of the current log file in bytes.
+func (l *Log) Size() int64 { return l.size }
 
-// SaveSnapshot stores s durably, starts a new log file that begins with hs and
-// the entries after s, and removes the files it replaces.
+// SaveSnapshot stores s durably, starts a new log file with hs and the entries after s, and removes the files
+// that they supersede.
 func (l *Log) SaveSnapshot(s *consensus.Snapshot, hs consensus.HardState, after []consensus.Entry) error {
 	if l.failed != nil {
 		return l.failed
@@ -84,9 +81,9 @@
 	return l.StartAfter(s, hs, after)
 }
 
-// WriteSnapshot stores s durably in a file of its own and leaves the log as it
-// is. It may run beside Save, but not beside another snapshot. s must be made
-// of entries that are in the log: Open then keeps those that follow them.
+// WriteSnapshot stores s durably in a separate file and leaves the log unchanged. It may run concurrently
+// with Save, but not with another snapshot. s must cover entries that are in the log, so that Open keeps the
+// entries after it.
 func (l *Log) WriteSnapshot(s *consensus.Snapshot) error {
 	data, err := encodeRecord(s)
 	if err != nil {
@@ -95,33 +92,32 @@
 	return disk.WriteFile(l.fs, fmt.Sprintf("%s%020d", snapPrefix, s.Index), data)
 }
 
-// StartAfter starts a new log file behind the stored snapshot s. The file
-// begins with hs and all entries after s; the files it replaces are removed.
+// StartAfter starts a new log file after the stored snapshot s. The file begins with hs and all entries after
+// s; superseded files are removed.
 func (l *Log) StartAfter(s *consensus.Snapshot, hs consensus.HardState, after []consensus.Entry) error {
 	if l.failed != nil {
 		return l.failed
 	}
-	if err := l.restart(base{Index: s.Index, Term: s.Term}, hs, after); err != nil {
+	if err := l.startAfterBase(base{Index: s.Index, Term: s.Term}, hs, after); err != nil {
 		return err
 	}
-	return l.removeOld(s.Index)
+	return l.removeObsolete(s.Index)
 }
 
-// restart makes the log begin anew after the snapshot at b. The first record
-// of the new file says so: whatever older files hold no longer counts, also
-// when their removal is undone by a crash.
-func (l *Log) restart(b base, hs consensus.HardState, after []consensus.Entry) error {
-	if err := l.roll(b.Index + 1); err != nil {
+// startAfterBase starts a new log file after the snapshot at b. Its first record holds b and supersedes all
+// older files, even if a crash undoes their removal.
+func (l *Log) startAfterBase(b base, hs consensus.HardState, after []consensus.Entry) error {
+	if err := l.rollFile(b.Index + 1); err != nil {
 		return l.fail(err)
 	}
 	return l.write(record{Base: &b, HardState: &hs, Entries: after})
 }
 
-// roll starts a new log file. Its number is above that of every older file.
-func (l *Log) roll(first uint64) error {
+// rollFile starts a new log file, numbered above all older ones.
+func (l *Log) rollFile(first uint64) error {
 	name := logName(first)
 	if l.name >= name {
-		return nil // a snapshot at the same index: go on in the same file
+		return nil // a snapshot at the same index: continue in the same file
 	}
 	f, err := l.fs.Create(name)
 	if err != nil {
@@ -133,13 +129,13 @@
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.file, l.name, l.written = f, name, 0
+	l.file, l.name, l.size = f, name, 0
 	return nil
 }
 
-// removeOld deletes what the snapshot at index and the current log file
-// replace. Removal need not be durable: old files are harmless.
-func (l *Log) removeOld(index uint64) error {
+// removeObsolete deletes the files that the snapshot at index and the current log file supersede. The removal
+// need not be durable, since old files are harmless.
+func (l *Log) removeObsolete(index uint64) error {
 	names, err := l.fs.List()
 	if err != nil {
 		return l.fail(err)
