--- a/node/state/orders.go
+++ b/node/state/orders.go
@@ -28,11 +28,11 @@
 // Refusal says why an order was not issued; it is empty if it was issued.
 type Refusal string
 
-// Reasons for not issuing an order.
+// Reasons for not issuing an order. They are keys of the metric orders_refused.
 const (
-	RefusedStale  Refusal = "a newer token was issued"
-	RefusedOpen   Refusal = "the upstream has an open order"
-	RefusedBudget Refusal = "the weight store budget is exhausted"
+	RefusedStale  Refusal = "a newer token was drawn"
+	RefusedOpen   Refusal = "an order is open"
+	RefusedBudget Refusal = "the weight store's budget lacks the bytes"
 )
 
 // IssueResult is the result of an OrderIssue.
