--- a/node/consensus/capture_test.go
+++ b/node/consensus/capture_test.go
@@ -5,38 +5,37 @@
 	"testing"
 )
 
-// captureAt starts a snapshot at h. The two steps that remain are taken later.
+// captureAt starts a snapshot on h. Writing and installing it are left to later steps.
 func captureAt(c *cluster, h *host) {
-	c.work(h)
+	c.process(h)
 	c.compact(h, 0)
-	if h.capture == nil {
-		c.t.Fatalf("%s captured nothing", h.name)
+	if h.snapshot == nil {
+		c.t.Fatalf("%s had nothing to capture", h.name)
 	}
 }
 
 func (c *cluster) steps(h *host, n int) {
 	for range n {
-		if h.node != nil && h.capture != nil {
-			c.work(h)
+		if h.node != nil && h.snapshot != nil {
+			c.process(h)
 			c.compact(h, 0)
 		}
 	}
 }
 
-// The log grows and the membership changes while a snapshot is in work, and
-// the only voter's disk crashes at any operation from the write on: it alone
-// can give back what was acknowledged.
+// The log grows and the membership changes while a snapshot is in progress, and the disk of the only voter
+// crashes at any operation from its write on. That disk alone can recover what was acknowledged.
 func TestCrashWhileTheLogOutgrowsItsSnapshot(t *testing.T) {
 	for ops, crashes := 0, 1; crashes > 0; ops++ {
 		c := newCluster(t, 2, 3)
 		run(c, 10)
 		a, b := c.hosts[0], c.hosts[1]
 		captureAt(c, a)
-		snap, before := a.capture, a.capture.Membership
-		c.reform(a, b)
+		snap, before := a.snapshot, a.snapshot.Membership
+		c.proposeRepair(a, b)
 		run(c, 10)
-		if st := a.node.Status(); a.capture.Index >= st.Applied || !st.Membership.HasLearner(b.id) || before.HasLearner(b.id) {
-			t.Fatalf("nothing happened beside the capture at %d: %+v", a.capture.Index, st)
+		if st := a.node.Status(); a.snapshot.Index >= st.Applied || !st.Membership.HasLearner(b.id) || before.HasLearner(b.id) {
+			t.Fatalf("no entry was applied after the capture at %d: %+v", a.snapshot.Index, st)
 		}
 		a.fs.CrashAfter(ops)
 		c.steps(a, 1)
@@ -44,9 +43,9 @@
 			run(c, 1)
 		}
 		c.steps(a, 1)
-		acked, last := c.acked, uint64(len(c.list))+1
-		if crashes = c.did.Crashes; crashes == 0 && (c.did.Delayed != 1 || !reflect.DeepEqual(snap.Membership, before)) {
-			t.Fatalf("not installed, or with a later membership: %+v", snap)
+		acked, last := c.acked, uint64(len(c.committed))+1
+		if crashes = c.stats.Crashes; crashes == 0 && (c.stats.Delayed != 1 || !reflect.DeepEqual(snap.Membership, before)) {
+			t.Fatalf("snapshot not installed, or with a later membership: %+v", snap)
 		}
 		if a.node != nil {
 			c.crash(a)
@@ -55,22 +54,22 @@
 		if st := a.node.Status(); acked == 0 || st.Last < acked || st.Last < last {
 			t.Fatalf("%d operations: acknowledged %d, committed %d, recovered %+v", ops, acked, last, st)
 		}
-		c.settle()
+		c.checkRecovery()
 		if st := a.node.Status(); !st.Membership.HasLearner(b.id) {
 			t.Fatalf("%d operations: the membership change is lost: %+v", ops, st.Membership)
 		}
 	}
 }
 
-// A received snapshot makes the one in work void, whether that is written
-// before it or not, and whatever operation a crash strikes.
+// A received snapshot supersedes the one in progress, whether that one is written before or after it, and at
+// whatever operation the disk crashes.
 func TestReceivedSnapshotOvertakesTheCapture(t *testing.T) {
 	for _, early := range []int{0, 1} {
 		for ops, crashes := 0, 1; crashes > 0; ops++ {
 			c := newCluster(t, 3, 5)
-			c.grow(3)
+			c.addVoters(3)
 			run(c, 10)
-			c.settle()
+			c.checkRecovery()
 			l := c.leader()
 			f := c.hosts[0]
 			if f == l {
@@ -79,26 +78,26 @@
 			captureAt(c, f)
 			isolate(c, f)
 			run(c, 20)
-			for l = c.leader(); l.capture != nil || l.node.Status().First < f.capture.Index; {
-				c.work(l)
+			for l = c.leader(); l.snapshot != nil || l.node.Status().First < f.snapshot.Index; {
+				c.process(l)
 				c.compact(l, 0)
 			}
 			c.steps(f, early)
-			own := f.capture
-			clear(c.cut)
+			own := f.snapshot
+			clear(c.cutLinks)
 			f.fs.CrashAfter(ops)
 			run(c, 20)
 			if f.node != nil && f.node.Status().SnapshotIndex <= own.Index {
 				t.Fatalf("no snapshot was received: %+v", f.node.Status())
 			}
 			c.steps(f, 2-early)
-			if crashes = c.did.Crashes; crashes == 0 && c.did.Overtaken != 1 {
-				t.Fatal("the capture was not made void")
+			if crashes = c.stats.Crashes; crashes == 0 && c.stats.Overtaken != 1 {
+				t.Fatal("the snapshot in progress was not discarded")
 			}
 			if f.node != nil {
 				c.crash(f)
 			}
-			c.settle()
+			c.checkRecovery()
 		}
 	}
 }
--- a/node/consensus/invariants_test.go
+++ b/node/consensus/invariants_test.go
@@ -7,14 +7,14 @@
 	"caperdrum.org/node/consensus"
 )
 
-// noteForce remembers a membership that a node put in force.
-func (c *cluster) noteForce(h *host) {
+// recordMembership records a membership that a node has applied.
+func (c *cluster) recordMembership(h *host) {
 	st := h.node.Status()
 	if len(st.Membership.Voters) == 0 {
 		return
 	}
-	if !slices.ContainsFunc(c.forces, func(m consensus.Membership) bool { return equalVoters(m, st.Membership) }) {
-		c.forces = append(c.forces, st.Membership)
+	if !slices.ContainsFunc(c.memberships, func(m consensus.Membership) bool { return equalVoters(m, st.Membership) }) {
+		c.memberships = append(c.memberships, st.Membership)
 	}
 }
 
@@ -22,17 +22,17 @@
 	return len(a.Voters) == len(b.Voters) && !slices.ContainsFunc(a.Voters, func(p consensus.Peer) bool { return !b.Has(p.ID) })
 }
 
-// observe checks what must hold of a node after each step.
-func (c *cluster) observe(h *host) {
+// checkHost checks the invariants of a node after each step.
+func (c *cluster) checkHost(h *host) {
 	if h.node == nil {
 		return
 	}
 	st := h.node.Status()
 	if st.Applied != h.index {
-		c.t.Fatalf("%s says it applied %d, but it got %d", h.name, st.Applied, h.index)
+		c.t.Fatalf("%s reports %d as applied, but was given entries up to %d", h.name, st.Applied, h.index)
 	}
 	if st.Role != consensus.Leader {
-		clear(h.waiting)
+		clear(h.proposals)
 		return
 	}
 	if other, ok := c.leaders[st.Term]; ok && other != h.id {
@@ -40,14 +40,13 @@
 	}
 	if _, seen := c.leaders[st.Term]; !seen {
 		c.leaders[st.Term] = h.id
-		c.checkComplete(h, st)
+		c.checkLeaderCompleteness(h, st)
 	}
 }
 
-// checkComplete is Leader Completeness: a new leader holds every entry that
-// was committed in an earlier term.
-func (c *cluster) checkComplete(h *host, st consensus.Status) {
-	for _, e := range c.list {
+// checkLeaderCompleteness checks that a new leader has every entry that was committed in an earlier term.
+func (c *cluster) checkLeaderCompleteness(h *host, st consensus.Status) {
+	for _, e := range c.committed {
 		if e.Index <= st.First || e.Term >= st.Term {
 			continue
 		}
@@ -58,9 +57,8 @@
 	}
 }
 
-// checkLogs is Log Matching: two logs that agree on the term at an index agree
-// on all before.
-func (c *cluster) checkLogs() {
+// checkLogMatching checks that two logs with the same term at an index are equal up to that index.
+func (c *cluster) checkLogMatching() {
 	for i, a := range c.hosts {
 		for _, b := range c.hosts[i+1:] {
 			if a.node != nil && b.node != nil {
--- a/node/consensus/machine_test.go
+++ b/node/consensus/machine_test.go
@@ -10,26 +10,26 @@
 	"caperdrum.org/node/consensus"
 )
 
-// counts says how much a run really tried.
-type counts struct {
+// runStats counts the events of a run, to show how much it exercised.
+type runStats struct {
 	Runs, Inputs, Committed, Leaders, Crashes, Wipes, Snapshots, Reads, Memberships int
-	Delayed, Overtaken                                                              int // snapshots installed behind the log, and made void
+	Delayed, Overtaken                                                              int // snapshots finished after the log had grown, and superseded ones
 }
 
-var total counts
+var total runStats
 
-func (n *counts) add(c *cluster) {
+func (n *runStats) add(c *cluster) {
 	n.Runs++
-	n.Inputs += c.did.Inputs
-	n.Committed += len(c.list)
+	n.Inputs += c.stats.Inputs
+	n.Committed += len(c.committed)
 	n.Leaders += len(c.leaders)
-	n.Crashes += c.did.Crashes
-	n.Wipes += c.did.Wipes
-	n.Snapshots += c.did.Snapshots
-	n.Reads += c.did.Reads
-	n.Delayed += c.did.Delayed
-	n.Overtaken += c.did.Overtaken
-	n.Memberships += len(c.forces)
+	n.Crashes += c.stats.Crashes
+	n.Wipes += c.stats.Wipes
+	n.Snapshots += c.stats.Snapshots
+	n.Reads += c.stats.Reads
+	n.Delayed += c.stats.Delayed
+	n.Overtaken += c.stats.Overtaken
+	n.Memberships += len(c.memberships)
 }
 
 type seeded struct{ *rand.ChaCha8 }
@@ -46,17 +46,17 @@
 	return h
 }
 
-// maybeWork lets a node do its work, or lets more input gather first.
-func maybeWork(t *rapid.T, c *cluster, h *host) {
+// maybeProcess processes the node's Ready, or lets more input accumulate first.
+func maybeProcess(t *rapid.T, c *cluster, h *host) {
 	if h.node != nil && rapid.IntRange(0, 4).Draw(t, "work") > 0 {
-		c.work(h)
+		c.process(h)
 	}
 }
 
-// TestCluster drives 3 to 5 replicas over forgetting disks and a bad network
-// and checks Raft's five properties, linearizable reads and progress.
+// TestCluster runs 3 to 5 replicas on disks that lose unsynced writes and over a faulty network. It checks
+// Raft's five safety properties, linearizable reads and progress.
 func TestCluster(t *testing.T) {
-	total = counts{}
+	total = runStats{}
 	defer func() { t.Logf("%+v", total) }()
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -65,30 +65,30 @@
 		uuid.SetRand(seeded{rand.NewChaCha8(key)})
 		defer uuid.SetRand(nil)
 		c := newCluster(t, rapid.IntRange(3, 5).Draw(t, "size"), seed)
-		c.grow(rapid.IntRange(1, len(c.hosts)).Draw(t, "voters"))
+		c.addVoters(rapid.IntRange(1, len(c.hosts)).Draw(t, "voters"))
 		t.Repeat(actions(c))
-		c.settle()
+		c.checkRecovery()
 		total.add(c)
 	})
 }
 
-// grow makes the first n hosts voters.
-func (c *cluster) grow(n int) {
+// addVoters makes the first n hosts voters.
+func (c *cluster) addVoters(n int) {
 	for _, h := range c.hosts[1:n] {
 		for range 2 {
-			c.settle()
-			c.reform(c.leader(), h)
-			c.settle()
+			c.checkRecovery()
+			c.proposeRepair(c.leader(), h)
+			c.checkRecovery()
 		}
 	}
-	c.settle()
+	c.checkRecovery()
 }
 
-// actions are the rapid machine's. Faults are few beside ordinary traffic, or
-// the cluster would be down most of the time and nothing would be tried.
+// actions returns the actions of the rapid state machine. Faults are rare compared with ordinary traffic, or
+// the cluster would be down most of the time and little would be exercised.
 func actions(c *cluster) map[string]func(*rapid.T) {
 	out := map[string]func(*rapid.T){
-		"": func(*rapid.T) { c.checkLogs() },
+		"": func(*rapid.T) { c.checkLogMatching() },
 		"fault": func(t *rapid.T) {
 			faults[rapid.IntRange(0, len(faults)-1).Draw(t, "fault")](t, c)
 		},
@@ -96,7 +96,7 @@
 			changes[rapid.IntRange(0, len(changes)-1).Draw(t, "change")](t, c)
 		},
 		"start": func(t *rapid.T) { restart(t, c, drawHost(t, c)) },
-		"heal":  func(*rapid.T) { clear(c.cut) },
+		"heal":  func(*rapid.T) { clear(c.cutLinks) },
 	}
 	for _, again := range []string{"", "2", "3"} {
 		out["deliver"+again] = func(t *rapid.T) { deliverSome(t, c) }
@@ -107,7 +107,7 @@
 }
 
 var faults = []func(*rapid.T, *cluster){
-	func(t *rapid.T, c *cluster) { c.cut[[2]string{drawHost(t, c).name, drawHost(t, c).name}] = true },
+	func(t *rapid.T, c *cluster) { c.cutLinks[[2]string{drawHost(t, c).name, drawHost(t, c).name}] = true },
 	func(t *rapid.T, c *cluster) { isolate(c, drawHost(t, c)) },
 	func(t *rapid.T, c *cluster) { c.crash(drawUp(t, c)) },
 	func(t *rapid.T, c *cluster) {
@@ -124,7 +124,7 @@
 	compact,
 	compact,
 	compact,
-	reform,
+	proposeRepair,
 	transfer,
 }
 
@@ -134,7 +134,7 @@
 
 func readAt(t *rapid.T, c *cluster, h *host) {
 	c.read(h)
-	maybeWork(t, c, h)
+	maybeProcess(t, c, h)
 }
 
 func deliverSome(t *rapid.T, c *cluster) {
@@ -151,18 +151,17 @@
 		default:
 			c.deliver(i, false)
 		}
-		maybeWork(t, c, drawHost(t, c))
+		maybeProcess(t, c, drawHost(t, c))
 	}
 }
 
-// run lets the hosts that are up exchange messages in order for some rounds,
-// each at its own speed.
+// run lets the running hosts exchange messages in order for some rounds, each at its own speed.
 func run(c *cluster, rounds int) {
 	for range rounds {
 		for i, h := range c.hosts {
 			if h.node != nil && c.rand.IntN(3+i) < 3 {
 				h.node.Tick()
-				c.work(h)
+				c.process(h)
 			}
 		}
 		if h := c.hosts[c.rand.IntN(len(c.hosts))]; h.node != nil {
@@ -170,17 +169,17 @@
 			c.read(h)
 		}
 		for k := len(c.pool); k > 0 && len(c.pool) > 0; k-- {
-			c.deliver(c.pick(), c.rand.IntN(16) == 0)
+			c.deliver(c.pickMessage(), c.rand.IntN(16) == 0)
 			if c.rand.IntN(3) > 0 {
-				c.workAll()
+				c.processAll()
 			}
 		}
-		c.workAll()
+		c.processAll()
 	}
 }
 
-// pick mostly takes the oldest message.
-func (c *cluster) pick() int {
+// pickMessage mostly returns the oldest message.
+func (c *cluster) pickMessage() int {
 	if c.rand.IntN(4) > 0 {
 		return 0
 	}
@@ -193,13 +192,13 @@
 			return
 		}
 		h.node.Tick()
-		maybeWork(t, c, h)
+		maybeProcess(t, c, h)
 	}
 }
 
 func propose(t *rapid.T, c *cluster, h *host) {
 	c.propose(h)
-	maybeWork(t, c, h)
+	maybeProcess(t, c, h)
 }
 
 func proposeAtLeader(t *rapid.T, c *cluster) {
@@ -208,15 +207,15 @@
 			c.propose(l)
 		}
 		c.read(l)
-		maybeWork(t, c, l)
+		maybeProcess(t, c, l)
 	}
 }
 
 func isolate(c *cluster, h *host) {
 	for _, o := range c.hosts {
 		if o != h {
-			c.cut[[2]string{h.name, o.name}] = true
-			c.cut[[2]string{o.name, h.name}] = true
+			c.cutLinks[[2]string{h.name, o.name}] = true
+			c.cutLinks[[2]string{o.name, h.name}] = true
 		}
 	}
 }
@@ -229,19 +228,19 @@
 }
 
 func wipe(t *rapid.T, c *cluster, h *host) {
-	if !c.mayWipe(h) {
+	if !c.canWipe(h) {
 		t.Skip("would lose a majority")
 	}
 	c.wipe(h)
 }
 
-func reform(t *rapid.T, c *cluster) {
+func proposeRepair(t *rapid.T, c *cluster) {
 	l := c.leader()
 	if l == nil {
 		t.Skip("no leader")
 	}
-	c.reform(l, drawHost(t, c))
-	maybeWork(t, c, l)
+	c.proposeRepair(l, drawHost(t, c))
+	maybeProcess(t, c, l)
 }
 
 func transfer(t *rapid.T, c *cluster) {
@@ -250,30 +249,30 @@
 		t.Skip("no leader")
 	}
 	l.node.TransferLeadership(drawHost(t, c).id)
-	maybeWork(t, c, l)
+	maybeProcess(t, c, l)
 }
 
-func rulesAlone(l *host) bool {
+func isSoleVoter(l *host) bool {
 	m := l.node.Status().Membership
 	return m.Has(l.id) && len(m.Voters) == 1
 }
 
-// cutLeader checks that a leader that hears nothing steps down within two
-// election timeouts of its own clock, also while it is asked to transfer.
+// cutLeader checks that an isolated leader steps down within two election timeouts of its own clock, even
+// while it is asked to transfer leadership.
 func cutLeader(t *rapid.T, c *cluster) {
 	l := c.leader()
-	if l == nil || rulesAlone(l) {
-		t.Skip("no leader that needs others")
+	if l == nil || isSoleVoter(l) {
+		t.Skip("no leader that depends on other voters")
 	}
 	to := drawHost(t, c)
 	for range 2 * electionTicks {
 		if l.node != nil {
 			l.node.TransferLeadership(to.id)
 			l.node.Tick()
-			c.work(l)
+			c.process(l)
 		}
 	}
-	if l.node != nil && l.node.Status().Role == consensus.Leader && !rulesAlone(l) {
-		t.Fatalf("%s still leads two election timeouts after it was cut off", l.name)
+	if l.node != nil && l.node.Status().Role == consensus.Leader && !isSoleVoter(l) {
+		t.Fatalf("%s still leads two election timeouts after it was isolated", l.name)
 	}
 }
--- a/node/consensus/node_test.go
+++ b/node/consensus/node_test.go
@@ -16,8 +16,7 @@
 	return out
 }
 
-// newNode returns a node whose log after the first snapshot has entries of the
-// given terms.
+// newNode returns a node whose log has entries of the given terms after its first snapshot.
 func newNode(id consensus.NodeID, term uint64, voters []consensus.Peer, terms ...uint64) *consensus.Node {
 	snap := &consensus.Snapshot{Index: 1, Term: 1, Membership: consensus.Membership{Voters: voters}}
 	var entries []consensus.Entry
@@ -28,7 +27,7 @@
 		MaxUncommittedBytes: 100, Rand: rand.New(rand.NewPCG(1, 1)), HardState: consensus.HardState{Term: term}, Snapshot: snap, Entries: entries})
 }
 
-// drain does the work of every Ready and returns all messages.
+// drain processes every Ready and returns all messages.
 func drain(n *consensus.Node) (out []consensus.Message) {
 	for n.HasReady() {
 		rd := n.Ready()
@@ -38,7 +37,7 @@
 	return out
 }
 
-// elect makes n the leader by the vote of another and commits its first entry.
+// elect makes n the leader with the vote of another replica and commits its first entry.
 func elect(t *testing.T, n *consensus.Node, by consensus.NodeID) {
 	t.Helper()
 	for range 2 * electionTicks {
@@ -70,8 +69,7 @@
 	return k
 }
 
-// A snapshot that arrives late must not take back entries that were
-// acknowledged after it was sent.
+// A delayed snapshot must not remove entries that were acknowledged after it was sent.
 func TestDelayedSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	n := newNode("b", 2, peers("a", "b"), 2, 2, 2, 2)
 	n.Step(consensus.Message{Kind: consensus.MsgSnapshot, From: "a", To: "b", Term: 2,
@@ -92,7 +90,7 @@
 	}
 }
 
-// Ongaro's note of July 2015: without this, two majorities can be disjoint.
+// Ongaro's note of July 2015: without this rule, two majorities can be disjoint.
 func TestMembershipChangeWaitsForAnEntryOfTheTerm(t *testing.T) {
 	n := newNode("a", 1, peers("a", "b", "c"))
 	elect(t, n, "b")
@@ -113,8 +111,8 @@
 	ack(n, "b")
 	for name, m := range map[string]consensus.Membership{
 		"no voter":          {Learners: peers("a", "b")},
-		"two voters new":    {Voters: peers("a", "b", "c", "d")},
-		"the same twice":    {Voters: peers("a", "b", "b")},
+		"two new voters":    {Voters: peers("a", "b", "c", "d")},
+		"duplicate voter":   {Voters: peers("a", "b", "b")},
 		"voter and learner": {Voters: peers("a", "b"), Learners: peers("b")},
 	} {
 		if n.ProposeMembership(m) == nil {
@@ -123,8 +121,8 @@
 	}
 }
 
-// A transferee that never answers costs one election timeout of proposals, and
-// asking again and again does not keep a leader that lost its quorum.
+// A transferee that never answers blocks proposals for one election timeout only, and repeated transfer
+// requests must not keep a leader that lost its quorum.
 func TestTransferIsBounded(t *testing.T) {
 	n := newNode("a", 1, peers("a", "b", "c"))
 	elect(t, n, "b")
@@ -132,7 +130,7 @@
 	n.TransferLeadership("c")
 	for i := range electionTicks {
 		if _, _, err := n.Propose(nil); err == nil {
-			t.Fatalf("a proposal was taken %d ticks into the transfer", i)
+			t.Fatalf("a proposal was accepted %d ticks into the transfer", i)
 		}
 		n.Tick()
 	}
@@ -148,8 +146,8 @@
 	}
 }
 
-// A removed replica with the longest log must be able to lead once more: b
-// cannot win without its vote.
+// A removed replica with the longest log must be able to lead once more: b cannot win an election without its
+// vote.
 func TestRemovedReplicaLeadsUntilOthersCaughtUp(t *testing.T) {
 	a := newNode("a", 2, peers("b"), 2)
 	elect(t, a, "b")
@@ -157,7 +155,7 @@
 	ms := drain(a)
 	commit := slices.IndexFunc(ms, func(m consensus.Message) bool { return m.To == "b" && m.Commit == 3 })
 	if st := a.Status(); st.Role == consensus.Leader || commit < 0 {
-		t.Fatalf("want b told of the commit and then no lead: %+v %+v", st, ms)
+		t.Fatalf("want b to learn of the commit and the leader to step down: %+v %+v", st, ms)
 	}
 }
 
@@ -193,13 +191,13 @@
 	n.Step(consensus.Message{Kind: consensus.MsgHeartbeat, From: "a", To: "b", Term: 2, Commit: 2})
 	rd := n.Ready()
 	if rd.HardState != nil {
-		t.Fatalf("a commit index alone asks for a sync: %+v", rd.HardState)
+		t.Fatalf("a change of the commit index alone requires a sync: %+v", rd.HardState)
 	}
 	n.Advance(rd)
 	n.Step(consensus.Message{Kind: consensus.MsgAppend, From: "a", To: "b", Term: 2, Index: 2, LogTerm: 2, Commit: 2,
 		Entries: []consensus.Entry{{Index: 3, Term: 2, Kind: consensus.EntryMembership}}})
 	if rd = n.Ready(); rd.HardState == nil || rd.HardState.Commit != 2 {
-		t.Fatalf("entries without the commit index before them: %+v", rd.HardState)
+		t.Fatalf("entries are stored without the current commit index: %+v", rd.HardState)
 	}
 }
 
@@ -208,7 +206,7 @@
 	n.Step(consensus.Message{Kind: consensus.MsgHeartbeat, From: "a", To: "b", Term: 2, Commit: 2})
 	n.Step(consensus.Message{Kind: consensus.MsgTimeoutNow, From: "a", To: "b", Term: 2})
 	if st := n.Status(); st.Role != consensus.Follower {
-		t.Fatalf("campaigns with %d applied of %d committed", st.Applied, st.Committed)
+		t.Fatalf("campaigned with %d of %d committed entries applied", st.Applied, st.Committed)
 	}
 }
 
@@ -228,7 +226,7 @@
 		t.Fatalf("committed %d before the leader's own sync", st.Committed)
 	}
 	if drain(n); n.Status().Committed != 2 {
-		t.Fatal("not committed after it")
+		t.Fatal("not committed after the leader's sync")
 	}
 }
 
@@ -256,7 +254,7 @@
 		_, _, err = n.Propose(make([]byte, 30))
 	}
 	if err != consensus.ErrOverloaded || taken != 4 {
-		t.Fatalf("%d taken, then %v", taken, err)
+		t.Fatalf("%d accepted, then %v", taken, err)
 	}
 	drain(n)
 	ack(n, "b")
@@ -265,7 +263,7 @@
 	}
 }
 
-// Entries of terms that the leader never had are skipped in one round.
+// All entries of terms that the leader never had are skipped in one round.
 func TestRejectSkipsATermAtOnce(t *testing.T) {
 	n := newNode("b", 9, peers("a", "b"), 2, 5, 5, 5, 5, 5)
 	n.Step(consensus.Message{Kind: consensus.MsgAppend, From: "a", To: "b", Term: 9, Index: 7, LogTerm: 3})
@@ -276,8 +274,8 @@
 	}
 }
 
-// TestResign lets a leader that can store nothing name its successor: the voter with
-// the longest log, which then campaigns at once; a follower names nobody.
+// TestResign: a leader whose storage has failed names the voter with the longest log as its successor, which
+// then campaigns at once; a follower names nobody.
 func TestResign(t *testing.T) {
 	n := newNode("a", 1, peers("a", "b", "c"), 1)
 	if got := n.Resign(); len(got) != 0 {
--- a/node/consensus/start_test.go
+++ b/node/consensus/start_test.go
@@ -8,13 +8,13 @@
 	"caperdrum.org/node/consensus"
 )
 
-// Ticks as the replicas of the product have them.
+// Ticks as configured in package replica.
 const (
 	startElection  = 12
 	startHeartbeat = 3
 )
 
-// startedGroup are replicas whose messages arrive within a tick.
+// startedGroup is a group of replicas whose messages arrive within one tick.
 type startedGroup struct {
 	nodes map[consensus.NodeID]*consensus.Node
 	order []consensus.NodeID
@@ -33,7 +33,7 @@
 	return g
 }
 
-// start starts a replica with an empty memory and what its disk holds: a term and one entry of it.
+// start starts a replica whose disk holds a term and one entry of it.
 func (g *startedGroup) start(id consensus.NodeID, term uint64) {
 	g.seed++
 	g.nodes[id] = consensus.New(consensus.Config{ID: id, ElectionTicks: startElection, HeartbeatTicks: startHeartbeat, MaxBatchBytes: 1 << 20,
@@ -41,7 +41,7 @@
 		Snapshot: &consensus.Snapshot{Index: 1, Term: 1, Membership: consensus.Membership{Voters: peers(g.order...)}}})
 }
 
-// tick lets time pass and delivers all messages.
+// tick advances the time by one tick and delivers all messages.
 func (g *startedGroup) tick() {
 	g.ticks++
 	for _, id := range g.order {
@@ -67,8 +67,8 @@
 	return "", false
 }
 
-// TestReplicasThatStartTogetherElectSoon starts all replicas at once: nobody knows a leader, so nobody waits
-// for one that was lost.
+// TestReplicasThatStartTogetherElectSoon starts all replicas at once: none knows a leader, so none may wait a
+// full election timeout for a lost one.
 func TestReplicasThatStartTogetherElectSoon(t *testing.T) {
 	const seeds = 200
 	sum := 0
@@ -82,12 +82,12 @@
 		sum += g.ticks
 	}
 	if mean := float64(sum) / seeds; mean > startElection/2 {
-		t.Fatalf("%.1f ticks on average until there is a leader; an election timeout is %d", mean, startElection)
+		t.Fatalf("%.1f ticks on average until a leader is elected; an election timeout is %d", mean, startElection)
 	}
 }
 
-// TestReplicasThatStartAgainLeaveALeader starts most followers again while their leader lives: they hear of it
-// before they ask for votes.
+// TestReplicasThatStartAgainLeaveALeader restarts most followers while their leader is running: they must
+// hear from it before they campaign.
 func TestReplicasThatStartAgainLeaveALeader(t *testing.T) {
 	for seed := range uint64(50) {
 		g := newStartedGroup(seed*100, 5)
@@ -108,7 +108,7 @@
 			g.tick()
 		}
 		if now, _ := g.leader(); now != leader || g.nodes[leader].Status().Term != term {
-			t.Fatalf("seed %d: %s leads in place of %s, term %d after %d", seed, now, leader, g.nodes[leader].Status().Term, term)
+			t.Fatalf("seed %d: %s leads instead of %s, term %d after %d", seed, now, leader, g.nodes[leader].Status().Term, term)
 		}
 	}
 }
--- a/node/ledger/fakes_test.go
+++ b/node/ledger/fakes_test.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	keep     = 2 * time.Minute // of the gates, as in the settings
-	patience = 30 * time.Second
+	gateRetention = 2 * time.Minute // how long gates keep ended attempts, as in the settings
+	callTimeout   = 30 * time.Second
 )
 
 var errConnection = errors.New("connection lost")
 
-// operation is one message exchange that a request waits for. The scheduler
-// decides whether it happens, whether its answer comes, and when.
+// operation is one message exchange that a request waits for. The test's scheduler decides whether it
+// happens, whether its answer arrives, and when.
 type operation struct {
-	gate  *fakeGate // nil for control
+	gate  *fakeGate // nil for an exchange with control
 	ready func() bool
 	exec  func()
 	fail  func()
 }
 
-// request is one caller's request at one entry, run by its own goroutine. Only
-// one goroutine runs at a time: it stops at every exchange.
+// request is one caller's request at one entry, run by its own goroutine. Only one goroutine runs at a time;
+// each stops at every exchange.
 type request struct {
-	w        *world
+	sim      *simulation
 	entry    int
 	key      wire.ClaimKey
 	call     dispatch.Call
@@ -46,9 +46,9 @@
 	cancel   context.CancelFunc
 	pending  *operation
 	resume   chan struct{}
-	life     int // of the entry
+	epoch    int // epoch of the entry at the start
 	killed   bool
-	sweep    bool // settles an old claim, calls nothing
+	sweep    bool // settles an old claim without a caller
 	ended    bool
 	number   int
 	started  int64
@@ -57,25 +57,25 @@
 	err      error
 }
 
-// GoString keeps the log of a failed run short.
+// GoString shortens the log of a failed run.
 func (r *request) GoString() string {
 	return fmt.Sprintf("%s at entry %d, key %v, %v", r.call.Request, r.entry, r.key, r.attempts)
 }
 
 func (r *request) park(op *operation) {
 	r.pending = op
-	r.w.parked <- struct{}{}
+	r.sim.parked <- struct{}{}
 	<-r.resume
 	if r.killed {
 		runtime.Goexit()
 	}
 }
 
-// step lets a request go on until it stops again or ends.
+// step resumes a request until its next exchange or its end.
 func (r *request) step() {
 	r.pending = nil
 	r.resume <- struct{}{}
-	<-r.w.parked
+	<-r.sim.parked
 }
 
 func exchange[T any](r *request, g *fakeGate, f func() (T, error)) (T, error) {
@@ -85,34 +85,34 @@
 	return out, err
 }
 
-// Claim and Settle apply to the real state machine.
+// Claim and Settle are exchanges with control.
 
 func (r *request) Claim(_ context.Context, c wire.ClaimRequest) (wire.ClaimReply, error) {
 	return exchange(r, nil, func() (wire.ClaimReply, error) {
-		return r.w.claim(r, c), nil
+		return r.sim.claim(r, c), nil
 	})
 }
 
 func (r *request) Settle(_ context.Context, c wire.SettleRequest) (wire.SettleReply, error) {
 	return exchange(r, nil, func() (wire.SettleReply, error) {
-		return r.w.settle(c), nil
+		return r.sim.settle(c), nil
 	})
 }
 
-// claim and settle apply to the state machine.
+// claim and settle apply commands to the real state machine.
 
-func (w *world) claim(r *request, c wire.ClaimRequest) wire.ClaimReply {
+func (w *simulation) claim(r *request, c wire.ClaimRequest) wire.ClaimReply {
 	reply := w.apply(state.Command{Claims: []wire.ClaimRequest{c}}).Claims[0]
 	if reply.State == wire.ClaimGranted && w.holders[c.ClaimKey].attempt != c.Attempt {
-		w.holders[c.ClaimKey] = holding{c.Attempt, r, w.spent[c.Attempt]}
+		w.holders[c.ClaimKey] = heldClaim{c.Attempt, r, w.usedAttempts[c.Attempt]}
 	}
-	w.spent[c.Attempt] = true
+	w.usedAttempts[c.Attempt] = true
 	return reply
 }
 
-func (w *world) settle(c wire.SettleRequest) wire.SettleReply {
+func (w *simulation) settle(c wire.SettleRequest) wire.SettleReply {
 	if c.Outcome.Verdict == verdict.NotRun {
-		w.spent[c.Attempt] = true
+		w.usedAttempts[c.Attempt] = true
 	}
 	if w.holders[c.ClaimKey].attempt == c.Attempt {
 		delete(w.holders, c.ClaimKey)
@@ -120,11 +120,10 @@
 	return w.apply(state.Command{Settles: []wire.SettleRequest{c}}).Settles[0]
 }
 
-// The gates interface follows node/dispatch: the same reactions to the same
-// failures.
+// The gates interface follows node/dispatch: it reacts in the same way to the same failures.
 
 func (r *request) Do(_ context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
-	g := r.w.gate(e)
+	g := r.sim.gate(e)
 	refusal, err := exchange(r, g, func() (*verdict.Error, error) { return g.submit(e, c, r.key), nil })
 	if err != nil {
 		return nil, r.resolveLost(g, e, c)
@@ -137,7 +136,7 @@
 
 func (r *request) resolveLost(g *fakeGate, e *routing.Endpoint, c dispatch.Call) error {
 	if r.ctx.Err() != nil {
-		r.w.late = append(r.w.late, func() { g.cancel(c.Attempt) })
+		r.sim.delayed = append(r.sim.delayed, func() { g.cancel(c.Attempt) })
 		return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "deadline")
 	}
 	st, err := r.CancelClaimed(r.ctx, e, c.Attempt)
@@ -147,7 +146,7 @@
 	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "connection lost")
 }
 
-// await reads an answer once it has ended at the gate.
+// await reads an answer once its attempt has ended at the gate.
 func (r *request) await(g *fakeGate, e *routing.Endpoint, id wire.AttemptID, lost func() error) (*dispatch.Answer, error) {
 	var answer *dispatch.Answer
 	var err error
@@ -169,7 +168,7 @@
 }
 
 func (r *request) Attach(_ context.Context, e *routing.Endpoint, c dispatch.Call, _ int64) (*dispatch.Answer, error) {
-	g := r.w.gate(e)
+	g := r.sim.gate(e)
 	known, err := exchange(r, g, func() (bool, error) { g.forget(); return g.attempts[c.Attempt] != nil, nil })
 	cut := verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "attach failed")
 	if err != nil {
@@ -182,25 +181,25 @@
 }
 
 func (r *request) Status(_ context.Context, e *routing.Endpoint, id wire.AttemptID) (wire.AttemptStatus, error) {
-	g := r.w.gate(e)
+	g := r.sim.gate(e)
 	return exchange(r, g, func() (wire.AttemptStatus, error) { return g.status(id), nil })
 }
 
 func (r *request) CancelClaimed(_ context.Context, e *routing.Endpoint, id wire.AttemptID) (wire.AttemptStatus, error) {
-	g := r.w.gate(e)
+	g := r.sim.gate(e)
 	return exchange(r, g, func() (wire.AttemptStatus, error) { return g.cancel(id), nil })
 }
 
 func (r *request) Choose(q routing.Request) *routing.Endpoint {
-	for _, g := range r.w.gates[r.entry%len(r.w.gates):] {
-		if m := r.w.members[r.entry][g.id]; !q.Exclude[g.id] {
+	for _, g := range r.sim.gates[r.entry%len(r.sim.gates):] {
+		if m := r.sim.members[r.entry][g.id]; !q.Exclude[g.id] {
 			return &routing.Endpoint{Member: m}
 		}
 	}
 	return nil
 }
 
-// requestClock stops the request's goroutine while it sleeps.
+// requestClock stops the request's goroutine while the request sleeps.
 type requestClock struct {
 	clockwork.Clock
 	r *request
@@ -213,21 +212,21 @@
 	return ch
 }
 
-// start runs a request until its first exchange.
-func (w *world) start(entry int, key wire.ClaimKey, body string) *request {
-	r := &request{w: w, entry: entry, life: w.lives[entry], key: key, resume: make(chan struct{})}
+// start runs a request up to its first exchange.
+func (w *simulation) start(entry int, key wire.ClaimKey, body string) *request {
+	r := &request{sim: w, entry: entry, epoch: w.epochs[entry], key: key, resume: make(chan struct{})}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	w.requests++
 	r.number, r.started = w.requests, w.tick()
-	r.call = dispatch.Call{Request: wire.RequestID(fmt.Sprint("request-", w.requests)), Service: "desk", Customer: key.Customer, Body: []byte(body), Deadline: w.clock.Now().Add(patience)}
+	r.call = dispatch.Call{Request: wire.RequestID(fmt.Sprint("request-", w.requests)), Service: "desk", Customer: key.Customer, Body: []byte(body), Deadline: w.clock.Now().Add(callTimeout)}
 	run := w.runner(r)
 	r.begin(func() { r.result, r.err = run.Run(r.ctx, key.Key, r.call, "") })
 	return r
 }
 
-// startSweep settles an old claim at an entry.
-func (w *world) startSweep(entry int, holder wire.ClaimRequest) *request {
-	r := &request{w: w, entry: entry, life: w.lives[entry], key: holder.ClaimKey, resume: make(chan struct{}), sweep: true}
+// startSweep starts to settle an old claim at an entry.
+func (w *simulation) startSweep(entry int, holder wire.ClaimRequest) *request {
+	r := &request{sim: w, entry: entry, epoch: w.epochs[entry], key: holder.ClaimKey, resume: make(chan struct{}), sweep: true}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.call.Deadline = w.clock.Now().Add(sweepTimeout)
 	run := w.runner(r)
@@ -235,7 +234,7 @@
 	return r
 }
 
-func (w *world) runner(r *request) *runner {
+func (w *simulation) runner(r *request) *runner {
 	entry := r.entry
 	return &runner{control: r, gates: r, chooser: r, clock: requestClock{w.clock, r},
 		newAttempt: func() wire.AttemptID {
@@ -245,40 +244,40 @@
 			return id
 		},
 		member:      func(id wire.MemberID) (wire.Member, bool) { m, ok := w.members[entry][id]; return m, ok },
-		settleLater: func(s wire.SettleRequest) { w.owed[entry] = append(w.owed[entry], s) },
+		settleLater: func(s wire.SettleRequest) { w.unconfirmed[entry] = append(w.unconfirmed[entry], s) },
 		record:      func(timeline.Kind, dispatch.Call, string) {}}
 }
 
-// begin runs f in the request's own goroutine until its first exchange.
+// begin runs f in the request's own goroutine up to its first exchange.
 func (r *request) begin(f func()) {
 	go func() {
-		defer func() { r.w.parked <- struct{}{} }()
+		defer func() { r.sim.parked <- struct{}{} }()
 		f()
 		r.ended = true
 	}()
-	<-r.w.parked
+	<-r.sim.parked
 }
 
-// fakeGate keeps the rules of node/gate: it forgets, it refuses what is too
-// old, and a new incarnation knows nothing.
+// fakeGate follows the rules of node/gate: it forgets old attempts, refuses attempts issued before those it
+// has forgotten, and starts empty with each incarnation.
 type fakeGate struct {
-	w           *world
+	sim         *simulation
 	id          wire.MemberID
 	incarnation uint64
-	horizon     time.Time // latest time of issue of a forgotten attempt
+	horizon     time.Time // latest issue time of a forgotten attempt
 	attempts    map[wire.AttemptID]*fakeAttempt
 }
 
 type fakeAttempt struct {
-	id     wire.AttemptID
-	key    wire.ClaimKey
-	body   string
-	until  time.Time // the caller's deadline
-	state  wire.AttemptState
-	at     time.Time // of its end
-	answer string    // when whole
-	status int
-	fault  *verdict.Error
+	id       wire.AttemptID
+	key      wire.ClaimKey
+	body     string
+	deadline time.Time // the caller's deadline
+	state    wire.AttemptState
+	endedAt  time.Time // zero while the attempt runs
+	answer   string    // the complete answer
+	status   int
+	fault    *verdict.Error
 }
 
 func (a *fakeAttempt) ended() bool {
@@ -300,11 +299,11 @@
 }
 
 func (g *fakeGate) forget() {
-	if limit := g.w.clock.Now().Add(-keep); limit.After(g.horizon) {
+	if limit := g.sim.clock.Now().Add(-gateRetention); limit.After(g.horizon) {
 		g.horizon = limit
 	}
 	for id, a := range g.attempts {
-		if a.ended() && g.w.clock.Since(a.at) > keep {
+		if a.ended() && g.sim.clock.Since(a.endedAt) > gateRetention {
 			delete(g.attempts, id)
 			if issued, _ := id.Issued(); issued.After(g.horizon) {
 				g.horizon = issued
@@ -313,8 +312,8 @@
 	}
 }
 
-func (g *fakeGate) bury(id wire.AttemptID, why *verdict.Error) {
-	g.attempts[id] = &fakeAttempt{id: id, state: wire.AttemptTombstoned, at: g.w.clock.Now(), fault: why}
+func (g *fakeGate) tombstone(id wire.AttemptID, why *verdict.Error) {
+	g.attempts[id] = &fakeAttempt{id: id, state: wire.AttemptTombstoned, endedAt: g.sim.clock.Now(), fault: why}
 }
 
 func (g *fakeGate) submit(e *routing.Endpoint, c dispatch.Call, key wire.ClaimKey) *verdict.Error {
@@ -326,11 +325,11 @@
 	case known != nil && known.state == wire.AttemptTombstoned:
 		return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled")
 	case known != nil:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "known already")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "already submitted")
 	case g.forgot(c.Attempt):
-		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "beyond memory")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "already forgotten")
 	}
-	g.attempts[c.Attempt] = &fakeAttempt{id: c.Attempt, key: key, body: string(c.Body), until: c.Deadline, state: wire.AttemptQueued}
+	g.attempts[c.Attempt] = &fakeAttempt{id: c.Attempt, key: key, body: string(c.Body), deadline: c.Deadline, state: wire.AttemptQueued}
 	return nil
 }
 
@@ -357,20 +356,20 @@
 		st.State = wire.AttemptForgotten
 		return st
 	case a == nil || a.state == wire.AttemptQueued:
-		g.bury(id, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled"))
+		g.tombstone(id, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled"))
 	}
 	return g.status(id)
 }
 
-// sweep ends what is past its time.
+// sweep ends the attempts that have timed out.
 func (g *fakeGate) sweep() {
-	now := g.w.clock.Now()
+	now := g.sim.clock.Now()
 	for _, a := range g.attempts {
 		switch {
-		case a.state == wire.AttemptQueued && now.After(a.until):
-			a.fault, a.state, a.at = verdict.New(verdict.NotRun, verdict.CodeDeadline, "too late"), wire.AttemptTombstoned, now
-		case a.state == wire.AttemptRunning && now.After(a.until.Add(patience)):
-			a.fault, a.state, a.at = verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "timeout"), wire.AttemptDone, now
+		case a.state == wire.AttemptQueued && now.After(a.deadline):
+			a.fault, a.state, a.endedAt = verdict.New(verdict.NotRun, verdict.CodeDeadline, "too late"), wire.AttemptTombstoned, now
+		case a.state == wire.AttemptRunning && now.After(a.deadline.Add(callTimeout)):
+			a.fault, a.state, a.endedAt = verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "timeout"), wire.AttemptDone, now
 		}
 	}
 }
--- a/node/ledger/ledger_test.go
+++ b/node/ledger/ledger_test.go
@@ -18,57 +18,57 @@
 )
 
 const (
-	entries = 3
-	gateNum = 2
+	entries   = 3
+	gateCount = 2
 )
 
-// world is several entries and gates around the real state machine, and the
-// oracle: which attempt ran for which key, and what callers were told.
-type world struct {
+// simulation runs several entries and gates around the real state machine. It records which attempt ran for
+// which key and what callers were told.
+type simulation struct {
 	t        fataler
 	clock    *clockwork.FakeClock
 	parked   chan struct{}
 	machine  *state.Machine
 	gates    []*fakeGate
-	members  [entries]map[wire.MemberID]wire.Member // each entry's view, perhaps stale
-	cut      [entries][gateNum]bool
-	live     []*request
-	late     []func() // messages still under way
+	members  [entries]map[wire.MemberID]wire.Member // view of each entry, possibly stale
+	cut      [entries][gateCount]bool
+	active   []*request
+	delayed  []func() // messages still in transit
 	requests int
 	attempts int
 
-	window int                    // grows when all keys expire
-	runs   map[wire.ClaimKey]int  // in this window
+	window int                    // incremented when all keys expire
+	runs   map[wire.ClaimKey]int  // runs per key in the current window
 	owner  map[string]answerOwner // by answer
 	seen   map[wire.ClaimKey]string
 	notRun map[wire.AttemptID]bool
 	ran    map[wire.AttemptID]bool
 
-	owed    [entries][]wire.SettleRequest // that control has not confirmed
-	lives   [entries]int                  // grows when an entry dies
-	holders map[wire.ClaimKey]holding     // unsettled claims
-	spent   map[wire.AttemptID]bool       // whose claim was taken or released before
+	unconfirmed  [entries][]wire.SettleRequest // settlements that control has not confirmed
+	epochs       [entries]int                  // incremented when an entry dies
+	holders      map[wire.ClaimKey]heldClaim   // unsettled claims
+	usedAttempts map[wire.AttemptID]bool       // attempts whose claim was granted or released before
 
-	padding string // appended to the answers of answerAll
-	full    bool   // the ledger takes no new key
-	ticks   int64
-	history []porcupine.Operation
+	answerPadding string // appended to the answers of answerAll
+	ledgerFull    bool   // the ledger accepts no new key
+	ticks         int64
+	history       []porcupine.Operation
 }
 
-// holding is an unsettled claim. A late one was taken a second time, or after its
-// release: the leader takes an entry's calls in the order they were sent, and what
-// a former leader took is in the log before them or never.
-type holding struct {
+// heldClaim is an unsettled claim. It is late if it was granted a second time or after its release: the
+// leader handles an entry's calls in the order they were sent, and what a former leader accepted is in the
+// log before them or never.
+type heldClaim struct {
 	attempt wire.AttemptID
 	request *request
 	late    bool
 }
 
-// dead reports whether the entry that made the claim is gone: only the gate can
-// say then what became of it.
-func (h holding) dead() bool { return h.request.life != h.request.w.lives[h.request.entry] }
+// dead reports whether the entry that made the claim has died: then only the gate can tell the attempt's
+// state.
+func (h heldClaim) dead() bool { return h.request.epoch != h.request.sim.epochs[h.request.entry] }
 
-// fataler is a *testing.T or a *rapid.T.
+// fataler is implemented by *testing.T and *rapid.T.
 type fataler interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
@@ -80,12 +80,12 @@
 	window int
 }
 
-func newWorld(t fataler) *world {
-	w := &world{t: t, clock: clockwork.NewFakeClock(), parked: make(chan struct{}), machine: state.New(),
+func newSimulation(t fataler) *simulation {
+	w := &simulation{t: t, clock: clockwork.NewFakeClock(), parked: make(chan struct{}), machine: state.New(),
 		runs: map[wire.ClaimKey]int{}, owner: map[string]answerOwner{}, seen: map[wire.ClaimKey]string{},
-		notRun: map[wire.AttemptID]bool{}, ran: map[wire.AttemptID]bool{}, holders: map[wire.ClaimKey]holding{}, spent: map[wire.AttemptID]bool{}}
-	for i := range gateNum {
-		g := &fakeGate{w: w, id: wire.MemberID(fmt.Sprint("desk-", i))}
+		notRun: map[wire.AttemptID]bool{}, ran: map[wire.AttemptID]bool{}, holders: map[wire.ClaimKey]heldClaim{}, usedAttempts: map[wire.AttemptID]bool{}}
+	for i := range gateCount {
+		g := &fakeGate{sim: w, id: wire.MemberID(fmt.Sprint("desk-", i))}
 		g.restart()
 		w.gates = append(w.gates, g)
 	}
@@ -96,26 +96,26 @@
 	return w
 }
 
-// tick is the time of the history.
-func (w *world) tick() int64 {
+// tick advances and returns the logical time of the history.
+func (w *simulation) tick() int64 {
 	w.ticks++
 	return w.ticks
 }
 
-func (w *world) refresh(entry int) {
+func (w *simulation) refresh(entry int) {
 	for _, g := range w.gates {
 		w.members[entry][g.id] = wire.Member{ID: g.id, Incarnation: g.incarnation}
 	}
 }
 
-func (w *world) gate(e *routing.Endpoint) *fakeGate {
+func (w *simulation) gate(e *routing.Endpoint) *fakeGate {
 	i := slices.IndexFunc(w.gates, func(g *fakeGate) bool { return g.id == e.Member.ID })
 	return w.gates[i]
 }
 
-func (w *world) apply(c state.Command) state.Result {
+func (w *simulation) apply(c state.Command) state.Result {
 	c.Now = w.clock.Now().UnixMilli()
-	if w.full {
+	if w.ledgerFull {
 		c.LedgerLimit = 1
 	}
 	data, err := c.Encode()
@@ -130,7 +130,7 @@
 }
 
 // begin starts a queued attempt: the upstream gets the call.
-func (w *world) begin(a *fakeAttempt) {
+func (w *simulation) begin(a *fakeAttempt) {
 	if w.notRun[a.id] {
 		w.t.Fatalf("%s runs after its caller was told that it did not run", a.id)
 	}
@@ -142,9 +142,9 @@
 	}
 }
 
-// ended checks what a caller was told.
-func (w *world) ended(r *request) {
-	w.live = slices.DeleteFunc(w.live, func(o *request) bool { return o == r })
+// checkResult checks what the caller was told.
+func (w *simulation) checkResult(r *request) {
+	w.active = slices.DeleteFunc(w.active, func(o *request) bool { return o == r })
 	r.cancel()
 	if r.sweep {
 		return
@@ -152,10 +152,10 @@
 	if r.err != nil {
 		v := verdict.From(r.err)
 		if (v.RetryAfter == 0) != (v.Code == verdict.CodeConflict || v.Code == verdict.CodeOutcomeLost) {
-			w.t.Fatalf("no time to come back in %v", v)
+			w.t.Fatalf("wrong RetryAfter in %v", v)
 		}
 		if v.Verdict == verdict.NotRun {
-			w.toldNotRun(r)
+			w.checkNotRun(r)
 		}
 		return
 	}
@@ -165,7 +165,7 @@
 		w.t.Fatalf("key %v with %q got answer %q of %+v", r.key, r.call.Body, answer, owner)
 	}
 	if owner.window != w.window {
-		return // its key expired while the entry stood still
+		return // the key expired while the entry was stalled
 	}
 	if first, ok := w.seen[r.key]; ok && first != answer {
 		w.t.Fatalf("key %v got %q after %q", r.key, answer, first)
@@ -174,17 +174,17 @@
 	w.history = append(w.history, porcupine.Operation{ClientId: r.number, Input: keyInWindow{r.key, w.window}, Call: r.started, Output: answer, Return: w.tick()})
 }
 
-func (w *world) toldNotRun(r *request) {
+func (w *simulation) checkNotRun(r *request) {
 	for _, id := range r.attempts {
 		if w.ran[id] {
-			w.t.Fatalf("%s ran, its caller was told that it did not", id)
+			w.t.Fatalf("%s ran, but its caller was told that it did not", id)
 		}
 		w.notRun[id] = true
 	}
 }
 
-// pass performs the pending exchange of r under the given fault.
-func (w *world) pass(r *request, fault string) {
+// performExchange performs the pending exchange of r under the given fault.
+func (w *simulation) performExchange(r *request, fault string) {
 	op := r.pending
 	if op.gate != nil && w.cut[r.entry][slices.Index(w.gates, op.gate)] {
 		fault = "lose request"
@@ -198,17 +198,17 @@
 		op.exec()
 		op.fail()
 	case fault == "delay":
-		w.late = append(w.late, op.exec)
+		w.delayed = append(w.delayed, op.exec)
 		op.fail()
 	case fault == "double":
-		w.late = append(w.late, op.exec)
+		w.delayed = append(w.delayed, op.exec)
 		op.exec()
 	default:
 		op.exec()
 	}
 	r.step()
 	if r.ended {
-		w.ended(r)
+		w.checkResult(r)
 	}
 }
 
@@ -218,8 +218,8 @@
 )
 
 // Start lets a caller send a key, for the first time or again.
-func (w *world) Start(t *rapid.T) {
-	if len(w.live) >= 4 {
+func (w *simulation) Start(t *rapid.T) {
+	if len(w.active) >= 4 {
 		t.Skip("enough")
 	}
 	body := "body"
@@ -227,71 +227,71 @@
 		body = "other"
 	}
 	r := w.start(rapid.IntRange(0, entries-1).Draw(t, "entry"), drawKey.Draw(t, "key"), body)
-	w.live = append(w.live, r)
+	w.active = append(w.active, r)
 }
 
-func (w *world) pick(t *rapid.T) *request {
+func (w *simulation) pick(t *rapid.T) *request {
 	var ready []*request
-	for _, r := range w.live {
+	for _, r := range w.active {
 		if r.pending.ready == nil || r.pending.ready() {
 			ready = append(ready, r)
 		}
 	}
 	if len(ready) == 0 {
-		t.Skip("nobody can go on")
+		t.Skip("no request can continue")
 	}
 	return rapid.SampledFrom(ready).Draw(t, "request")
 }
 
-// Step lets one request go on, perhaps with a fault.
-func (w *world) Step(t *rapid.T) { w.pass(w.pick(t), drawFault.Draw(t, "fault")) }
+// Step lets one request continue, possibly with a fault.
+func (w *simulation) Step(t *rapid.T) { w.performExchange(w.pick(t), drawFault.Draw(t, "fault")) }
 
-// StepWell lets one request go on without a fault.
-func (w *world) StepWell(t *rapid.T) { w.pass(w.pick(t), "") }
+// StepWell lets one request continue without a fault.
+func (w *simulation) StepWell(t *rapid.T) { w.performExchange(w.pick(t), "") }
 
 // Break cuts the connection of a request that waits for an answer.
-func (w *world) Break(t *rapid.T) {
-	if len(w.live) == 0 {
+func (w *simulation) Break(t *rapid.T) {
+	if len(w.active) == 0 {
 		t.Skip("none")
 	}
-	w.pass(rapid.SampledFrom(w.live).Draw(t, "request"), "lose request")
+	w.performExchange(rapid.SampledFrom(w.active).Draw(t, "request"), "lose request")
 }
 
-// Late delivers a message that was delayed or doubled.
-func (w *world) Late(t *rapid.T) {
-	if len(w.late) == 0 {
+// Late delivers a delayed or duplicated message.
+func (w *simulation) Late(t *rapid.T) {
+	if len(w.delayed) == 0 {
 		t.Skip("none")
 	}
-	i := rapid.IntRange(0, len(w.late)-1).Draw(t, "message")
-	f := w.late[i]
-	w.late = slices.Delete(w.late, i, i+1)
+	i := rapid.IntRange(0, len(w.delayed)-1).Draw(t, "message")
+	f := w.delayed[i]
+	w.delayed = slices.Delete(w.delayed, i, i+1)
 	f()
 }
 
 // Kill ends an entry with all its requests; its messages may still arrive.
-func (w *world) Kill(t *rapid.T) {
+func (w *simulation) Kill(t *rapid.T) {
 	entry := rapid.IntRange(0, entries-1).Draw(t, "entry")
-	w.owed[entry] = nil
-	w.lives[entry]++
-	for _, r := range slices.Clone(w.live) {
+	w.unconfirmed[entry] = nil
+	w.epochs[entry]++
+	for _, r := range slices.Clone(w.active) {
 		if r.entry != entry {
 			continue
 		}
 		if r.pending.ready == nil && rapid.Bool().Draw(t, "message under way") {
-			w.late = append(w.late, r.pending.exec)
+			w.delayed = append(w.delayed, r.pending.exec)
 		}
 		w.kill(r)
 	}
 }
 
-func (w *world) kill(r *request) {
+func (w *simulation) kill(r *request) {
 	r.killed = true
 	r.step()
-	w.live = slices.DeleteFunc(w.live, func(o *request) bool { return o == r })
+	w.active = slices.DeleteFunc(w.active, func(o *request) bool { return o == r })
 }
 
-// Gate lets one attempt at a gate begin or end.
-func (w *world) Gate(t *rapid.T) {
+// Gate lets an attempt at a gate begin or end.
+func (w *simulation) Gate(t *rapid.T) {
 	g := rapid.SampledFrom(w.gates).Draw(t, "gate")
 	var open []*fakeAttempt
 	for _, a := range g.attempts {
@@ -308,7 +308,7 @@
 	w.advance(t, g, open[rapid.IntRange(0, len(open)-1).Draw(t, "attempt")])
 }
 
-func (w *world) advance(t *rapid.T, g *fakeGate, a *fakeAttempt) {
+func (w *simulation) advance(t *rapid.T, g *fakeGate, a *fakeAttempt) {
 	outcomes := []string{"whole", "whole", "whole", "5xx", "cut"}
 	if a.state == wire.AttemptQueued {
 		outcomes = []string{"begin", "begin", "begin", "no connection", "drop"}
@@ -331,29 +331,28 @@
 	case "drop":
 		a.fault, a.state = verdict.New(verdict.NotRun, verdict.CodeDeadline, "too late"), wire.AttemptTombstoned
 	}
-	a.at = w.clock.Now()
+	a.endedAt = w.clock.Now()
 }
 
-// Restart starts a gate afresh. Entries hear of it later.
-func (w *world) Restart(t *rapid.T) {
+// Restart restarts a gate. Entries learn of it later.
+func (w *simulation) Restart(t *rapid.T) {
 	if rapid.IntRange(0, 2).Draw(t, "really") == 0 {
 		rapid.SampledFrom(w.gates).Draw(t, "gate").restart()
 	}
 }
 
-// Refresh brings one entry's view up to date.
-func (w *world) Refresh(t *rapid.T) { w.refresh(rapid.IntRange(0, entries-1).Draw(t, "entry")) }
+// Refresh updates the view of one entry.
+func (w *simulation) Refresh(t *rapid.T) { w.refresh(rapid.IntRange(0, entries-1).Draw(t, "entry")) }
 
-// Cut separates an entry from a gate, or joins them again.
-func (w *world) Cut(t *rapid.T) {
-	e, g := rapid.IntRange(0, entries-1).Draw(t, "entry"), rapid.IntRange(0, gateNum-1).Draw(t, "gate")
+// Cut disconnects an entry from a gate, or reconnects them.
+func (w *simulation) Cut(t *rapid.T) {
+	e, g := rapid.IntRange(0, entries-1).Draw(t, "entry"), rapid.IntRange(0, gateCount-1).Draw(t, "gate")
 	w.cut[e][g] = !w.cut[e][g]
 }
 
-// Pass moves the clock: within a deadline, past it, past the gates' memory, or
-// past the ledger's.
-func (w *world) Pass(t *rapid.T) {
-	steps := []time.Duration{time.Second, patience, keep/2 - time.Second, keep + time.Second, keep + time.Second}
+// Pass advances the clock: within a deadline, past it, past the gates' retention, or past LedgerLifetime.
+func (w *simulation) Pass(t *rapid.T) {
+	steps := []time.Duration{time.Second, callTimeout, gateRetention/2 - time.Second, gateRetention + time.Second, gateRetention + time.Second}
 	d := rapid.SampledFrom(steps).Draw(t, "time")
 	if rapid.IntRange(0, 19).Draw(t, "expire") == 0 {
 		d = state.LedgerLifetime + time.Second
@@ -367,63 +366,61 @@
 		g.sweep()
 	}
 	w.apply(state.Command{})
-	for _, r := range w.live {
+	for _, r := range w.active {
 		if !w.clock.Now().Before(r.call.Deadline) {
 			r.cancel()
 		}
 	}
 }
 
-// Resend sends a key without any fault. It must get the answer that a caller
-// has seen.
-func (w *world) Resend(t *rapid.T) {
+// Resend sends a key without any fault. It must get the answer that a caller has seen before.
+func (w *simulation) Resend(t *rapid.T) {
 	key := drawKey.Draw(t, "key")
 	entry := rapid.IntRange(0, entries-1).Draw(t, "entry")
 	cut := w.cut
-	w.cut = [entries][gateNum]bool{}
+	w.cut = [entries][gateCount]bool{}
 	w.refresh(entry)
 	want, seen := w.seen[key]
 	if !seen {
-		want, seen = w.kept(key)
+		want, seen = w.answerAtGate(key)
 	}
 	r := w.start(entry, key, "body")
 	for !r.ended {
 		if r.pending.ready != nil && !r.pending.ready() {
 			w.answerAll()
 		}
-		w.pass(r, "")
+		w.performExchange(r, "")
 	}
 	w.cut = cut
 	if seen && r.err != nil && verdict.From(r.err).Code == verdict.CodeConflict {
-		return // the key belongs to the other body
+		return // the key was used with the other body
 	}
-	// An answer that a gate holds may be forgotten while it is asked for, but
-	// here no time passes.
+	// A gate may forget an answer while it is being requested, but here no time passes.
 	if seen && (r.err != nil || string(r.result.Outcome.Body) != want) {
-		t.Fatalf("key %v: the answer %q was seen, a resend gets %v", key, want, r.err)
+		t.Fatalf("key %v: the answer %q was seen, but a resend gets %v", key, want, r.err)
 	}
 }
 
-// Sweep lets an entry settle an old claim, with faults or without. Without any
-// the claim is settled, unless its attempt still runs.
-func (w *world) Sweep(t *rapid.T) {
+// Sweep lets an entry settle an old claim, with or without faults. Without faults the claim must be settled,
+// unless its attempt is still running.
+func (w *simulation) Sweep(t *rapid.T) {
 	old := w.machine.Held(w.clock.Now(), time.Minute, 1, func(wire.AttemptID) bool { return false })
 	if len(old) == 0 {
 		t.Skip("none")
 	}
 	entry := rapid.IntRange(0, entries-1).Draw(t, "entry")
 	if rapid.Bool().Draw(t, "faults") {
-		w.live = append(w.live, w.startSweep(entry, old[0]))
+		w.active = append(w.active, w.startSweep(entry, old[0]))
 		return
 	}
 	cut := w.cut
-	w.cut = [entries][gateNum]bool{}
+	w.cut = [entries][gateCount]bool{}
 	w.refresh(entry)
 	for r := w.startSweep(entry, old[0]); !r.ended; {
 		if r.pending.ready != nil && !r.pending.ready() {
 			w.answerAll()
 		}
-		w.pass(r, "")
+		w.performExchange(r, "")
 	}
 	w.cut = cut
 	same := func(c wire.ClaimRequest) bool { return c.Attempt == old[0].Attempt }
@@ -432,23 +429,23 @@
 	}
 }
 
-// answerAll lets the upstreams answer everything whole.
-func (w *world) answerAll() {
+// answerAll lets the upstreams answer all attempts completely.
+func (w *simulation) answerAll() {
 	for _, g := range w.gates {
 		for _, a := range g.attempts {
 			if a.state == wire.AttemptQueued {
 				w.begin(a)
 			}
 			if a.state == wire.AttemptRunning {
-				a.answer, a.status, a.state, a.at = "answer of "+string(a.id)+w.padding, 200, wire.AttemptDone, w.clock.Now()
+				a.answer, a.status, a.state, a.endedAt = "answer of "+string(a.id)+w.answerPadding, 200, wire.AttemptDone, w.clock.Now()
 				w.owner[a.answer] = answerOwner{a.key, a.body, w.window}
 			}
 		}
 	}
 }
 
-// kept returns the whole answer to a key that a gate still holds.
-func (w *world) kept(key wire.ClaimKey) (string, bool) {
+// answerAtGate returns the complete answer to a key, if a gate still has it.
+func (w *simulation) answerAtGate(key wire.ClaimKey) (string, bool) {
 	for _, g := range w.gates {
 		g.forget()
 		for _, a := range g.attempts {
@@ -460,39 +457,39 @@
 	return "", false
 }
 
-// Record lets an entry record what it owes, perhaps with a fault.
-func (w *world) Record(t *rapid.T) {
+// Record lets an entry record its unconfirmed settlements, possibly with a fault.
+func (w *simulation) Record(t *rapid.T) {
 	entry := rapid.IntRange(0, entries-1).Draw(t, "entry")
-	if len(w.owed[entry]) == 0 {
+	if len(w.unconfirmed[entry]) == 0 {
 		t.Skip("nothing")
 	}
-	r := w.owed[entry][0]
+	r := w.unconfirmed[entry][0]
 	switch rapid.SampledFrom([]string{"", "", "lose request", "lose answer"}).Draw(t, "fault") {
 	case "":
 		w.settle(r)
-		w.owed[entry] = w.owed[entry][1:]
+		w.unconfirmed[entry] = w.unconfirmed[entry][1:]
 	case "lose answer":
 		w.settle(r)
 	}
 }
 
-// Check is made after every action. A key whose caller was told that its call
-// did not run is not held by that call, unless its entry still owes the release.
-func (w *world) Check(t *rapid.T) {
+// Check runs after every action. A key whose caller was told that its call did not run must not be held by
+// that call, unless its entry has yet to record the release.
+func (w *simulation) Check(t *rapid.T) {
 	for key, h := range w.holders {
 		r := h.request
 		if h.late || h.dead() || !r.ended || r.err == nil || verdict.Of(r.err) != verdict.NotRun {
 			continue
 		}
-		if !slices.ContainsFunc(w.owed[r.entry], func(s wire.SettleRequest) bool { return s.Attempt == h.attempt }) {
+		if !slices.ContainsFunc(w.unconfirmed[r.entry], func(s wire.SettleRequest) bool { return s.Attempt == h.attempt }) {
 			t.Fatalf("key %v is held by %s, whose caller was told %v", key, h.attempt, r.err)
 		}
 	}
 }
 
-// answers is the model of keyed calls: a key has no answer until one is given,
-// and that one for ever.
-var answers = porcupine.Model{
+// answerModel is the linearizability model of keyed calls: a key has no answer until one is given, and keeps
+// that one.
+var answerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[keyInWindow][]porcupine.Operation{}
 		for _, o := range history {
@@ -512,8 +509,8 @@
 	window int
 }
 
-// actions gives each action its weight, since all names are drawn alike.
-func (w *world) actions() map[string]func(*rapid.T) {
+// actions repeats each action by its weight, since rapid draws all names with equal probability.
+func (w *simulation) actions() map[string]func(*rapid.T) {
 	actions := map[string]func(*rapid.T){"": w.Check}
 	add := func(name string, weight int, f func(*rapid.T)) {
 		for i := range weight {
@@ -539,14 +536,14 @@
 
 func TestConfirmationsAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		defer func() {
-			for _, r := range slices.Clone(w.live) {
+			for _, r := range slices.Clone(w.active) {
 				w.kill(r)
 			}
 		}()
 		t.Repeat(w.actions())
-		if !porcupine.CheckOperations(answers, w.history) {
+		if !porcupine.CheckOperations(answerModel, w.history) {
 			t.Fatalf("not linearizable: %v", w.history)
 		}
 	})
--- a/node/ledger/overload_test.go
+++ b/node/ledger/overload_test.go
@@ -15,8 +15,8 @@
 	"caperdrum.org/node/routing"
 )
 
-// fullGates are four gates that refuse for lack of capacity, and a ledger that
-// counts what it is asked.
+// fullGates simulates four gates that refuse for lack of capacity, and a ledger that counts claims and
+// releases.
 type fullGates struct {
 	gates
 	claims, settles int
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// TestFullGatesCostFewClaims: while all gates are full, a call costs at most
-// two claims and their releases, and is refused for that reason.
+// TestFullGatesCostFewClaims: while all gates are full, a call costs at most two claims and two releases, and
+// the error says that capacity is lacking.
 func TestFullGatesCostFewClaims(t *testing.T) {
 	f := &fullGates{}
 	clock := clockwork.NewFakeClock()
--- a/node/ledger/settlequeue_test.go
+++ b/node/ledger/settlequeue_test.go
@@ -11,8 +11,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestUnrecorded fails every other settlement. Each is recorded once, in the
-// end, and nothing is kept beyond the bounds.
+// TestUnrecorded fails every other settlement. Each must be recorded exactly once in the end, and the queue
+// must respect its limits.
 func TestUnrecorded(t *testing.T) {
 	u := newSettleQueue(nil, clockwork.NewFakeClock())
 	var mu sync.Mutex
--- a/node/replica/bench_test.go
+++ b/node/replica/bench_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// BenchmarkSync is the baseline: an append of a command's size and its sync, by
-// one writer and, as three replicas on one disk do, by three at a time.
+// BenchmarkSync measures an append of a command's size plus its sync, the baseline for a commit: by one
+// writer, and by three at a time, as three replicas on one disk do.
 func BenchmarkSync(b *testing.B) {
 	for _, writers := range []int{1, 3} {
 		b.Run(fmt.Sprintf("writers=%d", writers), func(b *testing.B) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// syncAll returns when the slowest sync does.
+// syncAll syncs all files concurrently and returns when the slowest sync is done.
 func syncAll(files []disk.File) error {
 	errs := make(chan error, len(files))
 	for _, f := range files {
@@ -71,7 +71,7 @@
 	}
 }
 
-// measure runs do b.N times by some clients and reports latencies.
+// measure runs do b.N times, spread over some clients, and reports latencies.
 func measure(b *testing.B, clients int, do func() error) {
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
--- a/node/replica/compact_test.go
+++ b/node/replica/compact_test.go
@@ -17,12 +17,12 @@
 	"caperdrum.org/node/state"
 )
 
-type nowhere struct{}
+type discardTransport struct{}
 
 // Send implements Transport.
-func (nowhere) Send([]consensus.Peer, []consensus.Message) {}
+func (discardTransport) Send([]consensus.Peer, []consensus.Message) {}
 
-// slowFS takes its time to write a snapshot and counts those that overlap.
+// slowFS delays writes of snapshots and counts those that overlap.
 type slowFS struct {
 	disk.FS
 	busy, overlaps atomic.Int32
@@ -40,7 +40,7 @@
 	return fs.FS.Create(name)
 }
 
-func folder(t testing.TB, path string) *disk.Dir {
+func openDir(t testing.TB, path string) *disk.Dir {
 	fs, err := disk.OpenDir(path)
 	if err != nil {
 		t.Fatal(err)
@@ -48,9 +48,9 @@
 	return fs
 }
 
-// open starts a replica; stop returns when Run has.
+// open starts a replica; stop ends it and waits for Run to return.
 func open(t testing.TB, fs disk.FS, compactBytes int64) (r *Replica, stop func()) {
-	r, err := Open(Options{Name: "c0", FS: fs, Transport: nowhere{}, Log: logr.Discard(), Seed: 1})
+	r, err := Open(Options{Name: "c0", FS: fs, Transport: discardTransport{}, Log: logr.Discard(), Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,13 +66,13 @@
 	}
 }
 
-func until(what func() bool) {
+func waitUntil(what func() bool) {
 	for !what() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (r *Replica) fence(t testing.TB) uint64 {
+func (r *Replica) issueToken(t testing.TB) uint64 {
 	res, err := r.Propose(context.Background(), state.Command{Fences: []wire.MemberID{"engine-1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -80,73 +80,73 @@
 	return res.Fences[0]
 }
 
-// fenceAfter demands a number above last and returns it.
-func (r *Replica) fenceAfter(t testing.TB, last uint64) uint64 {
-	n := r.fence(t)
+// issueTokenAfter requires a token above last and returns it.
+func (r *Replica) issueTokenAfter(t testing.TB, last uint64) uint64 {
+	n := r.issueToken(t)
 	if n <= last {
-		t.Fatalf("number %d after %d", n, last)
+		t.Fatalf("token %d after %d", n, last)
 	}
 	return n
 }
 
-// A snapshot is nearly always in work while commands are applied, and each stop
-// comes while one is: it waits for it, and no acknowledged number comes again.
+// Snapshots are nearly always in progress while commands are applied, and the replica is stopped during one.
+// Stopping must wait for it, and no acknowledged token may be issued again.
 func TestSnapshotsBesideProposals(t *testing.T) {
-	fs, last := &slowFS{FS: folder(t, t.TempDir())}, uint64(0)
+	fs, last := &slowFS{FS: openDir(t, t.TempDir())}, uint64(0)
 	for round := range 3 {
 		r, stop := open(t, fs, 1)
 		if round == 0 && r.Init(context.Background()) != nil {
 			t.Fatal("init")
 		}
-		until(r.IsLeader)
+		waitUntil(r.IsLeader)
 		first := r.Status().SnapshotIndex
 		for i := 0; i < 20 || r.Status().SnapshotIndex == first; i++ {
-			last = r.fenceAfter(t, last)
+			last = r.issueTokenAfter(t, last)
 		}
-		until(func() (working bool) {
-			r.fence(t)
+		waitUntil(func() (working bool) {
+			r.issueToken(t)
 			r.runOnLoop(context.Background(), func() { working = r.snapshotRunning && len(r.snapshotDone) == 0 })
 			return working
 		})
 		stop()
 		if fs.busy.Load() > 0 || fs.overlaps.Load() > 0 || r.snapshotRunning {
-			t.Fatalf("round %d: in work after the stop, or %d at a time", round, fs.overlaps.Load()+1)
+			t.Fatalf("round %d: still in progress after the stop, or %d at a time", round, fs.overlaps.Load()+1)
 		}
 	}
 }
 
-// What comes between capture and install stays, also without a later snapshot.
+// Entries between the capture and the end of a snapshot must survive, also if no later snapshot follows.
 func TestInstallKeepsWhatCameAfterTheCapture(t *testing.T) {
-	fs, ctx := folder(t, t.TempDir()), context.Background()
+	fs, ctx := openDir(t, t.TempDir()), context.Background()
 	r, stop := open(t, fs, compactBytes)
 	if r.Init(ctx) != nil {
 		t.Fatal("init")
 	}
-	until(r.IsLeader)
+	waitUntil(r.IsLeader)
 	var c snapshotResult
 	r.runOnLoop(ctx, func() { r.startSnapshot(); c = <-r.snapshotDone })
-	last := r.fenceAfter(t, r.fence(t))
+	last := r.issueTokenAfter(t, r.issueToken(t))
 	r.runOnLoop(ctx, func() { r.snapshotDone <- c })
-	until(func() bool { return r.Status().SnapshotIndex == c.snap.Index })
+	waitUntil(func() bool { return r.Status().SnapshotIndex == c.snap.Index })
 	if applied := r.Status().Applied; applied <= c.snap.Index {
 		t.Fatalf("applied %d, captured %d", applied, c.snap.Index)
 	}
 	stop()
 	r, stop = open(t, fs, compactBytes)
 	defer stop()
-	until(r.IsLeader)
-	r.fenceAfter(t, last)
+	waitUntil(r.IsLeader)
+	r.issueTokenAfter(t, last)
 }
 
-// A received snapshot waits for the one in work and makes it void.
+// A received snapshot must wait for the one in progress and discard its result.
 func TestReceivedSnapshotMakesTheCaptureVoid(t *testing.T) {
-	fs, ctx := &slowFS{FS: folder(t, t.TempDir())}, context.Background()
+	fs, ctx := &slowFS{FS: openDir(t, t.TempDir())}, context.Background()
 	r, stop := open(t, fs, compactBytes)
 	if r.Init(ctx) != nil {
 		t.Fatal("init")
 	}
-	until(r.IsLeader)
-	n := r.fence(t)
+	waitUntil(r.IsLeader)
+	n := r.issueToken(t)
 	var received *consensus.Snapshot
 	r.runOnLoop(ctx, func() {
 		data, _ := r.machine.Snapshot()
@@ -158,7 +158,7 @@
 	})
 	r.runOnLoop(ctx, func() {
 		if s := r.node.Status(); r.snapshotRunning || len(r.snapshotDone) > 0 || s.SnapshotIndex != received.Index {
-			t.Errorf("still in work: %v, status %+v", r.snapshotRunning, s)
+			t.Errorf("snapshot still running: %v, status %+v", r.snapshotRunning, s)
 		}
 	})
 	stop()
@@ -167,25 +167,25 @@
 	}
 	r, stop = open(t, fs, compactBytes)
 	defer stop()
-	until(r.IsLeader)
-	r.fenceAfter(t, n)
+	waitUntil(r.IsLeader)
+	r.issueTokenAfter(t, n)
 	if r.Status().First < received.Index {
 		t.Fatalf("%+v", r.Status())
 	}
 }
 
-// BenchmarkSnapshotStall reports the longest time that the loop did not answer
-// while it took a snapshot itself, and while another goroutine does.
+// BenchmarkSnapshotStall reports the longest time that the loop was blocked when it writes a snapshot itself,
+// and when another goroutine does.
 func BenchmarkSnapshotStall(b *testing.B) {
 	const keys, batch = 320_000, 1000
-	r, stop := open(b, folder(b, b.TempDir()), 1<<40)
+	r, stop := open(b, openDir(b, b.TempDir()), 1<<40)
 	defer stop()
 	if r.Init(context.Background()) != nil {
 		b.Fatal("init")
 	}
-	until(r.IsLeader)
+	waitUntil(r.IsLeader)
 	for from := 0; from < keys; from += batch {
-		if _, err := r.Propose(context.Background(), settled(from, batch)); err != nil {
+		if _, err := r.Propose(context.Background(), settledClaims(from, batch)); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -193,8 +193,8 @@
 		b.Run(fmt.Sprintf("on-loop=%v", onLoop), func(b *testing.B) {
 			var worst stalls
 			for b.Loop() {
-				r.fence(b)
-				worst = r.stall(b, onLoop, worst)
+				r.issueToken(b)
+				worst = r.measureStalls(b, onLoop, worst)
 			}
 			b.ReportMetric(float64(worst.loop.Milliseconds()), "worst-loop-ms")
 			b.ReportMetric(float64(worst.proposal.Milliseconds()), "worst-proposal-ms")
@@ -205,12 +205,12 @@
 	}
 }
 
-// stalls are the longest times of: a call on the loop, a synced proposal,
-// encoding the state alone, and a snapshot from capture to install.
+// stalls holds the longest times of: a call on the loop, a synced proposal, encoding the state alone, and a
+// snapshot from capture to end.
 type stalls struct{ loop, proposal, encode, whole time.Duration }
 
-// stall takes a snapshot and adds what it held up to w.
-func (r *Replica) stall(b *testing.B, onLoop bool, w stalls) stalls {
+// measureStalls takes a snapshot and merges the longest times into w.
+func (r *Replica) measureStalls(b *testing.B, onLoop bool, w stalls) stalls {
 	longest := func(of *time.Duration, f func()) {
 		start := time.Now()
 		f()
@@ -233,13 +233,13 @@
 		})
 		for r.Status().SnapshotIndex == before {
 			call(func() {})
-			longest(&w.proposal, func() { r.fence(b) })
+			longest(&w.proposal, func() { r.issueToken(b) })
 		}
 	})
 	return w
 }
 
-func settled(from, n int) (c state.Command) {
+func settledClaims(from, n int) (c state.Command) {
 	for i := range n {
 		id := fmt.Sprintf("%016d", from+i)
 		claim := wire.ClaimRequest{ClaimKey: wire.ClaimKey{Customer: "customer", Key: id + id}, Attempt: wire.AttemptID(id + id + "----"),
--- a/node/replica/leadership_test.go
+++ b/node/replica/leadership_test.go
@@ -15,14 +15,14 @@
 	"caperdrum.org/node/replica"
 )
 
-// TestNewLeadIsConfirmedAtOnce stops all replicas at once and starts them again, several times: the new leader
-// has a quorum's confirmation as soon as messages have gone there and back, since all processes wait for it.
+// TestNewLeadIsConfirmedAtOnce restarts all replicas together, several times. The new leader must get a
+// quorum's confirmation within one round trip, since all processes wait for it.
 func TestNewLeadIsConfirmedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			size   = 3
 			rounds = 8
-			soon   = 20 * time.Millisecond // of virtual time; between two confirmations are 500
+			soon   = 20 * time.Millisecond // of virtual time; periodic confirmations are 500 ms apart
 		)
 		var disks []*disktest.FS
 		for range size {
@@ -39,8 +39,8 @@
 			for i := range all {
 				all[i] = n.start(t, fmt.Sprint("c", i), disks[i])
 			}
-			leads := func() int { return slices.IndexFunc(all, func(r *running) bool { return r.IsLeader() }) }
-			await(func() bool { return leads() >= 0 })
+			leads := func() int { return slices.IndexFunc(all, func(r *runningReplica) bool { return r.IsLeader() }) }
+			waitUntil(func() bool { return leads() >= 0 })
 			time.Sleep(soon)
 			if i := leads(); i < 0 || all[i].StampAge() < 0 {
 				t.Errorf("round %d: no confirmation %s after the election", round, soon)
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestConfirmationFromBeforeTheStart tells a replica of a confirmation that its leader got before this process
-// started. It is as good as a later one; waiting for the next costs up to stampInterval.
+// TestConfirmationFromBeforeTheStart passes a replica a confirmation that its leader got before this process
+// started. It is as valid as a later one; waiting for the next costs up to stampInterval.
 func TestConfirmationFromBeforeTheStart(t *testing.T) {
 	const ago = 200 * time.Millisecond
 	clock := clockwork.NewFakeClock()
@@ -59,16 +59,16 @@
 		t.Fatal(err)
 	}
 	if age := r.StampAge(); age >= 0 {
-		t.Fatalf("confirmed %s ago without a confirmation", age)
+		t.Fatalf("stamp age %s without a confirmation", age)
 	}
 	changed := r.Changed()
 	r.SetStamp(clock.Now().Add(-ago))
 	if age := r.StampAge(); age != ago {
-		t.Errorf("confirmed %s ago, want %s", age, ago)
+		t.Errorf("stamp age %s, want %s", age, ago)
 	}
 	select {
 	case <-changed:
 	default:
-		t.Error("nobody is woken by the first confirmation")
+		t.Error("the first confirmation woke nobody")
 	}
 }
--- a/node/replica/replica_test.go
+++ b/node/replica/replica_test.go
@@ -36,13 +36,13 @@
 	}
 }
 
-type running struct {
+type runningReplica struct {
 	*replica.Replica
 	err  chan error
 	stop context.CancelFunc
 }
 
-func (n *network) start(t testing.TB, name string, fs disk.FS) *running {
+func (n *network) start(t testing.TB, name string, fs disk.FS) *runningReplica {
 	t.Helper()
 	r, err := replica.Open(replica.Options{Name: wire.MemberID(name), FS: fs, Transport: n, Log: logr.Discard(), Seed: 1})
 	if err != nil {
@@ -52,23 +52,23 @@
 	n.replicas[r.Self().ID] = r
 	n.mu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
-	out := &running{Replica: r, err: make(chan error, 1), stop: stop}
+	out := &runningReplica{Replica: r, err: make(chan error, 1), stop: stop}
 	go func() { out.err <- r.Run(ctx) }()
 	t.Cleanup(stop)
 	return out
 }
 
-// await polls without a limit of its own: go test has one.
-func await(what func() bool) {
+// waitUntil polls without a time limit of its own; go test has one.
+func waitUntil(what func() bool) {
 	for !what() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// cluster starts replicas and makes them all voters; the first one leads.
-func cluster(t testing.TB, size int, newFS func(i int) disk.FS) (*network, []*running) {
+// cluster starts replicas and makes all of them voters; the first one leads.
+func cluster(t testing.TB, size int, newFS func(i int) disk.FS) (*network, []*runningReplica) {
 	n := &network{replicas: map[consensus.NodeID]*replica.Replica{}}
-	var all []*running
+	var all []*runningReplica
 	for i := range size {
 		all = append(all, n.start(t, fmt.Sprint("c", i), newFS(i)))
 	}
@@ -76,18 +76,18 @@
 	if err := all[0].Init(ctx); err != nil {
 		t.Fatal(err)
 	}
-	await(all[0].IsLeader)
+	waitUntil(all[0].IsLeader)
 	for _, r := range all[1:] {
 		self := r.Self()
 		for _, learner := range []bool{true, false} {
-			await(func() bool { return change(all[0], self, learner) })
+			waitUntil(func() bool { return change(all[0], self, learner) })
 		}
-		await(func() bool { return all[0].Status().Membership.Has(self.ID) })
+		waitUntil(func() bool { return all[0].Status().Membership.Has(self.ID) })
 	}
 	return n, all
 }
 
-func change(leader *running, p consensus.Peer, learner bool) bool {
+func change(leader *runningReplica, p consensus.Peer, learner bool) bool {
 	err := leader.ChangeMembership(context.Background(), func(s consensus.Status) (consensus.Membership, bool) {
 		m := s.Membership
 		if learner {
@@ -107,9 +107,9 @@
 	}
 }
 
-// A replica whose disk is full takes no part, and acknowledges nothing that it could
-// not sync; once the disk takes bytes again it goes on by itself, and so does one that
-// is started after a crash: every acknowledged number is still taken.
+// A replica whose disk is full must be suspended and acknowledge nothing that it could not sync. It resumes
+// by itself once the disk accepts writes, and so does one that is restarted after a crash: every acknowledged
+// token is still recorded.
 func TestFullDiskSuspendsTheReplica(t *testing.T) {
 	fs := disktest.New(1)
 	n, all := cluster(t, 1, func(int) disk.FS { return fs })
@@ -123,11 +123,11 @@
 				break
 			}
 			if res.Fences[0] <= last {
-				t.Fatalf("%d after %d", res.Fences[0], last)
+				t.Fatalf("token %d after %d", res.Fences[0], last)
 			}
 			last = res.Fences[0]
 		}
-		await(func() bool { return all[0].Outage() != nil })
+		waitUntil(func() bool { return all[0].Outage() != nil })
 		if errors.Cause(all[0].Outage()) != syscall.ENOSPC || all[0].IsLeader() {
 			t.Fatalf("%v, leads %v", all[0].Outage(), all[0].IsLeader())
 		}
@@ -138,29 +138,28 @@
 			t.Fatalf("the view went back to %d", all[0].View().Fence)
 		}
 		fs.FillAfter(-1)
-		await(all[0].IsLeader)
+		waitUntil(all[0].IsLeader)
 	}
 	fs.FillAfter(0)
 	if _, err := all[0].Propose(ctx, fence()); err == nil {
 		t.Fatal("acknowledged on a full disk")
 	}
-	await(func() bool { return all[0].Outage() != nil })
+	waitUntil(func() bool { return all[0].Outage() != nil })
 	all[0].stop()
 	if err := <-all[0].err; err != nil {
 		t.Fatalf("stopped with %v", err)
 	}
 	fs.Crash()
 	again := n.start(t, "c0", fs)
-	await(again.IsLeader)
+	waitUntil(again.IsLeader)
 	res, err := again.Propose(ctx, fence())
 	if err != nil || last == 0 || res.Fences[0] <= last {
 		t.Fatalf("acknowledged %d before, %v after (%v)", last, res.Fences, err)
 	}
 }
 
-// A leader whose disk is full hands the lead over: another voter leads without it,
-// and the one that was suspended catches up once it can write, without showing an
-// older state meanwhile.
+// A leader whose disk is full must hand over: another voter leads without it, and the suspended one catches
+// up once it can write, without publishing an older state meanwhile.
 func TestLeaderWithAFullDiskIsReplaced(t *testing.T) {
 	disks := map[int]*disktest.FS{}
 	_, all := cluster(t, 3, func(i int) disk.FS {
@@ -172,7 +171,7 @@
 	draw := func() {
 		if res, err := leaderOf(all).Propose(ctx, fence()); err == nil {
 			if res.Fences[0] <= seen {
-				t.Errorf("%d after %d", res.Fences[0], seen)
+				t.Errorf("token %d after %d", res.Fences[0], seen)
 			}
 			seen = res.Fences[0]
 		}
@@ -186,12 +185,12 @@
 			disks[i].FillAfter(0)
 		}
 	}
-	await(func() bool {
+	waitUntil(func() bool {
 		draw()
 		return old.Outage() != nil
 	})
 	before := old.View().Fence
-	await(func() bool { return leaderOf(all) != old })
+	waitUntil(func() bool { return leaderOf(all) != old })
 	for at := seen; seen < at+20; {
 		draw()
 	}
@@ -199,7 +198,7 @@
 		d.FillAfter(-1)
 	}
 	target := seen
-	await(func() bool {
+	waitUntil(func() bool {
 		now := old.View().Fence
 		if now < before {
 			t.Errorf("the view went back from %d to %d", before, now)
@@ -209,8 +208,8 @@
 	})
 }
 
-// The view holds a command when its proposer is told, and no number is given
-// twice while the leader changes.
+// The view must hold a command when its proposer gets the answer, and no token may be issued twice while the
+// leader changes.
 func TestProposalsAcrossLeaders(t *testing.T) {
 	_, all := cluster(t, 3, func(i int) disk.FS { return disktest.New(uint64(i)) })
 	seen := map[uint64]bool{}
@@ -227,26 +226,26 @@
 				continue
 			}
 			if got := leader.View().Members["m"].Incarnation; got != joined {
-				t.Fatalf("told of command %d, but the view holds %d", joined, got)
+				t.Fatalf("got the answer to command %d, but the view holds %d", joined, got)
 			}
 			if seen[res.Fences[0]] {
-				t.Fatalf("round %d: number %d twice", round, res.Fences[0])
+				t.Fatalf("round %d: token %d issued twice", round, res.Fences[0])
 			}
 			seen[res.Fences[0]] = true
 		}
 		old := leaderOf(all)
-		await(func() bool {
+		waitUntil(func() bool {
 			old.TransferLeadership(ctx)
 			return !old.IsLeader()
 		})
 	}
 	if len(seen) < 50 {
-		t.Fatalf("only %d of 150 proposals got through", len(seen))
+		t.Fatalf("only %d of 150 proposals succeeded", len(seen))
 	}
 }
 
-func leaderOf(all []*running) (out *running) {
-	await(func() bool {
+func leaderOf(all []*runningReplica) (out *runningReplica) {
+	waitUntil(func() bool {
 		for _, r := range all {
 			if r.IsLeader() {
 				out = r
--- a/node/replica/slowdisk_test.go
+++ b/node/replica/slowdisk_test.go
@@ -14,7 +14,7 @@
 	"caperdrum.org/node/wal"
 )
 
-// slowDisk takes a while for each sync.
+// slowDisk delays every sync.
 type slowDisk struct {
 	disk.FS
 	clock *clockwork.FakeClock
@@ -38,8 +38,8 @@
 	return f.File.Sync()
 }
 
-// TestSlowDiskIsLogged has the disk of a replica stall: no command is committed meanwhile, and the leader stays, so that
-// nothing else tells why.
+// TestSlowDiskIsLogged stalls a replica's disk: no command is committed meanwhile, but the leader stays, so
+// that nothing except this log line shows the reason.
 func TestSlowDiskIsLogged(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	fs := &slowDisk{FS: disktest.New(1), clock: clock}
--- a/node/state/bench_test.go
+++ b/node/state/bench_test.go
@@ -11,8 +11,8 @@
 
 const answerBytes = 300
 
-// fill settles n keys with answers of answerBytes.
-func fill(b testing.TB, m *Machine, n int) {
+// settleKeys claims and settles n keys with answers of answerBytes.
+func settleKeys(b testing.TB, m *Machine, n int) {
 	for i := 0; i < n; i += 1000 {
 		list := claims(i, min(1000, n-i))
 		c := Command{Now: 1, Claims: list}
@@ -32,14 +32,14 @@
 	return s.HeapAlloc
 }
 
-// BenchmarkLedgerMemory reports the heap per settled key.
+// BenchmarkLedgerMemory reports the heap bytes per settled key.
 func BenchmarkLedgerMemory(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 500_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
 				m := New()
-				fill(b, m, n)
+				settleKeys(b, m, n)
 				b.ReportMetric(float64(heap()-before)/float64(n), "heap-B/key")
 				b.ReportMetric(float64(m.ledger.bytes)/float64(n), "counted-B/key")
 				runtime.KeepAlive(m)
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkSnapshot takes and restores ledgers.
+// BenchmarkSnapshot encodes and restores ledgers.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{100_000, 500_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkSnapshot(b, n) })
@@ -57,7 +57,7 @@
 
 func benchmarkSnapshot(b *testing.B, n int) {
 	m := New()
-	fill(b, m, n)
+	settleKeys(b, m, n)
 	data, _ := m.Snapshot()
 	b.Run("capture", func(b *testing.B) {
 		for b.Loop() {
@@ -79,8 +79,8 @@
 	})
 }
 
-// BenchmarkApplyClaim applies a claim and publishes the view, with 12500
-// members, with the members copied for every view and with them kept.
+// BenchmarkApplyClaim applies a claim and builds the view with 12500 members, once with the members copied
+// for every view and once with the cached copy.
 func BenchmarkApplyClaim(b *testing.B) {
 	for _, copied := range []bool{true, false} {
 		b.Run(fmt.Sprint("members-copied=", copied), func(b *testing.B) {
--- a/node/state/changes_test.go
+++ b/node/state/changes_test.go
@@ -11,8 +11,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// compareAndSet is the model of operators' changes: a register whose version
-// goes up by one with each accepted change.
+// compareAndSet is the linearizability model of configuration changes: a register whose version increases by
+// one with each accepted change.
 var compareAndSet = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -26,27 +26,26 @@
 	},
 }
 
-// operator is one change on its way: sent any number of times, answered once
-// or never.
-type operator struct {
+// changeAttempt is one operator's change, delivered any number of times and answered at most once.
+type changeAttempt struct {
 	request wire.ChangeRequest
 	call    int64
-	first   *wire.ChangeResult // as some delivery got it
-	told    int64              // time at which the operator heard of it; zero if never
+	first   *wire.ChangeResult // result of some delivery
+	told    int64              // time at which the operator got the answer; zero if never
 }
 
-// TestChangesAreLinearizable lets operators race for numbers while their
-// messages are delayed, doubled and lost, with a restore between.
+// TestChangesAreLinearizable checks concurrent changes while messages are delayed, duplicated and lost, with
+// snapshots restored in between.
 func TestChangesAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
-		var ops []*operator
+		var ops []*changeAttempt
 		version := uint64(0)
 		for now := int64(1); now < 60; now++ {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				number := version + uint64(rapid.IntRange(0, 2).Draw(t, "ahead"))
-				ops = append(ops, &operator{call: now, request: wire.ChangeRequest{Number: number, ChangeID: fmt.Sprint(now), Text: fmt.Sprint(now)}})
+				ops = append(ops, &changeAttempt{call: now, request: wire.ChangeRequest{Number: number, ChangeID: fmt.Sprint(now), Text: fmt.Sprint(now)}})
 			case 1:
 				data, _ := m.Snapshot()
 				m = New()
@@ -66,7 +65,7 @@
 				res := *r.Change
 				res.Resent = false
 				if o.first != nil && *o.first != res {
-					t.Fatalf("answers to one change: %+v, then %+v", *o.first, res)
+					t.Fatalf("different answers to one change: %+v, then %+v", *o.first, res)
 				}
 				o.first = &res
 				version = m.View().Config.Version
@@ -81,7 +80,7 @@
 	})
 }
 
-func historyOf(ops []*operator) []porcupine.Operation {
+func historyOf(ops []*changeAttempt) []porcupine.Operation {
 	var history []porcupine.Operation
 	for i, o := range ops {
 		op := porcupine.Operation{ClientId: i, Input: o.request.Number, Call: o.call, Return: math.MaxInt64}
--- a/node/state/config_test.go
+++ b/node/state/config_test.go
@@ -9,10 +9,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestHighestVersionWins draws puts in any order and with repeats: the state
-// always holds the text that came first under the highest version so far, an
-// older or equal one changes nothing, and a delta from any earlier version leads
-// to the text although numbers are left out.
+// TestHighestVersionWins puts texts in any order and with repeats. The state must hold the first text of the
+// highest version so far, an older or equal version must change nothing, and a delta from any earlier version
+// must lead to the current text although versions are skipped.
 func TestHighestVersionWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
@@ -30,18 +29,18 @@
 			}
 			v := m.View()
 			if v.Config.Version != version || v.Config.Text != text || res.Version != version {
-				t.Fatalf("holds %d, want %d", v.Config.Version, version)
+				t.Fatalf("version %d, want %d", v.Config.Version, version)
 			}
 			for old, hash := range hashes {
 				if d := v.Texts.Delta(old, hash); d != nil && (d.Base != old || d.Version != version) {
 					t.Fatalf("a delta from %d leads from %d to %d", old, d.Base, d.Version)
 				}
 				if d := v.Texts.Delta(old, hash+1); d != nil {
-					t.Fatalf("a delta for another text of version %d", old)
+					t.Fatalf("got a delta for another text of version %d", old)
 				}
 			}
 			if v.Texts.Delta(version+100, 1) != nil {
-				t.Fatal("a delta from a version that never was")
+				t.Fatal("got a delta from a version that never existed")
 			}
 			hashes[version] = v.Config.Hash
 			delete(hashes, 0)
--- a/node/state/evacuations_test.go
+++ b/node/state/evacuations_test.go
@@ -9,27 +9,27 @@
 	"caperdrum.org/api/wire"
 )
 
-// sentOrder is an operator's order on its way, with the revision that the process knew which
-// received it, and how many orders for its data centre had been acknowledged by then.
+// sentOrder is an order in transit. Its base is the revision known to the process that received it; acked is
+// the number of orders for its data centre acknowledged by then.
 type sentOrder struct {
 	order wire.EvacuationOrder
 	acked int
 }
 
-// operators give orders for data centres that arrive late, twice or never.
-type operators struct {
-	t       *rapid.T
-	machine *Machine
-	now     int64
-	views   [3]wire.Evacuations // what each process knows
-	under   []sentOrder
-	last    map[string]bool // what was acknowledged last
-	acked   map[string]int
+// evacuationMachine sends evacuation orders that arrive late, twice or never.
+type evacuationMachine struct {
+	t            *rapid.T
+	machine      *Machine
+	now          int64
+	views        [3]wire.Evacuations // what each process knows
+	inFlight     []sentOrder
+	acknowledged map[string]bool // last acknowledged order by data centre
+	acked        map[string]int
 }
 
-func (o *operators) apply(c Command) Result { return applyAt(o.t, o.machine, o.now, c) }
+func (o *evacuationMachine) apply(c Command) Result { return applyAt(o.t, o.machine, o.now, c) }
 
-// applyAt has a machine execute a command at a time of the leader's clock.
+// applyAt applies a command at the given time of the leader's clock.
 func applyAt(t *rapid.T, m *Machine, now int64, c Command) Result {
 	c.Now = now
 	data, err := c.Encode()
@@ -43,52 +43,52 @@
 	return r
 }
 
-// Send has one of the processes receive an order, with what it knows, which may be old.
-func (o *operators) Send(t *rapid.T) {
+// Send lets a process receive an order. Its view, which may be outdated, gives the base.
+func (o *evacuationMachine) Send(t *rapid.T) {
 	dc := rapid.SampledFrom([]string{"north", "south"}).Draw(t, "data centre")
 	view := o.views[rapid.IntRange(0, len(o.views)-1).Draw(t, "process")]
 	order := wire.EvacuationOrder{DataCenter: dc, Out: rapid.Bool().Draw(t, "out"), Base: view.Of(dc).Revision}
-	// An operator sends an order after the answers to the ones before: a process that knows
-	// less than they say receives it as one that is overtaken.
-	o.under = append(o.under, sentOrder{order, o.acked[dc]})
+	// An operator sends an order only after the answers to the earlier ones: if the process knows less than
+	// those answers, the order is overtaken.
+	o.inFlight = append(o.inFlight, sentOrder{order, o.acked[dc]})
 }
 
-// Arrive lets any order on its way take effect; it may arrive again later.
-func (o *operators) Arrive(t *rapid.T) {
-	if len(o.under) == 0 {
-		t.Skip("none under way")
+// Arrive applies one of the orders in transit, which may arrive again later.
+func (o *evacuationMachine) Arrive(t *rapid.T) {
+	if len(o.inFlight) == 0 {
+		t.Skip("none in transit")
 	}
-	k := rapid.IntRange(0, len(o.under)-1).Draw(t, "order")
-	sent := o.under[k]
+	k := rapid.IntRange(0, len(o.inFlight)-1).Draw(t, "order")
+	sent := o.inFlight[k]
 	dc := sent.order.DataCenter
 	res := o.apply(Command{Evacuate: &sent.order}).Evacuation
 	now := o.machine.View().Evacuations.Of(dc)
 	if res.Evacuation != now {
-		t.Fatalf("answers %+v, is %+v", res.Evacuation, now)
+		t.Fatalf("the answer is %+v, the state is %+v", res.Evacuation, now)
 	}
 	if res.Overtaken {
-		if now.Out != o.last[dc] {
+		if now.Out != o.acknowledged[dc] {
 			t.Fatalf("an overtaken order changed %s", dc)
 		}
 		return
 	}
 	if now.Out != sent.order.Out {
-		t.Fatalf("%+v is acknowledged, %s is %+v", sent.order, dc, now)
+		t.Fatalf("%+v was acknowledged, but %s is %+v", sent.order, dc, now)
 	}
 	if res.Changed && o.acked[dc] != int(sent.order.Base) {
-		t.Fatalf("%+v undoes what was acknowledged after it was received", sent.order)
+		t.Fatalf("%+v undid an order that was acknowledged after it was received", sent.order)
 	}
-	o.last[dc] = now.Out
+	o.acknowledged[dc] = now.Out
 	o.acked[dc]++
 }
 
-// Learn brings a process up to date.
-func (o *operators) Learn(t *rapid.T) {
+// Learn updates a process's view.
+func (o *evacuationMachine) Learn(t *rapid.T) {
 	o.views[rapid.IntRange(0, len(o.views)-1).Draw(t, "process")] = o.machine.View().Evacuations
 }
 
-// Restart replaces the machine by its snapshot.
-func (o *operators) Restart(t *rapid.T) {
+// Restart replaces the machine by one restored from its snapshot.
+func (o *evacuationMachine) Restart(t *rapid.T) {
 	data, err := o.machine.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -104,27 +104,27 @@
 }
 
 // Check is called after each step.
-func (o *operators) Check(t *rapid.T) {
+func (o *evacuationMachine) Check(t *rapid.T) {
 	o.now++
-	for dc, out := range o.last {
+	for dc, out := range o.acknowledged {
 		if got := o.machine.View().Evacuations.Of(dc); got.Out != out {
 			t.Fatalf("%s: acknowledged %t, is %+v", dc, out, got)
 		}
 	}
 }
 
-// TestNoDelayedOrderUndoesAnAcknowledgedOne plays orders that are delayed, repeated and
-// received by processes that know less.
+// TestNoDelayedOrderUndoesAnAcknowledgedOne checks orders that are delayed, repeated or received by processes
+// with outdated views.
 func TestNoDelayedOrderUndoesAnAcknowledgedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &operators{t: t, machine: New(), last: map[string]bool{}, acked: map[string]int{}}
+		o := &evacuationMachine{t: t, machine: New(), acknowledged: map[string]bool{}, acked: map[string]int{}}
 		t.Repeat(rapid.StateMachineActions(o))
 	})
 }
 
-// TestOrdersInARow lists what becomes of single orders.
+// TestOrdersInARow checks the results of a fixed sequence of orders.
 func TestOrdersInARow(t *testing.T) {
-	o := &operators{machine: New()}
+	o := &evacuationMachine{machine: New()}
 	for i, c := range []struct {
 		name      string
 		out       bool
@@ -133,11 +133,11 @@
 		changed   bool
 		revision  uint64
 	}{
-		{"an end that finds nothing is acknowledged", false, 0, false, false, 1},
-		{"a start from before it is overtaken", true, 0, true, false, 1},
+		{"an end without an evacuation is acknowledged", false, 0, false, false, 1},
+		{"a start with an older base is overtaken", true, 0, true, false, 1},
 		{"a start", true, 1, false, true, 2},
-		{"the same start, sent again", true, 1, false, false, 3},
-		{"an end from before the second answer", false, 2, true, false, 3},
+		{"the same start, resent", true, 1, false, false, 3},
+		{"an end with a base before the second answer", false, 2, true, false, 3},
 		{"an end", false, 3, false, true, 4},
 		{"the first start, delayed", true, 0, true, false, 4},
 		{"a second start", true, 4, false, true, 5},
--- a/node/state/fuzz_test.go
+++ b/node/state/fuzz_test.go
@@ -7,8 +7,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// FuzzRestore hands in damaged snapshots. What is taken must be a whole state:
-// it goes on, and its own snapshot restores to itself.
+// FuzzRestore restores damaged snapshots. A snapshot that is accepted must give a usable state whose own
+// snapshot restores to the same state.
 func FuzzRestore(f *testing.F) {
 	m := New()
 	apply(f, m, Command{Now: 1, Claims: claims(0, 2), Join: []wire.Member{{ID: "a"}}, Change: &wire.ChangeRequest{Number: 1, ChangeID: "c", Text: "t"}})
@@ -36,7 +36,7 @@
 	})
 }
 
-// FuzzApply hands in damaged commands: two machines must agree on each.
+// FuzzApply applies damaged commands: two machines must agree on the result.
 func FuzzApply(f *testing.F) {
 	data, _ := Command{Now: 1, Claims: claims(0, 2), Join: []wire.Member{{ID: "a"}}, Change: &wire.ChangeRequest{Number: 1, ChangeID: "c"}}.Encode()
 	f.Add(data)
--- a/node/state/machine_test.go
+++ b/node/state/machine_test.go
@@ -12,7 +12,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// modelKey is the oracle's record of one key.
+// modelKey is the model's record of a key.
 type modelKey struct {
 	holder  wire.AttemptID
 	body    string
@@ -20,14 +20,14 @@
 	at      int64
 }
 
-// machines drives three machines with the same commands. The second is
-// replaced by a restored snapshot now and then, the third only by chance.
+// machines applies the same commands to three machines. The second is replaced by a restored snapshot
+// regularly, the third at random.
 type machines struct {
 	t        *rapid.T
 	all      [3]*Machine
 	now      int64
 	keys     map[wire.ClaimKey]*modelKey
-	versions []string // accepted texts, in order of version
+	versions []string // accepted texts, ordered by version
 	answers  map[string]wire.ChangeResult
 	sent     map[string]wire.ChangeRequest
 	fence    uint64
@@ -48,13 +48,13 @@
 		if i == 0 {
 			first = r
 		} else if fmt.Sprintf("%+v", deref(r)) != fmt.Sprintf("%+v", deref(first)) {
-			s.t.Fatalf("machine %d answers %+v, machine 0 %+v", i, deref(r), deref(first))
+			s.t.Fatalf("machine %d answered %+v, machine 0 %+v", i, deref(r), deref(first))
 		}
 	}
 	return first
 }
 
-// deref makes results comparable by their print.
+// deref replaces pointers by values, so that printed results can be compared.
 func deref(r Result) []any {
 	var out []any
 	if r.Change != nil {
@@ -77,8 +77,7 @@
 
 var (
 	genKey = rapid.Custom(func(t *rapid.T) wire.ClaimKey {
-		// Pairs that a careless join of customer and key would confuse, and a
-		// text that is not UTF-8.
+		// Pairs that would collide if customer and key were simply joined, and text that is not valid UTF-8.
 		return rapid.SampledFrom([]wire.ClaimKey{{Customer: "a", Key: "b/c"}, {Customer: "a/b", Key: "c"}, {Customer: "", Key: "a"}, {Customer: "a", Key: "\xff"}}).Draw(t, "key")
 	})
 	genAttempt = rapid.Map(rapid.IntRange(0, 5), func(i int) wire.AttemptID { return wire.AttemptID(fmt.Sprint("attempt-", i)) })
@@ -125,12 +124,12 @@
 		for _, c := range got {
 			k := s.keys[c.ClaimKey]
 			if k == nil || k.holder != c.Attempt || k.outcome != nil || k.at < last {
-				t.Fatalf("machine %d: %+v is held, the oracle has %+v", i, c, k)
+				t.Fatalf("machine %d: %+v is unsettled, the model has %+v", i, c, k)
 			}
 			last = k.at
 		}
 		if len(got) != want {
-			t.Fatalf("machine %d: %d claims held, want %d", i, len(got), want)
+			t.Fatalf("machine %d: %d unsettled claims, want %d", i, len(got), want)
 		}
 	}
 }
@@ -191,7 +190,7 @@
 	}
 	res := *s.apply(Command{Change: &r}).Change
 	if !res.Resent {
-		t.Fatalf("resend of %s is taken for new", id)
+		t.Fatalf("a resend of %s was treated as new", id)
 	}
 	res.Resent = false
 	if res != s.answers[id] {
@@ -238,8 +237,7 @@
 	}
 }
 
-// Check compares snapshots, views and the oracle. An image that was captured
-// before must not change later.
+// Check compares snapshots, views and the model. An image captured earlier must not have changed.
 func (s *machines) Check(t *rapid.T) {
 	var first []byte
 	for i, m := range s.all {
@@ -253,7 +251,7 @@
 			t.Fatalf("machine %d differs from machine 0", i)
 		}
 		if m.ledger.bytes != newLedger(m.Capture().ledger).bytes {
-			t.Fatalf("ledger size %d was not kept up", m.ledger.bytes)
+			t.Fatalf("the ledger size %d is wrong", m.ledger.bytes)
 		}
 		v := m.View()
 		if len(v.Members) != len(m.s.Members) || v.Config.Version != uint64(len(s.versions)) || v.Ledger != len(s.keys) {
@@ -261,7 +259,7 @@
 		}
 		for id, member := range m.s.Members {
 			if v.Members[id] != member {
-				t.Fatalf("view of machine %d lacks %s", i, id)
+				t.Fatalf("view of machine %d has no %s", i, id)
 			}
 		}
 		if n := len(s.versions); n > 0 && v.Config.Text != s.versions[n-1] {
@@ -291,8 +289,8 @@
 	return r
 }
 
-// TestLargeStateIsRestored goes above the element limit that the codec library
-// sets by default, with ledger entries, changes and members.
+// TestLargeStateIsRestored exceeds the CBOR library's default element limit with ledger entries, changes and
+// members.
 func TestLargeStateIsRestored(t *testing.T) {
 	const entries = 140_000
 	m := New()
@@ -330,7 +328,7 @@
 func TestFullLedgerTakesNoNewKey(t *testing.T) {
 	m := New()
 	list := claims(0, 3)
-	const limit = 1000 // more than one entry, less than two
+	const limit = 1000 // between one and two entries
 	r := apply(t, m, Command{Now: 1, Claims: list, LedgerLimit: limit})
 	if r.Claims[0].State != wire.ClaimGranted || r.Claims[1].State != wire.ClaimGranted || r.Claims[2].State != wire.ClaimFull {
 		t.Fatalf("claims: %+v", r.Claims)
@@ -338,18 +336,18 @@
 	settled := apply(t, m, Command{Now: 1, Settles: []wire.SettleRequest{{ClaimKey: list[0].ClaimKey, Attempt: list[0].Attempt, Outcome: wire.Outcome{Verdict: verdict.Ran, Status: 200}}}})
 	again := apply(t, m, Command{Now: 1, Claims: list[:1], LedgerLimit: limit})
 	if settled.Settles[0].Outcome.Status != 200 || again.Claims[0].State != wire.ClaimSettled {
-		t.Fatalf("a full ledger must settle and replay what it holds: %+v %+v", settled, again)
+		t.Fatalf("a full ledger must still settle and replay its entries: %+v %+v", settled, again)
 	}
 	later := 2 + LedgerLifetime.Milliseconds()
 	if r := apply(t, m, Command{Now: later, Claims: list[2:], LedgerLimit: limit}); r.Claims[0].State != wire.ClaimGranted {
-		t.Fatalf("expiry must make room: %+v", r.Claims)
+		t.Fatalf("expired entries must make room: %+v", r.Claims)
 	}
 	if _, held := m.ledger.entries[list[1].ClaimKey]; held {
-		t.Fatal("a claim that was never settled must expire too")
+		t.Fatal("a claim that was never settled must expire as well")
 	}
 }
 
-// TestImageStaysAsItIs encodes an image after the machine went on.
+// TestImageStaysAsItIs encodes an image after the machine has applied more commands.
 func TestImageStaysAsItIs(t *testing.T) {
 	m := New()
 	list := claims(0, 2)
@@ -365,7 +363,7 @@
 	}
 }
 
-// TestDamagedSnapshot cuts and lengthens a snapshot at every byte.
+// TestDamagedSnapshot truncates a snapshot at every byte, and extends it by one.
 func TestDamagedSnapshot(t *testing.T) {
 	m := New()
 	apply(t, m, Command{Now: 1, Claims: claims(0, 2), Join: []wire.Member{{ID: "a"}}})
@@ -376,6 +374,6 @@
 		}
 	}
 	if New().Restore(append(data, 0)) == nil {
-		t.Fatal("restored with a byte too many")
+		t.Fatal("restored with an extra byte")
 	}
 }
--- a/node/state/orders_test.go
+++ b/node/state/orders_test.go
@@ -11,9 +11,9 @@
 
 type grant struct{ at, bytes int64 }
 
-// TestWeightStoreBudget lets leaders with skewed clocks and clocks that start
-// anywhere ask for loads, restores the state from its snapshot now and then,
-// and checks every window between two grants.
+// TestWeightStoreBudget requests loads from leaders whose wall clocks are skewed and whose monotonic clocks
+// start anywhere, restores the state from snapshots in between, and checks the rate limit in every window
+// between two grants.
 func TestWeightStoreBudget(t *testing.T) {
 	const engines = 4
 	ids := [engines]wire.MemberID{"a", "b", "c", "d"}
@@ -26,7 +26,7 @@
 		var grants []grant
 		t.Repeat(map[string]func(*rapid.T){
 			"pass time": func(t *rapid.T) { now += rapid.Int64Range(1, 3000).Draw(t, "ms") },
-			"new leader": func(t *rapid.T) { // its process started at any time, its clock shows anything
+			"new leader": func(t *rapid.T) { // a process with any start time and any wall clock
 				epoch += rapid.Uint64Range(1, 3).Draw(t, "terms")
 				skew = rapid.Int64Range(-1e9, 1e9).Draw(t, "skew")
 				start = rapid.Int64Range(-1e9, 0).Draw(t, "start")
@@ -63,7 +63,7 @@
 	})
 }
 
-// checkWindows checks the windows that end at the last grant.
+// checkWindows checks the rate limit in every window that ends at the last grant.
 func checkWindows(t *rapid.T, grants []grant, rate, burst int64) {
 	last := grants[len(grants)-1]
 	sum := int64(0)
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestWeightStoreRefills guards the test above against a budget that permits
-// nothing.
+// TestWeightStoreRefills checks that the budget does grant loads; TestWeightStoreBudget would pass if it
+// granted none.
 func TestWeightStoreRefills(t *testing.T) {
 	m := state.New()
 	permitted := 0
@@ -98,6 +98,6 @@
 		}
 	}
 	if permitted != 10 {
-		t.Fatalf("%d of 10 loads at the store's rate were permitted", permitted)
+		t.Fatalf("%d of 10 loads at the store's rate were granted", permitted)
 	}
 }
--- a/node/state/quarantine_test.go
+++ b/node/state/quarantine_test.go
@@ -16,8 +16,8 @@
 	return c
 }
 
-// TestQuarantineIsReplicated bars a call by reports of two processes, sent twice, and hands the state on by a
-// snapshot. A replica that lacks the last commands goes on from there alike.
+// TestQuarantineIsReplicated quarantines a call after duplicate reports of two processes and restores the
+// state from a snapshot. A replica that missed the last commands must reach the same state from there.
 func TestQuarantineIsReplicated(t *testing.T) {
 	a, b := New(), New()
 	first := Command{Now: 10, Crashes: &wire.CrashReport{Crashes: []wire.Crash{crash("i-1", "f", "g"), crash("i-2", "f")}}}
@@ -25,7 +25,7 @@
 	apply(t, a, first)
 	apply(t, a, first)
 	if s := a.View().Suspects; len(s.List) != 1 || s.List[0].Barred || s.List[0].Shape != 1<<63 {
-		t.Fatalf("after two ends: %+v", s)
+		t.Fatalf("after two crashes: %+v", s)
 	}
 	data, err := a.Capture().Encode()
 	if err != nil {
@@ -37,7 +37,7 @@
 	held := a.View().Suspects
 	for _, m := range []*Machine{a, b} {
 		if r := apply(t, m, second); len(r.Quarantine.Barred) != 1 || r.Quarantine.Barred[0].Call.Fingerprint != "f" {
-			t.Fatalf("the third end: %+v", r.Quarantine)
+			t.Fatalf("after the third crash: %+v", r.Quarantine)
 		}
 		apply(t, m, second)
 	}
@@ -45,13 +45,13 @@
 		t.Fatalf("%+v and %+v", a.View().Quarantine, b.View().Quarantine)
 	}
 	if s := a.View().Suspects; s.Revision != held.Revision+1 || s.Barred() != 1 {
-		t.Fatalf("after three: %+v, before %+v", s, held)
+		t.Fatalf("after three crashes: %+v, before: %+v", s, held)
 	}
 	if apply(t, b, Command{Now: 30 + 25*time.Hour.Milliseconds()}); len(b.View().Suspects.List) != 1 || b.View().Suspects.Barred() != 0 {
 		t.Fatalf("a day later: %+v", b.View().Suspects)
 	}
 	if r := apply(t, a, Command{Now: 30, Lift: "x"}); len(r.Quarantine.Lifted) != 0 || a.View().Suspects.Barred() != 1 {
-		t.Fatalf("an unknown one is lifted: %+v", r.Quarantine)
+		t.Fatalf("an unknown fingerprint was lifted: %+v", r.Quarantine)
 	}
 	if r := apply(t, a, Command{Now: 30, Lift: "f"}); len(r.Quarantine.Lifted) != 1 || len(a.View().Suspects.List) != 0 {
 		t.Fatalf("lifted: %+v", r.Quarantine)
--- a/node/state/rollouts_test.go
+++ b/node/state/rollouts_test.go
@@ -10,32 +10,32 @@
 	"caperdrum.org/api/wire"
 )
 
-// rolloutMachine gives orders and decisions that arrive late, twice or never.
+// rolloutMachine sends rollout orders and decisions that arrive late, twice or never.
 type rolloutMachine struct {
 	t       *rapid.T
 	machine *Machine
 	now     int64
-	known   [3]uint64 // revisions that processes know
+	known   [3]uint64 // revision known to each process
 	orders  []wire.RolloutOrder
 	steps   []wire.RolloutStep
-	decided map[uint64]wire.RolloutState // by order of the roll-out
+	decided map[uint64]wire.RolloutState // final state by rollout order
 }
 
 func (o *rolloutMachine) apply(c Command) Result { return applyAt(o.t, o.machine, o.now, c) }
 
 func (o *rolloutMachine) current() wire.Rollout { return o.machine.View().Rollouts.Of("desk") }
 
-// Send has a process receive an order, with what it knows, which may be old.
+// Send lets a process receive an order. The revision it knows, which may be outdated, is the base.
 func (o *rolloutMachine) Send(t *rapid.T) {
 	base := o.known[rapid.IntRange(0, 2).Draw(t, "process")]
 	target := rapid.SampledFrom([]string{"v2", "v3"}).Draw(t, "target")
 	o.orders = append(o.orders, wire.RolloutOrder{Service: "desk", Target: target, Span: 10 * time.Second, Base: base})
 }
 
-// Arrive lets any order take effect; it may arrive again later.
+// Arrive applies one of the orders, which may arrive again later.
 func (o *rolloutMachine) Arrive(t *rapid.T) {
 	if len(o.orders) == 0 {
-		t.Skip("none under way")
+		t.Skip("none in transit")
 	}
 	before, order := o.current(), rapid.SampledFrom(o.orders).Draw(t, "order")
 	res := o.apply(Command{StartRollout: &order}).Rollout
@@ -46,25 +46,25 @@
 			t.Fatalf("%+v changed %+v to %+v", order, before, after)
 		}
 		if !res.Changed && res.Refusal == wire.RolloutAccepted && after.Target != order.Target {
-			t.Fatalf("%+v is acknowledged, %+v is in force", order, after)
+			t.Fatalf("%+v was acknowledged, but %+v is in force", order, after)
 		}
 	case before.Running():
 		t.Fatalf("%+v replaced the running %+v", order, before)
 	case before.Revision != order.Base:
-		t.Fatalf("%+v was overtaken by %+v and took effect", order, before)
+		t.Fatalf("%+v was overtaken by %+v but took effect", order, before)
 	}
 }
 
-// Decide has a leader decide, by what it knows.
+// Decide lets a leader decide, based on the revision it knows.
 func (o *rolloutMachine) Decide(t *rapid.T) {
 	state := rapid.SampledFrom([]wire.RolloutState{wire.RolloutRunning, wire.RolloutCompleted, wire.RolloutRolledBack}).Draw(t, "state")
 	o.steps = append(o.steps, wire.RolloutStep{Service: "desk", Base: o.current().Revision, State: state, Share: 0.05})
 }
 
-// Step lets any decision arrive, also one of a leader of before.
+// Step applies one of the decisions, possibly of an earlier leader.
 func (o *rolloutMachine) Step(t *rapid.T) {
 	if len(o.steps) == 0 {
-		t.Skip("none under way")
+		t.Skip("none in transit")
 	}
 	step := rapid.SampledFrom(o.steps).Draw(t, "step")
 	before := o.current()
@@ -77,15 +77,15 @@
 	}
 }
 
-// Learn brings a process up to date.
+// Learn updates the revision that a process knows.
 func (o *rolloutMachine) Learn(t *rapid.T) {
 	o.known[rapid.IntRange(0, 2).Draw(t, "process")] = o.current().Revision
 }
 
-// Pass lets time pass.
+// Pass advances the time.
 func (o *rolloutMachine) Pass(t *rapid.T) { o.now += rapid.Int64Range(0, 8000).Draw(t, "ms") }
 
-// Restart gives the state to a machine that reads it from a snapshot.
+// Restart replaces the machine by one restored from its snapshot.
 func (o *rolloutMachine) Restart(t *rapid.T) {
 	before := fmt.Sprint(o.machine.View().Rollouts)
 	data, err := o.machine.Snapshot()
@@ -101,7 +101,7 @@
 	}
 }
 
-// Check holds what was decided for good.
+// Check verifies that final decisions do not change.
 func (o *rolloutMachine) Check(t *rapid.T) {
 	r := o.current()
 	if state, decided := o.decided[r.Order]; decided && r.State != state {
@@ -119,7 +119,7 @@
 	})
 }
 
-// TestRolloutToWhatServes has an order for the only version that serves: there is nothing to move.
+// TestRolloutToWhatServes starts a rollout to the only version that serves: there is nothing to replace.
 func TestRolloutToWhatServes(t *testing.T) {
 	m := New()
 	one := wire.AnnouncedUpstream("i-1", "desk", "10.0.0.1:80", "north", false)
@@ -134,7 +134,7 @@
 	}
 }
 
-// TestRolloutReplacesWhatServes lists the versions that serve at the order and at the end.
+// TestRolloutReplacesWhatServes checks which versions are listed as replaced at the start and at the end.
 func TestRolloutReplacesWhatServes(t *testing.T) {
 	m := New()
 	for i, version := range []string{"v1", "v2", "v0", "v1"} {
@@ -146,7 +146,7 @@
 		}
 	}
 	if got := fmt.Sprint(m.s.Rollouts.Of("desk").Replaced); got != "[v1]" {
-		t.Fatalf("at the order: %s", got)
+		t.Fatalf("at the start: %s", got)
 	}
 	m.stepRollout(&wire.RolloutStep{Service: "desk", Base: 1, State: wire.RolloutCompleted, Share: 1})
 	r := m.s.Rollouts.Of("desk")
--- a/node/wal/fuzz_test.go
+++ b/node/wal/fuzz_test.go
@@ -8,7 +8,7 @@
 	"caperdrum.org/node/consensus"
 )
 
-func sample() []byte {
+func sampleLog() []byte {
 	var out []byte
 	for i := uint64(1); i <= 3; i++ {
 		data, _ := encodeRecord(record{HardState: &consensus.HardState{Term: i, Vote: "a", Commit: i - 1},
@@ -18,10 +18,10 @@
 	return out
 }
 
-// FuzzReplay feeds bytes to the log decoder: it must not panic, and what it
-// accepts must be records with true checksums.
+// FuzzReplay passes arbitrary bytes to the log decoder: it must not panic, and must accept only records with
+// valid checksums.
 func FuzzReplay(f *testing.F) {
-	f.Add(sample())
+	f.Add(sampleLog())
 	f.Add(make([]byte, 40))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		st := &Stored{}
@@ -31,19 +31,19 @@
 		}
 		again := &Stored{}
 		if n, _ := replay(data[:good], again); n != good || len(again.Entries) != len(st.Entries) {
-			t.Fatalf("the accepted part reads back as %d bytes, not %d (%v)", n, good, err)
+			t.Fatalf("the accepted prefix reads back as %d bytes, not %d (%v)", n, good, err)
 		}
 		st.reconcile()
 	})
 }
 
-// FuzzDamage changes bytes of a good log. Nothing damaged is accepted, and a
-// cut shows only at the damage.
+// FuzzDamage overwrites bytes of a valid log. No damaged record may be accepted, and only damage at the end
+// may pass as a torn tail.
 func FuzzDamage(f *testing.F) {
 	f.Add(uint(0), []byte{0xff})
 	f.Add(uint(60), []byte{0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, at uint, with []byte) {
-		whole := sample()
+		whole := sampleLog()
 		data := bytes.Clone(whole)
 		start := int(at % uint(len(data)))
 		copy(data[start:], with)
@@ -56,12 +56,12 @@
 			t.Fatalf("damage at %d was accepted up to %d", changed, good)
 		}
 		if err == nil && changed < len(data) && len(bytes.TrimRight(data[changed:], "\x00")) > len(whole)/3 {
-			t.Fatalf("damage at %d of %d was taken for a torn tail", changed, len(data))
+			t.Fatalf("damage at %d of %d was treated as a torn tail", changed, len(data))
 		}
 	})
 }
 
-// FuzzSnapshot feeds bytes to the snapshot decoder, also behind a true header.
+// FuzzSnapshot passes arbitrary bytes to the snapshot decoder, also after a valid header.
 func FuzzSnapshot(f *testing.F) {
 	good, _ := encodeRecord(consensus.Snapshot{Index: 3, Term: 2, Data: []byte("state")})
 	f.Add(good, false)
@@ -72,7 +72,7 @@
 		}
 		s, err := decodeSnapshot(data)
 		if (s == nil) == (err == nil) {
-			t.Fatalf("%v and %v", s, err)
+			t.Fatalf("snapshot %v and error %v", s, err)
 		}
 		if err == nil && len(data) > 0 {
 			data[len(data)/2] ^= 1
--- a/node/wal/length_test.go
+++ b/node/wal/length_test.go
@@ -12,10 +12,8 @@
 	"caperdrum.org/node/disk"
 )
 
-// TestDamagedLengthIsNoTornTail flips every bit of the length of each record
-// but the last. A length that then reaches past the end of the file looks like
-// a torn write, but synced records stand behind it: cutting there would lose
-// them.
+// TestDamagedLengthIsNoTornTail flips every bit of the length of each record but the last. A length that then
+// exceeds the file looks like a torn write, but synced records follow it: truncating there would lose them.
 func TestDamagedLengthIsNoTornTail(t *testing.T) {
 	records := [][]consensus.Entry{
 		{{Index: 1, Term: 1, Data: []byte("a")}}, {{Index: 2, Term: 1, Data: []byte("bcd")}}, {{Index: 3, Term: 1, Data: []byte("e")}}}
--- a/node/wal/reopen_test.go
+++ b/node/wal/reopen_test.go
@@ -10,9 +10,9 @@
 	"caperdrum.org/node/wal"
 )
 
-// TestReopenKeepsWhatWasSaved fills the disk at any moment, opens the folder again
-// once there is room, and lets all end by a crash: what was acknowledged is there
-// each time, in order, and what an open folder held stays.
+// TestReopenKeepsWhatWasSaved fills the disk at any moment, reopens the folder once there is room, and
+// injects crashes. Each time the acknowledged entries must be there in order, and what was read at one open
+// must stay.
 func TestReopenKeepsWhatWasSaved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := disktest.New(rapid.Uint64().Draw(t, "seed"))
@@ -20,7 +20,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		acked, term := uint64(0), uint64(1) // the last entry that was acknowledged
+		acked, term := uint64(0), uint64(1) // last acknowledged entry
 		check := func(st *wal.Stored, when string) {
 			n := uint64(len(st.Entries))
 			if n < acked || n > acked+1 {
@@ -31,7 +31,7 @@
 					t.Fatalf("%s: entry %d at %d", when, e.Index, i)
 				}
 			}
-			acked = n // what an open folder holds is acknowledged from now on
+			acked = n // entries found by an open must survive from now on
 		}
 		check(st, "new")
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -66,10 +66,10 @@
 	})
 }
 
-// TestDamageBehindANewBeginningIsIgnored damages the file in which a sync failed,
-// after the folder was opened again: a crash may bring the removed file back.
+// TestDamageBehindANewBeginningIsIgnored damages the file in which a sync failed, after the folder was
+// reopened: a crash may bring back the removed file.
 func TestDamageBehindANewBeginningIsIgnored(t *testing.T) {
-	fs, l, _ := filled(t)
+	fs, l, _ := newLogWithEntries(t)
 	fs.FillAfter(5)
 	if l.Save(hard(1), []consensus.Entry{entry(4, 1)}) == nil {
 		t.Fatal("saved on a full disk")
@@ -78,7 +78,7 @@
 	if _, _, err := wal.Reopen(fs); err != nil {
 		t.Fatal(err)
 	}
-	old, err := fs.Create(firstLog) // as if its removal was undone
+	old, err := fs.Create(firstLog) // as if its removal had been undone
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/wal/wal_test.go
+++ b/node/wal/wal_test.go
@@ -20,9 +20,8 @@
 
 func hard(term uint64) *consensus.HardState { return &consensus.HardState{Term: term} }
 
-// filled returns a folder with entries 1 to 3, one a record, and the size of
-// the file after each.
-func filled(t *testing.T) (*disktest.FS, *wal.Log, []int64) {
+// newLogWithEntries returns a log with entries 1 to 3, one per record, and the file size after each.
+func newLogWithEntries(t *testing.T) (*disktest.FS, *wal.Log, []int64) {
 	t.Helper()
 	fs := disktest.New(1)
 	l, _, err := wal.Open(fs)
@@ -51,7 +50,7 @@
 
 func TestTornTailIsCut(t *testing.T) {
 	for cut := int64(1); ; cut++ {
-		fs, _, sizes := filled(t)
+		fs, _, sizes := newLogWithEntries(t)
 		if cut >= sizes[2]-sizes[1] {
 			return
 		}
@@ -71,25 +70,25 @@
 	}
 }
 
-// A flipped bit anywhere, lengths too, stops the process with the place and
-// the remedy. The synced last record counts as well: it may be acknowledged.
+// A flipped bit anywhere, including in lengths, must make Open fail with the place and the remedy. This
+// includes the last synced record, which may be acknowledged.
 func TestDamageIsCorrupt(t *testing.T) {
-	_, _, sizes := filled(t)
+	_, _, sizes := newLogWithEntries(t)
 	for at := range int(sizes[2]) {
-		fs, _, _ := filled(t)
+		fs, _, _ := newLogWithEntries(t)
 		fs.Damage(firstLog, at)
 		_, _, err := wal.Open(fs)
 		if errors.Cause(err) != wal.ErrCorrupt {
 			t.Fatalf("byte %d: %v", at, err)
 		}
 		if msg := err.Error(); !strings.Contains(msg, firstLog) || !strings.Contains(msg, "move the data folder away") {
-			t.Fatalf("the message lacks file or remedy: %s", msg)
+			t.Fatalf("the message does not name the file or the remedy: %s", msg)
 		}
 	}
 }
 
 func TestDamagedSnapshotIsCorrupt(t *testing.T) {
-	fs, l, _ := filled(t)
+	fs, l, _ := newLogWithEntries(t)
 	snap := &consensus.Snapshot{Index: 3, Term: 1, Data: []byte("state")}
 	if err := l.SaveSnapshot(snap, *hard(1), nil); err != nil {
 		t.Fatal(err)
@@ -100,20 +99,20 @@
 	}
 	fs.Remove("snap-00000000000000000003")
 	if _, _, err := wal.Open(fs); errors.Cause(err) != wal.ErrCorrupt {
-		t.Fatalf("a snapshot that is gone: %v", err)
+		t.Fatalf("missing snapshot: %v", err)
 	}
 }
 
 func TestLostIdentityIsCorrupt(t *testing.T) {
-	fs, _, _ := filled(t)
+	fs, _, _ := newLogWithEntries(t)
 	fs.Remove("disk-id")
 	if _, _, err := wal.Open(fs); errors.Cause(err) != wal.ErrCorrupt {
 		t.Fatal(err)
 	}
 }
 
-// Whatever operation a crash strikes, the folder opens again with one identity
-// or a new one that nobody has seen.
+// After a crash at any operation of the first Open, the folder opens again with the same identity, or with a
+// new one if the first was never returned.
 func TestCrashInFirstOpen(t *testing.T) {
 	for ops := 0; ; ops++ {
 		fs := disktest.New(uint64(ops))
@@ -129,21 +128,21 @@
 	}
 }
 
-// After a failed write nothing is accepted any more, also when there is room
-// again: what reached the disk is unknown.
+// After a failed write the log accepts nothing any more, even if there is room again: it is unknown what
+// reached the disk.
 func TestWriteErrorIsFinal(t *testing.T) {
 	for name, breakDisk := range map[string]func(*disktest.FS){
 		"full":        func(fs *disktest.FS) { fs.FillAfter(10) },
 		"sync failed": func(fs *disktest.FS) { fs.FailSyncs() },
 	} {
-		fs, l, _ := filled(t)
+		fs, l, _ := newLogWithEntries(t)
 		breakDisk(fs)
 		if l.Save(nil, []consensus.Entry{entry(4, 1)}) == nil {
 			t.Fatalf("%s: saved", name)
 		}
 		fs.FillAfter(-1)
 		if err := l.Save(nil, []consensus.Entry{entry(4, 1)}); err == nil {
-			t.Fatalf("%s: taken after the failure", name)
+			t.Fatalf("%s: accepted after the failure", name)
 		}
 		if _, st := reopen(t, fs); len(st.Entries) < 3 || st.Entries[2].Index != 3 {
 			t.Fatalf("%s: lost synced entries: %+v", name, st.Entries)
@@ -152,20 +151,19 @@
 }
 
 func TestFullDiskIsNamed(t *testing.T) {
-	fs, l, _ := filled(t)
+	fs, l, _ := newLogWithEntries(t)
 	fs.FillAfter(0)
 	if err := l.Save(hard(2), nil); errors.Cause(err) != syscall.ENOSPC {
 		t.Fatal(err)
 	}
 }
 
-// A received snapshot replaces a log of another history, whatever operation a
-// crash strikes: entries after its index stay only if they follow it, and what
-// is saved afterwards stays.
+// A received snapshot replaces a log of another history, at whatever operation the disk crashes: entries
+// after its index stay only if they belong to its history, and what is saved afterwards stays.
 func TestCrashInSaveSnapshot(t *testing.T) {
 	for _, same := range []bool{false, true} {
 		for ops := 0; ; ops++ {
-			fs, l, _ := filled(t)
+			fs, l, _ := newLogWithEntries(t)
 			snap := &consensus.Snapshot{Index: 2, Term: 7}
 			var after []consensus.Entry
 			if same {
@@ -176,9 +174,9 @@
 			l, st := reopen(t, fs)
 			switch {
 			case st.Snapshot == nil && (saved || len(st.Entries) != 3):
-				t.Fatalf("%d operations: lost: %+v", ops, st)
+				t.Fatalf("%d operations: entries lost: %+v", ops, st)
 			case st.Snapshot != nil && (len(st.Entries) == 1) != same:
-				t.Fatalf("%d operations: %+v behind a snapshot of term %d", ops, st.Entries, snap.Term)
+				t.Fatalf("%d operations: %+v after a snapshot of term %d", ops, st.Entries, snap.Term)
 			case st.Snapshot != nil && st.HardState.Term < snap.Term:
 				t.Fatalf("%d operations: term %d below the snapshot's", ops, st.HardState.Term)
 			}
