--- a/node/consensus/capture_test.go
+++ b/node/consensus/capture_test.go
@@ -34,7 +34,7 @@
 		snap, before := a.snapshot, a.snapshot.Membership
 		c.proposeRepair(a, b)
 		run(c, 10)
-		if st := a.node.Status(); a.snapshot.Index >= st.Applied || !st.Membership.HasLearner(b.id) || before.HasLearner(b.id) {
+		if st := a.node.Status(); a.snapshot.Index >= st.Applied || !st.Membership.IsLearner(b.id) || before.IsLearner(b.id) {
 			t.Fatalf("no entry was applied after the capture at %d: %+v", a.snapshot.Index, st)
 		}
 		a.fs.CrashAfter(ops)
@@ -51,11 +51,11 @@
 			c.crash(a)
 		}
 		c.start(a)
-		if st := a.node.Status(); acked == 0 || st.Last < acked || st.Last < last {
+		if st := a.node.Status(); acked == 0 || st.LastIndex < acked || st.LastIndex < last {
 			t.Fatalf("%d operations: acknowledged %d, committed %d, recovered %+v", ops, acked, last, st)
 		}
 		c.checkRecovery()
-		if st := a.node.Status(); !st.Membership.HasLearner(b.id) {
+		if st := a.node.Status(); !st.Membership.IsLearner(b.id) {
 			t.Fatalf("%d operations: the membership change is lost: %+v", ops, st.Membership)
 		}
 	}
@@ -78,7 +78,7 @@
 			captureAt(c, f)
 			isolate(c, f)
 			run(c, 20)
-			for l = c.leader(); l.snapshot != nil || l.node.Status().First < f.snapshot.Index; {
+			for l = c.leader(); l.snapshot != nil || l.node.Status().CompactedIndex < f.snapshot.Index; {
 				c.process(l)
 				c.compact(l, 0)
 			}
--- a/node/consensus/cluster_test.go
+++ b/node/consensus/cluster_test.go
@@ -125,7 +125,7 @@
 func (c *cluster) process(h *host) {
 	for h.node != nil && h.node.HasReady() {
 		rd := h.node.Ready()
-		c.enqueue(rd.Early)
+		c.enqueue(rd.EarlyMessages)
 		if err := save(h, rd); err != nil {
 			c.crash(h)
 			return
@@ -307,7 +307,7 @@
 				lived++
 			}
 		}
-		if lived <= len(m.Voters)/2 && m.Has(h.id) {
+		if lived <= len(m.Voters)/2 && m.IsVoter(h.id) {
 			return false
 		}
 	}
@@ -334,9 +334,9 @@
 	case slices.ContainsFunc(next.Voters, gone) && c.rand.IntN(2) == 0:
 		i := slices.IndexFunc(next.Voters, gone)
 		next.Voters = slices.Delete(next.Voters, i, i+1)
-	case next.Has(pick.id):
+	case next.IsVoter(pick.id):
 		next.Voters = slices.DeleteFunc(next.Voters, isPick)
-	case next.HasLearner(pick.id):
+	case next.IsLearner(pick.id):
 		next.Learners = slices.DeleteFunc(next.Learners, isPick)
 		next.Voters = append(next.Voters, consensus.Peer{ID: pick.id})
 	default:
@@ -351,7 +351,7 @@
 func (c *cluster) hasMajority(m consensus.Membership) bool {
 	lived := 0
 	for _, h := range c.hosts {
-		if m.Has(h.id) {
+		if m.IsVoter(h.id) {
 			lived++
 		}
 	}
@@ -401,11 +401,11 @@
 		return false
 	}
 	st := l.node.Status()
-	if st.Applied != st.Last || st.Applied < uint64(len(c.committed))+1 {
+	if st.Applied != st.LastIndex || st.Applied < uint64(len(c.committed))+1 {
 		return false
 	}
 	for _, h := range c.hosts {
-		member := st.Membership.Has(h.id) || st.Membership.HasLearner(h.id)
+		member := st.Membership.IsVoter(h.id) || st.Membership.IsLearner(h.id)
 		if member && h.index != st.Applied {
 			return false
 		}
--- a/node/consensus/election.go
+++ b/node/consensus/election.go
@@ -4,7 +4,7 @@
 // the votes of the members: its log may be the only one up to date enough to be elected (thesis, section
 // 4.2.2). The members ignore it while they have a leader.
 func (n *Node) canCampaign() bool {
-	return len(n.members.Voters) > 0 && !n.members.HasLearner(n.id)
+	return len(n.members.Voters) > 0 && !n.members.IsLearner(n.id)
 }
 
 // campaign starts an election, or the pre-vote before it. A pre-vote changes no term anywhere, so a replica
@@ -38,7 +38,7 @@
 func (n *Node) countVotes(granted bool) int {
 	count := 0
 	for id, g := range n.votes {
-		if g == granted && n.members.Has(id) {
+		if g == granted && n.members.IsVoter(id) {
 			count++
 		}
 	}
--- a/node/consensus/invariants_test.go
+++ b/node/consensus/invariants_test.go
@@ -19,7 +19,7 @@
 }
 
 func equalVoters(a, b consensus.Membership) bool {
-	return len(a.Voters) == len(b.Voters) && !slices.ContainsFunc(a.Voters, func(p consensus.Peer) bool { return !b.Has(p.ID) })
+	return len(a.Voters) == len(b.Voters) && !slices.ContainsFunc(a.Voters, func(p consensus.Peer) bool { return !b.IsVoter(p.ID) })
 }
 
 // checkHost checks the invariants of a node after each step.
@@ -47,7 +47,7 @@
 // checkLeaderCompleteness checks that a new leader has every entry that was committed in an earlier term.
 func (c *cluster) checkLeaderCompleteness(h *host, st consensus.Status) {
 	for _, e := range c.committed {
-		if e.Index <= st.First || e.Term >= st.Term {
+		if e.Index <= st.CompactedIndex || e.Term >= st.Term {
 			continue
 		}
 		got := h.node.EntriesAfter(e.Index - 1)
@@ -69,7 +69,7 @@
 }
 
 func (c *cluster) checkPair(a, b *host) {
-	first := max(a.node.Status().First, b.node.Status().First)
+	first := max(a.node.Status().CompactedIndex, b.node.Status().CompactedIndex)
 	la, lb := a.node.EntriesAfter(first), b.node.EntriesAfter(first)
 	matched := false
 	for i := min(len(la), len(lb)) - 1; i >= 0; i-- {
--- a/node/consensus/machine_test.go
+++ b/node/consensus/machine_test.go
@@ -254,7 +254,7 @@
 
 func isSoleVoter(l *host) bool {
 	m := l.node.Status().Membership
-	return m.Has(l.id) && len(m.Voters) == 1
+	return m.IsVoter(l.id) && len(m.Voters) == 1
 }
 
 // cutLeader checks that an isolated leader steps down within two election timeouts of its own clock, even
--- a/node/consensus/membership.go
+++ b/node/consensus/membership.go
@@ -7,11 +7,11 @@
 	"github.com/juju/errors"
 )
 
-// Has reports whether id is a voter.
-func (m Membership) Has(id NodeID) bool { return containsPeer(m.Voters, id) }
+// IsVoter reports whether id is a voter.
+func (m Membership) IsVoter(id NodeID) bool { return containsPeer(m.Voters, id) }
 
-// HasLearner reports whether id is a learner.
-func (m Membership) HasLearner(id NodeID) bool { return containsPeer(m.Learners, id) }
+// IsLearner reports whether id is a learner.
+func (m Membership) IsLearner(id NodeID) bool { return containsPeer(m.Learners, id) }
 
 func containsPeer(peers []Peer, id NodeID) bool {
 	return slices.ContainsFunc(peers, func(p Peer) bool { return p.ID == id })
@@ -62,12 +62,12 @@
 func votersChanged(a, b Membership) int {
 	changed := 0
 	for _, p := range a.Voters {
-		if !b.Has(p.ID) {
+		if !b.IsVoter(p.ID) {
 			changed++
 		}
 	}
 	for _, p := range b.Voters {
-		if !a.Has(p.ID) {
+		if !a.IsVoter(p.ID) {
 			changed++
 		}
 	}
--- a/node/consensus/node.go
+++ b/node/consensus/node.go
@@ -123,12 +123,12 @@
 	active := 0
 	for _, v := range n.members.Voters {
 		pr := n.progress[v.ID]
-		if v.ID == n.id || pr != nil && pr.Active {
+		if v.ID == n.id || pr != nil && pr.RecentActive {
 			active++
 		}
 	}
 	for _, pr := range n.progress {
-		pr.Active = false
+		pr.RecentActive = false
 	}
 	if active < n.members.quorum() {
 		n.becomeFollower(n.term, "")
@@ -168,11 +168,11 @@
 func (n *Node) syncProgress() {
 	for _, p := range n.members.All() {
 		if p.ID != n.id && n.progress[p.ID] == nil {
-			n.progress[p.ID] = &Progress{Next: n.log.last() + 1, probing: true, Active: true}
+			n.progress[p.ID] = &Progress{Next: n.log.last() + 1, probing: true, RecentActive: true}
 		}
 	}
 	for id := range n.progress {
-		if !n.members.Has(id) && !n.members.HasLearner(id) {
+		if !n.members.IsVoter(id) && !n.members.IsLearner(id) {
 			delete(n.progress, id)
 		}
 	}
--- a/node/consensus/node_test.go
+++ b/node/consensus/node_test.go
@@ -31,7 +31,7 @@
 func drain(n *consensus.Node) (out []consensus.Message) {
 	for n.HasReady() {
 		rd := n.Ready()
-		out = append(append(out, rd.Early...), rd.Messages...)
+		out = append(append(out, rd.EarlyMessages...), rd.Messages...)
 		n.Advance(rd)
 	}
 	return out
@@ -55,7 +55,7 @@
 
 func ack(n *consensus.Node, from consensus.NodeID) {
 	st := n.Status()
-	n.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: from, To: st.ID, Term: st.Term, Index: st.Last})
+	n.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: from, To: st.ID, Term: st.Term, Index: st.LastIndex})
 	drain(n)
 }
 
@@ -75,8 +75,8 @@
 	n.Step(consensus.Message{Kind: consensus.MsgSnapshot, From: "a", To: "b", Term: 2,
 		Snapshot: &consensus.Snapshot{Index: 3, Term: 2, Membership: consensus.Membership{Voters: peers("a", "b")}}})
 	drain(n)
-	if st := n.Status(); st.Last != 5 || st.Committed != 3 {
-		t.Fatalf("last %d, committed %d; want 5 and 3", st.Last, st.Committed)
+	if st := n.Status(); st.LastIndex != 5 || st.Committed != 3 {
+		t.Fatalf("last %d, committed %d; want 5 and 3", st.LastIndex, st.Committed)
 	}
 }
 
@@ -85,8 +85,8 @@
 	n.Step(consensus.Message{Kind: consensus.MsgSnapshot, From: "a", To: "b", Term: 3,
 		Snapshot: &consensus.Snapshot{Index: 3, Term: 3, Membership: consensus.Membership{Voters: peers("a", "b")}}})
 	drain(n)
-	if st := n.Status(); st.Last != 3 || st.Applied != 3 {
-		t.Fatalf("last %d, applied %d; want 3 and 3", st.Last, st.Applied)
+	if st := n.Status(); st.LastIndex != 3 || st.Applied != 3 {
+		t.Fatalf("last %d, applied %d; want 3 and 3", st.LastIndex, st.Applied)
 	}
 }
 
@@ -151,7 +151,7 @@
 func TestRemovedReplicaLeadsUntilOthersCaughtUp(t *testing.T) {
 	a := newNode("a", 2, peers("b"), 2)
 	elect(t, a, "b")
-	a.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: "b", To: "a", Term: a.Status().Term, Index: a.Status().Last})
+	a.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: "b", To: "a", Term: a.Status().Term, Index: a.Status().LastIndex})
 	ms := drain(a)
 	commit := slices.IndexFunc(ms, func(m consensus.Message) bool { return m.To == "b" && m.Commit == 3 })
 	if st := a.Status(); st.Role == consensus.Leader || commit < 0 {
@@ -172,11 +172,11 @@
 	heartbeat := func() int {
 		n.Tick()
 		st := n.Status()
-		n.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: "b", To: "a", Term: st.Term, Index: st.Last})
+		n.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: "b", To: "a", Term: st.Term, Index: st.LastIndex})
 		n.Step(consensus.Message{Kind: consensus.MsgHeartbeatReply, From: "c", To: "a", Term: st.Term})
 		return count(drain(n), consensus.MsgSnapshot)
 	}
-	n.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: "c", To: "a", Term: n.Status().Term, Index: n.Status().Last, Reject: true})
+	n.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: "c", To: "a", Term: n.Status().Term, Index: n.Status().LastIndex, Reject: true})
 	sent := count(drain(n), consensus.MsgSnapshot)
 	for range 20 * electionTicks {
 		sent += heartbeat()
@@ -221,7 +221,7 @@
 func TestLeaderDoesNotCountItsUnsyncedEntries(t *testing.T) {
 	n := newNode("a", 1, peers("a", "b"))
 	elect(t, n, "b")
-	n.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: "b", To: "a", Term: n.Status().Term, Index: n.Status().Last})
+	n.Step(consensus.Message{Kind: consensus.MsgAppendReply, From: "b", To: "a", Term: n.Status().Term, Index: n.Status().LastIndex})
 	if st := n.Status(); st.Committed != 1 {
 		t.Fatalf("committed %d before the leader's own sync", st.Committed)
 	}
@@ -278,13 +278,13 @@
 // then campaigns at once; a follower names nobody.
 func TestResign(t *testing.T) {
 	n := newNode("a", 1, peers("a", "b", "c"), 1)
-	if got := n.Resign(); len(got) != 0 {
+	if got := n.HandoverMessages(); len(got) != 0 {
 		t.Fatalf("a follower sends %+v", got)
 	}
 	elect(t, n, "b")
 	drain(n)
 	ack(n, "c")
-	got := n.Resign()
+	got := n.HandoverMessages()
 	if len(got) != 1 || got[0].To != "c" || got[0].Kind != consensus.MsgTimeoutNow {
 		t.Fatalf("%+v", got)
 	}
--- a/node/consensus/ready.go
+++ b/node/consensus/ready.go
@@ -31,7 +31,7 @@
 		Entries:  n.log.slice(max(n.log.stable, n.log.compactedIndex), n.log.last(), maxInt),
 	}
 	if !n.hardStateChanged() && n.role == Leader {
-		rd.Early, rd.Messages = splitAppends(rd.Messages)
+		rd.EarlyMessages, rd.Messages = splitAppends(rd.Messages)
 	}
 	if hs := n.hardState(); n.hardStateChanged() || hs != n.savedHardState && len(rd.Entries) > 0 {
 		rd.HardState = &hs
@@ -88,7 +88,7 @@
 // applied.
 func (n *Node) stepDownIfRemoved() {
 	t, _ := n.log.term(n.log.applied)
-	if n.role == Leader && !n.members.Has(n.id) && t == n.term {
+	if n.role == Leader && !n.members.IsVoter(n.id) && t == n.term {
 		n.becomeFollower(n.term, "")
 	}
 }
@@ -152,21 +152,21 @@
 
 // Status is a copy of the node's state.
 type Status struct {
-	ID                 NodeID
-	Role               Role
-	Term               uint64
-	Leader             NodeID
-	First, Last        uint64
-	Committed, Applied uint64
-	Membership         Membership
-	MembershipPending  bool
-	Progress           map[NodeID]Progress // leader only
-	SnapshotIndex      uint64
+	ID                        NodeID
+	Role                      Role
+	Term                      uint64
+	Leader                    NodeID
+	CompactedIndex, LastIndex uint64
+	Committed, Applied        uint64
+	Membership                Membership
+	MembershipPending         bool
+	Progress                  map[NodeID]Progress // leader only
+	SnapshotIndex             uint64
 }
 
 // Status returns the node's current status.
 func (n *Node) Status() Status {
-	s := Status{ID: n.id, Role: n.role, Term: n.term, Leader: n.leader, First: n.log.compactedIndex, Last: n.log.last(),
+	s := Status{ID: n.id, Role: n.role, Term: n.term, Leader: n.leader, CompactedIndex: n.log.compactedIndex, LastIndex: n.log.last(),
 		Committed: n.log.committed, Applied: n.log.applied, Membership: n.members, SnapshotIndex: n.snapshotIndex(),
 		MembershipPending: n.role == Leader && n.pendingMembership > n.log.applied}
 	if n.role == Leader {
--- a/node/consensus/step.go
+++ b/node/consensus/step.go
@@ -32,7 +32,7 @@
 	case MsgAppendReply, MsgHeartbeatReply:
 		n.stepFromFollower(m)
 	case MsgTimeoutNow:
-		if n.members.Has(n.id) && n.role == Follower {
+		if n.members.IsVoter(n.id) && n.role == Follower {
 			n.campaign(false, true)
 		}
 	}
@@ -187,7 +187,7 @@
 	if n.role != Leader || pr == nil {
 		return
 	}
-	pr.Active = true
+	pr.RecentActive = true
 	if m.Kind == MsgHeartbeatReply {
 		n.handleHeartbeatReply(m, pr)
 		return
--- a/node/consensus/transfer.go
+++ b/node/consensus/transfer.go
@@ -2,7 +2,7 @@
 
 // TransferLeadership lets the voter take over once its log is complete. Proposals are refused meanwhile.
 func (n *Node) TransferLeadership(to NodeID) {
-	if n.role != Leader || to == n.id || !n.members.Has(to) {
+	if n.role != Leader || to == n.id || !n.members.IsVoter(to) {
 		return
 	}
 	n.transferee = to
@@ -28,9 +28,9 @@
 	}
 }
 
-// Resign returns the message by which a leader whose storage has failed makes its successor campaign. It does
+// HandoverMessages returns the message by which a leader whose storage has failed makes its successor campaign. It does
 // not change the node: entries that the leader has not synced were never acknowledged.
-func (n *Node) Resign() []Message {
+func (n *Node) HandoverMessages() []Message {
 	to := n.Successor()
 	if to == "" {
 		return nil
@@ -46,7 +46,7 @@
 		return best
 	}
 	for id, pr := range n.progress {
-		if id == n.id || !n.members.Has(id) || !pr.Active {
+		if id == n.id || !n.members.IsVoter(id) || !pr.RecentActive {
 			continue
 		}
 		if best == "" || pr.Match > n.progress[best].Match || pr.Match == n.progress[best].Match && id < best {
--- a/node/consensus/types.go
+++ b/node/consensus/types.go
@@ -100,18 +100,18 @@
 	Failed bool
 }
 
-// Ready lists what the caller must do, in this order: send Early, store Snapshot, append Entries and
+// Ready lists what the caller must do, in this order: send EarlyMessages, store Snapshot, append Entries and
 // HardState and sync them, send Messages, restore Snapshot, apply Committed, answer Reads, then call Advance.
 type Ready struct {
-	// Early holds a leader's appends. They do not depend on its own sync, so that all replicas sync in
+	// EarlyMessages holds a leader's appends. They do not depend on its own sync, so that all replicas sync in
 	// parallel (thesis, section 10.2.1).
-	Early     []Message
-	HardState *HardState
-	Entries   []Entry // an entry replaces all stored entries at its index and above
-	Snapshot  *Snapshot
-	Messages  []Message
-	Committed []Entry
-	Reads     []ReadState
+	EarlyMessages []Message
+	HardState     *HardState
+	Entries       []Entry // an entry replaces all stored entries at its index and above
+	Snapshot      *Snapshot
+	Messages      []Message
+	Committed     []Entry
+	Reads         []ReadState
 }
 
 // Role is the role of a replica in its term.
@@ -139,12 +139,12 @@
 
 // Progress is the leader's view of another replica's log.
 type Progress struct {
-	Match    uint64 // highest entry known to be synced on the replica
-	Next     uint64
-	Active   bool   // heard from since the last quorum check
-	Snapshot uint64 // index of the snapshot being sent, 0 for none
-	probing  bool
-	readSeq  uint64
+	Match        uint64 // highest entry known to be synced on the replica
+	Next         uint64
+	RecentActive bool   // heard from since the last quorum check
+	Snapshot     uint64 // index of the snapshot being sent, 0 for none
+	probing      bool
+	readSeq      uint64
 
 	snapshotWait    int // ticks since the snapshot was sent
 	snapshotRetries int // consecutive unacknowledged sends
--- a/node/control/elastic.go
+++ b/node/control/elastic.go
@@ -98,7 +98,7 @@
 		return false
 	}
 	status := s.cluster.Status()
-	if !status.Membership.Has(status.ID) {
+	if !status.Membership.IsVoter(status.ID) {
 		return true
 	}
 	age := s.cluster.StampAge()
@@ -127,7 +127,7 @@
 	}
 	for _, l := range m.Learners {
 		pr := st.Progress[l.ID]
-		if pr.Active && pr.Match+promoteLag >= st.Last && pr.Match >= st.SnapshotIndex {
+		if pr.RecentActive && pr.Match+promoteLag >= st.LastIndex && pr.Match >= st.SnapshotIndex {
 			return promote(m, l), fmt.Sprintf("learner %s caught up: promoting it", l.ID)
 		}
 	}
--- a/node/control/elastic_test.go
+++ b/node/control/elastic_test.go
@@ -27,7 +27,7 @@
 func TestElasticPlanKeepsAQuorum(t *testing.T) {
 	const least, most = 3, 7
 	rapid.Check(t, func(t *rapid.T) {
-		st := consensus.Status{ID: "v0", Last: 100, Progress: map[consensus.NodeID]consensus.Progress{}}
+		st := consensus.Status{ID: "v0", LastIndex: 100, Progress: map[consensus.NodeID]consensus.Progress{}}
 		silent := map[consensus.NodeID]bool{}
 		var offers []consensus.Peer
 		for i := range rapid.IntRange(1, 7).Draw(t, "voters") {
@@ -46,7 +46,7 @@
 		start := len(st.Membership.Voters)
 		for range 40 {
 			for _, p := range st.Membership.All() {
-				st.Progress[p.ID] = consensus.Progress{Active: !silent[p.ID], Match: 100}
+				st.Progress[p.ID] = consensus.Progress{RecentActive: !silent[p.ID], Match: 100}
 			}
 			next, why := planElastic(st, offers, silent, least, most, anywhere)
 			if next == nil {
@@ -56,7 +56,7 @@
 			if d := len(next.Voters) - len(st.Membership.Voters); d > 1 || d < -1 {
 				t.Fatalf("%s: from %d to %d voters", why, len(st.Membership.Voters), len(next.Voters))
 			}
-			if len(next.Voters) < min(least, start) || !next.Has("v0") {
+			if len(next.Voters) < min(least, start) || !next.IsVoter("v0") {
 				t.Fatalf("%s: voters %v", why, next.Voters)
 			}
 			st.Membership = *next
@@ -71,7 +71,7 @@
 		t.Fatalf("%v are gone and stay among %v", gone, st.Membership.Voters)
 	}
 	for _, o := range offers {
-		if !st.Membership.Has(o.ID) && len(st.Membership.Voters) < most {
+		if !st.Membership.IsVoter(o.ID) && len(st.Membership.Voters) < most {
 			t.Fatalf("%s offers itself and does not vote", o.ID)
 		}
 	}
--- a/node/control/formation.go
+++ b/node/control/formation.go
@@ -90,7 +90,7 @@
 
 func (s *Service) joined() bool {
 	st := s.cluster.Status()
-	return st.Last > 0 || st.Term > 0
+	return st.LastIndex > 0 || st.Term > 0
 }
 
 // hello asks a seed whether it can found. No answer says nothing.
--- a/node/control/metrics.go
+++ b/node/control/metrics.go
@@ -47,9 +47,9 @@
 
 func (s *Service) figures() figures {
 	st, v := s.cluster.Status(), s.cluster.View()
-	out := figures{Leads: st.Role == consensus.Leader, Leader: string(st.Leader), Term: st.Term, Last: st.Last, Committed: st.Committed, Applied: st.Applied,
+	out := figures{Leads: st.Role == consensus.Leader, Leader: string(st.Leader), Term: st.Term, Last: st.LastIndex, Committed: st.Committed, Applied: st.Applied,
 		Version: v.Config.Version, StampAgeMs: s.cluster.StampAge().Milliseconds(), Voters: len(st.Membership.Voters), Learners: len(st.Membership.Learners),
-		Votes: st.Membership.Has(st.ID), Joined: s.joined(), Suspended: s.cluster.Outage() != nil, SnapshotIndex: st.SnapshotIndex,
+		Votes: st.Membership.IsVoter(st.ID), Joined: s.joined(), Suspended: s.cluster.Outage() != nil, SnapshotIndex: st.SnapshotIndex,
 		Owner: string(v.Owner.ID), OwnerEpoch: v.Owner.Epoch, Members: map[string]int{}, Waits: s.repair.Report()}
 	for _, m := range v.Members {
 		kind := m.Service
--- a/node/control/repair.go
+++ b/node/control/repair.go
@@ -143,7 +143,7 @@
 func (r *repair) noteSilence(status consensus.Status) {
 	now := time.Now()
 	for id, pr := range status.Progress {
-		if _, known := r.silent[id]; !known || pr.Active {
+		if _, known := r.silent[id]; !known || pr.RecentActive {
 			r.silent[id] = now
 		}
 	}
@@ -178,7 +178,7 @@
 		}
 		wg.Go(func() {
 			p, err := r.ask(ctx, address)
-			if err == nil && !status.Membership.Has(p.ID) && !status.Membership.HasLearner(p.ID) {
+			if err == nil && !status.Membership.IsVoter(p.ID) && !status.Membership.IsLearner(p.ID) {
 				found[i] = &p
 			}
 		})
@@ -278,7 +278,7 @@
 		if silent[v.ID] {
 			return dropVoter(m, v.ID), fmt.Sprintf("voter %s is silent and replaced: removing it", v.ID)
 		}
-		if !st.Progress[v.ID].Active {
+		if !st.Progress[v.ID].RecentActive {
 			idle = string(v.ID)
 		}
 		if last == nil || st.Progress[v.ID].Match <= st.Progress[last.ID].Match {
@@ -297,7 +297,7 @@
 	m := st.Membership
 	for _, l := range m.Learners {
 		pr := st.Progress[l.ID]
-		if pr.Active && pr.Match+promoteLag >= st.Last && pr.Match >= st.SnapshotIndex {
+		if pr.RecentActive && pr.Match+promoteLag >= st.LastIndex && pr.Match >= st.SnapshotIndex {
 			return promote(m, l), fmt.Sprintf("learner %s caught up: promoting it", l.ID)
 		}
 	}
--- a/node/control/repair_test.go
+++ b/node/control/repair_test.go
@@ -63,13 +63,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			st := consensus.Status{ID: "a", Last: lastEntry, Committed: lastEntry, Progress: map[consensus.NodeID]consensus.Progress{},
+			st := consensus.Status{ID: "a", LastIndex: lastEntry, Committed: lastEntry, Progress: map[consensus.NodeID]consensus.Progress{},
 				Membership: consensus.Membership{Voters: peersOf(c.voters), Learners: peersOf(c.learners)}}
 			silent := map[consensus.NodeID]bool{}
 			for _, p := range st.Membership.All() {
 				id := string(p.ID)
 				silent[p.ID] = slices.Contains(strings.Fields(c.silent), id)
-				pr := consensus.Progress{Match: lastEntry, Active: !silent[p.ID] && !slices.Contains(strings.Fields(c.idle), id)}
+				pr := consensus.Progress{Match: lastEntry, RecentActive: !silent[p.ID] && !slices.Contains(strings.Fields(c.idle), id)}
 				if slices.Contains(strings.Fields(c.behind), id) {
 					pr.Match -= c.lag
 				}
@@ -183,10 +183,10 @@
 	if !hasQuorum(up, m.members) || lead.match < m.last {
 		return "no quorum"
 	}
-	st := consensus.Status{ID: lead.id, Last: m.last, Committed: m.last, Membership: m.members, Progress: map[consensus.NodeID]consensus.Progress{}}
+	st := consensus.Status{ID: lead.id, LastIndex: m.last, Committed: m.last, Membership: m.members, Progress: map[consensus.NodeID]consensus.Progress{}}
 	for _, p := range m.members.All() {
 		if v := m.vm(p.ID); v != nil {
-			st.Progress[p.ID] = consensus.Progress{Match: v.match, Active: v.up}
+			st.Progress[p.ID] = consensus.Progress{Match: v.match, RecentActive: v.up}
 		}
 		if m.up(p.ID) {
 			m.silent[p.ID] = false
@@ -194,7 +194,7 @@
 	}
 	var spares []consensus.Peer
 	for _, v := range m.vms {
-		if v.up && !m.members.Has(v.id) && !m.members.HasLearner(v.id) {
+		if v.up && !m.members.IsVoter(v.id) && !m.members.IsLearner(v.id) {
 			spares = append(spares, consensus.Peer{ID: v.id})
 		}
 	}
@@ -229,12 +229,12 @@
 func (m *planModel) check(t *rapid.T, next consensus.Membership, hold int) {
 	changed := 0
 	for _, p := range next.Voters {
-		if !m.members.Has(p.ID) {
+		if !m.members.IsVoter(p.ID) {
 			changed++
 		}
 	}
 	for _, p := range m.members.Voters {
-		if !next.Has(p.ID) {
+		if !next.IsVoter(p.ID) {
 			changed++
 		}
 	}
--- a/node/control/selfforming_test.go
+++ b/node/control/selfforming_test.go
@@ -91,7 +91,7 @@
 
 // form takes one step of founding.
 func (s *formingSystem) form(m *formingMachine) {
-	if m.node == nil || m.stored.formed || !m.first || m.node.Status().Last > 0 {
+	if m.node == nil || m.stored.formed || !m.first || m.node.Status().LastIndex > 0 {
 		return
 	}
 	step := m.rule.Next()
@@ -128,7 +128,7 @@
 			}
 			m.stored.log = append(m.stored.log, e)
 		}
-		s.pool = append(append(s.pool, rd.Early...), rd.Messages...)
+		s.pool = append(append(s.pool, rd.EarlyMessages...), rd.Messages...)
 		for _, e := range rd.Committed {
 			if e.Kind != consensus.EntryNormal || len(e.Data) == 0 {
 				continue
@@ -207,7 +207,7 @@
 	var offers []consensus.Peer
 	silent := map[consensus.NodeID]bool{}
 	for _, m := range s.machines {
-		if m.node != nil && !s.cut[m.address] && !m.node.Status().Membership.Has(m.peer().ID) {
+		if m.node != nil && !s.cut[m.address] && !m.node.Status().Membership.IsVoter(m.peer().ID) {
 			offers = append(offers, m.peer())
 		}
 	}
--- a/node/control/spread.go
+++ b/node/control/spread.go
@@ -87,7 +87,7 @@
 	counts := sp.counts(m.All())
 	best, found, least := consensus.Peer{}, false, 0
 	for _, p := range offers {
-		if m.Has(p.ID) || m.HasLearner(p.ID) {
+		if m.IsVoter(p.ID) || m.IsLearner(p.ID) {
 			continue
 		}
 		if n := counts[sp.where(p.Address)]; !found || n < least {
--- a/node/control/spread_test.go
+++ b/node/control/spread_test.go
@@ -56,19 +56,19 @@
 				all = append(all, peerNamed(fmt.Sprintf("dc%d/%d", dc, i)))
 			}
 		}
-		st := consensus.Status{ID: all[0].ID, Last: 100}
+		st := consensus.Status{ID: all[0].ID, LastIndex: 100}
 		st.Membership.Voters = slices.Clone(all[:rapid.IntRange(1, min(most, len(all))).Draw(t, "voters at first")])
 		var next *consensus.Membership
 		why := ""
 		for step := 0; ; step++ {
 			st.Progress = map[consensus.NodeID]consensus.Progress{}
 			for _, p := range st.Membership.All() {
-				st.Progress[p.ID] = consensus.Progress{Active: true, Match: 100}
+				st.Progress[p.ID] = consensus.Progress{RecentActive: true, Match: 100}
 			}
 			if next, why = planElastic(st, all, nil, 3, most, sp); next == nil {
 				break
 			}
-			if len(next.Voters) > most+1 || !next.Has(st.ID) || step > 60 {
+			if len(next.Voters) > most+1 || !next.IsVoter(st.ID) || step > 60 {
 				t.Fatalf("%s: %v", why, next.Voters)
 			}
 			st.Membership = *next
--- a/node/control/status.go
+++ b/node/control/status.go
@@ -20,7 +20,7 @@
 		StampAge: s.replica.StampAge(), LedgerEntries: v.Ledger, Repair: s.repair.Report(), Debug: s.set.Debug.Listen}
 	out.Voters = ids(st.Membership.Voters)
 	out.Learners = ids(st.Membership.Learners)
-	if st.Role == consensus.Follower && st.Membership.HasLearner(st.ID) {
+	if st.Role == consensus.Follower && st.Membership.IsLearner(st.ID) {
 		out.State = "learner"
 	}
 	return out
--- a/node/replica/compact.go
+++ b/node/replica/compact.go
@@ -83,7 +83,7 @@
 // trimLog keeps the last entries before the snapshot in memory for followers that lag slightly: at most
 // trailingEntries of them and trailingBytes of data.
 func (r *Replica) trimLog(index uint64) {
-	first := r.node.Status().First
+	first := r.node.Status().CompactedIndex
 	if index > trailingEntries {
 		first = max(first, index-trailingEntries)
 	}
--- a/node/replica/compact_test.go
+++ b/node/replica/compact_test.go
@@ -151,7 +151,7 @@
 	r.runOnLoop(ctx, func() {
 		data, _ := r.machine.Snapshot()
 		s := r.node.Status()
-		received = &consensus.Snapshot{Index: s.Last + 100, Term: s.Term + 1, Data: data,
+		received = &consensus.Snapshot{Index: s.LastIndex + 100, Term: s.Term + 1, Data: data,
 			Membership: consensus.Membership{Voters: []consensus.Peer{r.self}}}
 		r.startSnapshot()
 		r.node.Step(consensus.Message{Kind: consensus.MsgSnapshot, From: "other", To: r.self.ID, Term: s.Term + 1, Snapshot: received})
@@ -169,7 +169,7 @@
 	defer stop()
 	waitUntil(r.IsLeader)
 	r.issueTokenAfter(t, n)
-	if r.Status().First < received.Index {
+	if r.Status().CompactedIndex < received.Index {
 		t.Fatalf("%+v", r.Status())
 	}
 }
--- a/node/replica/loop.go
+++ b/node/replica/loop.go
@@ -129,7 +129,7 @@
 	}
 	for r.node.HasReady() {
 		rd := r.node.Ready()
-		r.send(rd.Early)
+		r.send(rd.EarlyMessages)
 		if err := r.save(rd); err != nil {
 			return err
 		}
--- a/node/replica/outage.go
+++ b/node/replica/outage.go
@@ -68,7 +68,7 @@
 	suspendedVar.Set(1)
 	defer suspendedVar.Set(0)
 	r.opts.Log.Error(cause, "replica suspended", "disk", o.kind, "role", r.node.Status().Role.String(), "term", r.node.Status().Term)
-	r.send(r.node.Resign())
+	r.send(r.node.HandoverMessages())
 	r.stopParticipating()
 	retry := r.opts.Clock.NewTicker(reopenInterval)
 	defer retry.Stop()
@@ -88,7 +88,7 @@
 			}
 			if err == nil {
 				r.outage.Store(nil)
-				r.opts.Log.Info("replica goes on", "disk", o.kind, "suspended", r.opts.Clock.Since(o.at), "last", r.node.Status().Last, "applied_before", r.viewFloor)
+				r.opts.Log.Info("replica goes on", "disk", o.kind, "suspended", r.opts.Clock.Since(o.at), "last", r.node.Status().LastIndex, "applied_before", r.viewFloor)
 				return nil
 			}
 			r.opts.Log.V(logging.Detail).Info("disk still fails", "disk", diskFault(err), "suspended", r.opts.Clock.Since(o.at), "error", err.Error())
--- a/node/replica/replica.go
+++ b/node/replica/replica.go
@@ -161,7 +161,7 @@
 	r.node = r.newNode(stored.HardState, stored.Snapshot, stored.Entries)
 	r.logged.since = opts.Clock.Now()
 	opened := r.node.Status()
-	opts.Log.Info("log opened", "replica", r.self.ID, "term", opened.Term, "vote", stored.HardState.Vote, "first", opened.First, "last", opened.Last, "committed", opened.Committed,
+	opts.Log.Info("log opened", "replica", r.self.ID, "term", opened.Term, "vote", stored.HardState.Vote, "first", opened.CompactedIndex, "last", opened.LastIndex, "committed", opened.Committed,
 		"snapshot", opened.SnapshotIndex, "version", r.machine.View().Config.Version, "voters", peerIDs(opened.Membership.Voters))
 	r.shortenFirstElection()
 	ch := make(chan struct{})
@@ -278,7 +278,7 @@
 		return err
 	}
 	s := r.node.Status()
-	if s.Last > 0 || s.Term > 0 {
+	if s.LastIndex > 0 || s.Term > 0 {
 		return ErrInitialized
 	}
 	snap := consensus.Bootstrap(r.self, nil)
--- a/node/replica/replica_test.go
+++ b/node/replica/replica_test.go
@@ -82,7 +82,7 @@
 		for _, learner := range []bool{true, false} {
 			waitUntil(func() bool { return change(all[0], self, learner) })
 		}
-		waitUntil(func() bool { return all[0].Status().Membership.Has(self.ID) })
+		waitUntil(func() bool { return all[0].Status().Membership.IsVoter(self.ID) })
 	}
 	return n, all
 }
--- a/node/replica/statuslog.go
+++ b/node/replica/statuslog.go
@@ -48,11 +48,11 @@
 	lasted := r.opts.Clock.Since(b.since)
 	switch {
 	case s.Role == consensus.Leader:
-		r.opts.Log.Info("became leader", "term", s.Term, "last", s.Last, "committed", s.Committed, "applied", s.Applied, "voters", peerIDs(s.Membership.Voters))
+		r.opts.Log.Info("became leader", "term", s.Term, "last", s.LastIndex, "committed", s.Committed, "applied", s.Applied, "voters", peerIDs(s.Membership.Voters))
 	case b.role == consensus.Leader:
-		r.opts.Log.Info("stopped leading", "term", b.term, "reason", b.leadershipEndReason(s), "led", lasted, "last", s.Last, "committed", s.Committed)
+		r.opts.Log.Info("stopped leading", "term", b.term, "reason", b.leadershipEndReason(s), "led", lasted, "last", s.LastIndex, "committed", s.Committed)
 	case s.Leader != "":
-		r.opts.Log.Info("following leader", "term", s.Term, "leader", s.Leader, "last", s.Last, "committed", s.Committed, "waited", lasted)
+		r.opts.Log.Info("following leader", "term", s.Term, "leader", s.Leader, "last", s.LastIndex, "committed", s.Committed, "waited", lasted)
 	case b.leader != "":
 		r.opts.Log.Info("leader lost", "term", s.Term, "leader", b.leader, "followed", lasted, "role", s.Role.String())
 	}
@@ -63,7 +63,7 @@
 	switch {
 	case s.Term > b.term:
 		return "a higher term was seen"
-	case !s.Membership.Has(s.ID):
+	case !s.Membership.IsVoter(s.ID):
 		return "no longer a voter"
 	}
 	return "no quorum answered within an election timeout"
@@ -83,7 +83,7 @@
 		switch {
 		case m.Kind == consensus.MsgVoteReply && m.Reject:
 			s := r.node.Status()
-			r.opts.Log.Info("vote rejected", "term", m.Term, "to", m.To, "vote", r.node.HardState().Vote, "leader", s.Leader, "last", s.Last)
+			r.opts.Log.Info("vote rejected", "term", m.Term, "to", m.To, "vote", r.node.HardState().Vote, "leader", s.Leader, "last", s.LastIndex)
 		case m.Kind == consensus.MsgVoteReply:
 			r.opts.Log.Info("vote granted", "term", m.Term, "to", m.To)
 		case m.Kind == consensus.MsgSnapshot:
