--- a/node/admin/teams.go
+++ b/node/admin/teams.go
@@ -109,5 +109,5 @@
 }
 
 func (s *Service) history(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, s.p.Control.Replica().View().History)
+	writeJSON(w, http.StatusOK, s.p.Control.Replica().View().ChangeHistory)
 }
--- a/node/control/status.go
+++ b/node/control/status.go
@@ -17,7 +17,7 @@
 	v := s.replica.View()
 	out := wire.ControlStatus{ID: wire.MemberID(s.set.Node.Name), State: st.Role.String(), Leader: wire.MemberID(st.Leader),
 		Term: st.Term, Commit: st.Committed, Applied: st.Applied, ConfigVersion: v.Config.Version,
-		StampAge: s.replica.StampAge(), LedgerEntries: v.Ledger, Repair: s.repair.Report(), Debug: s.set.Debug.Listen}
+		StampAge: s.replica.StampAge(), LedgerEntries: v.LedgerEntries, Repair: s.repair.Report(), Debug: s.set.Debug.Listen}
 	out.Voters = ids(st.Membership.Voters)
 	out.Learners = ids(st.Membership.Learners)
 	if st.Role == consensus.Follower && st.Membership.IsLearner(st.ID) {
--- a/node/ledger/ledger_test.go
+++ b/node/ledger/ledger_test.go
@@ -404,7 +404,7 @@
 // Sweep lets an entry settle an old claim, with or without faults. Without faults the claim must be settled,
 // unless its attempt is still running.
 func (w *simulation) Sweep(t *rapid.T) {
-	old := w.machine.Held(w.clock.Now(), time.Minute, 1, func(wire.AttemptID) bool { return false })
+	old := w.machine.UnsettledClaims(w.clock.Now(), time.Minute, 1, func(wire.AttemptID) bool { return false })
 	if len(old) == 0 {
 		t.Skip("none")
 	}
@@ -424,7 +424,7 @@
 	}
 	w.cut = cut
 	same := func(c wire.ClaimRequest) bool { return c.Attempt == old[0].Attempt }
-	if slices.ContainsFunc(w.machine.Held(w.clock.Now(), time.Minute, 10, func(wire.AttemptID) bool { return false }), same) {
+	if slices.ContainsFunc(w.machine.UnsettledClaims(w.clock.Now(), time.Minute, 10, func(wire.AttemptID) bool { return false }), same) {
 		t.Fatalf("%v is still held after a sweep", old[0])
 	}
 }
--- a/node/replica/calls.go
+++ b/node/replica/calls.go
@@ -125,7 +125,7 @@
 func (r *Replica) Held(ctx context.Context, age time.Duration, n int, skip func(wire.AttemptID) bool) (held []wire.ClaimRequest, err error) {
 	err = r.runOnLoop(ctx, func() {
 		if r.node.Status().Role == consensus.Leader {
-			held = r.machine.Held(r.opts.Clock.Now(), age, n, skip)
+			held = r.machine.UnsettledClaims(r.opts.Clock.Now(), age, n, skip)
 		}
 	})
 	return held, err
--- a/node/state/config_test.go
+++ b/node/state/config_test.go
@@ -32,14 +32,14 @@
 				t.Fatalf("version %d, want %d", v.Config.Version, version)
 			}
 			for old, hash := range hashes {
-				if d := v.Texts.Delta(old, hash); d != nil && (d.Base != old || d.Version != version) {
+				if d := v.TextHistory.Delta(old, hash); d != nil && (d.Base != old || d.Version != version) {
 					t.Fatalf("a delta from %d leads from %d to %d", old, d.Base, d.Version)
 				}
-				if d := v.Texts.Delta(old, hash+1); d != nil {
+				if d := v.TextHistory.Delta(old, hash+1); d != nil {
 					t.Fatalf("got a delta for another text of version %d", old)
 				}
 			}
-			if v.Texts.Delta(version+100, 1) != nil {
+			if v.TextHistory.Delta(version+100, 1) != nil {
 				t.Fatal("got a delta from a version that never existed")
 			}
 			hashes[version] = v.Config.Hash
--- a/node/state/machine_test.go
+++ b/node/state/machine_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	for i, m := range s.all {
-		got := m.Held(time.UnixMilli(s.now), time.Duration(age)*time.Millisecond, 100, func(id wire.AttemptID) bool { return id == skipped })
+		got := m.UnsettledClaims(time.UnixMilli(s.now), time.Duration(age)*time.Millisecond, 100, func(id wire.AttemptID) bool { return id == skipped })
 		last := int64(0)
 		for _, c := range got {
 			k := s.keys[c.ClaimKey]
@@ -254,7 +254,7 @@
 			t.Fatalf("the ledger size %d is wrong", m.ledger.bytes)
 		}
 		v := m.View()
-		if len(v.Members) != len(m.s.Members) || v.Config.Version != uint64(len(s.versions)) || v.Ledger != len(s.keys) {
+		if len(v.Members) != len(m.s.Members) || v.Config.Version != uint64(len(s.versions)) || v.LedgerEntries != len(s.keys) {
 			t.Fatalf("view of machine %d: %+v", i, v)
 		}
 		for id, member := range m.s.Members {
@@ -310,8 +310,8 @@
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if got := restored.View(); got.Ledger != entries || len(got.Members) != entries || len(restored.s.Changes) != entries {
-		t.Fatalf("%d entries, %d members and %d changes restored, want %d each", got.Ledger, len(got.Members), len(restored.s.Changes), entries)
+	if got := restored.View(); got.LedgerEntries != entries || len(got.Members) != entries || len(restored.s.Changes) != entries {
+		t.Fatalf("%d entries, %d members and %d changes restored, want %d each", got.LedgerEntries, len(got.Members), len(restored.s.Changes), entries)
 	}
 }
 
--- a/node/state/state.go
+++ b/node/state/state.go
@@ -133,20 +133,20 @@
 
 // View is an immutable read-only copy of the state.
 type View struct {
-	Config     wire.ConfigText
-	Texts      *textdelta.History
-	Winner     string
-	MembersSeq uint64
-	Members    map[wire.MemberID]wire.Member
-	Ledger     int
-	Teams      *Teams
-	History    []wire.ChangeInfo             // newest last
-	LedgerSize int64                         // in bytes, as compared with Command.LedgerLimit
-	Orders     map[wire.MemberID]OrderRecord // last order of each upstream
-	Forecast   map[string][]uint32           // peaks per slot by service, see ForecastSlot
-	Fences     map[wire.MemberID]uint64      // highest fencing token of each upstream
-	Fence      uint64                        // highest fencing token of all upstreams
-	Owner      wire.StageOwner
+	Config        wire.ConfigText
+	TextHistory   *textdelta.History
+	Winner        string // id of the change that set the version in force
+	MembersSeq    uint64
+	Members       map[wire.MemberID]wire.Member
+	LedgerEntries int
+	Teams         *Teams
+	ChangeHistory []wire.ChangeInfo             // newest last
+	LedgerBytes   int64                         // as compared with Command.LedgerLimit
+	Orders        map[wire.MemberID]OrderRecord // last order of each upstream
+	Forecast      map[string][]uint32           // peaks per slot by service, see ForecastSlot
+	Fences        map[wire.MemberID]uint64      // highest fencing token of each upstream
+	Fence         uint64                        // highest fencing token of all upstreams
+	Owner         wire.StageOwner
 	// Evacuations lists the data centres whose upstreams get no new calls, and those evacuated earlier.
 	Evacuations wire.Evacuations
 	// Suspects lists calls that end upstreams, in the form sent to processes; Quarantine is the operators'
@@ -346,9 +346,9 @@
 	return nil
 }
 
-// Held returns up to n claims that have been unsettled for at least age, oldest first, without those for
+// UnsettledClaims returns up to n claims that have been unsettled for at least age, oldest first, without those for
 // which skip is true. It does not change the state.
-func (m *Machine) Held(now time.Time, age time.Duration, n int, skip func(wire.AttemptID) bool) []wire.ClaimRequest {
+func (m *Machine) UnsettledClaims(now time.Time, age time.Duration, n int, skip func(wire.AttemptID) bool) []wire.ClaimRequest {
 	return m.ledger.unsettledClaims(now.Add(-age).UnixMilli(), n, skip)
 }
 
@@ -358,26 +358,26 @@
 		return m.view
 	}
 	m.view = &View{
-		Config:      m.cache.history.Text(),
-		Texts:       m.cache.history,
-		Winner:      m.s.Winner,
-		MembersSeq:  m.s.MembersSeq,
-		Members:     m.memberView(),
-		fullList:    m.cache.fullList,
-		Ledger:      len(m.ledger.entries),
-		LedgerSize:  m.ledger.bytes,
-		Teams:       m.teamsView,
-		History:     m.historyView,
-		Orders:      m.s.Orders,
-		Forecast:    m.s.Forecast,
-		Fences:      m.s.Fences,
-		Fence:       m.s.Fence,
-		Owner:       m.s.Owner,
-		Evacuations: m.s.Evacuations,
-		Suspects:    m.suspects,
-		Quarantine:  m.quarantineEntries,
-		Rollouts:    m.s.Rollouts,
-		memberLog:   m.memberLog[:len(m.memberLog):len(m.memberLog)],
+		Config:        m.cache.history.Text(),
+		TextHistory:   m.cache.history,
+		Winner:        m.s.Winner,
+		MembersSeq:    m.s.MembersSeq,
+		Members:       m.memberView(),
+		fullList:      m.cache.fullList,
+		LedgerEntries: len(m.ledger.entries),
+		LedgerBytes:   m.ledger.bytes,
+		Teams:         m.teamsView,
+		ChangeHistory: m.historyView,
+		Orders:        m.s.Orders,
+		Forecast:      m.s.Forecast,
+		Fences:        m.s.Fences,
+		Fence:         m.s.Fence,
+		Owner:         m.s.Owner,
+		Evacuations:   m.s.Evacuations,
+		Suspects:      m.suspects,
+		Quarantine:    m.quarantineEntries,
+		Rollouts:      m.s.Rollouts,
+		memberLog:     m.memberLog[:len(m.memberLog):len(m.memberLog)],
 	}
 	return m.view
 }
