--- a/node/state/state.go
+++ b/node/state/state.go
@@ -95,7 +95,7 @@
 	Now        int64                         `cbor:"1,keyasint"`
 	Version    uint64                        `cbor:"2,keyasint"`
 	Text       string                        `cbor:"3,keyasint"`
-	Winner     string                        `cbor:"4,keyasint"` // id of the change that set Version
+	Winner     string                        `cbor:"4,keyasint"` // id of the change that set Version; empty after a put
 	Changes    []changeRecord                `cbor:"5,keyasint"`
 	Ledger     int                           `cbor:"6,keyasint"` // only in snapshots: number of ledger parts that follow
 	Members    map[wire.MemberID]wire.Member `cbor:"7,keyasint"`
@@ -135,7 +135,7 @@
 type View struct {
 	Config        wire.ConfigText
 	TextHistory   *textdelta.History
-	Winner        string // id of the change that set the version in force
+	Winner        string // id of the change that set the version in force; empty after a put
 	MembersSeq    uint64
 	Members       map[wire.MemberID]wire.Member
 	LedgerEntries int
