--- a/node/control/held.go
+++ b/node/control/held.go
@@ -48,7 +48,7 @@
 		return nil, s.notLeader()
 	}
 	claims, err := s.handouts.take(s.clock.Now(), func(n int, skip func(wire.AttemptID) bool) ([]wire.ClaimRequest, error) {
-		return s.replica.Held(ctx, heldAge, n, skip)
+		return s.replica.UnsettledClaims(ctx, heldAge, n, skip)
 	})
 	if err != nil {
 		return nil, err
