--- a/node/consensus/log.go
+++ b/node/consensus/log.go
@@ -1,7 +1,9 @@
 package consensus
 
-// raftLog holds the entries after the compacted part of the log. Invariants: compactedIndex <= committed <=
-// last; applied <= committed; entries up to stable are synced by the caller.
+// raftLog holds the entries after the compacted part of the log.
+//
+// Invariants: compactedIndex <= committed <= last; applied <= committed; entries up to stable are synced by
+// the caller.
 type raftLog struct {
 	compactedIndex uint64 // index of the last entry dropped from memory; a snapshot covers it
 	compactedTerm  uint64
--- a/node/consensus/ready.go
+++ b/node/consensus/ready.go
@@ -160,7 +160,7 @@
 	Committed, Applied        uint64
 	Membership                Membership
 	MembershipPending         bool
-	Progress                  map[NodeID]Progress // leader only
+	Progress                  map[NodeID]Progress // only on the leader
 	SnapshotIndex             uint64
 }
 
--- a/node/consensus/transfer.go
+++ b/node/consensus/transfer.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// HandoverMessages returns the message by which a leader whose storage has failed makes its successor campaign. It does
-// not change the node: entries that the leader has not synced were never acknowledged.
+// HandoverMessages returns the message by which a leader whose storage has failed makes its successor
+// campaign. It does not change the node: entries that the leader has not synced were never acknowledged.
 func (n *Node) HandoverMessages() []Message {
 	to := n.Successor()
 	if to == "" {
--- a/node/consensus/types.go
+++ b/node/consensus/types.go
@@ -1,7 +1,8 @@
 // Package consensus implements the Raft algorithm (Ongaro and Ousterhout, "In Search of an Understandable
 // Consensus Algorithm", 2014) as a pure state machine: it does no I/O and reads no clock. Its inputs are
-// messages, proposals and ticks; its output is Ready, which lists what must be synced, sent and applied. It
-// supports pre-vote, check-quorum and read index (Ongaro's thesis, sections 9.6, 6.2 and 6.4), snapshots,
+// messages, proposals and ticks; its output is Ready, which lists what must be synced, sent and applied.
+//
+// It supports pre-vote, check-quorum and read index (Ongaro's thesis, sections 9.6, 6.2 and 6.4), snapshots,
 // learners and membership changes of one voter at a time (section 4.3).
 package consensus
 
--- a/node/replica/calls.go
+++ b/node/replica/calls.go
@@ -121,7 +121,8 @@
 	return nil
 }
 
-// UnsettledClaims returns state.Machine.UnsettledClaims at the leader's clock, and nothing if this replica does not lead.
+// UnsettledClaims returns state.Machine.UnsettledClaims at the leader's clock, and nothing if this replica
+// does not lead.
 func (r *Replica) UnsettledClaims(ctx context.Context, age time.Duration, n int, skip func(wire.AttemptID) bool) (held []wire.ClaimRequest, err error) {
 	err = r.runOnLoop(ctx, func() {
 		if r.node.Status().Role == consensus.Leader {
--- a/node/replica/compact.go
+++ b/node/replica/compact.go
@@ -80,8 +80,8 @@
 	return (<-r.snapshotDone).err
 }
 
-// trimLog keeps the last entries before the snapshot in memory for followers that lag slightly: at most
-// trailingEntries of them and trailingBytes of data.
+// trimLog keeps the last entries before the snapshot at index in memory for followers that lag slightly: at
+// most trailingEntries of them and trailingBytes of data. It drops the older ones.
 func (r *Replica) trimLog(index uint64) {
 	first := r.node.Status().CompactedIndex
 	if index > trailingEntries {
--- a/node/state/state.go
+++ b/node/state/state.go
@@ -346,8 +346,8 @@
 	return nil
 }
 
-// UnsettledClaims returns up to n claims that have been unsettled for at least age, oldest first, without those for
-// which skip is true. It does not change the state.
+// UnsettledClaims returns up to n claims that have been unsettled for at least age, oldest first, without
+// those for which skip is true. It does not change the state.
 func (m *Machine) UnsettledClaims(now time.Time, age time.Duration, n int, skip func(wire.AttemptID) bool) []wire.ClaimRequest {
 	return m.ledger.unsettledClaims(now.Add(-age).UnixMilli(), n, skip)
 }
--- a/node/wal/wal.go
+++ b/node/wal/wal.go
@@ -1,8 +1,10 @@
 // Package wal stores a replica's log and snapshots in one data folder. Save returns only after everything
-// given to it is synced. A log file is a sequence of records, one per Save. A record consists of the length,
-// the CRC-32C of the body, the CRC-32C of these two fields, and a CBOR body. A record whose write was
-// interrupted is shorter than its length or ends in zeros; Open truncates it. Any other damage is corruption
-// and makes Open fail.
+// given to it is synced.
+//
+// A log file is a sequence of records, one per Save. A record consists of the length of the body, the CRC-32C
+// of the body, the CRC-32C of these two fields, and the body in CBOR. A record whose write was interrupted is
+// shorter than its length or ends in zeros; Open truncates it. Any other damage is corruption and makes Open
+// fail.
 package wal
 
 import (
