--- a/node/coldstart/coldstart.go
+++ b/node/coldstart/coldstart.go
@@ -27,7 +27,7 @@
 }
 
 // part is how many calls a second one part of the bound is.
-func (l Limit) part(rate float64) float64 {
+func (l Limit) share(rate float64) float64 {
 	excess := l.Excess
 	if excess <= 0 {
 		excess = 1
@@ -41,17 +41,17 @@
 
 // Allows reports whether one more call may go there now. Upstreams without a rate take any.
 func (c *Chooser) Allows(now time.Time, l Limit, rate float64) bool {
-	return rate <= 0 || c.within(now) < int(l.part(rate))
+	return rate <= 0 || c.recent(now) < int(l.share(rate))
 }
 
 // Count notes a call.
 func (c *Chooser) Count(now time.Time) {
-	c.within(now)
+	c.recent(now)
 	c.sent = append(c.sent, now)
 }
 
 // within returns how many calls there were in the second before now.
-func (c *Chooser) within(now time.Time) int {
+func (c *Chooser) recent(now time.Time) int {
 	old := 0
 	for old < len(c.sent) && now.Sub(c.sent[old]) >= time.Second {
 		old++
@@ -63,43 +63,43 @@
 // Among reports whether self is one of the processes of an upstream's data centre that may call it
 // by themselves. Processes that know the same others agree on which these are.
 func (l Limit) Among(rate float64, upstream, self string, processes []string) bool {
-	own, before := place(upstream, self), 0
+	own, before := rank(upstream, self), 0
 	for _, p := range processes {
-		if place(upstream, p) < own {
+		if rank(upstream, p) < own {
 			before++
 		}
 	}
-	return before < int(l.part(rate))
+	return before < int(l.share(rate))
 }
 
 // place orders the processes differently for each upstream.
-func place(upstream, process string) uint64 { return xxhash.Sum64String(upstream + "/" + process) }
+func rank(upstream, process string) uint64 { return xxhash.Sum64String(upstream + "/" + process) }
 
 // Direct bounds what a process that chooses by itself sends to each upstream. It is safe for
 // concurrent use.
 type Direct struct {
-	mu   sync.Mutex
-	next map[string]time.Time // by upstream: when another call may go there
+	mu          sync.Mutex
+	nextAllowed map[string]time.Time // by upstream: when another call may go there
 }
 
 // Allows reports whether a call may go to the upstream now.
 func (d *Direct) Allows(now time.Time, upstream string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !now.Before(d.next[upstream])
+	return !now.Before(d.nextAllowed[upstream])
 }
 
 // Count notes a call.
 func (d *Direct) Count(now time.Time, upstream string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.next == nil {
-		d.next = map[string]time.Time{}
+	if d.nextAllowed == nil {
+		d.nextAllowed = map[string]time.Time{}
 	}
-	for other, at := range d.next { // few are cold at a time
+	for other, at := range d.nextAllowed { // few are cold at a time
 		if !now.Before(at) {
-			delete(d.next, other)
+			delete(d.nextAllowed, other)
 		}
 	}
-	d.next[upstream] = now.Add(time.Second)
+	d.nextAllowed[upstream] = now.Add(time.Second)
 }
--- a/node/proxy/admit.go
+++ b/node/proxy/admit.go
@@ -23,15 +23,15 @@
 	}
 	if x.route = x.table.route(x.r.Host, x.r.URL.EscapedPath()); x.route == nil {
 		if s.stale() {
-			return verdict.New(verdict.NotRun, verdict.CodeStale, "no such route as far as is known here").After(afterOutage())
+			return verdict.New(verdict.NotRun, verdict.CodeStale, "no such route as far as is known here").After(outageRetryAfter())
 		}
 		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no such route")
 	}
-	if err := x.identify(); err != nil {
+	if err := x.authenticate(); err != nil {
 		return err
 	}
-	x.within = x.table.regions.Within(x.route.Regions, x.customerRegions())
-	x.service = x.table.config.Services[service(x.route, rand.Float64())]
+	x.allowed = x.table.regions.Within(x.route.Regions, x.customerRegions())
+	x.service = x.table.config.Services[pickService(x.route, rand.Float64())]
 	x.deadline = x.began.Add(x.route.Timeout)
 	if wait := x.call.Wait; wait > 0 && wait < x.route.Timeout {
 		x.deadline = x.began.Add(wait)
@@ -45,13 +45,13 @@
 	if x.table.configured() {
 		return nil
 	}
-	tooLate := x.s.first.wait(x.r.Context(), x.call.Wait)
+	tooLate := x.s.startup.wait(x.r.Context(), x.call.Wait)
 	x.table = x.s.table.Load()
 	switch {
 	case tooLate:
 		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline passed before there was a configuration")
 	case !x.table.configured():
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "no configuration yet").After(afterOutage())
+		return verdict.New(verdict.NotRun, verdict.CodeStale, "no configuration yet").After(outageRetryAfter())
 	}
 	return nil
 }
@@ -65,18 +65,18 @@
 
 // identify finds out whose call it is. A key counts only while this process
 // knows that it was not withdrawn.
-func (x *exchange) identify() error {
+func (x *exchange) authenticate() error {
 	if x.route.Public || len(x.table.customers) == 0 {
 		return nil
 	}
-	if x.s.sync.StampAge() > x.s.set.Proxy.KeyAge {
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "keys cannot be checked here now").After(afterOutage())
+	if x.s.views.StampAge() > x.s.set.Proxy.KeyAge {
+		return verdict.New(verdict.NotRun, verdict.CodeStale, "keys cannot be checked here now").After(outageRetryAfter())
 	}
 	if x.customer = x.table.customer(x.call.Key); x.customer != nil {
 		return nil
 	}
 	if x.s.stale() {
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "no such key as far as is known here").After(afterOutage())
+		return verdict.New(verdict.NotRun, verdict.CodeStale, "no such key as far as is known here").After(outageRetryAfter())
 	}
 	e := verdict.New(verdict.NotRun, verdict.CodeInvalid, "unknown key")
 	e.Status = http.StatusUnauthorized
@@ -84,20 +84,20 @@
 }
 
 // read takes in the body.
-func (x *exchange) read() error {
+func (x *exchange) readBody() error {
 	limit := x.table.config.Limits.MaxBodyBytes
 	if limit <= 0 {
-		limit = defaultMaxBody
+		limit = defaultMaxBodyBytes
 	}
 	var err error
-	x.body, err = io.ReadAll(&fullReader{r: http.MaxBytesReader(x.w, x.r.Body, limit), held: &x.held, free: freeBytes})
+	x.body, err = io.ReadAll(&bodyReader{r: http.MaxBytesReader(x.w, x.r.Body, limit), memory: &x.memory, uncounted: uncountedBytes})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body is above %d bytes", limit)
-	case errors.Is(err, errHeld):
-		noRoomVar.Add(1)
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s", err).After(comeBack)
+	case errors.Is(err, errNoMemory):
+		bodiesRefusedVar.Add(1)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s", err).After(defaultRetryAfter)
 	case err != nil:
 		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body ended early")
 	}
--- a/node/proxy/cold_test.go
+++ b/node/proxy/coldstart_test.go
@@ -26,28 +26,28 @@
 	for _, p := range processes {
 		may[limit.Among(18, "i-here", p, processes)] = wire.MemberID(p)
 	}
-	c := choice{dataCenter: "north", cold: coldShare{limit: limit, rate: 18, self: may[false], nearby: processes}}
-	if m, ok := e.take(list, c, now); ok {
+	c := criteria{dataCenter: "north", cold: coldPolicy{limit: limit, rate: 18, self: may[false], nearby: processes}}
+	if m, ok := e.acquire(list, c, now); ok {
 		t.Fatalf("took %q, which others share", m.ID)
 	}
 	c.cold.self = may[true]
-	if m, ok := e.take(list, c, now); !ok || m.ID != here.ID {
+	if m, ok := e.acquire(list, c, now); !ok || m.ID != here.ID {
 		t.Fatalf("took %q, %t", m.ID, ok)
 	}
 	for _, after := range []time.Duration{0, 900 * time.Millisecond} {
-		if m, ok := e.take(list, c, now.Add(after)); ok {
+		if m, ok := e.acquire(list, c, now.Add(after)); ok {
 			t.Fatalf("took %q again after %s", m.ID, after)
 		}
 	}
-	if _, ok := e.take(list, c, now.Add(time.Second)); !ok {
+	if _, ok := e.acquire(list, c, now.Add(time.Second)); !ok {
 		t.Fatal("took none when it may again")
 	}
-	c.wanted = there.ID
-	if m, ok := e.take(list, c, now.Add(2*time.Second)); !ok || m.ID != there.ID {
+	c.chosen = there.ID
+	if m, ok := e.acquire(list, c, now.Add(2*time.Second)); !ok || m.ID != there.ID {
 		t.Fatalf("took %q in place of the owner's choice", m.ID)
 	}
-	c.wanted, c.cold.rate = "", 0
-	if _, ok := e.take(list, c, now.Add(2*time.Second)); !ok {
+	c.chosen, c.cold.rate = "", 0
+	if _, ok := e.acquire(list, c, now.Add(2*time.Second)); !ok {
 		t.Fatal("an upstream without a rate is bounded")
 	}
 }
--- a/node/proxy/endpoints.go
+++ b/node/proxy/endpoints.go
@@ -16,15 +16,15 @@
 const (
 	// pauseMin is how long an upstream is passed over after a call that failed,
 	// doubled with each failure in a row up to pauseMax.
-	pauseMin = 250 * time.Millisecond
-	pauseMax = 4 * time.Second
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 4 * time.Second
 	// fullPause is how long one that was full is passed over.
-	fullPause = 50 * time.Millisecond
+	refusalBackoff = 50 * time.Millisecond
 	// silence is how long an upstream of short calls may leave all of them
 	// unanswered until others are preferred. Over ten times a usual call.
-	silence = 400 * time.Millisecond
+	maxSilence = 400 * time.Millisecond
 	// darkFor is for how long the owner's word counts that a data centre is dark.
-	darkFor = 2 * time.Second
+	unreachableTTL = 2 * time.Second
 	// affinitySlack is how many more calls an upstream that holds a prompt's
 	// prefix may have than the next one by the same hash.
 	affinitySlack = 6
@@ -34,54 +34,54 @@
 type endpoints struct {
 	notices *upstream.Notices // what upstreams say themselves
 
-	mu     sync.Mutex
-	lists  map[string][]wire.Member // of the last view
-	by     map[wire.Start]*endpoint
-	direct coldstart.Direct
-	split  *rollout.Split
-	dark   map[string]time.Time // data centres whose upstreams are passed over, until then
+	mu               sync.Mutex
+	announced        map[string][]wire.Member // of the last view
+	byStart          map[wire.Start]*endpoint
+	direct           coldstart.Direct
+	split            *rollout.Split
+	unreachableUntil map[string]time.Time // data centres whose upstreams are passed over, until then
 }
 
 type endpoint struct {
-	inFlight int
-	failures int
-	until    time.Time // passed over until then
-	moved    bool      // another upstream has its address
-	gone     bool      // it is no member any more: it is forgotten with its last call
-	waiting  time.Time // since when calls are unanswered; zero when none is
+	inFlight     int
+	failures     int
+	avoidUntil   time.Time // passed over until then
+	addressTaken bool      // another upstream has its address
+	removed      bool      // it is no member any more: it is forgotten with its last call
+	silentSince  time.Time // since when calls are unanswered; zero when none is
 }
 
 func newEndpoints(n *upstream.Notices) *endpoints {
-	return &endpoints{notices: n, by: map[wire.Start]*endpoint{}, split: rollout.NewSplit(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
+	return &endpoints{notices: n, byStart: map[wire.Start]*endpoint{}, split: rollout.NewSplit(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
 }
 
 // keep forgets upstreams that are no members. It returns the addresses of those that
 // have started again since the last call. Services whose upstreams have not changed are passed over.
-func (e *endpoints) keep(announced map[string][]wire.Member) (again []string) {
+func (e *endpoints) update(announced map[string][]wire.Member) (again []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for service, before := range e.lists {
+	for service, before := range e.announced {
 		if _, there := announced[service]; !there {
-			again = append(again, e.replace(before, nil)...)
+			again = append(again, e.updateService(before, nil)...)
 		}
 	}
 	for service, list := range announced {
-		if before := e.lists[service]; !configsync.SameList(before, list) {
-			again = append(again, e.replace(before, list)...)
+		if before := e.announced[service]; !configsync.SameList(before, list) {
+			again = append(again, e.updateService(before, list)...)
 		}
 	}
-	e.lists = announced
+	e.announced = announced
 	return again
 }
 
 // replace takes over the next list of a service.
-func (e *endpoints) replace(before, list []wire.Member) (again []string) {
+func (e *endpoints) updateService(before, list []wire.Member) (again []string) {
 	before, list = configsync.ChangedPart(before, list)
 	present := make(map[wire.MemberID]int, len(list))
 	for i, m := range list {
 		present[m.ID] = i
-		if ep := e.by[m.Start()]; ep != nil {
-			ep.gone = false
+		if ep := e.byStart[m.Start()]; ep != nil {
+			ep.removed = false
 		}
 	}
 	for _, m := range before {
@@ -92,27 +92,27 @@
 		if there {
 			again = append(again, list[i].Direct)
 		}
-		if ep := e.by[m.Start()]; ep != nil && ep.inFlight == 0 {
-			delete(e.by, m.Start())
+		if ep := e.byStart[m.Start()]; ep != nil && ep.inFlight == 0 {
+			delete(e.byStart, m.Start())
 		} else if ep != nil {
-			ep.gone = true
+			ep.removed = true
 		}
 	}
 	return again
 }
 
 // choice is what decides between upstreams.
-type choice struct {
+type criteria struct {
 	tried      []wire.Start
 	dataCenter string        // preferred
 	affinity   uint64        // hash of a prompt's shared parts; zero for none
-	short      bool          // calls are short, so that silence means something
-	wanted     wire.MemberID // taken where nothing speaks against it; empty for none
-	cold       coldShare
+	shortCalls bool          // calls are short, so that silence means something
+	chosen     wire.MemberID // taken where nothing speaks against it; empty for none
+	cold       coldPolicy
 }
 
 // coldShare is what this process may send to upstreams that are cold and that nobody chose for it.
-type coldShare struct {
+type coldPolicy struct {
 	limit  coldstart.Limit
 	rate   float64 // of the service's upstreams; zero: any
 	self   wire.MemberID
@@ -120,86 +120,86 @@
 }
 
 // take picks an upstream, and counts the call as its own until release.
-func (e *endpoints) take(list []wire.Member, c choice, now time.Time) (wire.Member, bool) {
+func (e *endpoints) acquire(list []wire.Member, c criteria, now time.Time) (wire.Member, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m, found := e.pick(list, c, now)
+	m, found := e.pickVersion(list, c, now)
 	if !found {
 		return m, false
 	}
-	if m.ID != c.wanted {
+	if m.ID != c.chosen {
 		e.split.Sent(m.Service, m.Version)
 	}
-	if m.Cold && m.ID != c.wanted {
+	if m.Cold && m.ID != c.chosen {
 		e.direct.Count(now, string(m.ID))
 	}
 	ep := e.get(m.Start())
 	ep.inFlight++
-	if ep.waiting.IsZero() {
-		ep.waiting = now
+	if ep.silentSince.IsZero() {
+		ep.silentSince = now
 	}
 	return m, true
 }
 
 // pick picks an upstream of the versions to which the call may go. One that the owner of the
 // stages wants was counted there.
-func (e *endpoints) pick(list []wire.Member, c choice, now time.Time) (wire.Member, bool) {
+func (e *endpoints) pickVersion(list []wire.Member, c criteria, now time.Time) (wire.Member, bool) {
 	if len(list) == 0 {
 		return wire.Member{}, false
 	}
 	service := list[0].Service
 	stable := e.split.Stable(service)
 	if stable.Whole() {
-		return e.best(list, c, now)
+		return e.pickBest(list, c, now)
 	}
-	if wanted := slices.IndexFunc(list, func(m wire.Member) bool { return m.ID == c.wanted }); wanted >= 0 {
-		return e.best(append(stable.Choose(list), list[wanted]), c, now)
+	if wanted := slices.IndexFunc(list, func(m wire.Member) bool { return m.ID == c.chosen }); wanted >= 0 {
+		return e.pickBest(append(stable.Choose(list), list[wanted]), c, now)
 	}
 	if track := e.split.Next(service, e.split.HasTarget(service, list)); track.Target() {
-		if m, ok := e.best(track.Choose(list), c, now); ok {
+		if m, ok := e.pickBest(track.Choose(list), c, now); ok {
 			return m, true
 		}
 	}
-	return e.best(stable.Choose(list), c, now)
+	return e.pickBest(stable.Choose(list), c, now)
 }
 
 // hear takes over which data centres are dark, as the owner of the stages says.
-func (e *endpoints) hear(dark []string, now time.Time) {
+func (e *endpoints) setUnreachable(dark []string, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dark = nil
+	e.unreachableUntil = nil
 	for _, dc := range dark {
-		if e.dark == nil {
-			e.dark = map[string]time.Time{}
+		if e.unreachableUntil == nil {
+			e.unreachableUntil = map[string]time.Time{}
 		}
-		e.dark[dc] = now.Add(darkFor)
+		e.unreachableUntil[dc] = now.Add(unreachableTTL)
 	}
 }
 
 // follow takes over the roll-outs of a view.
-func (e *endpoints) follow(r wire.Rollouts) {
+func (e *endpoints) setRollouts(r wire.Rollouts) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.split.Follow(r)
 }
 
 // peek returns what take would pick.
-func (e *endpoints) peek(list []wire.Member, c choice, now time.Time) (wire.Member, bool) {
+func (e *endpoints) peek(list []wire.Member, c criteria, now time.Time) (wire.Member, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.best(list, c, now)
+	return e.pickBest(list, c, now)
 }
 
-func (e *endpoints) best(list []wire.Member, c choice, now time.Time) (wire.Member, bool) {
+func (e *endpoints) pickBest(list []wire.Member, c criteria, now time.Time) (wire.Member, bool) {
 	best, found := -1, false
 	var bestRank rank
 	for i, m := range list {
 		ep := e.get(m.Start())
-		if ep.moved || slices.Contains(c.tried, m.Start()) || !e.mayWarm(m, c, now) || !e.notices.Wants(m.Start()) {
+		if ep.addressTaken || slices.Contains(c.tried, m.Start()) || !e.allowsCold(m, c, now) || !e.notices.Wants(m.Start()) {
 			continue
 		}
 		r := e.rank(ep, m, c, now)
-		if m.ID == c.wanted && !r.paused {
+		if m.ID == c.chosen && !r.avoided {
 			return m, true
 		}
 		if !found || r.less(bestRank) {
@@ -213,8 +213,8 @@
 }
 
 // mayWarm reports whether a call may go to the upstream as far as it is cold.
-func (e *endpoints) mayWarm(m wire.Member, c choice, now time.Time) bool {
-	if !m.Cold || c.cold.rate <= 0 || m.ID == c.wanted {
+func (e *endpoints) allowsCold(m wire.Member, c criteria, now time.Time) bool {
+	if !m.Cold || c.cold.rate <= 0 || m.ID == c.chosen {
 		return true
 	}
 	return m.DataCenter == c.dataCenter && e.direct.Allows(now, string(m.ID)) && c.cold.limit.Among(c.cold.rate, string(m.ID), string(c.cold.self), c.cold.nearby)
@@ -222,14 +222,14 @@
 
 // rank orders upstreams; the least is the best.
 type rank struct {
-	paused bool
-	load   float64
-	tie    uint64
+	avoided bool
+	load    float64
+	tie     uint64
 }
 
 func (r rank) less(o rank) bool {
-	if r.paused != o.paused {
-		return !r.paused
+	if r.avoided != o.avoided {
+		return !r.avoided
 	}
 	if r.load != o.load {
 		return r.load < o.load
@@ -237,10 +237,10 @@
 	return r.tie < o.tie
 }
 
-func (e *endpoints) rank(ep *endpoint, m wire.Member, c choice, now time.Time) rank {
-	r := rank{paused: now.Before(ep.until) || m.ID != c.wanted && now.Before(e.dark[m.DataCenter]), load: float64(ep.inFlight)}
-	if c.short && !ep.waiting.IsZero() && now.Sub(ep.waiting) > silence {
-		r.paused = true
+func (e *endpoints) rank(ep *endpoint, m wire.Member, c criteria, now time.Time) rank {
+	r := rank{avoided: now.Before(ep.avoidUntil) || m.ID != c.chosen && now.Before(e.unreachableUntil[m.DataCenter]), load: float64(ep.inFlight)}
+	if c.shortCalls && !ep.silentSince.IsZero() && now.Sub(ep.silentSince) > maxSilence {
+		r.avoided = true
 	}
 	if c.affinity != 0 {
 		r.load, r.tie = float64(ep.inFlight/affinitySlack), upstream.Weight(c.affinity, m.ID)
@@ -254,63 +254,63 @@
 }
 
 func (e *endpoints) get(start wire.Start) *endpoint {
-	ep := e.by[start]
+	ep := e.byStart[start]
 	if ep == nil {
 		ep = &endpoint{}
-		e.by[start] = ep
+		e.byStart[start] = ep
 	}
 	return ep
 }
 
 // heard notes that the upstream answered something.
-func (e *endpoints) heard(start wire.Start, now time.Time) {
+func (e *endpoints) noteAnswer(start wire.Start, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ep := e.get(start)
-	ep.waiting = time.Time{}
+	ep.silentSince = time.Time{}
 	if ep.inFlight > 1 {
-		ep.waiting = now
+		ep.silentSince = now
 	}
 }
 
 // standing is what the end of a call says of the upstream.
-type standing int
+type callOutcome int
 
 const (
-	stood    standing = iota // it answered
-	failed                   // it did not answer, or broke off
-	wasFull                  // it refused the call
-	wasMoved                 // another upstream answered at its address
-	unknown                  // the caller left, or its time was over
+	callAnswered callOutcome = iota // it answered
+	callFailed                      // it did not answer, or broke off
+	callRefused                     // it refused the call
+	callMoved                       // another upstream answered at its address
+	callUnknown                     // the caller left, or its time was over
 )
 
 // release ends a call.
-func (e *endpoints) release(start wire.Start, s standing, now time.Time) {
+func (e *endpoints) release(start wire.Start, s callOutcome, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ep := e.get(start)
 	if ep.inFlight--; ep.inFlight == 0 {
-		ep.waiting = time.Time{}
-		if ep.gone {
-			delete(e.by, start)
+		ep.silentSince = time.Time{}
+		if ep.removed {
+			delete(e.byStart, start)
 			return
 		}
 	}
 	switch s {
-	case stood:
+	case callAnswered:
 		ep.failures = 0
-	case failed:
+	case callFailed:
 		ep.failures++
-		ep.until = now.Add(min(pauseMin<<min(ep.failures-1, 8), pauseMax))
-	case wasFull:
-		ep.until = now.Add(fullPause)
-	case wasMoved:
-		ep.moved = true
+		ep.avoidUntil = now.Add(min(minBackoff<<min(ep.failures-1, 8), maxBackoff))
+	case callRefused:
+		ep.avoidUntil = now.Add(refusalBackoff)
+	case callMoved:
+		ep.addressTaken = true
 	}
 }
 
 // load returns how many calls this process has at the upstream.
-func (e *endpoints) load(start wire.Start) int {
+func (e *endpoints) callsInFlight(start wire.Start) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.get(start).inFlight
--- a/node/proxy/events.go
+++ b/node/proxy/events.go
@@ -9,14 +9,14 @@
 // again.
 type eventSplitter struct {
 	pending []byte
-	last    string // id of the last whole event
+	lastID  string // id of the last whole event
 }
 
 // feed takes in bytes and returns those that complete events; the slice is
 // valid until the next call.
 func (e *eventSplitter) feed(p []byte) []byte {
 	e.pending = append(e.pending, p...)
-	end := wholeEvents(e.pending)
+	end := completeEventsEnd(e.pending)
 	if end == 0 {
 		return nil
 	}
@@ -27,7 +27,7 @@
 }
 
 // wholeEvents returns where the last blank line ends.
-func wholeEvents(p []byte) int {
+func completeEventsEnd(p []byte) int {
 	end := 0
 	if i := bytes.LastIndex(p, []byte("\n\n")); i >= 0 {
 		end = i + 2
@@ -41,7 +41,7 @@
 func (e *eventSplitter) noteID(whole []byte) {
 	for line := range bytes.Lines(whole) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			e.last = string(bytes.TrimSpace(id))
+			e.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
--- a/node/proxy/fleet_test.go
+++ b/node/proxy/fleet_test.go
@@ -34,8 +34,8 @@
 	return out
 }
 
-func fleetText(customers int) string {
-	out := text
+func fleetConfig(customers int) string {
+	out := testConfig
 	for i := range customers {
 		out += fmt.Sprintf("[customer:c%04d]\nkeys = a%04d, b%04d\n", i, i, i)
 	}
@@ -44,35 +44,35 @@
 
 // fleet is a process of a large deployment that follows its members.
 type fleet struct {
-	holder  *configsync.Holder
-	service *Service
-	members []wire.Member
-	first   int // of the engines in members
-	seq     uint64
+	holder      *configsync.Holder
+	service     *Service
+	members     []wire.Member
+	firstEngine int // of the engines in members
+	seq         uint64
 }
 
 func newFleet(t testing.TB, processes int) *fleet {
-	f := &fleet{holder: configsync.NewHolder(wire.Member{ID: "proxy-1"}), service: newFollower(t), members: fleetMembers(processes), first: processes, seq: 1}
-	whole := fleetText(333)
-	f.take(t, &wire.SyncReply{Config: &wire.ConfigText{Version: 1, Text: whole, Hash: xxhash.Sum64String(whole)}, Members: &wire.MembersDelta{To: 1, Whole: true, Changed: f.members}})
+	f := &fleet{holder: configsync.NewHolder(wire.Member{ID: "proxy-1"}), service: newFollower(t), members: fleetMembers(processes), firstEngine: processes, seq: 1}
+	whole := fleetConfig(333)
+	f.applySync(t, &wire.SyncReply{Config: &wire.ConfigText{Version: 1, Text: whole, Hash: xxhash.Sum64String(whole)}, Members: &wire.MembersDelta{To: 1, Whole: true, Changed: f.members}})
 	return f
 }
 
-func (f *fleet) take(t testing.TB, r *wire.SyncReply) {
+func (f *fleet) applySync(t testing.TB, r *wire.SyncReply) {
 	r.Version, r.MembersSeq = 1, f.seq
 	v, err := f.holder.Take(r, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.service.follow(v)
+	f.service.applyView(v)
 }
 
 // replace has an upstream be replaced by its next start.
-func (f *fleet) replace(t testing.TB, i int) {
-	m := f.members[f.first+i%f.first]
+func (f *fleet) restartEngine(t testing.TB, i int) {
+	m := f.members[f.firstEngine+i%f.firstEngine]
 	m.Incarnation = f.seq + 1
 	f.seq++
-	f.take(t, &wire.SyncReply{Members: &wire.MembersDelta{From: f.seq - 1, To: f.seq, Changed: []wire.Member{m}}})
+	f.applySync(t, &wire.SyncReply{Members: &wire.MembersDelta{From: f.seq - 1, To: f.seq, Changed: []wire.Member{m}}})
 }
 
 // TestMemberChangeCopiesOneList has engines be replaced in deployments of three sizes: a process allocates no more
@@ -87,11 +87,11 @@
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for i := range changes {
-			f.replace(t, i)
+			f.restartEngine(t, i)
 		}
 		runtime.ReadMemStats(&after)
 		allocated := (after.TotalAlloc - before.TotalAlloc) / changes
-		list := f.holder.View().Announced[f.members[f.first].Service]
+		list := f.holder.View().Announced[f.members[f.firstEngine].Service]
 		if bound := uint64(len(list)*int(unsafe.Sizeof(wire.Member{}))*5/4 + fixed); allocated > bound {
 			t.Errorf("%d processes: %d bytes a change, more than %d", processes, allocated, bound)
 		}
@@ -105,7 +105,7 @@
 			f := newFleet(b, processes)
 			b.ResetTimer()
 			for i := range b.N {
-				f.replace(b, i)
+				f.restartEngine(b, i)
 			}
 		})
 	}
@@ -113,6 +113,6 @@
 
 func newFollower(t testing.TB) *Service {
 	s := newService(&settings.Settings{Proxy: settings.ProxyRole{RepeatRatio: 0.2, RepeatFixed: 50, RepeatWindow: 10 * time.Second}}, logr.Discard(), upstream.Native{}, noNotices(), &fixedViews{}, &fakeStages{})
-	s.share(clockwork.NewFakeClock())
+	s.initQuota(clockwork.NewFakeClock())
 	return s
 }
--- a/node/proxy/holdings_test.go
+++ b/node/proxy/memory_test.go
@@ -16,15 +16,15 @@
 			callers = 5
 			size    = 700 << 10
 		)
-		h := &holdings{limit: 1 << 20}
+		h := &memoryBudget{limit: 1 << 20}
 		all := make(chan struct{}) // closed once each has a part
 		var wg sync.WaitGroup
 		for range callers {
 			part := make(chan struct{})
 			wg.Go(func() {
-				mine := held{all: h}
+				mine := callMemory{budget: h}
 				defer mine.release()
-				r := &patientReader{ctx: t.Context(), r: bytes.NewReader(make([]byte, size)), held: &mine, free: freeBytes}
+				r := &answerReader{ctx: t.Context(), r: bytes.NewReader(make([]byte, size)), memory: &mine, uncounted: uncountedBytes}
 				if _, err := io.ReadFull(r, make([]byte, size/callers)); err != nil {
 					t.Error(err)
 				}
--- a/node/proxy/pause_test.go
+++ b/node/proxy/pause_test.go
@@ -13,7 +13,7 @@
 )
 
 // asksForPause turns calls away and asks for a pause.
-func asksForPause(seconds string, arrived *atomic.Int32) http.HandlerFunc {
+func refuseWithPause(seconds string, arrived *atomic.Int32) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		arrived.Add(1)
 		w.Header().Set(wire.HeaderVerdict, verdict.NotRun.String())
@@ -25,14 +25,14 @@
 // TestPausedUpstreamIsNotTried has one upstream of three ask for a pause: it gets nothing more, also where the owner of the
 // stages chose it. Once all have asked, callers hear of the least pause at once and no repeat is counted.
 func TestPausedUpstreamIsNotTried(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	var paused, served atomic.Int32
 	var all atomic.Bool
-	b.upstream("llm", "i-1", asksForPause("3600", &paused))
+	b.upstream("llm", "i-1", refuseWithPause("3600", &paused))
 	for _, id := range []string{"i-2", "i-3"} {
 		b.upstream("llm", id, func(w http.ResponseWriter, r *http.Request) {
 			if all.Load() {
-				asksForPause(map[string]string{"i-2": "600.5", "i-3": "900"}[id], &served)(w, r)
+				refuseWithPause(map[string]string{"i-2": "600.5", "i-3": "900"}[id], &served)(w, r)
 				return
 			}
 			served.Add(1)
@@ -73,11 +73,11 @@
 
 // TestUpstreamThatSpokeMeanwhile asks for a pause while a call is on its way to it.
 func TestUpstreamThatSpokeMeanwhile(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	var arrived atomic.Int32
 	b.upstream("desk", "i-1", func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
 	start := b.view.Announced["desk"][0].Start()
-	m, ok := b.service.endpoints.take(b.view.Announced["desk"], choice{}, time.Now())
+	m, ok := b.service.endpoints.acquire(b.view.Announced["desk"], criteria{}, time.Now())
 	if !ok || m.Start() != start {
 		t.Fatal(m, ok)
 	}
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -26,7 +26,7 @@
 	"caperdrum.org/node/upstream"
 )
 
-const text = `
+const testConfig = `
 [service:desk]
 kind = plain
 upstreams = announced
@@ -127,10 +127,10 @@
 func (f *fakeStages) Silent() time.Duration { return f.silent }
 
 // bed is a proxy before upstreams that a test scripts.
-type bed struct {
+type fixture struct {
 	t       *testing.T
 	service *Service
-	front   *httptest.Server
+	server  *httptest.Server
 	views   *fixedViews
 	stages  *fakeStages
 	clock   *clockwork.FakeClock // of the quota
@@ -141,29 +141,29 @@
 	return upstream.NewNotices(logr.Discard(), clockwork.NewRealClock())
 }
 
-func newBed(t *testing.T) *bed {
-	config, err := optext.Parse("text", []byte(text))
+func newFixture(t *testing.T) *fixture {
+	config, err := optext.Parse("text", []byte(testConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, views: &fixedViews{}, stages: &fakeStages{}}
+	b := &fixture{t: t, views: &fixedViews{}, stages: &fakeStages{}}
 	self := b.views.Self()
 	b.view = configsync.View{Config: config, Version: 7, Announced: map[string][]wire.Member{}, Members: memberset.Of(self), Peers: []wire.Member{self}}
 	b.service = newService(&settings.Settings{Proxy: settings.ProxyRole{KeyAge: 4 * time.Second, RepeatRatio: 0.2, RepeatFixed: 50, RepeatWindow: 10 * time.Second}}, logr.Discard(), upstream.Native{}, noNotices(), b.views, b.stages)
 	b.clock = clockwork.NewFakeClock()
-	b.service.share(b.clock)
-	b.front = httptest.NewServer(b.service)
+	b.service.initQuota(b.clock)
+	b.server = httptest.NewServer(b.service)
 	t.Cleanup(func() {
-		b.front.Close()
+		b.server.Close()
 		b.service.pool.Close()
 	})
-	b.service.follow(&b.view)
+	b.service.applyView(&b.view)
 	b.clock.Advance(time.Minute) // the process is settled
 	return b
 }
 
 // upstream adds an upstream of the service.
-func (b *bed) upstream(service, id string, h http.HandlerFunc) {
+func (b *fixture) upstream(service, id string, h http.HandlerFunc) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderRequestID, r.Header.Get(wire.HeaderRequestID))
 		h(w, r)
@@ -172,7 +172,7 @@
 	b.announce(service, append(b.view.Announced[service], wire.Member{ID: wire.MemberID(id), Service: service, Direct: srv.Listener.Addr().String()}))
 }
 
-func (b *bed) announce(service string, list []wire.Member) {
+func (b *fixture) announce(service string, list []wire.Member) {
 	next := b.view
 	next.Announced = map[string][]wire.Member{}
 	for name, l := range b.view.Announced {
@@ -180,12 +180,12 @@
 	}
 	next.Announced[service] = list
 	b.view = next
-	b.service.follow(&next)
+	b.service.applyView(&next)
 }
 
-func (b *bed) send(method, path string, header map[string]string) (*http.Response, string, error) {
+func (b *fixture) send(method, path string, header map[string]string) (*http.Response, string, error) {
 	b.t.Helper()
-	r, err := http.NewRequest(method, b.front.URL+path, strings.NewReader("body"))
+	r, err := http.NewRequest(method, b.server.URL+path, strings.NewReader("body"))
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 	return resp, string(body), err
 }
 
-func (b *bed) want(status int, method, path string, header map[string]string) string {
+func (b *fixture) wantStatus(status int, method, path string, header map[string]string) string {
 	b.t.Helper()
 	resp, body, err := b.send(method, path, header)
 	if err != nil || resp.StatusCode != status {
@@ -218,7 +218,7 @@
 
 func breakOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func ok(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done ", r.URL.Path) }
+func answerOK(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done ", r.URL.Path) }
 
 func refuseNotRun(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(wire.HeaderVerdict, verdict.NotRun.String())
@@ -228,13 +228,13 @@
 // TestCallReachesItsRoute passes method, path, body and the customer on, and
 // neither the key nor headers that only caperdrum sets.
 func TestCallReachesItsRoute(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	b.upstream("desk", "d1", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s %s customer=%s key=%q instance=%s inputs=%q", r.Method, r.RequestURI, body, r.Header.Get("Caperdrum-Customer"),
 			r.Header.Get("Authorization"), r.Header.Get("Caperdrum-Instance"), r.Header.Get("Caperdrum-Inputs"))
 	})
-	got := b.want(http.StatusOK, http.MethodPost, "/confirm/a%2Fb?x=1", map[string]string{"Caperdrum-Inputs": "forged", "Caperdrum-Customer": "forged"})
+	got := b.wantStatus(http.StatusOK, http.MethodPost, "/confirm/a%2Fb?x=1", map[string]string{"Caperdrum-Inputs": "forged", "Caperdrum-Customer": "forged"})
 	if want := `POST /confirm/a%2Fb?x=1 body customer=foundry key="" instance=d1 inputs=""`; got != want {
 		t.Fatalf("got %s", got)
 	}
@@ -259,25 +259,25 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			b.upstream("desk", "d1", ok)
+			b := newFixture(t)
+			b.upstream("desk", "d1", answerOK)
 			b.views.age = c.age
-			b.want(c.status, http.MethodPost, c.path, map[string]string{"Authorization": "Bearer " + c.key})
+			b.wantStatus(c.status, http.MethodPost, c.path, map[string]string{"Authorization": "Bearer " + c.key})
 		})
 	}
 }
 
 // TestNoConfigurationYet refuses as not run, not as unknown.
 func TestNoConfigurationYet(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	b.service.table.Store(nil)
-	b.want(http.StatusServiceUnavailable, http.MethodGet, "/confirm/", nil)
+	b.wantStatus(http.StatusServiceUnavailable, http.MethodGet, "/confirm/", nil)
 }
 
 // counter counts the calls of an upstream.
-type counter struct{ n atomic.Int32 }
+type callCounter struct{ n atomic.Int32 }
 
-func (c *counter) count(h http.HandlerFunc) http.HandlerFunc {
+func (c *callCounter) count(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c.n.Add(1)
 		h(w, r)
@@ -306,13 +306,13 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			var n counter
+			b := newFixture(t)
+			var n callCounter
 			for _, service := range []string{"desk", "llm"} {
 				b.upstream(service, service+"1", n.count(c.h))
 				b.upstream(service, service+"2", n.count(c.h))
 			}
-			b.want(c.status, http.MethodPost, c.path, nil)
+			b.wantStatus(c.status, http.MethodPost, c.path, nil)
 			if int(n.n.Load()) != c.calls {
 				t.Fatalf("%d calls of upstreams, want %d", n.n.Load(), c.calls)
 			}
@@ -340,8 +340,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			var n counter
+			b := newFixture(t)
+			var n callCounter
 			either := n.count(func(w http.ResponseWriter, r *http.Request) {
 				if n.n.Load() == 1 {
 					c.first(w, r)
@@ -353,7 +353,7 @@
 				b.upstream(service, service+"1", either)
 				b.upstream(service, service+"2", either)
 			}
-			if got := b.want(c.status, http.MethodPost, c.path, nil); !strings.Contains(got, c.body) || n.n.Load() != 2 {
+			if got := b.wantStatus(c.status, http.MethodPost, c.path, nil); !strings.Contains(got, c.body) || n.n.Load() != 2 {
 				t.Fatalf("%q after %d calls", got, n.n.Load())
 			}
 		})
@@ -361,7 +361,7 @@
 }
 
 // announceGone announces an upstream of a service, "gone", at an address where nobody listens.
-func (b *bed) announceGone(service string) {
+func (b *fixture) announceGone(service string) {
 	gone := httptest.NewServer(http.NotFoundHandler())
 	address := gone.Listener.Addr().String()
 	gone.Close()
@@ -371,21 +371,21 @@
 // TestUnreachableUpstreamIsReplaced announces an address where nobody listens
 // beside one that answers: it counts as no attempt.
 func TestUnreachableUpstreamIsReplaced(t *testing.T) {
-	b := newBed(t)
-	b.upstream("desk", "d1", ok)
+	b := newFixture(t)
+	b.upstream("desk", "d1", answerOK)
 	b.announceGone("desk")
 	for range 5 {
-		b.want(http.StatusOK, http.MethodPost, "/confirm/", nil)
+		b.wantStatus(http.StatusOK, http.MethodPost, "/confirm/", nil)
 	}
 }
 
 // TestMovedAddressIsReplaced lets another upstream answer at an address.
 func TestMovedAddressIsReplaced(t *testing.T) {
-	b := newBed(t)
-	b.upstream("desk", "d1", ok)
+	b := newFixture(t)
+	b.upstream("desk", "d1", answerOK)
 	b.upstream("desk", "old", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) })
 	for range 5 {
-		b.want(http.StatusOK, http.MethodPost, "/confirm/", nil)
+		b.wantStatus(http.StatusOK, http.MethodPost, "/confirm/", nil)
 	}
 }
 
@@ -414,8 +414,8 @@
 // TestStreamGoesOnElsewhere breaks a resumable stream in the middle of an event:
 // the caller gets each event once, and the results of the stages are made again.
 func TestStreamGoesOnElsewhere(t *testing.T) {
-	b := newBed(t)
-	var n counter
+	b := newFixture(t)
+	var n callCounter
 	flaky := events(6, 4)
 	b.upstream("llm", "e1", n.count(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last-Event-Id") == "" {
@@ -431,7 +431,7 @@
 		}
 		events(6, 0)(w, r)
 	}))
-	got := b.want(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "2", "Caperdrum-Piece-Key": "k"})
+	got := b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "2", "Caperdrum-Piece-Key": "k"})
 	var ids []string
 	for line := range strings.Lines(got) {
 		if id, found := strings.CutPrefix(line, "id: "); found {
@@ -448,7 +448,7 @@
 
 // TestCutStreamDoesNotLookWhole breaks a stream that may not be resumed.
 func TestCutStreamDoesNotLookWhole(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	b.upstream("llm", "e1", events(6, 4))
 	b.upstream("llm", "e2", events(6, 4))
 	resp, body, err := b.send(http.MethodPost, "/chat/", nil)
@@ -465,13 +465,13 @@
 		prompt []upstream.PromptPart
 		want   time.Duration
 	}{
-		"none":          {nil, engineFirst},
-		"short":         {[]upstream.PromptPart{part(800)}, engineFirst + 10*time.Millisecond},
-		"long":          {[]upstream.PromptPart{part(5000), part(40_000)}, engineFirst + 500*time.Millisecond},
-		"mostly shared": {[]upstream.PromptPart{part(40_000), part(800)}, engineFirst + 10*time.Millisecond},
+		"none":          {nil, firstEventTime},
+		"short":         {[]upstream.PromptPart{part(800)}, firstEventTime + 10*time.Millisecond},
+		"long":          {[]upstream.PromptPart{part(5000), part(40_000)}, firstEventTime + 500*time.Millisecond},
+		"mostly shared": {[]upstream.PromptPart{part(40_000), part(800)}, firstEventTime + 10*time.Millisecond},
 	}
 	for name, c := range cases {
-		if got := engineStart(c.prompt); got != c.want {
+		if got := engineTime(c.prompt); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
@@ -481,11 +481,11 @@
 func TestStagesOfACall(t *testing.T) {
 	pieces := map[string]string{"Caperdrum-Pieces": "3", "Caperdrum-Piece-Key": "k"}
 	t.Run("the engine gets their results", func(t *testing.T) {
-		b := newBed(t)
+		b := newFixture(t)
 		b.upstream("llm", "e1", func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprintf(w, "data: %s\n\n", r.Header.Get("Caperdrum-Inputs"))
 		})
-		if got := b.want(http.StatusOK, http.MethodPost, "/quote/", pieces); got != "data: handle-1\n\n" {
+		if got := b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", pieces); got != "data: handle-1\n\n" {
 			t.Fatalf("got %q", got)
 		}
 		if j := b.stages.jobs[0]; j.ID != "try-1" || j.Key != "k" || j.Stages[0].Pieces != 3 {
@@ -493,25 +493,25 @@
 		}
 	})
 	t.Run("none are asked for", func(t *testing.T) {
-		b := newBed(t)
+		b := newFixture(t)
 		b.upstream("llm", "e1", events(1, 0))
-		b.want(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "0"})
+		b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "0"})
 		if len(b.stages.jobs) != 0 {
 			t.Fatal("a job without pieces")
 		}
 	})
 	t.Run("they are refused", func(t *testing.T) {
-		b := newBed(t)
+		b := newFixture(t)
 		b.stages.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "busy").After(time.Second)
-		var n counter
+		var n callCounter
 		b.upstream("llm", "e1", n.count(events(1, 0)))
-		b.want(http.StatusServiceUnavailable, http.MethodPost, "/quote/", pieces)
+		b.wantStatus(http.StatusServiceUnavailable, http.MethodPost, "/quote/", pieces)
 		if n.n.Load() != 0 {
 			t.Fatal("the engine was called")
 		}
 	})
 	t.Run("their results are gone", func(t *testing.T) {
-		b := newBed(t)
+		b := newFixture(t)
 		b.upstream("llm", "e1", func(w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("Caperdrum-Inputs") == "handle-1" {
 				w.Header().Set(wire.HeaderVerdict, verdict.NotRun.String())
@@ -520,7 +520,7 @@
 			}
 			events(1, 0)(w, r)
 		})
-		b.want(http.StatusOK, http.MethodPost, "/quote/", pieces)
+		b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", pieces)
 		if len(b.stages.jobs) != 2 {
 			t.Fatalf("%d jobs", len(b.stages.jobs))
 		}
@@ -530,14 +530,14 @@
 // TestUpstreamThatLeftMeanwhile lets the only engine that was known at the
 // admission leave while the stages run.
 func TestUpstreamThatLeftMeanwhile(t *testing.T) {
-	b := newBed(t)
-	var left counter
+	b := newFixture(t)
+	var left callCounter
 	b.upstream("llm", "left", left.count(events(1, 0)))
 	b.stages.before = func() {
 		b.announce("llm", nil)
 		b.upstream("llm", "next", events(1, 0))
 	}
-	b.want(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "1"})
+	b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "1"})
 	if left.n.Load() != 0 {
 		t.Fatal("an upstream that has left was called")
 	}
@@ -546,21 +546,21 @@
 // TestDeadline lets an upstream be silent: the caller gets its final answer at
 // the deadline, and the upstream sees the connection close.
 func TestDeadline(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	closed := make(chan struct{}, 1)
 	b.upstream("desk", "d1", func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		closed <- struct{}{}
 	})
-	b.want(http.StatusGatewayTimeout, http.MethodPost, "/confirm/", map[string]string{wire.HeaderTimeout: "50ms"})
+	b.wantStatus(http.StatusGatewayTimeout, http.MethodPost, "/confirm/", map[string]string{wire.HeaderTimeout: "50ms"})
 	<-closed
 }
 
 // TestStoppingProcessAnswers ends a call that is under way when the process must
 // give its last answers.
 func TestStoppingProcessAnswers(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	arrived := make(chan struct{})
 	b.upstream("desk", "d1", func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -577,7 +577,7 @@
 		got <- resp.StatusCode
 	}()
 	<-arrived
-	b.service.end()
+	b.service.cancelCalls()
 	if status := <-got; status < 500 || status == http.StatusServiceUnavailable {
 		t.Fatalf("status %d", status)
 	}
@@ -586,23 +586,23 @@
 // TestReadiness lists when a balancer may send callers here.
 func TestReadiness(t *testing.T) {
 	cases := map[string]struct {
-		change func(*bed)
+		change func(*fixture)
 		ready  bool
 	}{
-		"all is well":                    {func(*bed) {}, true},
-		"stopping":                       {func(b *bed) { b.service.stopping.Store(true) }, false},
-		"no configuration yet":           {func(b *bed) { b.service.table.Store(nil) }, false},
-		"no quorum for a while":          {func(b *bed) { b.views.age = 3 * time.Second }, true},
-		"no quorum, keys do not count":   {func(b *bed) { b.views.age = 5 * time.Second }, false},
-		"another owner is about to come": {func(b *bed) { b.stages.silent = time.Second }, true},
-		"the owner is out of reach":      {func(b *bed) { b.stages.silent = 2 * time.Second }, false},
+		"all is well":                    {func(*fixture) {}, true},
+		"stopping":                       {func(b *fixture) { b.service.stopping.Store(true) }, false},
+		"no configuration yet":           {func(b *fixture) { b.service.table.Store(nil) }, false},
+		"no quorum for a while":          {func(b *fixture) { b.views.age = 3 * time.Second }, true},
+		"no quorum, keys do not count":   {func(b *fixture) { b.views.age = 5 * time.Second }, false},
+		"another owner is about to come": {func(b *fixture) { b.stages.silent = time.Second }, true},
+		"the owner is out of reach":      {func(b *fixture) { b.stages.silent = 2 * time.Second }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
+			b := newFixture(t)
 			c.change(b)
 			w := httptest.NewRecorder()
-			b.service.answerReady(w, httptest.NewRequest(http.MethodGet, "/", nil))
+			b.service.serveReady(w, httptest.NewRequest(http.MethodGet, "/", nil))
 			if ready := w.Code == http.StatusOK; ready != c.ready {
 				t.Fatalf("status %d", w.Code)
 			}
@@ -613,7 +613,7 @@
 // TestRefusalSendsTheCallerElsewhere refuses a call at a process that is not
 // ready: its connection ends, since a kept one stays here.
 func TestRefusalSendsTheCallerElsewhere(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	for _, silent := range []time.Duration{0, time.Minute} {
 		b.stages.silent = silent
 		resp, _, err := b.send(http.MethodPost, "/nowhere/", nil)
@@ -629,8 +629,8 @@
 	for cut := range len(stream) {
 		var e eventSplitter
 		got := string(e.feed([]byte(stream[:cut]))) + string(e.feed([]byte(stream[cut:])))
-		if !strings.HasPrefix(stream, got) || !strings.HasSuffix(got, "data: c\n\n") || e.last != "3" || string(e.pending) != "id: 4\nda" {
-			t.Fatalf("cut at %d: %q, last %q, pending %q", cut, got, e.last, e.pending)
+		if !strings.HasPrefix(stream, got) || !strings.HasSuffix(got, "data: c\n\n") || e.lastID != "3" || string(e.pending) != "id: 4\nda" {
+			t.Fatalf("cut at %d: %q, last %q, pending %q", cut, got, e.lastID, e.pending)
 		}
 	}
 }
@@ -640,13 +640,13 @@
 // chosen the process chooses by itself.
 func TestChosenEngineTakesTheCall(t *testing.T) {
 	for _, wanted := range []wire.MemberID{"e1", "e2", ""} {
-		b := newBed(t)
-		calls := map[string]*counter{"e1": {}, "e2": {}}
+		b := newFixture(t)
+		calls := map[string]*callCounter{"e1": {}, "e2": {}}
 		for id, c := range calls {
 			b.upstream("llm", id, c.count(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "id: 1\n\n") }))
 		}
 		b.stages.engine = wanted
-		b.want(http.StatusOK, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
+		b.wantStatus(http.StatusOK, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
 		if wanted != "" && calls[string(wanted)].n.Load() != 1 {
 			t.Errorf("%s was chosen and got %d calls", wanted, calls[string(wanted)].n.Load())
 		}
@@ -659,10 +659,10 @@
 			t.Errorf("%d calls", sum)
 		}
 	}
-	b := newBed(t)
+	b := newFixture(t)
 	b.upstream("llm", "broken", breakOff)
 	b.stages.engine = "broken"
-	b.want(http.StatusBadGateway, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
+	b.wantStatus(http.StatusBadGateway, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
 	b.stages.mu.Lock()
 	defer b.stages.mu.Unlock()
 	if !slices.Equal(b.stages.outcomes, []stagework.EngineOutcome{stagework.EngineFailed}) {
@@ -673,11 +673,11 @@
 // TestChosenEngineThatIsReplacedIsReported has the owner choose an engine that refuses connections: another one takes
 // the call, and the owner hears of it. Else it would choose the same one for every call until the members drop it.
 func TestChosenEngineThatIsReplacedIsReported(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	b.upstream("llm", "other", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "id: 1\n\n") })
 	b.announceGone("llm")
 	b.stages.engine = "gone"
-	b.want(http.StatusOK, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
+	b.wantStatus(http.StatusOK, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
 	b.stages.mu.Lock()
 	defer b.stages.mu.Unlock()
 	if !slices.Equal(b.stages.outcomes, []stagework.EngineOutcome{stagework.EngineFailed}) {
@@ -692,7 +692,7 @@
 		path  string
 		fails bool
 	}{{"/chat/", false}, {"/quote/", false}, {"/quote/", true}} {
-		b := newBed(t)
+		b := newFixture(t)
 		var mu sync.Mutex
 		told := map[string]string{}
 		for _, id := range []string{"chosen", "other"} {
@@ -707,7 +707,7 @@
 			})
 		}
 		b.stages.engine, b.stages.fetchFrom = "chosen", "10.0.0.9:80"
-		b.want(http.StatusOK, http.MethodPost, c.path, map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10", "Caperdrum-Pieces": "1", "Caperdrum-Fetch-From": "forged"})
+		b.wantStatus(http.StatusOK, http.MethodPost, c.path, map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10", "Caperdrum-Pieces": "1", "Caperdrum-Fetch-From": "forged"})
 		mu.Lock()
 		if other, sent := told["other"]; told["chosen"] != "10.0.0.9:80" || other != "" || sent != c.fails {
 			t.Errorf("%+v: told %v", c, told)
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -12,7 +12,7 @@
 
 // comeBackBarred is when the caller of a barred call is told to come back: there is no use in
 // it until an operator lifts the bar.
-const comeBackBarred = time.Minute
+const barredRetryAfter = time.Minute
 
 // noReports stands for the leader until the service has control.
 func noReports(context.Context, *wire.CrashReport) error { return nil }
@@ -29,67 +29,67 @@
 }
 
 // copied is what other tries of the same call share with this one.
-func (x *exchange) copied() quarantine.Call {
+func (x *exchange) quarantineCall() quarantine.Call {
 	return quarantine.Call{Customer: x.customerName(), Method: x.r.Method, Host: x.r.Host, Target: x.r.RequestURI, Body: x.body}
 }
 
 // broke has it found out why the call broke off at the upstream.
-func (x *exchange) broke(m wire.Member) {
-	x.s.inquiries.Broke(quarantine.Broken{Call: x.copied(), Request: x.call.ID, Route: x.route.Name, Upstream: m})
+func (x *exchange) investigateBreak(m wire.Member) {
+	x.s.inquiries.Broke(quarantine.Broken{Call: x.quarantineCall(), Request: x.call.ID, Route: x.route.Name, Upstream: m})
 }
 
 // endedUnder reports that an upstream's process ended while it had a call. One that had said that
 // it leaves may end with calls.
-func (s *Service) endedUnder(b quarantine.Broken) {
+func (s *Service) upstreamCrashed(b quarantine.Broken) {
 	if s.table.Load().leaving(b.Upstream.Start()) {
 		return
 	}
-	endedUnderVar.Add(b.Upstream.Service, 1)
+	upstreamCrashesVar.Add(b.Upstream.Service, 1)
 	sketch := b.Call.Sketch(b.Route)
 	s.log.Info("upstream ended under a call", "request", b.Request, "route", b.Route, "customer", b.Call.Customer, "fingerprint", sketch.Fingerprint,
 		"upstream", b.Upstream.ID, "address", b.Upstream.Direct, "service", b.Upstream.Service)
 	if s.answers.Take(b.Call) {
-		s.report(&wire.CrashReport{Answered: []wire.CallSketch{sketch}})
+		s.reportCrash(&wire.CrashReport{Answered: []wire.CallSketch{sketch}})
 		return
 	}
-	s.report(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: b.Upstream.Start(), Calls: []wire.CallSketch{sketch}}}})
+	s.reportCrash(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: b.Upstream.Start(), Calls: []wire.CallSketch{sketch}}}})
 }
 
-func (s *Service) report(r *wire.CrashReport) {
+func (s *Service) reportCrash(r *wire.CrashReport) {
 	s.guard.Seen(r, time.Now())
 	s.reporter.Add(r)
 }
 
 // barred returns why the call must not reach an upstream, or nil.
-func (x *exchange) barred() *verdict.Error {
+func (x *exchange) checkBarred() *verdict.Error {
 	if x.s.guard.Quiet() {
 		return nil
 	}
-	standing, f := x.s.guard.Check(x.copied(), x.s.stale())
+	standing, f := x.s.guard.Check(x.quarantineCall(), x.s.stale())
 	if standing != quarantine.Barred {
 		return nil
 	}
 	barredVar.Add(x.route.Name, 1)
-	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams have ended while they ran this call; it is in quarantine as %s", f).After(comeBackBarred)
+	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams have ended while they ran this call; it is in quarantine as %s", f).After(barredRetryAfter)
 }
 
 // suspected reports whether several upstreams have ended under the call. It then reaches one at most
 // each time that its caller sends it: each may be another one that ends.
-func (x *exchange) suspected() bool {
-	standing, _ := x.s.guard.Check(x.copied(), true)
+func (x *exchange) isSuspect() bool {
+	standing, _ := x.s.guard.Check(x.quarantineCall(), true)
 	return standing != quarantine.Unsuspected
 }
 
 // clear remembers that an upstream has answered the call, and tells everybody where it is a suspect.
-func (x *exchange) clear(a *attempt) {
+func (x *exchange) reportAnswered(a *attempt) {
 	if a.response.Status/100 != http.StatusOK/100 || !a.response.Framed() {
 		return // an answer that ends with its connection may be one that was cut
 	}
-	x.s.answers.Add(x.copied())
-	standing, f := x.s.guard.Check(x.copied(), true)
+	x.s.answers.Add(x.quarantineCall())
+	standing, f := x.s.guard.Check(x.quarantineCall(), true)
 	if standing == quarantine.Unsuspected {
 		return
 	}
 	x.s.log.Info("suspect answered", "request", x.call.ID, "route", x.route.Name, "customer", x.customerName(), "fingerprint", f, "upstream", a.member.ID)
-	x.s.report(&wire.CrashReport{Answered: []wire.CallSketch{x.copied().Sketch(x.route.Name)}})
+	x.s.reportCrash(&wire.CrashReport{Answered: []wire.CallSketch{x.quarantineCall().Sketch(x.route.Name)}})
 }
--- a/node/proxy/quarantine_test.go
+++ b/node/proxy/quarantine_test.go
@@ -47,7 +47,7 @@
 }
 
 // reporting lets the bed's process report to the returned list.
-func (b *bed) reporting() *reports {
+func (b *fixture) collectReports() *reports {
 	r := &reports{}
 	b.service.reporter = quarantine.NewReporter(r.take)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -57,7 +57,7 @@
 }
 
 // fragile adds an upstream that answers by h, which may end the upstream's process.
-func (b *bed) fragile(id string, h func(w http.ResponseWriter, r *http.Request, end func())) {
+func (b *fixture) crashingUpstream(id string, h func(w http.ResponseWriter, r *http.Request, end func())) {
 	var srv *httptest.Server
 	srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderRequestID, r.Header.Get(wire.HeaderRequestID))
@@ -70,9 +70,9 @@
 	b.announce("desk", append(b.view.Announced["desk"], wire.Member{ID: wire.MemberID(id), Incarnation: 3, Service: "desk", Direct: srv.Listener.Addr().String()}))
 }
 
-func endsAlways(_ http.ResponseWriter, _ *http.Request, end func()) { end() }
+func alwaysCrash(_ http.ResponseWriter, _ *http.Request, end func()) { end() }
 
-func (b *bed) bar(sketch wire.CallSketch, revision uint64, barred bool) {
+func (b *fixture) setSuspect(sketch wire.CallSketch, revision uint64, barred bool) {
 	b.view.Suspects = wire.Suspects{Revision: revision, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape, Barred: barred}}}
 	b.announce("desk", b.view.Announced["desk"])
 }
@@ -80,14 +80,14 @@
 // TestEndsAreReported tells an upstream that ends under a call from one that merely cuts an answer, and a call that was
 // answered before from one that was not.
 func TestEndsAreReported(t *testing.T) {
-	b := newBed(t)
-	r := b.reporting()
+	b := newFixture(t)
+	r := b.collectReports()
 	b.upstream("desk", "i-1", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	if resp, body, err := b.send(http.MethodPost, "/confirm/cut", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Fatal(resp, body, err)
 	}
 	b.announce("desk", nil)
-	b.fragile("i-2", endsAlways)
+	b.crashingUpstream("i-2", alwaysCrash)
 	if resp, body, err := b.send(http.MethodPost, "/confirm/fatal", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Fatal(resp, body, err)
 	}
@@ -97,7 +97,7 @@
 	}
 	b.announce("desk", nil)
 	var ends atomic.Bool
-	b.fragile("i-3", func(_ http.ResponseWriter, _ *http.Request, end func()) {
+	b.crashingUpstream("i-3", func(_ http.ResponseWriter, _ *http.Request, end func()) {
 		if ends.Load() {
 			end()
 		}
@@ -116,7 +116,7 @@
 // TestBarredCallReachesNoUpstream bars a call before it comes and while its stages are made. It is refused as not run at once,
 // with no invitation to come back soon; the same body of another path is served.
 func TestBarredCallReachesNoUpstream(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	var arrived atomic.Int32
 	b.upstream("llm", "i-1", func(w http.ResponseWriter, r *http.Request) { arrived.Add(1) })
 	call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/quote/1", Body: []byte("body")}
@@ -144,13 +144,13 @@
 
 // TestCallIsEndedWhenItIsBarred has a call wait at its upstream while it is barred.
 func TestCallIsEndedWhenItIsBarred(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	left := make(chan struct{})
 	b.upstream("desk", "i-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/confirm/1" {
 			io.Copy(io.Discard, r.Body) // a server notices that its caller left once it has read all
 			call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/confirm/1", Body: []byte("body")}
-			b.bar(call.Sketch("confirm"), 1, true)
+			b.setSuspect(call.Sketch("confirm"), 1, true)
 			<-r.Context().Done()
 			close(left)
 		}
@@ -166,7 +166,7 @@
 
 // TestStreamThatIsAnsweredGoesOn bars a call while its stream is under way.
 func TestStreamThatIsAnsweredGoesOn(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	b.upstream("llm", "i-1", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "id: 1\ndata: a\n\n")
@@ -176,7 +176,7 @@
 		}
 		call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/quote/1", Body: []byte("body")}
 		b.service.guard.Follow(wire.Suspects{Revision: 1, List: []wire.Suspect{{Fingerprint: call.Fingerprint(), Shape: call.Shape(), Barred: true}}})
-		b.service.running.endBarred()
+		b.service.running.cancelBarred()
 		select {
 		case <-r.Context().Done():
 		case <-time.After(50 * time.Millisecond): // a call that is ended closes its connection before
@@ -205,7 +205,7 @@
 // TestSuspectThatMeetsAnotherUpstream has the address of an upstream be another's: a suspect is refused as not run, others go on.
 func TestSuspectThatMeetsAnotherUpstream(t *testing.T) {
 	for _, suspect := range []bool{false, true} {
-		b := newBed(t)
+		b := newFixture(t)
 		var arrived atomic.Int32
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
 			b.upstream("desk", id, func(w http.ResponseWriter, _ *http.Request) {
@@ -215,7 +215,7 @@
 		}
 		if suspect {
 			call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/reserve/1", Body: []byte("body")}
-			b.bar(call.Sketch("reserve"), 1, false)
+			b.setSuspect(call.Sketch("reserve"), 1, false)
 		}
 		if resp, body, err := b.send(http.MethodPost, "/reserve/1", nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatal(resp, body, err)
@@ -229,17 +229,17 @@
 // TestSuspectIsNotRepeated ends an upstream under a call that may be repeated: it is, unless it is a suspect.
 func TestSuspectIsNotRepeated(t *testing.T) {
 	for _, suspect := range []bool{false, true} {
-		b := newBed(t)
+		b := newFixture(t)
 		var ended atomic.Int32
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
-			b.fragile(id, func(w http.ResponseWriter, r *http.Request, end func()) {
+			b.crashingUpstream(id, func(w http.ResponseWriter, r *http.Request, end func()) {
 				ended.Add(1)
 				end()
 			})
 		}
 		if suspect {
 			call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/reserve/1", Body: []byte("body")}
-			b.bar(call.Sketch("reserve"), 1, false)
+			b.setSuspect(call.Sketch("reserve"), 1, false)
 		}
 		if resp, body, err := b.send(http.MethodPost, "/reserve/1", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
 			t.Fatal(resp, body, err)
@@ -252,15 +252,15 @@
 
 // TestAnswerClearsASuspect answers a suspect; another one of the same shape is not cleared by that.
 func TestAnswerClearsASuspect(t *testing.T) {
-	b := newBed(t)
-	r := b.reporting()
+	b := newFixture(t)
+	r := b.collectReports()
 	b.upstream("desk", "i-1", func(w http.ResponseWriter, r *http.Request) {})
 	call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/confirm/1", Body: []byte("body")}
 	other := call
 	other.Body = []byte("ydob")
-	b.bar(other.Sketch("confirm"), 1, false)
+	b.setSuspect(other.Sketch("confirm"), 1, false)
 	for i, sketch := range []wire.CallSketch{other.Sketch("confirm"), call.Sketch("confirm")} {
-		b.bar(sketch, uint64(i+1), false)
+		b.setSuspect(sketch, uint64(i+1), false)
 		if resp, body, err := b.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, body, err)
 		}
--- a/node/proxy/ready.go
+++ b/node/proxy/ready.go
@@ -10,7 +10,7 @@
 // ownerSilence is how long the owner of the stage queues may be silent until this
 // process takes no new connections. Above the time in which another owner is
 // named, 400 ms, so that all processes do not leave the rotation at once.
-const ownerSilence = 1200 * time.Millisecond
+const maxOwnerSilence = 1200 * time.Millisecond
 
 // notReady says why this process should get no new connections; empty when it
 // should.
@@ -21,20 +21,20 @@
 		return "stopping"
 	case !t.configured():
 		return "no configuration yet"
-	case s.sync.StampAge() > s.set.Proxy.KeyAge:
+	case s.views.StampAge() > s.set.Proxy.KeyAge:
 		return "no confirmation by a quorum"
-	case s.stages.Silent() > ownerSilence:
+	case s.stages.Silent() > maxOwnerSilence:
 		return "the owner of the stages does not answer"
 	}
 	return ""
 }
 
 // answerReady tells a balancer whether this process takes new connections.
-func (s *Service) answerReady(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) serveReady(w http.ResponseWriter, _ *http.Request) {
 	why := s.notReady()
-	old := s.unready.Swap(&why)
+	old := s.notReadyReason.Swap(&why)
 	if old == nil || *old != why {
-		s.log.Info("readiness changed", "ready", why == "", "reason", why, "stamp_age", logging.Age(s.sync.StampAge()), "owner_silent", s.stages.Silent())
+		s.log.Info("readiness changed", "ready", why == "", "reason", why, "stamp_age", logging.Age(s.views.StampAge()), "owner_silent", s.stages.Silent())
 	}
 	if why != "" {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/node/proxy/within_test.go
+++ b/node/proxy/regions_test.go
@@ -25,7 +25,7 @@
 		"neither":                                {"", "", 1, 1, http.StatusInternalServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
+			b := newFixture(t)
 			config, err := optext.Parse("text", []byte(fmt.Sprintf(`
 [service:desk]
 kind = plain
@@ -46,14 +46,14 @@
 				t.Fatal(err)
 			}
 			b.view.Config = config
-			var east, west counter
+			var east, west callCounter
 			fails := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 			b.upstream("desk", "e", east.count(fails))
 			b.upstream("desk", "w", west.count(fails))
 			list := append([]wire.Member{}, b.view.Announced["desk"]...)
 			list[0].DataCenter, list[1].DataCenter = "d-east", "d-west"
 			b.announce("desk", list)
-			b.want(c.status, http.MethodPost, "/reserve/", nil)
+			b.wantStatus(c.status, http.MethodPost, "/reserve/", nil)
 			if int(east.n.Load()) != c.east || int(west.n.Load()) != c.west {
 				t.Fatalf("%d calls in the east, %d in the west, want %d and %d", east.n.Load(), west.n.Load(), c.east, c.west)
 			}
--- a/node/proxy/repeat.go
+++ b/node/proxy/repeat.go
@@ -30,16 +30,16 @@
 	switch {
 	case x.sends >= x.route.Attempts, err.Code == verdict.CodeQuarantined:
 		return false
-	case err.Code == verdict.CodeNoEndpoint, x.pause() > 0: // there is none
+	case err.Code == verdict.CodeNoEndpoint, x.upstreamPause() > 0: // there is none
 		return false
 	}
-	return x.maySend(reasonOf(err))
+	return x.allowRepeat(reasonOf(err))
 }
 
 // maySend reports whether the call may reach an upstream once more. Nothing is sent beyond a
 // call's first time without asking: upstreams count each arrival, also those that they reject.
-func (x *exchange) maySend(why reason) bool {
-	if time.Until(x.deadline) < minLeft || x.suspected() {
+func (x *exchange) allowRepeat(why reason) bool {
+	if time.Until(x.deadline) < minTimeLeft || x.isSuspect() {
 		return false
 	}
 	d := x.s.repeats.Take(x.service.Name)
@@ -49,10 +49,10 @@
 	}
 	total.Add(x.service.Name+"/"+string(why), 1)
 	x.s.log.Info("repeat", "request", x.call.ID, "service", x.service.Name, "result", result, "reason", why,
-		"first", d.First, "repeats", d.Extra, "fixed", d.Fixed, "members", d.Members, "settled", d.Settled, "stamp_age", logging.Age(x.s.sync.StampAge()))
-	x.again = why
+		"first", d.First, "repeats", d.Extra, "fixed", d.Fixed, "members", d.Members, "settled", d.Settled, "stamp_age", logging.Age(x.s.views.StampAge()))
+	x.repeatReason = why
 	return d.Allowed
 }
 
 // minLeft is the time under which another try is pointless.
-const minLeft = 30 * time.Millisecond
+const minTimeLeft = 30 * time.Millisecond
--- a/node/proxy/repeat_test.go
+++ b/node/proxy/repeat_test.go
@@ -66,7 +66,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
+			b := newFixture(t)
 			seen := &arrivals{by: map[string]int{}}
 			limit := b.service.set.Proxy
 			for _, service := range []string{"desk", "llm"} {
@@ -74,7 +74,7 @@
 			}
 			for i := range calls {
 				for _, service := range []string{"desk", "llm"} { // others are announced meanwhile
-					b.startAgain(service, fmt.Sprint(service, "-", i))
+					b.replaceAtSameAddress(service, fmt.Sprint(service, "-", i))
 				}
 				if _, _, err := b.send(http.MethodPost, c.path, map[string]string{wire.HeaderRequestID: fmt.Sprint("call-", i), "Caperdrum-Pieces": "1", "Caperdrum-Piece-Key": "k"}); err != nil {
 					t.Fatal(err)
@@ -89,7 +89,7 @@
 
 // startAgain announces that four others have taken the place of a service's upstreams, at the
 // same address.
-func (b *bed) startAgain(service, id string) {
+func (b *fixture) replaceAtSameAddress(service, id string) {
 	address := b.view.Announced[service][0].Direct
 	var list []wire.Member
 	for k := range 4 {
@@ -106,13 +106,13 @@
 		"its predecessor is a member": {{ID: "proxy-1", Peer: "127.0.0.1:1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
+			b := newFixture(t)
 			b.view.Members, b.view.Peers = memberset.Of(members...), members
-			var n counter
+			var n callCounter
 			b.upstream("desk", "d1", n.count(breakOff))
 			b.upstream("desk", "d2", n.count(breakOff))
 			b.clock.Advance(time.Minute)
-			b.want(http.StatusBadGateway, http.MethodPost, "/reserve/", nil)
+			b.wantStatus(http.StatusBadGateway, http.MethodPost, "/reserve/", nil)
 			if n.n.Load() != 1 {
 				t.Fatalf("%d calls of upstreams", n.n.Load())
 			}
@@ -122,15 +122,15 @@
 
 // TestResultsThatAreLostTwice: the call is made once more, and then refused at once as not run.
 func TestResultsThatAreLostTwice(t *testing.T) {
-	b := newBed(t)
-	var n counter
+	b := newFixture(t)
+	var n callCounter
 	for _, id := range []string{"e1", "e2", "e3"} {
 		b.upstream("llm", id, n.count(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(wire.HeaderVerdict, "not-run")
 			w.WriteHeader(http.StatusConflict)
 		}))
 	}
-	b.want(http.StatusServiceUnavailable, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "1", "Caperdrum-Piece-Key": "k"})
+	b.wantStatus(http.StatusServiceUnavailable, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "1", "Caperdrum-Piece-Key": "k"})
 	if n.n.Load() != 2 || len(b.stages.jobs) != 2 || b.stages.released != 2 {
 		t.Fatalf("%d calls of engines, %d jobs, %d released", n.n.Load(), len(b.stages.jobs), b.stages.released)
 	}
@@ -139,7 +139,7 @@
 // TestConnectionsAreSharedWithThoseSeenLately lets most processes vanish from the view: they may
 // be cut off and keep their connections, so this one's part grows only when that can't be.
 func TestConnectionsAreSharedWithThoseSeenLately(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	self := b.views.Self()
 	see := func(n int) {
 		next := b.view
@@ -149,7 +149,7 @@
 			next.Peers = append(next.Peers, wire.Member{ID: id, Peer: "127.0.0.1:2"})
 		}
 		next.Members = memberset.Of(next.Peers...)
-		b.service.follow(&next)
+		b.service.applyView(&next)
 	}
 	x := &exchange{s: b.service, service: &optext.Service{}}
 	x.service.MaxConnections = 40
@@ -157,11 +157,11 @@
 	b.clock.Advance(time.Minute)
 	see(1)
 	x.table = b.service.table.Load()
-	if n := x.connections(); n != 4 {
+	if n := x.maxConnections(); n != 4 {
 		t.Errorf("%d connections right after the others vanished", n)
 	}
 	b.clock.Advance(time.Minute)
-	if n := x.connections(); n != 20 {
+	if n := x.maxConnections(); n != 20 {
 		t.Errorf("%d connections a minute later", n)
 	}
 }
--- a/node/proxy/rollout_test.go
+++ b/node/proxy/rollout_test.go
@@ -9,7 +9,7 @@
 )
 
 // trialList are four upstreams of each of two versions.
-func trialList() []wire.Member {
+func versionedUpstreams() []wire.Member {
 	var list []wire.Member
 	for i := range 4 {
 		for _, version := range []string{"v1", "v2"} {
@@ -21,7 +21,7 @@
 	return list
 }
 
-func onTrial(share float64) wire.Rollouts {
+func rolloutWithShare(share float64) wire.Rollouts {
 	return wire.Rollouts{Revision: 1, List: []wire.Rollout{{Service: "desk", Target: "v2", State: wire.RolloutRunning, Share: share, Replaced: []string{"v1"}, Order: 1, Revision: 1}}}
 }
 
@@ -30,16 +30,16 @@
 func TestTargetGetsItsShare(t *testing.T) {
 	for _, share := range []float64{0, 0.05, 0.2} {
 		e := newEndpoints(noNotices())
-		e.follow(onTrial(share))
+		e.setRollouts(rolloutWithShare(share))
 		sent := map[string]int{}
 		upstreams := map[wire.MemberID]bool{}
 		for i := range 400 {
 			now := time.Unix(1000, int64(i))
-			m, ok := e.take(trialList(), choice{dataCenter: "north"}, now)
+			m, ok := e.acquire(versionedUpstreams(), criteria{dataCenter: "north"}, now)
 			if !ok {
 				t.Fatal("took none")
 			}
-			e.release(m.Start(), stood, now)
+			e.release(m.Start(), callAnswered, now)
 			sent[m.Version]++
 			if m.Version == "v2" {
 				upstreams[m.ID] = true
@@ -59,17 +59,17 @@
 // the target, and a call whose engine cannot be had goes to the versions that serve already.
 func TestOwnersChoiceIsCountedOnce(t *testing.T) {
 	e := newEndpoints(noNotices())
-	e.follow(onTrial(0.05))
+	e.setRollouts(rolloutWithShare(0.05))
 	now := time.Unix(1000, 0)
 	for i := range 100 {
-		c := choice{dataCenter: "north", wanted: wire.MemberID(fmt.Sprint("i-", i%4, "v2"))}
-		m, ok := e.take(trialList(), c, now)
-		if !ok || m.ID != c.wanted {
-			t.Fatalf("took %q in place of the owner's choice %q", m.ID, c.wanted)
+		c := criteria{dataCenter: "north", chosen: wire.MemberID(fmt.Sprint("i-", i%4, "v2"))}
+		m, ok := e.acquire(versionedUpstreams(), c, now)
+		if !ok || m.ID != c.chosen {
+			t.Fatalf("took %q in place of the owner's choice %q", m.ID, c.chosen)
 		}
-		e.release(m.Start(), unknown, now)
+		e.release(m.Start(), callUnknown, now)
 		c.tried = []wire.Start{m.Start()}
-		if m, ok := e.take(trialList(), c, now); !ok || m.Version != "v1" {
+		if m, ok := e.acquire(versionedUpstreams(), c, now); !ok || m.Version != "v1" {
 			t.Fatalf("the second try went to %q of %s", m.ID, m.Version)
 		}
 	}
@@ -79,14 +79,14 @@
 // whether it is sound.
 func TestTargetAlone(t *testing.T) {
 	e := newEndpoints(noNotices())
-	e.follow(onTrial(0.05))
+	e.setRollouts(rolloutWithShare(0.05))
 	var list []wire.Member
-	for _, m := range trialList() {
+	for _, m := range versionedUpstreams() {
 		if m.Version == "v2" {
 			list = append(list, m)
 		}
 	}
-	if m, ok := e.take(list, choice{}, time.Unix(1000, 0)); ok {
+	if m, ok := e.acquire(list, criteria{}, time.Unix(1000, 0)); ok {
 		t.Fatalf("took %q", m.ID)
 	}
 }
--- a/node/proxy/running.go
+++ b/node/proxy/running.go
@@ -32,21 +32,21 @@
 
 // endBarred ends the calls that are barred by now: one that still waits at its upstream does not
 // end it then. One that is being answered runs already.
-func (r *running) endBarred() {
+func (r *running) cancelBarred() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for x, cancel := range r.calls {
 		if x.answering.Load() {
 			continue
 		}
-		if err := x.barred(); err != nil {
+		if err := x.checkBarred(); err != nil {
 			cancel(err)
 		}
 	}
 }
 
 // barredMeanwhile returns why the call was ended because it was barred, or nil.
-func barredMeanwhile(ctx context.Context) *verdict.Error {
+func barredCause(ctx context.Context) *verdict.Error {
 	err, _ := context.Cause(ctx).(*verdict.Error)
 	return err
 }
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -23,7 +23,7 @@
 	member   wire.Member
 	response *upstream.Response // nil when there was none
 	err      *verdict.Error     // why there was none, or why it counts as none
-	took     time.Duration      // until the answer began
+	latency  time.Duration      // until the answer began
 }
 
 // notRun reports whether the upstream has not run the call and never will.
@@ -36,34 +36,34 @@
 
 // maxUnsent bounds how many upstreams that cannot be reached, or that left
 // their address, a call tries beside those it is sent to.
-const maxUnsent = 3
+const maxUnsentAttempts = 3
 
 // send sends the call to an upstream. One that could not be reached at all is
 // replaced by another; one that has left its address, which has got the call, as far as the
 // quota of repeats goes.
-func (x *exchange) send(ctx context.Context, tried *[]wire.Start, c choice, lastEvent string) *attempt {
+func (x *exchange) send(ctx context.Context, tried *[]wire.Start, c criteria, lastEvent string) *attempt {
 	for unsent := 0; ; unsent++ {
-		if err := x.barred(); err != nil {
+		if err := x.checkBarred(); err != nil {
 			return &attempt{err: err}
 		}
 		c.tried = *tried
 		// The stages may have taken seconds: an upstream may have left meanwhile.
-		list := x.upstreams(x.service.Name)
-		m, ok := x.s.endpoints.take(list, c, time.Now())
+		list := x.eligibleUpstreams(x.service.Name)
+		m, ok := x.s.endpoints.acquire(list, c, time.Now())
 		if !ok {
-			return &attempt{err: x.nobody()}
+			return &attempt{err: x.noUpstreamError()}
 		}
 		*tried = append(*tried, m.Start())
 		a := x.sendTo(ctx, m, len(list), lastEvent)
 		if a.moved() {
-			x.drop(a, wasMoved)
+			x.discard(a, callMoved)
 			x.s.inquiries.Ended(m.Start())
-			x.report(m, stagework.EngineFailed)
-			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstream, "another upstream has the address of %s", m.ID).After(comeBack)}
-			if unsent < maxUnsent && ctx.Err() == nil && x.maySend(addressMoved) {
+			x.setEngineOutcome(m, stagework.EngineFailed)
+			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstream, "another upstream has the address of %s", m.ID).After(defaultRetryAfter)}
+			if unsent < maxUnsentAttempts && ctx.Err() == nil && x.allowRepeat(addressMoved) {
 				continue
 			}
-		} else if unsent < maxUnsent && ctx.Err() == nil && a.notRun() && a.response == nil {
+		} else if unsent < maxUnsentAttempts && ctx.Err() == nil && a.notRun() && a.response == nil {
 			continue
 		}
 		x.sends++
@@ -84,50 +84,50 @@
 	x.s.protocol.Tell(header, told)
 	began := time.Now()
 	x.s.log.V(logging.Routine).Info("attempt sent", "request", x.call.ID, "upstream", m.ID, "address", m.Direct, "data_center", m.DataCenter, "candidates", candidates,
-		"in_flight", x.s.endpoints.load(m.Start()), "tried", x.sends, "again", x.again, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", told.FetchFrom, "left", told.Left, "members_seq", x.s.table.Load().seq)
+		"in_flight", x.s.endpoints.callsInFlight(m.Start()), "tried", x.sends, "again", x.repeatReason, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", told.FetchFrom, "left", told.Left, "members_seq", x.s.table.Load().membersSeq)
 	resp, err := x.s.pool.Do(ctx, &upstream.Request{Upstream: m.Start(), Address: m.Direct, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: header, Body: x.body, ID: x.call.ID, Limit: x.connections()})
+		Header: header, Body: x.body, ID: x.call.ID, Limit: x.maxConnections()})
 	now := time.Now()
 	sendsVar.Add(x.service.Name, 1)
 	if err != nil {
 		a := &attempt{member: m, err: verdict.From(err)}
 		failedSendsVar.Add(x.service.Name, 1)
-		how := failed
+		outcome := callFailed
 		switch {
 		case ctx.Err() != nil || a.err.Code == verdict.CodeOverloaded:
-			how = unknown
+			outcome = callUnknown
 		case !a.notRun():
-			x.broke(m)
+			x.investigateBreak(m)
 		}
-		if how == failed {
-			x.report(m, outcomeOf(err))
+		if outcome == callFailed {
+			x.setEngineOutcome(m, engineOutcomeOf(err))
 		}
-		x.s.endpoints.release(m.Start(), how, now)
-		if how == failed && !a.notRun() || x.outOfTime(ctx) {
+		x.s.endpoints.release(m.Start(), outcome, now)
+		if outcome == callFailed && !a.notRun() || x.outOfTime(ctx) {
 			x.s.counter.Add(m, x.route.Name, rollout.Failed, 0)
 		}
 		x.s.log.Info("attempt failed", "request", x.call.ID, "upstream", m.ID, "address", m.Direct, "sent", !a.notRun(),
 			"left", time.Until(x.deadline), "verdict", a.err.Verdict, "error", a.err.Message)
 		return a
 	}
-	x.s.endpoints.heard(m.Start(), now)
+	x.s.endpoints.noteAnswer(m.Start(), now)
 	x.answering.Store(!resp.Answer.NotRun)
-	a := &attempt{member: m, response: resp, took: now.Sub(began)}
+	a := &attempt{member: m, response: resp, latency: now.Sub(began)}
 	if resp.Answer.NotRun {
-		a.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s refused the call", m.ID).After(max(comeBack, x.pause()))
+		a.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s refused the call", m.ID).After(max(defaultRetryAfter, x.upstreamPause()))
 	}
 	return a
 }
 
 // report notes what the owner of the stages is told of the engine that it chose, also where another one takes the call.
-func (x *exchange) report(m wire.Member, how stagework.EngineOutcome) {
+func (x *exchange) setEngineOutcome(m wire.Member, outcome stagework.EngineOutcome) {
 	if m.ID == x.engine {
-		x.engineOutcome = how
+		x.engineOutcome = outcome
 	}
 }
 
 // outcomeOf is what the owner of the stages is told of an engine at which an attempt failed.
-func outcomeOf(err error) stagework.EngineOutcome {
+func engineOutcomeOf(err error) stagework.EngineOutcome {
 	if upstream.Unreached(err) {
 		return stagework.EngineUnreached
 	}
@@ -135,33 +135,33 @@
 }
 
 // pause is how long it takes until an upstream of the service wants calls again, where none does.
-func (x *exchange) pause() time.Duration {
+func (x *exchange) upstreamPause() time.Duration {
 	return x.s.notices.LeastPause(x.s.table.Load().announced[x.service.Name])
 }
 
 // hopeless returns why there is no use in having the stages of the call done, or nil.
-func (x *exchange) hopeless() *verdict.Error {
-	if err := x.barred(); err != nil {
+func (x *exchange) checkServable() *verdict.Error {
+	if err := x.checkBarred(); err != nil {
 		return err
 	}
-	if pause := x.pause(); pause > 0 && pause >= time.Until(x.deadline) {
-		return x.nobody()
+	if pause := x.upstreamPause(); pause > 0 && pause >= time.Until(x.deadline) {
+		return x.noUpstreamError()
 	}
-	return x.nowhere()
+	return x.checkRegions()
 }
 
 // upstreams are those of a service that may serve the call, as far as is known now.
-func (x *exchange) upstreams(service string) []wire.Member {
+func (x *exchange) eligibleUpstreams(service string) []wire.Member {
 	list := x.s.table.Load().announced[service]
-	if !x.within.Bound {
+	if !x.allowed.Bound {
 		return list
 	}
-	return slices.DeleteFunc(slices.Clone(list), func(m wire.Member) bool { return !x.within.Has(m.DataCenter) })
+	return slices.DeleteFunc(slices.Clone(list), func(m wire.Member) bool { return !x.allowed.Has(m.DataCenter) })
 }
 
 // nowhere returns why no upstream may serve a call that is bound to regions, or nil.
-func (x *exchange) nowhere() *verdict.Error {
-	if !x.within.Bound {
+func (x *exchange) checkRegions() *verdict.Error {
+	if !x.allowed.Bound {
 		return nil
 	}
 	services := []string{x.service.Name}
@@ -171,25 +171,25 @@
 		}
 	}
 	for _, service := range services {
-		if len(x.upstreams(service)) == 0 {
-			return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, where the call may be served", service, x.within.DataCenters).After(comeBack)
+		if len(x.eligibleUpstreams(service)) == 0 {
+			return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, where the call may be served", service, x.allowed.DataCenters).After(defaultRetryAfter)
 		}
 	}
 	return nil
 }
 
 // nobody returns why there is no upstream to try.
-func (x *exchange) nobody() *verdict.Error {
-	if pause := x.pause(); pause > 0 {
+func (x *exchange) noUpstreamError() *verdict.Error {
+	if pause := x.upstreamPause(); pause > 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "all upstreams of service %s have asked for a pause", x.service.Name).After(pause)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream to try", x.service.Name).After(comeBack)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream to try", x.service.Name).After(defaultRetryAfter)
 }
 
 // connections is this process's part of the connections to one upstream. It is divided by the
 // most processes lately: one that is cut off serves on for some seconds with the connections
 // that it has, while the others no longer see it.
-func (x *exchange) connections() int {
+func (x *exchange) maxConnections() int {
 	if x.service.MaxConnections <= 0 {
 		return 0
 	}
@@ -197,19 +197,19 @@
 }
 
 // drop ends an attempt whose answer is not used.
-func (x *exchange) drop(a *attempt, how standing) {
+func (x *exchange) discard(a *attempt, outcome callOutcome) {
 	a.response.Close()
-	x.s.endpoints.release(a.member.Start(), how, time.Now())
-	x.count(a, how)
+	x.s.endpoints.release(a.member.Start(), outcome, time.Now())
+	x.countOutcome(a, outcome)
 }
 
 // count counts how the attempt ended, while the service is rolled out.
-func (x *exchange) count(a *attempt, how standing) {
+func (x *exchange) countOutcome(a *attempt, outcome callOutcome) {
 	switch {
-	case how == failed, how == stood && a.response.Status >= http.StatusInternalServerError:
+	case outcome == callFailed, outcome == callAnswered && a.response.Status >= http.StatusInternalServerError:
 		x.s.counter.Add(a.member, x.route.Name, rollout.Failed, 0)
-	case how == stood && !a.inputsGone():
-		x.s.counter.Add(a.member, x.route.Name, rollout.Answered, a.took)
+	case outcome == callAnswered && !a.inputsGone():
+		x.s.counter.Add(a.member, x.route.Name, rollout.Answered, a.latency)
 	}
 }
 
@@ -227,18 +227,18 @@
 
 // note remembers whether an attempt may have run: a later one that was refused does
 // not make the call one that has not run.
-func (x *exchange) note(err *verdict.Error) {
-	x.mayRan = x.mayRan || err.Verdict != verdict.NotRun
+func (x *exchange) noteFailure(err *verdict.Error) {
+	x.mayHaveRun = x.mayHaveRun || err.Verdict != verdict.NotRun
 }
 
 // refuse answers a call that got no upstream's answer.
 func (x *exchange) refuse(err error) {
 	e := *verdict.From(err)
-	if x.mayRan && e.Verdict == verdict.NotRun {
+	if x.mayHaveRun && e.Verdict == verdict.NotRun {
 		e.Verdict, e.Status, e.RetryAfter = verdict.MayHaveRun, http.StatusBadGateway, 0
 	}
 	if x.r.Context().Err() != nil {
-		leftVar.Add(1)
+		callersLeftVar.Add(1)
 		x.s.log.Info("caller left", "request", x.call.ID, "route", x.routeName(), "sends", x.sends, "after", time.Since(x.began), "left", time.Until(x.deadline), "reason", e.Message)
 		panic(http.ErrAbortHandler)
 	}
@@ -249,7 +249,7 @@
 	}
 	refusedVar.Add(string(e.Code)+"/"+e.Verdict.String(), 1)
 	x.s.log.Info("call refused", "request", x.call.ID, "route", x.routeName(), "status", e.Status, "code", e.Code, "verdict", e.Verdict,
-		"reason", e.Message, "sends", x.sends, "after", time.Since(x.began), "left", time.Until(x.deadline), "config_version", x.version(), "stamp_age", logging.Age(x.s.sync.StampAge()))
+		"reason", e.Message, "sends", x.sends, "after", time.Since(x.began), "left", time.Until(x.deadline), "config_version", x.configVersion(), "stamp_age", logging.Age(x.s.views.StampAge()))
 	h := x.w.Header()
 	h.Set("Content-Type", "application/json")
 	if x.s.notReady() != "" {
@@ -258,7 +258,7 @@
 	if e.Status == http.StatusServiceUnavailable || e.Status == http.StatusTooManyRequests {
 		wait := e.RetryAfter
 		if wait <= 0 {
-			wait = comeBack
+			wait = defaultRetryAfter
 		}
 		h.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 2, 64))
 	}
@@ -280,7 +280,7 @@
 	return x.route.Name
 }
 
-func (x *exchange) version() uint64 {
+func (x *exchange) configVersion() uint64 {
 	if x.table == nil {
 		return 0
 	}
--- a/node/proxy/slow_test.go
+++ b/node/proxy/slow_caller_test.go
@@ -20,11 +20,11 @@
 const slowCallers = 500
 
 // slowStream is a stream to a caller that reads nothing for now.
-type slowStream struct{ ahead *spool }
+type slowStream struct{ buffer *streamBuffer }
 
-func startSlow(ctx context.Context, h *holdings, whole []byte) *slowStream {
+func startSlowStream(ctx context.Context, h *memoryBudget, whole []byte) *slowStream {
 	r, w := io.Pipe() // holds nothing itself
-	s := &slowStream{ahead: newSpool(ctx, r, h)}
+	s := &slowStream{buffer: newStreamBuffer(ctx, r, h)}
 	go func() {
 		for part := whole; len(part) > 0; {
 			n, err := w.Write(part[:min(len(part), 1000)])
@@ -41,7 +41,7 @@
 func (s *slowStream) read(t *testing.T) []byte {
 	var out []byte
 	for {
-		data, err := s.ahead.next()
+		data, err := s.buffer.next()
 		if err == io.EOF {
 			return out
 		}
@@ -55,14 +55,14 @@
 // TestSlowCallersLeaveUpstreamsFree has callers read nothing: their upstreams write all the same and end. Later
 // each caller gets its whole stream.
 func TestSlowCallersLeaveUpstreamsFree(t *testing.T) {
-	h := newHoldings(184)
+	h := newMemoryBudget(184)
 	var streams []*slowStream
 	text := func(i int) []byte { return bytes.Repeat([]byte(fmt.Sprintf("%05d ", i)), 4000) }
 	for i := range slowCallers {
-		streams = append(streams, startSlow(t.Context(), h, text(i)))
+		streams = append(streams, startSlowStream(t.Context(), h, text(i)))
 	}
 	for _, s := range streams {
-		<-s.ahead.done
+		<-s.buffer.done
 	}
 	if got := h.inUse(); got != slowCallers*24_000 {
 		t.Fatalf("%d bytes are held", got)
@@ -71,7 +71,7 @@
 		if got := s.read(t); !bytes.Equal(got, text(i)) {
 			t.Fatalf("caller %d got %d bytes of %d", i, len(got), len(text(i)))
 		}
-		s.ahead.drop()
+		s.buffer.free()
 	}
 	if got := h.inUse(); got != 0 {
 		t.Fatalf("%d bytes are held at the end", got)
@@ -81,20 +81,20 @@
 // TestSlowCallersTakeBoundedMemory has them take more than the process may hold: upstreams wait, nothing is lost,
 // and a caller that reads is served.
 func TestSlowCallersTakeBoundedMemory(t *testing.T) {
-	h := &holdings{limit: 1 << 20}
+	h := &memoryBudget{limit: 1 << 20}
 	whole := bytes.Repeat([]byte("0123456789"), 10_000)
 	var streams []*slowStream
 	for range slowCallers {
-		streams = append(streams, startSlow(t.Context(), h, whole))
+		streams = append(streams, startSlowStream(t.Context(), h, whole))
 	}
-	if got := startSlow(t.Context(), h, whole).read(t); !bytes.Equal(got, whole) {
+	if got := startSlowStream(t.Context(), h, whole).read(t); !bytes.Equal(got, whole) {
 		t.Fatalf("the caller that reads got %d bytes", len(got))
 	}
 	for _, s := range streams {
 		if got := s.read(t); !bytes.Equal(got, whole) {
 			t.Fatalf("%d bytes", len(got))
 		}
-		if used := h.inUse(); used > h.limit+slowCallers*readChunk {
+		if used := h.inUse(); used > h.limit+slowCallers*readChunkBytes {
 			t.Fatalf("%d bytes are held", used)
 		}
 	}
@@ -103,10 +103,10 @@
 // TestStreamEndsWithItsCall ends calls whose callers read nothing and whose spools are full.
 func TestStreamEndsWithItsCall(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	h := &holdings{limit: 100}
-	s := startSlow(ctx, h, bytes.Repeat([]byte("x"), 50_000))
+	h := &memoryBudget{limit: 100}
+	s := startSlowStream(ctx, h, bytes.Repeat([]byte("x"), 50_000))
 	cancel()
-	s.ahead.drop()
+	s.buffer.free()
 	if got := h.inUse(); got != 0 {
 		t.Fatalf("%d bytes are held", got)
 	}
@@ -115,8 +115,8 @@
 // TestBodiesTakeBoundedMemory sends large bodies while their upstream answers none: what the process cannot hold
 // is refused as not run, and small ones are served.
 func TestBodiesTakeBoundedMemory(t *testing.T) {
-	b := newBed(t)
-	b.service.holdings = &holdings{limit: 3 << 20}
+	b := newFixture(t)
+	b.service.memory = &memoryBudget{limit: 3 << 20}
 	release, arrived := make(chan struct{}), make(chan struct{}, 16)
 	b.upstream("desk", "d1", func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body)
@@ -127,7 +127,7 @@
 		fmt.Fprint(w, n)
 	})
 	send := func(size int) int {
-		r, err := http.NewRequest(http.MethodPost, b.front.URL+"/reserve/deep/", strings.NewReader(strings.Repeat("x", size)))
+		r, err := http.NewRequest(http.MethodPost, b.server.URL+"/reserve/deep/", strings.NewReader(strings.Repeat("x", size)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,7 +160,7 @@
 	close(release)
 	wg.Wait()
 	for range 100 { // handlers end after their answers
-		if b.service.holdings.inUse() == 0 {
+		if b.service.memory.inUse() == 0 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -170,15 +170,15 @@
 
 // deafCaller is a caller to which nothing can be written any more, though its connection is not known to be
 // closed.
-type deafCaller struct{ *httptest.ResponseRecorder }
+type timedOutWriter struct{ *httptest.ResponseRecorder }
 
 // Write implements http.ResponseWriter.
-func (deafCaller) Write([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
+func (timedOutWriter) Write([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
 // TestCallersFaultIsNoUpstreams has callers take nothing of their streams while a service is rolled out: neither is it
 // counted against the version that answered, nor is the upstream passed over, nor is the stream begun elsewhere.
 func TestCallersFaultIsNoUpstreams(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	var calls atomic.Int32
 	b.upstream("llm", "e1", func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
@@ -195,7 +195,7 @@
 				t.Errorf("the answer ends with %v", p)
 			}
 		}()
-		b.service.ServeHTTP(deafCaller{httptest.NewRecorder()}, r)
+		b.service.ServeHTTP(timedOutWriter{httptest.NewRecorder()}, r)
 	}()
 	if got := calls.Load(); got != 1 {
 		t.Errorf("%d calls of upstreams", got)
@@ -203,7 +203,7 @@
 	if counts := b.service.counter.Report(); counts != nil {
 		t.Errorf("counted: %+v", counts)
 	}
-	for _, ep := range b.service.endpoints.by {
+	for _, ep := range b.service.endpoints.byStart {
 		if ep.failures > 0 {
 			t.Errorf("%d failures of the upstream", ep.failures)
 		}
--- a/node/proxy/firstview.go
+++ b/node/proxy/startup.go
@@ -15,53 +15,53 @@
 	// configuration: 0.35 s to 0.9 s, an election included. A caller that waits so
 	// long is still in time for the goals of streams; one that is told to come back
 	// is not, since it cannot be told of less than such a gap.
-	startGap = 1200 * time.Millisecond
+	maxStartupWait = 1200 * time.Millisecond
 	// maxWaiting bounds the calls that wait, whose headers are some 2 kB each and
 	// whose goroutines take 20 kB: 10 MB. Eight times what comes to a process
 	// in startGap at 53 calls a second.
-	maxWaiting = 512
+	maxWaitingCalls = 512
 )
 
 // firstView lets calls wait for this process's first configuration, for a short
 // time after its start. Later it lets none wait: a process that has none by then
 // does not know when it will.
-type firstView struct {
-	clock   clockwork.Clock
-	until   time.Time
-	waiting atomic.Int32
-	known   chan struct{} // closed with the first configuration
-	once    sync.Once
+type startupWait struct {
+	clock      clockwork.Clock
+	deadline   time.Time
+	waiting    atomic.Int32
+	configured chan struct{} // closed with the first configuration
+	once       sync.Once
 }
 
-func newFirstView(clock clockwork.Clock) *firstView {
-	return &firstView{clock: clock, until: clock.Now().Add(startGap), known: make(chan struct{})}
+func newStartupWait(clock clockwork.Clock) *startupWait {
+	return &startupWait{clock: clock, deadline: clock.Now().Add(maxStartupWait), configured: make(chan struct{})}
 }
 
 // set says that there is a configuration.
-func (f *firstView) set() { f.once.Do(func() { close(f.known) }) }
+func (f *startupWait) setConfigured() { f.once.Do(func() { close(f.configured) }) }
 
 // wait returns once there is a configuration, or when waiting for it is over:
 // the process is past its start, too many calls wait, ctx ends, or the caller's
 // time is over, which it reports. A caller that says no time has zero.
-func (f *firstView) wait(ctx context.Context, callers time.Duration) (tooLate bool) {
+func (f *startupWait) wait(ctx context.Context, callerTime time.Duration) (tooLate bool) {
 	now := f.clock.Now()
-	left := f.until.Sub(now)
-	if callers > 0 {
-		left = min(left, callers)
+	left := f.deadline.Sub(now)
+	if callerTime > 0 {
+		left = min(left, callerTime)
 	}
 	if left <= 0 {
 		return false
 	}
 	defer f.waiting.Add(-1)
-	if f.waiting.Add(1) > maxWaiting {
+	if f.waiting.Add(1) > maxWaitingCalls {
 		return false
 	}
 	timer := f.clock.NewTimer(left)
 	defer timer.Stop()
 	select {
-	case <-f.known:
+	case <-f.configured:
 	case <-timer.Chan():
 	case <-ctx.Done():
 	}
-	return callers > 0 && f.clock.Since(now) >= callers
+	return callerTime > 0 && f.clock.Since(now) >= callerTime
 }
--- a/node/proxy/firstview_test.go
+++ b/node/proxy/startup_test.go
@@ -14,22 +14,22 @@
 
 // starting is a bed whose process has no configuration yet, on a clock of the
 // test's.
-func starting(t *testing.T) (*bed, *clockwork.FakeClock) {
-	b, clock := newBed(t), clockwork.NewFakeClock()
+func newStartingFixture(t *testing.T) (*fixture, *clockwork.FakeClock) {
+	b, clock := newFixture(t), clockwork.NewFakeClock()
 	b.upstream("desk", "d", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	b.service.table.Store(nil) // the bed's upstreams come with a view
-	b.service.first = newFirstView(clock)
+	b.service.startup = newStartupWait(clock)
 	return b, clock
 }
 
 // ask sends a call and returns where its status will come.
-func (b *bed) ask() <-chan int { return b.askWithin(0) }
+func (b *fixture) callAsync() <-chan int { return b.callAsyncWithin(0) }
 
 // askWithin sends a call of a caller that waits for so long; zero: it does not say.
-func (b *bed) askWithin(wait time.Duration) <-chan int {
+func (b *fixture) callAsyncWithin(wait time.Duration) <-chan int {
 	status := make(chan int, 1)
 	go func() {
-		r, err := http.NewRequest(http.MethodGet, b.front.URL+"/reserve/deep/x", nil)
+		r, err := http.NewRequest(http.MethodGet, b.server.URL+"/reserve/deep/x", nil)
 		if err != nil {
 			b.t.Error(err)
 		}
@@ -51,12 +51,12 @@
 // TestCallWaitsForTheFirstConfiguration sends a call to a process that has just
 // started: it is served as soon as there is a configuration.
 func TestCallWaitsForTheFirstConfiguration(t *testing.T) {
-	b, clock := starting(t)
-	status := b.ask()
+	b, clock := newStartingFixture(t)
+	status := b.callAsync()
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	b.service.follow(&b.view)
+	b.service.applyView(&b.view)
 	if got := <-status; got != http.StatusOK {
 		t.Fatalf("status %d", got)
 	}
@@ -65,13 +65,13 @@
 // TestNobodyWaitsPastTheStart lets a call wait until the time for it is over, and
 // sends another one after that: both are refused as not run.
 func TestNobodyWaitsPastTheStart(t *testing.T) {
-	b, clock := starting(t)
-	status := b.ask()
+	b, clock := newStartingFixture(t)
+	status := b.callAsync()
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	clock.Advance(startGap)
-	for _, s := range []<-chan int{status, b.ask()} {
+	clock.Advance(maxStartupWait)
+	for _, s := range []<-chan int{status, b.callAsync()} {
 		if got := <-s; got != http.StatusServiceUnavailable {
 			t.Fatalf("status %d", got)
 		}
@@ -79,7 +79,7 @@
 }
 
 // sent is how many calls have gone to upstreams of a service so far.
-func sent(service string) int64 {
+func sendCount(service string) int64 {
 	if n, ok := sendsVar.Get(service).(*expvar.Int); ok {
 		return n.Value()
 	}
@@ -90,22 +90,22 @@
 // and no upstream is asked in vain. One that has time waits on and is served.
 func TestCallIsNotSentPastItsDeadline(t *testing.T) {
 	const short = 300 * time.Millisecond
-	b, clock := starting(t)
-	first, second := b.askWithin(short), b.ask()
+	b, clock := newStartingFixture(t)
+	first, second := b.callAsyncWithin(short), b.callAsync()
 	if err := clock.BlockUntilContext(t.Context(), 2); err != nil {
 		t.Fatal(err)
 	}
-	before := sent("desk")
+	before := sendCount("desk")
 	b.service.table.Store(newTable(&b.view, nil, nil)) // it comes with the caller's last moment
 	clock.Advance(short)
 	if got := <-first; got != http.StatusServiceUnavailable {
 		t.Errorf("status %d at the deadline", got)
 	}
-	b.service.follow(&b.view)
+	b.service.applyView(&b.view)
 	if got := <-second; got != http.StatusOK {
 		t.Errorf("status %d with time left", got)
 	}
-	if got := sent("desk") - before; got != 1 {
+	if got := sendCount("desk") - before; got != 1 {
 		t.Errorf("%d sends, want 1", got)
 	}
 }
@@ -113,10 +113,10 @@
 // TestWaitingCallsAreBounded fills the places for calls that wait: the next one
 // does not wait.
 func TestWaitingCallsAreBounded(t *testing.T) {
-	f := newFirstView(clockwork.NewFakeClock())
-	f.waiting.Store(maxWaiting)
+	f := newStartupWait(clockwork.NewFakeClock())
+	f.waiting.Store(maxWaitingCalls)
 	f.wait(context.Background(), 0)
-	if got := f.waiting.Load(); got != maxWaiting {
+	if got := f.waiting.Load(); got != maxWaitingCalls {
 		t.Fatalf("%d wait", got)
 	}
 	f.waiting.Store(0)
--- a/node/proxy/stream.go
+++ b/node/proxy/stream.go
@@ -13,31 +13,31 @@
 	"caperdrum.org/node/upstream"
 )
 
-const readChunk = 16 << 10
+const readChunkBytes = 16 << 10
 
 // stream serves a call whose answer is a stream of events.
-func (x *exchange) stream(ctx context.Context) error {
+func (x *exchange) serveStream(ctx context.Context) error {
 	x.s.repeats.First(x.service.Name)
-	defer func() { x.release() }()
+	defer func() { x.releaseStages() }()
 	var tried []wire.Start
-	c := x.choice()
+	c := x.selectionCriteria()
 	out := &streamWriter{x: x}
-	out.events.last = x.call.LastEvent
-	remade := false
+	out.events.lastID = x.call.LastEvent
+	rerun := false
 	for {
 		if err := x.runStages(ctx); err != nil {
-			return out.abandon(verdict.From(err))
+			return out.fail(verdict.From(err))
 		}
-		c.wanted = x.engine
-		a := x.send(ctx, &tried, c, out.events.last)
+		c.chosen = x.engine
+		a := x.send(ctx, &tried, c, out.events.lastID)
 		if a.inputsGone() {
-			x.drop(a, stood)
-			x.release()
+			x.discard(a, callAnswered)
+			x.releaseStages()
 			// Once they were lost a second time, a third engine will hardly find them.
-			if remade || !x.maySend(inputsLost) {
-				return out.abandon(errInputsLost(a.member.ID))
+			if rerun || !x.allowRepeat(inputsLost) {
+				return out.fail(errInputsLost(a.member.ID))
 			}
-			remade, tried = true, nil
+			rerun, tried = true, nil
 			x.sends--
 			continue
 		}
@@ -45,11 +45,11 @@
 		if done {
 			return nil
 		}
-		x.note(err)
-		if err.Verdict != verdict.NotRun && !x.route.Repeatable() || ctx.Err() != nil || x.gone || !x.mayRepeat(err) {
-			return out.abandon(err)
+		x.noteFailure(err)
+		if err.Verdict != verdict.NotRun && !x.route.Repeatable() || ctx.Err() != nil || x.callerGone || !x.mayRepeat(err) {
+			return out.fail(err)
 		}
-		x.s.log.Info("stream goes on elsewhere", "request", x.call.ID, "from", a.member.ID, "last_event", out.events.last, "reason", err.Message)
+		x.s.log.Info("stream goes on elsewhere", "request", x.call.ID, "from", a.member.ID, "last_event", out.events.lastID, "reason", err.Message)
 	}
 }
 
@@ -60,7 +60,7 @@
 }
 
 func errInputsLost(engine wire.MemberID) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeUpstream, "results of the stages were lost before %s had them", engine).After(comeBack)
+	return verdict.New(verdict.NotRun, verdict.CodeUpstream, "results of the stages were lost before %s had them", engine).After(defaultRetryAfter)
 }
 
 // relay passes an upstream's stream on. It reports whether the caller has got
@@ -70,58 +70,58 @@
 		return false, a.err
 	}
 	if a.err != nil {
-		x.drop(a, wasFull)
+		x.discard(a, callRefused)
 		return false, a.err
 	}
 	if a.response.Status != http.StatusOK {
-		if out.begun {
-			x.drop(a, failed)
+		if out.started {
+			x.discard(a, callFailed)
 			return false, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "%s answered %d to a stream that goes on", a.member.ID, a.response.Status)
 		}
-		body, err := x.whole(ctx, a)
+		body, err := x.readAnswer(ctx, a)
 		if err != nil {
 			return false, err
 		}
-		if x.failedItself(a) {
-			return false, x.keep(a, body)
+		if x.isRepeatableFailure(a) {
+			return false, x.saveFailure(a, body)
 		}
-		x.pass(a, body)
+		x.sendAnswer(a, body)
 		return true, nil
 	}
 	out.begin(a)
-	x.report(a.member, stagework.EngineBegan)
-	x.release()
+	x.setEngineOutcome(a.member, stagework.EngineBegan)
+	x.releaseStages()
 	err := out.copy(ctx, a)
 	switch {
 	case err == io.EOF:
-		x.drop(a, stood)
+		x.discard(a, callAnswered)
 		out.finish()
-		x.answered(a, out.events.last)
+		x.recordAnswer(a, out.events.lastID)
 		return true, nil
-	case ctx.Err() != nil, x.gone:
-		x.drop(a, unknown)
+	case ctx.Err() != nil, x.callerGone:
+		x.discard(a, callUnknown)
 	default:
-		x.broke(a.member)
-		x.drop(a, failed)
+		x.investigateBreak(a.member)
+		x.discard(a, callFailed)
 	}
 	return false, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "the stream of %s broke off: %v", a.member.ID, err)
 }
 
 // streamWriter writes the caller's stream.
 type streamWriter struct {
-	x      *exchange
-	begun  bool
-	events eventSplitter
+	x       *exchange
+	started bool
+	events  eventSplitter
 }
 
 // begin sends the first upstream's headers; those of the ones after it are not
 // passed on.
 func (o *streamWriter) begin(a *attempt) {
-	if o.begun {
+	if o.started {
 		o.events.pending = nil
 		return
 	}
-	o.begun = true
+	o.started = true
 	o.x.firstByte = time.Since(o.x.began)
 	o.x.copyHeader(a)
 	o.x.w.WriteHeader(http.StatusOK)
@@ -131,20 +131,20 @@
 // copy passes whole events on as they come. It returns io.EOF after a whole
 // stream.
 func (o *streamWriter) copy(ctx context.Context, a *attempt) error {
-	defer o.x.deliverBy(time.Now())()
-	ahead := newSpool(ctx, a.response.Body, o.x.s.holdings)
-	err := o.copyFrom(ahead)
+	defer o.x.setWriteDeadline(time.Now())()
+	buffer := newStreamBuffer(ctx, a.response.Body, o.x.s.memory)
+	err := o.copyFrom(buffer)
 	if err != io.EOF {
 		a.response.Abort() // a read that waits
 	}
-	ahead.drop()
+	buffer.free()
 	return err
 }
 
-func (o *streamWriter) copyFrom(ahead *spool) error {
+func (o *streamWriter) copyFrom(buffer *streamBuffer) error {
 	flush := http.NewResponseController(o.x.w)
 	for {
-		data, err := ahead.next()
+		data, err := buffer.next()
 		if err != nil {
 			return err
 		}
@@ -152,7 +152,7 @@
 			if err := o.x.write(whole); err != nil {
 				return err
 			}
-			if err := o.x.delivered(flush.Flush()); err != nil {
+			if err := o.x.noteWriteError(flush.Flush()); err != nil {
 				return err
 			}
 		}
@@ -168,19 +168,19 @@
 
 // abandon ends a stream that cannot go on: as a refusal before it began, and
 // else so that it does not look whole.
-func (o *streamWriter) abandon(err *verdict.Error) error {
-	if !o.begun {
+func (o *streamWriter) fail(err *verdict.Error) error {
+	if !o.started {
 		return err
 	}
-	brokenVar.Add(1)
-	o.x.s.log.Info("stream broken off", "request", o.x.call.ID, "route", o.x.route.Name, "last_event", o.events.last, "reason", err.Message,
+	streamsBrokenVar.Add(1)
+	o.x.s.log.Info("stream broken off", "request", o.x.call.ID, "route", o.x.route.Name, "last_event", o.events.lastID, "reason", err.Message,
 		"sends", o.x.sends, "after", time.Since(o.x.began), "caller_left", o.x.r.Context().Err() != nil)
 	panic(http.ErrAbortHandler)
 }
 
 // runStages has the stages of the call done, unless their results are there.
 func (x *exchange) runStages(ctx context.Context) error {
-	if x.staged {
+	if x.stagesDone {
 		return nil
 	}
 	job, pieces := x.job()
@@ -193,8 +193,8 @@
 	if err != nil {
 		return err
 	}
-	x.s.endpoints.hear(result.Dark, time.Now())
-	x.inputs, x.staged, x.releaseResults = result.Handles, true, release
+	x.s.endpoints.setUnreachable(result.Dark, time.Now())
+	x.inputs, x.stagesDone, x.releaseResults = result.Handles, true, release
 	x.engine, x.fetchFrom, x.engineOutcome = result.Engine, result.FetchFrom, stagework.EngineUnknown
 	x.s.log.V(logging.Routine).Info("stages done", "request", x.call.ID, "pieces", pieces, "results", len(result.Handles), "took", time.Since(began), "left", time.Until(x.deadline))
 	return nil
@@ -210,16 +210,16 @@
 	if !ok {
 		return
 	}
-	x.s.endpoints.hear(result.Dark, time.Now())
-	x.staged, x.releaseResults, x.engine, x.fetchFrom = true, release, result.Engine, result.FetchFrom
+	x.s.endpoints.setUnreachable(result.Dark, time.Now())
+	x.stagesDone, x.releaseResults, x.engine, x.fetchFrom = true, release, result.Engine, result.FetchFrom
 }
 
 func (x *exchange) job() (job stagework.Job, pieces int) {
 	job = stagework.Job{ID: x.call.ID, Key: x.call.PieceKey, Left: time.Until(x.deadline),
-		Goal: time.Until(x.began.Add(x.route.Goal - engineStart(x.call.Prefix))), DataCenter: x.engineAt(), Priority: x.route.Priority, Within: x.within}
+		Goal: time.Until(x.began.Add(x.route.Goal - engineTime(x.call.Prefix))), DataCenter: x.engineDataCenter(), Priority: x.route.Priority, Within: x.allowed}
 	if len(x.call.Prefix) > 0 {
 		job.FirstEvent = time.Until(x.began.Add(x.route.Goal))
-		job.Prompt = &stagework.Prompt{Service: x.service.Name, Parts: x.call.Prefix, Within: x.within}
+		job.Prompt = &stagework.Prompt{Service: x.service.Name, Parts: x.call.Prefix, Within: x.allowed}
 	}
 	for i, st := range x.route.Stages {
 		n := 0
@@ -234,8 +234,8 @@
 
 // engineAt is the data centre of the engine that the call would go to now: large
 // results are best made there.
-func (x *exchange) engineAt() string {
-	m, ok := x.s.endpoints.peek(x.upstreams(x.service.Name), x.choice(), time.Now())
+func (x *exchange) engineDataCenter() string {
+	m, ok := x.s.endpoints.peek(x.eligibleUpstreams(x.service.Name), x.selectionCriteria(), time.Now())
 	if !ok {
 		return x.s.set.Node.DataCenter
 	}
@@ -243,38 +243,38 @@
 }
 
 // choice is how the call's engine is chosen.
-func (x *exchange) choice() choice {
-	return choice{dataCenter: x.s.set.Node.DataCenter, affinity: upstream.PrefixHash(x.call.Prefix),
-		cold: coldShare{limit: x.s.set.Proxy.ColdLimit(), rate: x.service.ColdRate, self: x.s.sync.Self().ID, nearby: x.s.table.Load().proxiesIn[x.s.set.Node.DataCenter]}}
+func (x *exchange) selectionCriteria() criteria {
+	return criteria{dataCenter: x.s.set.Node.DataCenter, affinity: upstream.PrefixHash(x.call.Prefix),
+		cold: coldPolicy{limit: x.s.set.Proxy.ColdLimit(), rate: x.service.ColdRate, self: x.s.views.Self().ID, nearby: x.s.table.Load().proxiesByDataCenter[x.s.set.Node.DataCenter]}}
 }
 
 const (
 	// engineFirst is how long an engine takes to its first event besides reading the
 	// prompt: 47 ms by the users' sheet, links, and turns of other calls.
-	engineFirst = 90 * time.Millisecond
+	firstEventTime = 90 * time.Millisecond
 	// prefillRate is how many tokens of a prompt an engine reads in a millisecond.
 	// The users' sheet says 112, which other calls at the engine share.
-	prefillRate = 80
+	prefillTokensPerMs = 80
 	// longestPrompt bounds what a caller may claim, in tokens: twice the longest that
 	// the users describe.
-	longestPrompt = 128 << 10
+	maxPromptTokens = 128 << 10
 )
 
 // engineStart is left of a goal for the engine to read the prompt and begin. Only
 // the last part of a prompt is certainly read: engines keep shared ones.
-func engineStart(prompt []upstream.PromptPart) time.Duration {
+func engineTime(prompt []upstream.PromptPart) time.Duration {
 	if len(prompt) == 0 {
-		return engineFirst
+		return firstEventTime
 	}
-	tokens := min(max(prompt[len(prompt)-1].Tokens, 0), longestPrompt)
-	return engineFirst + time.Duration(tokens)*time.Millisecond/prefillRate
+	tokens := min(max(prompt[len(prompt)-1].Tokens, 0), maxPromptTokens)
+	return firstEventTime + time.Duration(tokens)*time.Millisecond/prefillTokensPerMs
 }
 
 // release gives the results of the stages up: an upstream has fetched them, or
 // the call is over. Another upstream needs them made again.
-func (x *exchange) release() {
-	if x.staged {
-		x.staged = false
+func (x *exchange) releaseStages() {
+	if x.stagesDone {
+		x.stagesDone = false
 		x.releaseResults(x.engineOutcome)
 	}
 }
--- a/node/proxy/table.go
+++ b/node/proxy/table.go
@@ -15,36 +15,36 @@
 
 // table is an immutable picture of what decides about calls.
 type table struct {
-	version   uint64
-	seq       uint64 // of the members
-	config    *optext.Config
-	byHost    map[string][]*optext.Route // longest prefix first
-	customers map[[sha256.Size]byte]*optext.Customer
-	announced map[string][]wire.Member
-	members   memberset.Set
-	peers     []wire.Member       // of which proxies and proxiesIn were made
-	proxies   int                 // processes that share what is bounded over all of them; at least one
-	proxiesIn map[string][]string // them, by data centre
-	regions   residency.Regions
+	version             uint64
+	membersSeq          uint64 // of the members
+	config              *optext.Config
+	byHost              map[string][]*optext.Route // longest prefix first
+	customers           map[[sha256.Size]byte]*optext.Customer
+	announced           map[string][]wire.Member
+	members             memberset.Set
+	peers               []wire.Member       // of which proxies and proxiesIn were made
+	proxyCount          int                 // processes that share what is bounded over all of them; at least one
+	proxiesByDataCenter map[string][]string // them, by data centre
+	regions             residency.Regions
 }
 
 // newTable returns the table of a view. What has not changed since before, which may be nil, is taken over.
 func newTable(v *configsync.View, regions map[string]string, before *table) *table {
-	t := &table{version: v.Version, seq: v.Seq, config: v.Config, announced: v.Announced, members: v.Members, peers: v.Peers}
+	t := &table{version: v.Version, membersSeq: v.Seq, config: v.Config, announced: v.Announced, members: v.Members, peers: v.Peers}
 	if before != nil && before.config == v.Config {
 		t.byHost, t.customers, t.regions = before.byHost, before.customers, before.regions
 	} else {
-		t.takeText(v.Config, regions)
+		t.setConfig(v.Config, regions)
 	}
 	if before != nil && configsync.SameList(before.peers, v.Peers) {
-		t.proxies, t.proxiesIn = before.proxies, before.proxiesIn
+		t.proxyCount, t.proxiesByDataCenter = before.proxyCount, before.proxiesByDataCenter
 	} else {
-		t.takePeers(v.Peers)
+		t.setPeers(v.Peers)
 	}
 	return t
 }
 
-func (t *table) takeText(c *optext.Config, regions map[string]string) {
+func (t *table) setConfig(c *optext.Config, regions map[string]string) {
 	t.byHost, t.customers = map[string][]*optext.Route{}, map[[sha256.Size]byte]*optext.Customer{}
 	t.regions = residency.RegionsOf(regions, c)
 	for _, r := range c.Routes {
@@ -60,12 +60,12 @@
 	}
 }
 
-func (t *table) takePeers(peers []wire.Member) {
-	t.proxiesIn = map[string][]string{}
+func (t *table) setPeers(peers []wire.Member) {
+	t.proxiesByDataCenter = map[string][]string{}
 	for _, m := range peers {
-		t.proxiesIn[m.DataCenter] = append(t.proxiesIn[m.DataCenter], string(m.ID))
+		t.proxiesByDataCenter[m.DataCenter] = append(t.proxiesByDataCenter[m.DataCenter], string(m.ID))
 	}
-	t.proxies = max(len(peers), 1)
+	t.proxyCount = max(len(peers), 1)
 }
 
 // configured reports whether this process knows a configuration.
@@ -100,7 +100,7 @@
 
 // service picks one of the route's services by its weights; at is between 0
 // and 1.
-func service(r *optext.Route, at float64) string {
+func pickService(r *optext.Route, at float64) string {
 	sum := 0.0
 	for _, w := range r.Weights {
 		sum += w.Weight
--- a/node/proxy/dark_test.go
+++ b/node/proxy/unreachable_test.go
@@ -29,18 +29,18 @@
 		"all are":                  {[]string{"dc0", "dc1"}, 0, "", list, "dc0"},
 		"only dark ones are there": {[]string{"dc0"}, 0, "", list[:1], "dc0"},
 		"the owner looks there":    {[]string{"dc0"}, 0, "u2", list, "dc0"},
-		"not heard from any more":  {[]string{"dc0"}, darkFor, "", list, "dc0"},
-		"heard from a moment ago":  {[]string{"dc0"}, darkFor - time.Millisecond, "", list, "dc1"},
+		"not heard from any more":  {[]string{"dc0"}, unreachableTTL, "", list, "dc0"},
+		"heard from a moment ago":  {[]string{"dc0"}, unreachableTTL - time.Millisecond, "", list, "dc1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoints(noNotices())
-			e.hear(c.dark, now)
-			m, ok := e.take(c.list, choice{dataCenter: "dc0", wanted: c.wanted}, now.Add(c.after))
+			e.setUnreachable(c.dark, now)
+			m, ok := e.acquire(c.list, criteria{dataCenter: "dc0", chosen: c.wanted}, now.Add(c.after))
 			if !ok || m.DataCenter != c.want {
 				t.Errorf("%s in %s, %v", m.ID, m.DataCenter, ok)
 			}
-			e.hear(nil, now)
-			if m, _ := e.take(list, choice{dataCenter: "dc0"}, now); c.want == "dc1" && m.DataCenter != "dc0" {
+			e.setUnreachable(nil, now)
+			if m, _ := e.acquire(list, criteria{dataCenter: "dc0"}, now); c.want == "dc1" && m.DataCenter != "dc0" {
 				t.Errorf("%s is taken though the data centre is back", m.ID)
 			}
 		})
--- a/node/retry/peers.go
+++ b/node/retry/peers.go
@@ -30,24 +30,24 @@
 // is divided by the most members that any of these views had: of any processes that have used their parts within one
 // span, all were members at one moment that each of them has seen.
 type Peers struct {
-	clock     clockwork.Clock
-	confirmed Confirmations
-	settling  time.Duration
+	clock      clockwork.Clock
+	confirmed  Confirmations
+	settleTime time.Duration
 
-	mu     sync.Mutex
-	member time.Time // since when each view holds this start; zero where the last one does not
-	views  []size    // the oldest first
+	mu          sync.Mutex
+	memberSince time.Time  // since when each view holds this start; zero where the last one does not
+	sizes       []viewSize // the oldest first
 }
 
 // size is how many members the views had from a moment on.
-type size struct {
+type viewSize struct {
 	at      time.Time
 	members int
 }
 
 // NewPeers returns the peers of a process that has just started.
 func NewPeers(span time.Duration, clock clockwork.Clock, c Confirmations) *Peers {
-	return &Peers{clock: clock, confirmed: c, settling: span + 2*c.Gap}
+	return &Peers{clock: clock, confirmed: c, settleTime: span + 2*c.Gap}
 }
 
 // Follow takes over what a new view says.
@@ -57,20 +57,20 @@
 	defer p.mu.Unlock()
 	switch {
 	case !s.Self:
-		p.member = time.Time{}
-	case p.member.IsZero():
-		p.member = now
+		p.memberSince = time.Time{}
+	case p.memberSince.IsZero():
+		p.memberSince = now
 	}
-	if n := len(p.views); n == 0 || p.views[n-1].members != s.Members {
-		p.views = append(p.views, size{now, s.Members})
+	if n := len(p.sizes); n == 0 || p.sizes[n-1].members != s.Members {
+		p.sizes = append(p.sizes, viewSize{now, s.Members})
 	}
-	p.forget(now)
+	p.prune(now)
 }
 
 // forget drops the views that were replaced before all that counts.
-func (p *Peers) forget(now time.Time) {
-	for len(p.views) > 1 && now.Sub(p.views[1].at) > p.settling {
-		p.views = p.views[1:]
+func (p *Peers) prune(now time.Time) {
+	for len(p.sizes) > 1 && now.Sub(p.sizes[1].at) > p.settleTime {
+		p.sizes = p.sizes[1:]
 	}
 }
 
@@ -78,9 +78,9 @@
 func (p *Peers) Most() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(p.clock.Now())
+	p.prune(p.clock.Now())
 	most := 1
-	for _, v := range p.views {
+	for _, v := range p.sizes {
 		most = max(most, v.members)
 	}
 	return most
@@ -91,5 +91,5 @@
 	now, steady := p.clock.Now(), p.confirmed.Steady()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.member.IsZero() && min(now.Sub(p.member), steady) >= p.settling
+	return !p.memberSince.IsZero() && min(now.Sub(p.memberSince), steady) >= p.settleTime
 }
--- a/node/retry/quota.go
+++ b/node/retry/quota.go
@@ -20,10 +20,10 @@
 	// behind the repeats of one span lie in it or in the one before, and callers may have moved
 	// to another process between the two, which both count: a half keeps the limit whatever they
 	// do. The rest of it is for attempts that are counted up to a tenth of a span before their repeats.
-	ratioPart = 0.45
+	ratioShare = 0.45
 	// fixedPart is how much of a limit's fixed number all processes use together. The rest is
 	// for repeats that arrive later than the window allows for.
-	fixedPart = 0.9
+	fixedShare = 0.9
 )
 
 // Quota is this process's part of a Limit, which holds for each service by itself. Of the
@@ -59,17 +59,17 @@
 // Take decides about a repeat at the service, and counts it where it is allowed.
 func (q *Quota) Take(service string) Decision {
 	w := q.window(service)
-	d := q.part()
+	d := q.fixedAllowance()
 	d.First, d.Extra = w.Counts()
 	d.Allowed = w.Take(d.Fixed)
 	return d
 }
 
 // part returns this process's part of the fixed number.
-func (q *Quota) part() Decision {
+func (q *Quota) fixedAllowance() Decision {
 	d := Decision{Members: q.peers.Most(), Settled: q.peers.Settled()}
 	if d.Settled {
-		d.Fixed = int(fixedPart * q.limit.Fixed / float64(d.Members))
+		d.Fixed = int(fixedShare * q.limit.Fixed / float64(d.Members))
 	}
 	return d
 }
@@ -79,7 +79,7 @@
 	defer q.mu.Unlock()
 	w := q.windows[service]
 	if w == nil {
-		w = NewWindow(q.limit.Window, ratioPart*q.limit.Ratio, q.clock)
+		w = NewWindow(q.limit.Window, ratioShare*q.limit.Ratio, q.clock)
 		q.windows[service] = w
 	}
 	return w
--- a/node/retry/processes_test.go
+++ b/node/retry/quota_test.go
@@ -21,7 +21,7 @@
 
 // allProcesses plays processes that share a limit on one clock: their views, and what
 // callers and upstreams see.
-type allProcesses struct {
+type simulation struct {
 	clock     *clockwork.FakeClock
 	random    *rand.Rand
 	limit     Limit
@@ -31,42 +31,42 @@
 }
 
 const (
-	tick      = 50 * time.Millisecond
-	lease     = 3 * time.Second        // after which a silent process is no member
-	syncEvery = 600 * time.Millisecond // at most between two confirmations of a view
-	latest    = 400 * time.Millisecond // that a repeat takes to its upstream
+	tick           = 50 * time.Millisecond
+	memberLease    = 3 * time.Second        // after which a silent process is no member
+	syncEvery      = 600 * time.Millisecond // at most between two confirmations of a view
+	maxRepeatDelay = 400 * time.Millisecond // that a repeat takes to its upstream
 )
 
 // process is one of them, over all its starts.
 type process struct {
-	all      *allProcesses
-	downTill time.Time
-	cutTill  time.Time // from the control processes: it serves on
-	share    float64   // of the requests, against the others'
+	sim         *simulation
+	downUntil   time.Time
+	cutOffUntil time.Time // from the control processes: it serves on
+	weight      float64   // of the requests, against the others'
 
 	quota   *Quota // of this start; nil while it is down
 	peers   *Peers
 	joined  bool // this start is a member
-	heard   time.Time
+	renewed time.Time
 	synced  time.Time // when its view was confirmed; zero before
 	since   time.Time // when the confirmations without a gap began
 	members int       // in its view
 }
 
-func playProcesses(n int, limit Limit, seed uint64) *allProcesses {
-	a := &allProcesses{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 33)), limit: limit}
+func newSimulation(n int, limit Limit, seed uint64) *simulation {
+	a := &simulation{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 33)), limit: limit}
 	for range n {
-		a.processes = append(a.processes, &process{all: a, share: 1})
+		a.processes = append(a.processes, &process{sim: a, weight: 1})
 	}
 	return a
 }
 
 // play lets so many requests a second come for a while; the part failing of the attempts fails.
-func (a *allProcesses) play(d time.Duration, perSecond, failing float64) {
+func (a *simulation) run(d time.Duration, perSecond, failing float64) {
 	for range d / tick {
 		a.clock.Advance(tick)
 		for _, p := range a.processes {
-			p.live()
+			p.tick()
 		}
 		for due := perSecond * tick.Seconds(); a.random.Float64() < due; due-- {
 			a.request(failing)
@@ -74,7 +74,7 @@
 	}
 }
 
-func (a *allProcesses) request(failing float64) {
+func (a *simulation) request(failing float64) {
 	p := a.pick()
 	if p == nil {
 		return // nobody serves
@@ -83,16 +83,16 @@
 	a.requests = append(a.requests, now)
 	p.quota.First("s")
 	if a.random.Float64() < failing && p.quota.Take("s").Allowed {
-		a.repeats = append(a.repeats, now.Add(time.Duration(a.random.Int64N(int64(latest)))))
+		a.repeats = append(a.repeats, now.Add(time.Duration(a.random.Int64N(int64(maxRepeatDelay)))))
 	}
 }
 
 // pick returns a process that serves, by its share.
-func (a *allProcesses) pick() *process {
+func (a *simulation) pick() *process {
 	sum := 0.0
 	for _, p := range a.processes {
 		if p.serves() {
-			sum += p.share
+			sum += p.weight
 		}
 	}
 	at := a.random.Float64() * sum
@@ -100,10 +100,10 @@
 		if !p.serves() {
 			continue
 		}
-		if at < p.share {
+		if at < p.weight {
 			return p
 		}
-		at -= p.share
+		at -= p.weight
 	}
 	return nil
 }
@@ -113,32 +113,32 @@
 // kill ends the process; it starts again after down.
 func (p *process) kill(down time.Duration) {
 	p.quota, p.joined = nil, false
-	p.downTill = p.all.clock.Now().Add(down)
+	p.downUntil = p.sim.clock.Now().Add(down)
 }
 
 // cut keeps the process from the control processes.
-func (p *process) cut(d time.Duration) { p.cutTill = p.all.clock.Now().Add(d) }
+func (p *process) cutOff(d time.Duration) { p.cutOffUntil = p.sim.clock.Now().Add(d) }
 
 // live starts the process where it is due, and synchronizes its view.
-func (p *process) live() {
-	now := p.all.clock.Now()
+func (p *process) tick() {
+	now := p.sim.clock.Now()
 	if p.quota == nil {
-		if now.Before(p.downTill) {
+		if now.Before(p.downUntil) {
 			return
 		}
 		p.synced, p.since, p.joined = time.Time{}, time.Time{}, false
-		p.peers = NewPeers(p.all.limit.Window, p.all.clock, Confirmations{p.steady, longestGap})
-		p.quota = NewQuota(p.all.limit, p.all.clock, p.peers)
+		p.peers = NewPeers(p.sim.limit.Window, p.sim.clock, Confirmations{p.steady, longestGap})
+		p.quota = NewQuota(p.sim.limit, p.sim.clock, p.peers)
 	}
-	if now.Before(p.cutTill) || now.Sub(p.synced) < p.all.jitter(syncEvery) {
+	if now.Before(p.cutOffUntil) || now.Sub(p.synced) < p.sim.jitter(syncEvery) {
 		return
 	}
 	if p.synced.IsZero() || now.Sub(p.synced) > longestGap {
 		p.since = now
 	}
-	p.synced, p.heard = now, now
-	p.members = p.all.members()
-	p.peers.Follow(Standing{Members: p.members, Self: p.joined && p.member()})
+	p.synced, p.renewed = now, now
+	p.members = p.sim.members()
+	p.peers.Follow(Standing{Members: p.members, Self: p.joined && p.isMember()})
 	p.joined = true // in the views from now on
 }
 
@@ -146,34 +146,34 @@
 const longestGap = 3 * time.Second
 
 func (p *process) steady() time.Duration {
-	if now := p.all.clock.Now(); !p.synced.IsZero() && now.Sub(p.synced) <= longestGap {
+	if now := p.sim.clock.Now(); !p.synced.IsZero() && now.Sub(p.synced) <= longestGap {
 		return now.Sub(p.since)
 	}
 	return 0
 }
 
 // member reports whether the control processes hold its lease.
-func (p *process) member() bool {
-	return !p.heard.IsZero() && p.all.clock.Now().Sub(p.heard) <= lease
+func (p *process) isMember() bool {
+	return !p.renewed.IsZero() && p.sim.clock.Now().Sub(p.renewed) <= memberLease
 }
 
-func (a *allProcesses) members() int {
+func (a *simulation) members() int {
 	n := 0
 	for _, p := range a.processes {
-		if p.member() {
+		if p.isMember() {
 			n++
 		}
 	}
 	return n
 }
 
-func (a *allProcesses) jitter(d time.Duration) time.Duration {
+func (a *simulation) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(a.random.Int64N(int64(d/2)))
 }
 
 // check counts the repeats of every window that begins with one of them, as the users do: against
 // the requests of that window, the one before it or the one half a window before it.
-func (a *allProcesses) check(t interface{ Fatalf(string, ...any) }) {
+func (a *simulation) check(t interface{ Fatalf(string, ...any) }) {
 	sort.Slice(a.repeats, func(i, j int) bool { return a.repeats[i].Before(a.repeats[j]) })
 	w := a.limit.Window
 	for _, from := range a.repeats {
@@ -202,82 +202,82 @@
 // add up to more than the whole.
 func TestProcessesKeepTheLimitTogether(t *testing.T) {
 	const settle = 30 * time.Second
-	cases := map[string]func(a *allProcesses){
-		"all are killed, again and again": func(a *allProcesses) {
-			a.play(settle, 60, 0)
+	cases := map[string]func(a *simulation){
+		"all are killed, again and again": func(a *simulation) {
+			a.run(settle, 60, 0)
 			for range 12 {
-				a.play(1200*time.Millisecond, 60, 1)
+				a.run(1200*time.Millisecond, 60, 1)
 				for _, p := range a.processes {
 					p.kill(300 * time.Millisecond)
 				}
-				a.play(300*time.Millisecond, 60, 1)
+				a.run(300*time.Millisecond, 60, 1)
 			}
 		},
-		"most are cut off from control, and serve on": func(a *allProcesses) {
-			a.processes[0].share = float64(len(a.processes)) // callers are spread unevenly
-			a.play(settle, 25, 0)
+		"most are cut off from control, and serve on": func(a *simulation) {
+			a.processes[0].weight = float64(len(a.processes)) // callers are spread unevenly
+			a.run(settle, 25, 0)
 			for _, p := range a.processes[1:] {
-				p.cut(20 * time.Second)
+				p.cutOff(20 * time.Second)
 			}
-			a.play(20*time.Second, 25, 1)
+			a.run(20*time.Second, 25, 1)
 		},
-		"nothing happens to them, and a service with few requests fails": func(a *allProcesses) {
+		"nothing happens to them, and a service with few requests fails": func(a *simulation) {
 			a.processes = a.processes[:11]
-			a.play(settle, 20, 0)
-			a.play(20*time.Second, 20, 1)
+			a.run(settle, 20, 0)
+			a.run(20*time.Second, 20, 1)
 		},
-		"most are cut off for longer than a window": func(a *allProcesses) {
-			a.processes[0].share = float64(len(a.processes))
-			a.play(settle, 25, 0)
+		"most are cut off for longer than a window": func(a *simulation) {
+			a.processes[0].weight = float64(len(a.processes))
+			a.run(settle, 25, 0)
 			for _, p := range a.processes[1:] {
-				p.cut(50 * time.Second)
+				p.cutOff(50 * time.Second)
 			}
-			a.play(50*time.Second, 25, 1)
+			a.run(50*time.Second, 25, 1)
 		},
-		"most have repeated, and stay away": func(a *allProcesses) {
-			a.play(settle, 30, 0)
-			a.play(4*time.Second, 30, 1)
+		"most have repeated, and stay away": func(a *simulation) {
+			a.run(settle, 30, 0)
+			a.run(4*time.Second, 30, 1)
 			for _, p := range a.processes[1:] {
 				p.kill(time.Hour)
 			}
-			a.play(10*time.Second, 30, 1)
+			a.run(10*time.Second, 30, 1)
 		},
-		"all are killed once the others know them": func(a *allProcesses) {
+		"all are killed once the others know them": func(a *simulation) {
 			a.processes = a.processes[:11] // among whom the fixed number leaves nothing over
-			a.play(settle, 35, 0)
+			a.run(settle, 35, 0)
 			for range 4 {
 				for _, p := range a.processes {
 					p.kill(100 * time.Millisecond)
 				}
-				a.play(7*time.Second, 3, 1)
-				a.play(1500*time.Millisecond, 80, 1)
+				a.run(7*time.Second, 3, 1)
+				a.run(1500*time.Millisecond, 80, 1)
 			}
 		},
-		"all start for the first time, one after the other": func(a *allProcesses) {
+		"all start for the first time, one after the other": func(a *simulation) {
 			for i, p := range a.processes {
-				p.downTill = a.clock.Now().Add(time.Duration(i) * 400 * time.Millisecond)
+				p.downUntil = a.clock.Now().Add(time.Duration(i) * 400 * time.Millisecond)
 			}
-			a.play(20*time.Second, 150, 1)
+			a.run(20*time.Second, 150, 1)
 		},
-		"callers move to the other processes": func(a *allProcesses) {
+		"callers move to the other processes": func(a *simulation) {
 			half := a.processes[:len(a.processes)/2]
 			for _, p := range a.processes[len(half):] {
-				p.share = 0
+				p.weight = 0
 			}
-			a.play(settle, 300, 0)
-			a.play(3*time.Second, 300, 1)
+			a.run(settle, 300, 0)
+			a.run(3*time.Second, 300, 1)
 			for i, p := range a.processes {
-				p.share = 0
+				p.weight = 0
 				if i >= len(half) {
-					p.share = 1
+					p.weight = 1
 				}
 			}
-			a.play(15*time.Second, 300, 1)
+			a.run(15*time.Second, 300, 1)
 		},
 	}
 	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
-			a := playProcesses(23, sharedLimit, 1)
+			a := newSimulation(23, sharedLimit, 1)
 			run(a)
 			if len(a.repeats) == 0 {
 				t.Fatal("nothing was repeated")
@@ -290,11 +290,11 @@
 // TestProcessesKeepTheLimitWhateverHappens draws what happens to the processes and their callers.
 func TestProcessesKeepTheLimitWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := playProcesses(rapid.IntRange(1, 30).Draw(t, "processes"), sharedLimit, rapid.Uint64().Draw(t, "seed"))
+		a := newSimulation(rapid.IntRange(1, 30).Draw(t, "processes"), sharedLimit, rapid.Uint64().Draw(t, "seed"))
 		perSecond := rapid.Float64Range(1, 150).Draw(t, "requests a second")
-		a.play(time.Duration(rapid.IntRange(0, 30).Draw(t, "seconds to settle"))*time.Second, perSecond, 0)
+		a.run(time.Duration(rapid.IntRange(0, 30).Draw(t, "seconds to settle"))*time.Second, perSecond, 0)
 		for range rapid.IntRange(1, 25).Draw(t, "events") {
-			some := a.some(rapid.Float64Range(0, 1).Draw(t, "part of the processes"))
+			some := a.sample(rapid.Float64Range(0, 1).Draw(t, "part of the processes"))
 			d := time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
 			switch rapid.SampledFrom([]string{"kill", "cut", "callers move", "nothing"}).Draw(t, "event") {
 			case "kill":
@@ -303,22 +303,22 @@
 				}
 			case "cut":
 				for _, p := range some {
-					p.cut(4 * d)
+					p.cutOff(4 * d)
 				}
 			case "callers move":
 				for _, p := range some {
-					p.share = 1 - p.share
+					p.weight = 1 - p.weight
 				}
 			}
 			wait := time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms until the next")) * time.Millisecond
-			a.play(wait, perSecond, rapid.SampledFrom([]float64{0, 0.1, 1}).Draw(t, "failing"))
+			a.run(wait, perSecond, rapid.SampledFrom([]float64{0, 0.1, 1}).Draw(t, "failing"))
 		}
 		a.check(t)
 	})
 }
 
 // some returns about that part of the processes.
-func (a *allProcesses) some(part float64) []*process {
+func (a *simulation) sample(part float64) []*process {
 	var out []*process
 	for _, p := range a.processes {
 		if a.random.Float64() < part {
--- a/node/retry/window.go
+++ b/node/retry/window.go
@@ -11,19 +11,19 @@
 // of the first attempts in it and a fixed number. Unlike a Budget it saves
 // nothing up, so several processes that each keep to their part keep the whole.
 type Window struct {
-	clock clockwork.Clock
-	ratio float64
-	step  time.Duration
-	start time.Time // steps are counted from it, on the steady clock
+	clock      clockwork.Clock
+	ratio      float64
+	stepLength time.Duration
+	start      time.Time // steps are counted from it, on the steady clock
 
 	mu    sync.Mutex
 	slots [extraSteps]slot
 }
 
 type slot struct {
-	number int64 // which step of time it counts
-	first  int
-	extra  int
+	step  int64 // which step of time it counts
+	first int
+	extra int
 }
 
 // Steps of time, a tenth of the window each, of which the current one has just begun or
@@ -40,14 +40,14 @@
 
 // NewWindow returns a window of the given length.
 func NewWindow(length time.Duration, ratio float64, clock clockwork.Clock) *Window {
-	return &Window{clock: clock, ratio: ratio, step: length / stepsOfWindow, start: clock.Now()}
+	return &Window{clock: clock, ratio: ratio, stepLength: length / stepsOfWindow, start: clock.Now()}
 }
 
 // First notes a first attempt.
 func (w *Window) First() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.now().first++
+	w.currentSlot().first++
 }
 
 // Take reports whether an extra attempt may be made, and counts it. fixed is
@@ -59,7 +59,7 @@
 	if float64(extra+1) > w.ratio*float64(first)+float64(fixed) {
 		return false
 	}
-	w.now().extra++
+	w.currentSlot().extra++
 	return true
 }
 
@@ -71,9 +71,9 @@
 }
 
 func (w *Window) counts() (first, extra int) {
-	s := w.now()
+	s := w.currentSlot()
 	for _, other := range w.slots {
-		age := s.number - other.number
+		age := s.step - other.step
 		if age < firstSteps {
 			first += other.first
 		}
@@ -85,11 +85,11 @@
 }
 
 // now returns the slot of the current step of time.
-func (w *Window) now() *slot {
-	number := extraSteps + int64(w.clock.Since(w.start)/w.step) // slots of number zero are unused
-	s := &w.slots[number%extraSteps]
-	if s.number != number {
-		*s = slot{number: number}
+func (w *Window) currentSlot() *slot {
+	step := extraSteps + int64(w.clock.Since(w.start)/w.stepLength) // slots of number zero are unused
+	s := &w.slots[step%extraSteps]
+	if s.step != step {
+		*s = slot{step: step}
 	}
 	return s
 }
--- a/node/routing/cache.go
+++ b/node/routing/cache.go
@@ -9,21 +9,21 @@
 // trust is how far the prefix index is right about one endpoint: the moving
 // average of cached tokens found over cached tokens expected. It corrects for
 // evictions and lost cache events that the index cannot see.
-type trust struct {
-	lost atomic.Uint64 // float64 bits of one minus the trust
+type cacheAccuracy struct {
+	inaccuracy atomic.Uint64 // float64 bits of one minus the trust
 }
 
-const trustWeight = 0.1
+const accuracyWeight = 0.1
 
-func (t *trust) value() float64 { return 1 - math.Float64frombits(t.lost.Load()) }
+func (t *cacheAccuracy) value() float64 { return 1 - math.Float64frombits(t.inaccuracy.Load()) }
 
-func (t *trust) learn(found, expected float64) {
+func (t *cacheAccuracy) learn(found, expected float64) {
 	if expected <= 0 {
 		return
 	}
 	v := t.value()
-	v += trustWeight * (min(found/expected, 1) - v)
-	t.lost.Store(math.Float64bits(1 - v))
+	v += accuracyWeight * (min(found/expected, 1) - v)
+	t.inaccuracy.Store(math.Float64bits(1 - v))
 }
 
 // Cached returns how many bytes of the prompt the endpoint is expected to have
@@ -35,7 +35,7 @@
 	var room [maxHolders]holder
 	for _, h := range e.group.prefixes.holders(prefix, secondOf(time.Now().UnixNano()), room[:0]) {
 		if h.endpoint == e.index {
-			return int(float64(h.blocks*prefixBlock) * e.cache.value())
+			return int(float64(h.blocks*prefixBlockBytes) * e.cache.value())
 		}
 	}
 	return 0
--- a/node/routing/choose.go
+++ b/node/routing/choose.go
@@ -4,47 +4,47 @@
 // allocates nothing.
 type choice struct {
 	Request
-	group      *group
-	random     func(n int) int // below n
-	now        int64           // Unix nanoseconds
-	expected   float64         // seconds, for the whole size without cached parts
-	room       [maxHolders]holder
-	holders    []holder // in room
-	holderMask uint64   // bits of the holders' indexes, to rule out most endpoints at once
-	candidates []candidate
+	group       *group
+	random      func(n int) int // below n
+	now         int64           // Unix nanoseconds
+	expected    float64         // seconds, for the whole size without cached parts
+	holderArray [maxHolders]holder
+	holders     []holder // in room
+	holderMask  uint64   // bits of the holders' indexes, to rule out most endpoints at once
+	candidates  []candidate
 }
 
 const (
-	scanLimit  = 64 // up to this many endpoints all are scored
-	sampleSize = 32 // of more endpoints only a random sample is, and those with a cached prefix
+	fullScanLimit = 64 // up to this many endpoints all are scored
+	sampleSize    = 32 // of more endpoints only a random sample is, and those with a cached prefix
 )
 
 // Choose returns an endpoint, or nil when none passes the filters.
 func (s *Service) Choose(r Request) *Endpoint {
 	st := s.table.Load().byService[r.Service]
 	if st == nil {
-		s.noteEmpty(r)
+		s.reportEmpty(r)
 		return nil
 	}
 	p, ok := s.policies[r.Policy]
 	if !ok {
 		p = s.policies[policyPredicted]
 	}
-	c := s.scratch.Get().(*choice)
+	c := s.choicePool.Get().(*choice)
 	c.reset(r, st)
 	c.random = s.random
 	e := c.choose(&p, st)
 	c.Request = Request{} // keep no caller's memory alive
 	c.group = nil
-	s.scratch.Put(c)
+	s.choicePool.Put(c)
 	if e == nil {
-		s.noteEmpty(r)
+		s.reportEmpty(r)
 	}
 	return e
 }
 
 // noteEmpty tells that a first try found no endpoint.
-func (s *Service) noteEmpty(r Request) {
+func (s *Service) reportEmpty(r Request) {
 	if s.onEmpty != nil && len(r.Exclude) == 0 {
 		s.onEmpty(r.Service)
 	}
@@ -56,7 +56,7 @@
 	c.group = g
 	c.now = r.Now.UnixNano()
 	c.expected = g.expected(sizeClass(r.Size))
-	c.holders = c.room[:0]
+	c.holders = c.holderArray[:0]
 	c.holderMask = 0
 	c.candidates = c.candidates[:0]
 	if g.prefixes != nil && len(r.Prefix) > 0 {
@@ -74,14 +74,14 @@
 
 func (c *choice) choose(p *policy, st *serviceTable) *Endpoint {
 	all := st.endpoints
-	if len(all) > scanLimit && len(p.scorers) > 0 {
-		c.sample(p, all, st.byIndex)
+	if len(all) > fullScanLimit && len(p.scorers) > 0 {
+		c.scoreSample(p, all, st.byIndex)
 	}
 	if len(c.candidates) == 0 {
-		c.scan(p, all, passesAll)
+		c.scoreAll(p, all, passesAll)
 	}
 	if len(c.candidates) == 0 {
-		c.scan(p, all, passesFirm)
+		c.scoreAll(p, all, passesRequired)
 	}
 	if len(c.candidates) == 0 {
 		return nil
@@ -89,7 +89,7 @@
 	return p.picker.pick(c.candidates, c)
 }
 
-func (c *choice) scan(p *policy, all []*Endpoint, passes func(*Endpoint, *choice) bool) {
+func (c *choice) scoreAll(p *policy, all []*Endpoint, passes func(*Endpoint, *choice) bool) {
 	for _, e := range all {
 		if passes(e, c) {
 			c.candidates = append(c.candidates, candidate{e, p.cost(e, c)})
@@ -97,19 +97,19 @@
 	}
 }
 
-func (c *choice) consider(p *policy, e *Endpoint) {
+func (c *choice) scoreOne(p *policy, e *Endpoint) {
 	if passesAll(e, c) {
 		c.candidates = append(c.candidates, candidate{e, p.cost(e, c)})
 	}
 }
 
-func (c *choice) sample(p *policy, all []*Endpoint, byIndex map[uint16]*Endpoint) {
+func (c *choice) scoreSample(p *policy, all []*Endpoint, byIndex map[uint16]*Endpoint) {
 	for range sampleSize {
-		c.consider(p, all[c.random(len(all))])
+		c.scoreOne(p, all[c.random(len(all))])
 	}
 	for i := range c.holders {
 		if e := byIndex[c.holders[i].endpoint]; e != nil {
-			c.consider(p, e)
+			c.scoreOne(p, e)
 		}
 	}
 }
--- a/node/routing/endpoint.go
+++ b/node/routing/endpoint.go
@@ -18,7 +18,7 @@
 	speed  speed
 	health health
 	offer  offer
-	cache  trust
+	cache  cacheAccuracy
 }
 
 // Outcome is how an attempt ended, as far as routing is concerned.
@@ -97,7 +97,7 @@
 
 func (e *Endpoint) expected(class int) float64 {
 	if e.group == nil {
-		return assumedLatency
+		return defaultLatency
 	}
 	return e.group.expected(class)
 }
--- a/node/routing/filter.go
+++ b/node/routing/filter.go
@@ -5,7 +5,7 @@
 // inline it: it runs for every endpoint of every choice.
 
 // passesFirm applies the filters that always hold.
-func passesFirm(e *Endpoint, r *choice) bool {
+func passesRequired(e *Endpoint, r *choice) bool {
 	return leavingFilter{}.keep(e, r) &&
 		triedFilter{}.keep(e, r) &&
 		modelFilter{}.keep(e, r) &&
@@ -15,5 +15,5 @@
 // passesAll applies all filters. The health filter is left out when nothing
 // passes: a guess that an endpoint is bad must not make a service unavailable.
 func passesAll(e *Endpoint, r *choice) bool {
-	return ejectedFilter{}.keep(e, r) && passesFirm(e, r)
+	return ejectedFilter{}.keep(e, r) && passesRequired(e, r)
 }
--- a/node/routing/filter_model.go
+++ b/node/routing/filter_model.go
@@ -7,14 +7,14 @@
 
 func (modelFilter) keep(e *Endpoint, r *choice) bool {
 	if r.Model != "" {
-		if l := e.offer.lacks.Load(); l != nil && l.model == r.Model && l.until > r.now {
+		if l := e.offer.missing.Load(); l != nil && l.model == r.Model && l.until > r.now {
 			return false
 		}
 	}
 	o := e.offer.announced.Load()
-	return o == nil || !o.lacks(r.Model) && offers(o.Adapters, r.Adapter)
+	return o == nil || !o.rulesOut(r.Model) && listAllows(o.Adapters, r.Adapter)
 }
 
-func offers(list []string, name string) bool {
+func listAllows(list []string, name string) bool {
 	return name == "" || list == nil || slices.Contains(list, name)
 }
--- a/node/routing/outlier.go
+++ b/node/routing/outlier.go
@@ -9,24 +9,24 @@
 // health ejects an endpoint that fails again and again or is far slower than
 // its service's median. When the ejection ends, a single request probes it.
 type health struct {
-	failures  atomic.Int64 // in a row
-	ejections atomic.Int64 // in a row
-	ejectedTo atomic.Int64 // Unix nanoseconds; zero when not ejected
-	probing   atomic.Bool
+	failures     atomic.Int64 // in a row
+	ejections    atomic.Int64 // in a row
+	ejectedUntil atomic.Int64 // Unix nanoseconds; zero when not ejected
+	probing      atomic.Bool
 }
 
 const (
-	ejectFailures = 3
-	ejectTime     = 2 * time.Second // doubles with every ejection in a row
-	maxEjectTime  = 30 * time.Second
-	slowRatio     = 4 // times the median
-	slowSamples   = 3
-	suspectRatio  = 1.8
-	ejectDivisor  = 3 // at most one of this many endpoints is ejected, but one of two
+	failuresToEject   = 3
+	baseEjectTime     = 2 * time.Second // doubles with every ejection in a row
+	maxEjectTime      = 30 * time.Second
+	slowEjectRatio    = 4 // times the median
+	minSlowSamples    = 3
+	suspectRatio      = 1.8
+	maxEjectedDivisor = 3 // at most one of this many endpoints is ejected, but one of two
 )
 
 func (h *health) begin(now time.Time) {
-	if to := h.ejectedTo.Load(); to != 0 && now.UnixNano() >= to {
+	if to := h.ejectedUntil.Load(); to != 0 && now.UnixNano() >= to {
 		h.probing.Store(true)
 	}
 }
@@ -35,8 +35,8 @@
 
 func (h *health) succeeded() {
 	h.failures.Store(0)
-	if h.ejectedTo.Load() != 0 {
-		h.ejectedTo.Store(0)
+	if h.ejectedUntil.Load() != 0 {
+		h.ejectedUntil.Store(0)
 		h.ejections.Store(0)
 	}
 	h.release()
@@ -44,8 +44,8 @@
 
 // shut reports whether the endpoint takes no request: it is ejected, or its
 // one probe is under way.
-func (h *health) shut(now int64) bool {
-	to := h.ejectedTo.Load()
+func (h *health) unavailable(now int64) bool {
+	to := h.ejectedUntil.Load()
 	if to == 0 {
 		return false
 	}
@@ -54,45 +54,45 @@
 
 func (h *health) eject(now time.Time) {
 	n := min(h.ejections.Add(1), 5)
-	d := min(ejectTime<<(n-1), maxEjectTime)
-	h.ejectedTo.Store(now.Add(d).UnixNano())
+	d := min(baseEjectTime<<(n-1), maxEjectTime)
+	h.ejectedUntil.Store(now.Add(d).UnixNano())
 	h.release()
 }
 
 // Ejected reports whether the endpoint is left out at the moment.
-func (e *Endpoint) Ejected(now time.Time) bool { return e.health.shut(now.UnixNano()) }
+func (e *Endpoint) Ejected(now time.Time) bool { return e.health.unavailable(now.UnixNano()) }
 
 // Suspect reports whether the endpoint is tried although it was slow or failed
 // lately, so that whoever sends to it had better not wait for it long.
 func (e *Endpoint) Suspect(now time.Time) bool {
-	return e.health.ejectedTo.Load() != 0 || e.health.failures.Load() > 0 || e.speed.ratio(now) >= suspectRatio
+	return e.health.ejectedUntil.Load() != 0 || e.health.failures.Load() > 0 || e.speed.ratio(now) >= suspectRatio
 }
 
 func (e *Endpoint) failed(now time.Time) {
 	n := e.health.failures.Add(1)
-	probe := e.health.ejectedTo.Load() != 0
+	probe := e.health.ejectedUntil.Load() != 0
 	if probe {
 		e.health.eject(now)
 		return
 	}
-	if n >= ejectFailures && e.mayEject() {
+	if n >= failuresToEject && e.mayEject() {
 		e.health.eject(now)
 	}
 }
 
 // mayEject bounds the share of a service's endpoints that are ejected.
 func (e *Endpoint) mayEject() bool {
-	if e.group == nil || !e.group.eject.Load() {
+	if e.group == nil || !e.group.ejectionEnabled.Load() {
 		return false
 	}
 	all := *e.group.endpoints.Load()
 	ejected := 0
 	for _, other := range all {
-		if other.health.ejectedTo.Load() != 0 {
+		if other.health.ejectedUntil.Load() != 0 {
 			ejected++
 		}
 	}
-	allowed := len(all) / ejectDivisor
+	allowed := len(all) / maxEjectedDivisor
 	if len(all) == 2 {
 		allowed = 1
 	}
@@ -101,10 +101,10 @@
 
 func (e *Endpoint) ejectIfSlow(now time.Time) {
 	r := e.speed.ratio(now)
-	if r < slowRatio || e.speed.samples.Load() < slowSamples || e.health.ejectedTo.Load() != 0 || !e.mayEject() {
+	if r < slowEjectRatio || e.speed.samples.Load() < minSlowSamples || e.health.ejectedUntil.Load() != 0 || !e.mayEject() {
 		return
 	}
-	if r >= slowRatio*e.group.medianRatio(now) {
+	if r >= slowEjectRatio*e.group.medianRatio(now) {
 		e.health.eject(now)
 	}
 }
--- a/node/routing/pick_baselines.go
+++ b/node/routing/pick_baselines.go
@@ -18,7 +18,7 @@
 type roundRobin struct{}
 
 func (roundRobin) pick(c []candidate, r *choice) *Endpoint {
-	return c[r.group.next.Add(1)%uint64(len(c))].endpoint
+	return c[r.group.roundRobinNext.Add(1)%uint64(len(c))].endpoint
 }
 
 // randomPick takes any endpoint.
--- a/node/routing/pick_best.go
+++ b/node/routing/pick_two_choices.go
@@ -4,20 +4,20 @@
 // nearly as good as the best. Entries that see the same state so do not all
 // send to the same endpoint (Mitzenmacher, "The Power of Two Choices in
 // Randomized Load Balancing", 2001).
-type twoOfBest struct{}
+type twoChoices struct{}
 
 const (
-	nearlyBest    = 1.15
-	nearSeconds   = 0.0002
-	clearlyBetter = 1.05 // a smaller difference is noise, and must not starve an endpoint
+	nearBestFactor     = 1.15
+	nearBestSeconds    = 0.0002
+	minAdvantageFactor = 1.05 // a smaller difference is noise, and must not starve an endpoint
 )
 
-func (twoOfBest) pick(c []candidate, r *choice) *Endpoint {
+func (twoChoices) pick(c []candidate, r *choice) *Endpoint {
 	best := c[0].cost
 	for _, x := range c[1:] {
 		best = min(best, x.cost)
 	}
-	limit := best + (nearlyBest-1)*max(best, 0) + nearSeconds
+	limit := best + (nearBestFactor-1)*max(best, 0) + nearBestSeconds
 	near := 0
 	for i := range c {
 		if c[i].cost <= limit {
@@ -27,7 +27,7 @@
 	}
 	a := c[r.random(near)]
 	b := c[r.random(near)]
-	if b.cost < a.cost-(clearlyBetter-1)*max(a.cost, 0) {
+	if b.cost < a.cost-(minAdvantageFactor-1)*max(a.cost, 0) {
 		return b.endpoint
 	}
 	return a.endpoint
--- a/node/routing/plugins_test.go
+++ b/node/routing/plugins_test.go
@@ -64,8 +64,8 @@
 		{"not leaving", func(*Endpoint) {}, Request{}, leavingFilter{}, true},
 		{"tried", func(*Endpoint) {}, Request{Exclude: map[wire.MemberID]bool{memberID(0): true}}, triedFilter{}, false},
 		{"other tried", func(*Endpoint) {}, Request{Exclude: map[wire.MemberID]bool{memberID(1): true}}, triedFilter{}, true},
-		{"ejected", func(e *Endpoint) { fail(e, ejectFailures) }, Request{}, ejectedFilter{}, false},
-		{"failed less", func(e *Endpoint) { fail(e, ejectFailures-1) }, Request{}, ejectedFilter{}, true},
+		{"ejected", func(e *Endpoint) { fail(e, failuresToEject) }, Request{}, ejectedFilter{}, false},
+		{"failed less", func(e *Endpoint) { fail(e, failuresToEject-1) }, Request{}, ejectedFilter{}, true},
 		{"model offered", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "m", Adapter: "a"}, modelFilter{}, true},
 		{"model lacking", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "x"}, modelFilter{}, false},
 		{"adapter lacking", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "m", Adapter: "x"}, modelFilter{}, false},
@@ -99,15 +99,15 @@
 		prepare func(better, worse *Endpoint)
 		scorer  scorer
 	}{
-		{"faster", func(b, w *Endpoint) { answer(b, 0, 10*time.Millisecond); answer(w, 0, 100*time.Millisecond) }, finishScorer{}},
-		{"shorter queue reported", func(b, w *Endpoint) { b.Report(0, 8, 8); w.Report(9, 8, 8) }, finishScorer{}},
-		{"fewer in flight", func(_, w *Endpoint) { w.Start(0) }, finishScorer{}},
-		{"not silent", func(_, w *Endpoint) { w.Start(0); time.Sleep(time.Second); w.Report(0, 0, 8) }, finishScorer{}},
-		{"report faded", func(b, w *Endpoint) { b.Report(4, 8, 8); time.Sleep(reportFades); w.Report(4, 8, 8) }, finishScorer{}},
+		{"faster", func(b, w *Endpoint) { answer(b, 0, 10*time.Millisecond); answer(w, 0, 100*time.Millisecond) }, latencyScorer{}},
+		{"shorter queue reported", func(b, w *Endpoint) { b.Report(0, 8, 8); w.Report(9, 8, 8) }, latencyScorer{}},
+		{"fewer in flight", func(_, w *Endpoint) { w.Start(0) }, latencyScorer{}},
+		{"not silent", func(_, w *Endpoint) { w.Start(0); time.Sleep(time.Second); w.Report(0, 0, 8) }, latencyScorer{}},
+		{"report faded", func(b, w *Endpoint) { b.Report(4, 8, 8); time.Sleep(reportTTL); w.Report(4, 8, 8) }, latencyScorer{}},
 		{"prefix cached", func(b, _ *Endpoint) { b.Sent(prefix) }, prefixScorer{}},
 		{"longer prefix cached", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix[:2]) }, prefixScorer{}},
 		{"cache trusted", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix); w.Found(0, 1) }, prefixScorer{}},
-		{"cache fresh", func(b, w *Endpoint) { w.Sent(prefix); time.Sleep((prefixFades + 1) * time.Second); b.Sent(prefix) }, prefixScorer{}},
+		{"cache fresh", func(b, w *Endpoint) { w.Sent(prefix); time.Sleep((prefixTTLSeconds + 1) * time.Second); b.Sent(prefix) }, prefixScorer{}},
 		{"near", func(_, w *Endpoint) { w.Member.DataCenter = "there" }, distanceScorer{here}},
 	}
 	for _, row := range rows {
@@ -188,7 +188,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, es := newTestTable(7)
 		for _, e := range es {
-			fail(e, ejectFailures+2)
+			fail(e, failuresToEject+2)
 		}
 		out := 0
 		for _, e := range es {
@@ -199,17 +199,17 @@
 		if out != 2 {
 			t.Errorf("%d of 7 ejected, want 2", out)
 		}
-		time.Sleep(ejectTime)
+		time.Sleep(baseEjectTime)
 		probe := es[0].Start(0)
 		if !es[0].Ejected(time.Now()) {
 			t.Error("a second request may go along with the probe")
 		}
 		probe.End(Failed)
-		time.Sleep(ejectTime)
+		time.Sleep(baseEjectTime)
 		if !es[0].Ejected(time.Now()) {
 			t.Error("a failed probe did not double the time")
 		}
-		time.Sleep(ejectTime)
+		time.Sleep(baseEjectTime)
 		es[0].Start(0).End(Answered)
 		if es[0].Ejected(time.Now()) {
 			t.Error("still out after a good probe")
--- a/node/routing/policy.go
+++ b/node/routing/policy.go
@@ -16,7 +16,7 @@
 
 func policies(dataCenter string) map[string]policy {
 	return map[string]policy{
-		policyPredicted:     {[]scorer{finishScorer{}, prefixScorer{}, distanceScorer{dataCenter}}, twoOfBest{}},
+		policyPredicted:     {[]scorer{latencyScorer{}, prefixScorer{}, distanceScorer{dataCenter}}, twoChoices{}},
 		policyLeastInFlight: {nil, leastInFlight{}},
 		policyRoundRobin:    {nil, roundRobin{}},
 		policyRandom:        {nil, randomPick{}},
--- a/node/routing/prefix.go
+++ b/node/routing/prefix.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	prefixBlock  = 256 // bytes of the messages
-	maxBlocks    = 128
-	prefixSlots  = 8       // per bucket: one cache line
-	prefixBucket = 1 << 14 // buckets: 131072 blocks, 1 MB a service
-	prefixFades  = 600     // seconds after which a block is taken to be evicted
-	maxHolders   = 8       // endpoints that one choice looks at for their cache
+	prefixBlockBytes = 256 // bytes of the messages
+	maxPrefixBlocks  = 128
+	slotsPerBucket   = 8       // per bucket: one cache line
+	prefixBuckets    = 1 << 14 // buckets: 131072 blocks, 1 MB a service
+	prefixTTLSeconds = 600     // seconds after which a block is taken to be evicted
+	maxHolders       = 8       // endpoints that one choice looks at for their cache
 )
 
 // PrefixHashes returns the chained hashes of a prompt's blocks, seeded with
 // the model; equal hashes at a position mean an equal prefix up to there. A
 // rest shorter than a block is left out.
 func PrefixHashes(model string, messages []byte) []uint64 {
-	n := min(len(messages)/prefixBlock, maxBlocks)
+	n := min(len(messages)/prefixBlockBytes, maxPrefixBlocks)
 	out := make([]uint64, n)
 	h := xxhash.Sum64String(model)
 	var d xxhash.Digest
@@ -29,7 +29,7 @@
 		binary.LittleEndian.PutUint64(seed[:], h)
 		d.Reset()
 		d.Write(seed[:])
-		d.Write(messages[i*prefixBlock : (i+1)*prefixBlock])
+		d.Write(messages[i*prefixBlockBytes : (i+1)*prefixBlockBytes])
 		h = d.Sum64()
 		out[i] = h
 	}
@@ -44,21 +44,21 @@
 // A word holds 32 bits of the hash, 16 bits of the endpoint's index and 16
 // bits of seconds.
 type prefixIndex struct {
-	buckets [prefixBucket][prefixSlots]atomic.Uint64
+	buckets [prefixBuckets][slotsPerBucket]atomic.Uint64
 }
 
-func word(hash uint64, endpoint uint16, second uint16) uint64 {
+func packEntry(hash uint64, endpoint uint16, second uint16) uint64 {
 	return (hash>>32|1)<<32 | uint64(endpoint)<<16 | uint64(second)
 }
 
-func (x *prefixIndex) bucket(hash uint64) *[prefixSlots]atomic.Uint64 {
-	return &x.buckets[hash%prefixBucket]
+func (x *prefixIndex) bucket(hash uint64) *[slotsPerBucket]atomic.Uint64 {
+	return &x.buckets[hash%prefixBuckets]
 }
 
 // add notes that the endpoint has the blocks. Second is a running count.
 func (x *prefixIndex) add(hashes []uint64, endpoint uint16, second uint16) {
 	for _, h := range hashes {
-		w := word(h, endpoint, second)
+		w := packEntry(h, endpoint, second)
 		b := x.bucket(h)
 		victim, oldest := 0, -1
 		for i := range b {
@@ -80,7 +80,7 @@
 	tag := hash>>32 | 1
 	b := x.bucket(hash)
 	for i := range b {
-		if v := b[i].Load(); v>>32 == tag && second-uint16(v) < prefixFades {
+		if v := b[i].Load(); v>>32 == tag && second-uint16(v) < prefixTTLSeconds {
 			return true
 		}
 	}
@@ -91,7 +91,7 @@
 type holder struct {
 	endpoint uint16
 	blocks   int
-	guess    bool // this entry did not send it there, but others may have
+	isHome   bool // this entry did not send it there, but others may have
 }
 
 // holders appends to out the endpoints with the longest prefixes, longest
@@ -113,7 +113,7 @@
 		b := x.bucket(hashes[i])
 		for j := range b {
 			v := b[j].Load()
-			if v>>32 == tag && second-uint16(v) < prefixFades {
+			if v>>32 == tag && second-uint16(v) < prefixTTLSeconds {
 				out = appendHolder(out, holder{endpoint: uint16(v >> 16), blocks: i + 1})
 			}
 		}
--- a/node/routing/ring.go
+++ b/node/routing/ring.go
@@ -19,12 +19,12 @@
 }
 
 const (
-	ringPoints    = 4096 // about as many in all, so that even a few endpoints get even parts
-	minPointsEach = 8
+	totalRingPoints = 4096 // about as many in all, so that even a few endpoints get even parts
+	minPointsEach   = 8
 )
 
 func newRing(endpoints []*Endpoint) ring {
-	each := max(ringPoints/max(len(endpoints), 1), minPointsEach)
+	each := max(totalRingPoints/max(len(endpoints), 1), minPointsEach)
 	r := make(ring, 0, len(endpoints)*each)
 	for _, e := range endpoints {
 		h := xxhash.Sum64String(string(e.Member.ID))
--- a/node/routing/routing.go
+++ b/node/routing/routing.go
@@ -44,7 +44,7 @@
 	policies   map[string]policy
 	table      atomic.Pointer[table]
 	mu         sync.Mutex // of Update
-	scratch    sync.Pool
+	choicePool sync.Pool
 	onEmpty    func(service string)
 	random     func(n int) int // below n
 }
@@ -75,7 +75,7 @@
 // NewTable returns a service for the named entry that knows what Update tells.
 func NewTable(entry, dataCenter string) *Service {
 	s := &Service{entry: entry, dataCenter: dataCenter, policies: policies(dataCenter), random: rand.IntN}
-	s.scratch.New = func() any { return &choice{} }
+	s.choicePool.New = func() any { return &choice{} }
 	s.table.Store(&table{byService: map[string]*serviceTable{}})
 	return s
 }
@@ -106,12 +106,12 @@
 		named := map[string]bool{}
 		if sv != nil {
 			size = sv.Subset
-			st.group.eject.Store(sv.Ejection)
-			named = namesOf(sv.ModelList())
+			st.group.ejectionEnabled.Store(sv.Ejection)
+			named = servedNames(sv.ModelList())
 		}
 		for _, m := range subset(members, s.entry, s.dataCenter, size) {
 			e := old.byID[m.ID]
-			if e == nil || !sameButHolds(e.Member, m) || e.group != st.group {
+			if e == nil || !equalExceptHolds(e.Member, m) || e.group != st.group {
 				st.group.nextIndex++
 				e = &Endpoint{Member: m, group: st.group, index: st.group.nextIndex}
 			}
@@ -134,7 +134,7 @@
 		return st.group
 	}
 	g := &group{}
-	g.eject.Store(true)
+	g.ejectionEnabled.Store(true)
 	if sv != nil && optext.Kind(sv.Kind) == optext.Engine {
 		g.prefixes = &prefixIndex{}
 	}
--- a/node/routing/score_distance.go
+++ b/node/routing/score_distance.go
@@ -3,11 +3,11 @@
 // distanceScorer is the way to another data centre and back.
 type distanceScorer struct{ dataCenter string }
 
-const otherDataCenter = 0.001 // seconds
+const remoteDataCenterSeconds = 0.001 // seconds
 
 func (d distanceScorer) score(e *Endpoint, _ *choice) float64 {
 	if e.Member.DataCenter == d.dataCenter {
 		return 0
 	}
-	return otherDataCenter
+	return remoteDataCenterSeconds
 }
--- a/node/routing/score_prefix.go
+++ b/node/routing/score_prefix.go
@@ -6,10 +6,10 @@
 type prefixScorer struct{}
 
 const (
-	prefixPrior   = 0.5 // of the whole time, when the whole prompt is cached
-	prefixLeast   = 0.2 // the same where a measurement shows less: entries that spread a prompt evict each other's
-	maxPrefixGain = 0.9
-	guessTrust    = 0.97 // of a home, before a known holder's own trust
+	priorPrefixGain = 0.5 // of the whole time, when the whole prompt is cached
+	minPrefixGain   = 0.2 // the same where a measurement shows less: entries that spread a prompt evict each other's
+	maxPrefixGain   = 0.9
+	homeAccuracy    = 0.97 // of a home, before a known holder's own trust
 )
 
 func (prefixScorer) score(e *Endpoint, r *choice) float64 {
@@ -25,19 +25,19 @@
 }
 
 func prefixGain(e *Endpoint, r *choice, h *holder) float64 {
-	cached := float64(h.blocks * prefixBlock)
-	if h.guess {
-		cached *= guessTrust
+	cached := float64(h.blocks * prefixBlockBytes)
+	if h.isHome {
+		cached *= homeAccuracy
 	} else {
 		cached *= e.cache.value()
 	}
 	size := float64(max(r.Size, 1))
 	share := min(cached/size, 1)
-	gain := prefixPrior * share * r.expected
+	gain := priorPrefixGain * share * r.expected
 	whole, known := e.group.measured(sizeClass(r.Size))
 	rest, restKnown := e.group.measured(sizeClass(int(size * (1 - share))))
 	if known && restKnown {
-		gain = max(whole-rest, prefixLeast*share*r.expected)
+		gain = max(whole-rest, minPrefixGain*share*r.expected)
 	}
 	return min(gain, maxPrefixGain*r.expected)
 }
