--- a/node/coldstart/coldstart.go
+++ b/node/coldstart/coldstart.go
@@ -1,13 +1,13 @@
-// Package coldstart keeps what all processes together send in any second to an upstream that has
-// just started, or come back, below what it bears: well above that it crashes.
+// Package coldstart limits the calls that all processes together send per second to an upstream
+// that has just started or come back. A cold upstream crashes well above that limit.
 //
-// No process knows what the others send, and some are out of touch. So the bound is cut into
-// parts that add up to it, and each sender keeps to its own. One part is for the process that
-// chooses upstreams for all others, one for what that process chose a moment before and is still
-// on its way, one for the process that chose before it was replaced, and one for the processes
-// that choose by themselves. Of those only as many may call an upstream as its part has calls: some
-// of the ones in its data centre, a call a second each. An upstream that bears fewer calls than
-// there are parts gets none until it is warm.
+// No process knows what the others send, and some may be partitioned. So the limit is divided
+// into fixed shares, and each sender keeps to its own. One share is for the process that chooses
+// upstreams for all others; one for calls that it chose a moment ago and that are still in
+// transit; one for its predecessor, which may not know yet that it was replaced; and one for the
+// processes that choose by themselves. Only as many of the latter may call an upstream as their
+// share has calls per second: some of those in its data centre, one call a second each. An
+// upstream whose limit is lower than the number of shares gets no calls until it is warm.
 package coldstart
 
 import (
@@ -17,16 +17,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// parts is into how many the bound of an upstream is cut.
+// parts is the number of shares into which an upstream's limit is divided.
 const parts = 4
 
-// Limit says how far above its rate a cold upstream may be called.
+// Limit sets how many calls per second a cold upstream may get: its rate times Excess plus Slack.
 type Limit struct {
-	Excess float64 // times its rate; zero counts as one
-	Slack  int     // calls a second besides
+	Excess float64 // factor; zero and less count as one
+	Slack  int     // additional calls per second
 }
 
-// part is how many calls a second one part of the bound is.
+// share returns one share of the limit, in calls per second.
 func (l Limit) share(rate float64) float64 {
 	excess := l.Excess
 	if excess <= 0 {
@@ -35,22 +35,22 @@
 	return (rate*excess + float64(l.Slack)) / parts
 }
 
-// Chooser bounds what the process that chooses for all others sends to one upstream. One
-// goroutine owns it.
-type Chooser struct{ sent []time.Time } // within the last second, the oldest first
+// Chooser limits what the process that chooses for all others sends to one upstream. It is not
+// safe for concurrent use.
+type Chooser struct{ sent []time.Time } // times of the calls within the last second, oldest first
 
-// Allows reports whether one more call may go there now. Upstreams without a rate take any.
+// Allows reports whether one more call may be sent now. Upstreams without a rate are not limited.
 func (c *Chooser) Allows(now time.Time, l Limit, rate float64) bool {
 	return rate <= 0 || c.recent(now) < int(l.share(rate))
 }
 
-// Count notes a call.
+// Count counts a call sent now.
 func (c *Chooser) Count(now time.Time) {
 	c.recent(now)
 	c.sent = append(c.sent, now)
 }
 
-// within returns how many calls there were in the second before now.
+// recent returns the number of calls in the second before now.
 func (c *Chooser) recent(now time.Time) int {
 	old := 0
 	for old < len(c.sent) && now.Sub(c.sent[old]) >= time.Second {
@@ -60,8 +60,8 @@
 	return len(c.sent)
 }
 
-// Among reports whether self is one of the processes of an upstream's data centre that may call it
-// by themselves. Processes that know the same others agree on which these are.
+// Among reports whether self is one of the processes in the upstream's data centre that may call
+// it on their own. Processes that see the same peers agree on which ones these are.
 func (l Limit) Among(rate float64, upstream, self string, processes []string) bool {
 	own, before := rank(upstream, self), 0
 	for _, p := range processes {
@@ -72,31 +72,31 @@
 	return before < int(l.share(rate))
 }
 
-// place orders the processes differently for each upstream.
+// rank orders the processes differently for each upstream.
 func rank(upstream, process string) uint64 { return xxhash.Sum64String(upstream + "/" + process) }
 
-// Direct bounds what a process that chooses by itself sends to each upstream. It is safe for
+// Direct limits what a process that chooses by itself sends to each upstream. It is safe for
 // concurrent use.
 type Direct struct {
 	mu          sync.Mutex
-	nextAllowed map[string]time.Time // by upstream: when another call may go there
+	nextAllowed map[string]time.Time // by upstream: when the next call may be sent
 }
 
-// Allows reports whether a call may go to the upstream now.
+// Allows reports whether a call may be sent to the upstream now.
 func (d *Direct) Allows(now time.Time, upstream string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !now.Before(d.nextAllowed[upstream])
 }
 
-// Count notes a call.
+// Count counts a call sent to the upstream now.
 func (d *Direct) Count(now time.Time, upstream string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.nextAllowed == nil {
 		d.nextAllowed = map[string]time.Time{}
 	}
-	for other, at := range d.nextAllowed { // few are cold at a time
+	for other, at := range d.nextAllowed { // few upstreams are cold at a time
 		if !now.Before(at) {
 			delete(d.nextAllowed, other)
 		}
--- a/node/coldstart/coldstart_test.go
+++ b/node/coldstart/coldstart_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// mostInASecond returns the most calls that were sent and arrived within one second.
+// mostInASecond returns the largest number of calls that arrived within one second.
 func mostInASecond(arrivals []time.Time) int {
 	slices.SortFunc(arrivals, time.Time.Compare)
 	most, from := 0, 0
@@ -21,14 +21,14 @@
 	return most
 }
 
-// TestNoSecondIsAboveTheBound has a chooser, the one that it replaced and does not know of that,
-// and the processes of a data centre all press on one cold upstream as fast as they may, with
-// calls that take up to a second on their way. Pattern: a bulkhead whose parts add up.
+// TestNoSecondIsAboveTheBound has the current chooser, a replaced chooser that does not know it
+// yet, and the processes of a data centre all send to one cold upstream as fast as they are
+// allowed, with calls in transit for up to a second. The shares must add up to the limit.
 func TestNoSecondIsAboveTheBound(t *testing.T) {
 	for _, c := range []struct {
 		rate      float64
 		limit     Limit
-		processes int // in one data centre
+		processes int // in the upstream's data centre
 	}{
 		{18, Limit{1.5, 5}, 9}, {18, Limit{1.5, 5}, 1}, {4, Limit{1, 0}, 3}, {60, Limit{2, 20}, 12}, {18, Limit{0, 0}, 4},
 	} {
@@ -55,7 +55,7 @@
 						if choosers[i].Allows(now, c.limit, c.rate) && random.IntN(4) == 0 {
 							choosers[i].Count(now)
 							late := time.Duration(0)
-							if i == 0 { // the one before sends what it chose at once, or not at all
+							if i == 0 { // the replaced chooser sends what it chose at once, or not at all
 								late = time.Duration(random.Int64N(int64(time.Second)))
 							}
 							arrivals = append(arrivals, now.Add(late))
@@ -69,14 +69,14 @@
 					}
 				}
 				if most := mostInASecond(arrivals); most > bound {
-					t.Fatalf("%d calls in one second, the bound is %d", most, bound)
+					t.Fatalf("%d calls in one second, the limit is %d", most, bound)
 				}
 			})
 		}
 	}
 }
 
-// TestUpstreamsWithoutARateAreNotBounded calls one a thousand times at one moment.
+// TestUpstreamsWithoutARateAreNotBounded sends a thousand calls at one moment.
 func TestUpstreamsWithoutARateAreNotBounded(t *testing.T) {
 	var c Chooser
 	now := time.Unix(1000, 0)
--- a/node/residency/residency.go
+++ b/node/residency/residency.go
@@ -1,4 +1,4 @@
-// Package residency says in which data centres a call may be served, and what is made for it may be kept.
+// Package residency determines the data centres in which a call may be served and its data kept.
 // Routes and customers name regions; upstreams name data centres.
 package residency
 
@@ -11,13 +11,14 @@
 	"caperdrum.org/api/optext"
 )
 
-// Regions are the regions of the data centres, by data centre.
+// Regions maps each data centre to its region.
 type Regions map[string]string
 
-// ErrRegion says that a text names a region in which no data centre is known.
+// ErrRegion says that a configuration names a region to which no known data centre belongs.
 const ErrRegion = errors.ConstError("residency: unknown region")
 
-// RegionsOf joins the regions that the settings name with those of the operators' text, which go first.
+// RegionsOf merges the regions from the settings with those of the operators' configuration,
+// which take precedence.
 func RegionsOf(settings map[string]string, c *optext.Config) Regions {
 	out := Regions{}
 	for dataCenter, region := range settings {
@@ -31,8 +32,8 @@
 	return out
 }
 
-// Check reports regions that a text's routes and customers name and that are not known. Where no region is
-// known at all, it cannot tell.
+// Check returns an error that wraps ErrRegion if a route or customer of the configuration names
+// an unknown region. Without any known region it checks nothing.
 func (r Regions) Check(c *optext.Config) error {
 	if len(r) == 0 {
 		return nil
@@ -53,7 +54,7 @@
 func (r Regions) check(who string, regions []string) error {
 	for _, region := range regions {
 		if !r.known(region) {
-			return errors.Annotatef(ErrRegion, "%s may be served in %q only, where no data centre is known; known are %s", who, region, strings.Join(r.names(), ", "))
+			return errors.Annotatef(ErrRegion, "%s is restricted to region %q, to which no known data centre belongs; known regions: %s", who, region, strings.Join(r.names(), ", "))
 		}
 	}
 	return nil
@@ -79,8 +80,8 @@
 	return out
 }
 
-// Within returns the data centres that all of the lists of regions allow. A list that is empty allows all; so
-// does the zero value of the result.
+// Within returns the data centres that are allowed by every one of the lists of regions. An empty
+// list allows all, as does the zero value of the result.
 func (r Regions) Within(lists ...[]string) Within {
 	var w Within
 	for _, list := range lists {
@@ -99,9 +100,9 @@
 	return w
 }
 
-// Within are the data centres in which a call may be served.
+// Within is the set of data centres in which a call may be served.
 type Within struct {
-	Bound       bool     `json:"bound,omitempty"` // false: in all
+	Bound       bool     `json:"bound,omitempty"` // false: all data centres are allowed
 	DataCenters []string `json:"data_centers,omitempty"`
 }
 
--- a/node/residency/residency_test.go
+++ b/node/residency/residency_test.go
@@ -11,7 +11,7 @@
 
 var regions = Regions{"a1": "east", "a2": "east", "b1": "west", "c1": "north"}
 
-// TestWithin has a data centre allowed exactly where each list that names regions names its own.
+// TestWithin checks that a data centre is allowed exactly if every non-empty list names its region.
 func TestWithin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfN(rapid.SampledFrom([]string{"east", "west", "north", "nowhere"}), 0, 3)
@@ -27,11 +27,11 @@
 				allowed = allowed && in
 			}
 			if w.Has(dataCenter) != allowed {
-				t.Fatalf("%v: %s allowed is %t", lists, dataCenter, !allowed)
+				t.Fatalf("%v: allowed in %s: %t", lists, dataCenter, !allowed)
 			}
 		}
 		if w.Bound && w.Has("unknown") {
-			t.Fatalf("%v: a data centre of no known region is allowed", lists)
+			t.Fatalf("%v: a data centre without a region is allowed", lists)
 		}
 	})
 }
@@ -46,6 +46,6 @@
 		t.Fatalf("%v", err)
 	}
 	if err := (Regions{}).Check(bad); err != nil {
-		t.Fatalf("no region is known, and it says %v", err)
+		t.Fatalf("no region is known, and Check returned %v", err)
 	}
 }
--- a/node/retry/peers.go
+++ b/node/retry/peers.go
@@ -7,50 +7,53 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Standing is a process's place among those that share a limit, as its view has it.
+// Standing describes a view of the processes that share a limit.
 type Standing struct {
-	Members int  // the processes that the view holds
-	Self    bool // it holds this start of this process
+	Members int  // number of processes in the view
+	Self    bool // the view contains this incarnation of this process
 }
 
-// Confirmations are those of a process's view by a quorum.
+// Confirmations tells how long a quorum has been confirming this process's view.
 type Confirmations struct {
-	// Steady returns for how long the view has been confirmed, with no more than Gap between two
-	// confirmations or since the last one; zero where that is over.
+	// Steady returns for how long the view has been confirmed without interruption: at most Gap
+	// between two confirmations and since the last one. It returns zero after a longer gap.
 	Steady func() time.Duration
 	Gap    time.Duration
 }
 
-// Peers follows with how many others a process shares what is bounded over all of them in
-// every span of time of some length.
+// Peers tracks how many processes share a limit that holds over every span of time of a
+// given length.
 //
-// A part of such a bound is safe only while no others use theirs unseen. So a process has none until
-// it is settled: a member in each view, which a quorum has confirmed without a gap, for a span and two gaps. Until
-// then another start of it, or processes that it does not see, may have used a part within the span. And the bound
-// is divided by the most members that any of these views had: of any processes that have used their parts within one
-// span, all were members at one moment that each of them has seen.
+// A process may use its share of the limit only while no process that it does not see uses
+// another. So it gets a share only once it is settled: it has been a member in every view,
+// and a quorum has confirmed the views without interruption, for the span plus two gaps.
+// Before that, an earlier incarnation of it, or processes that it does not see, may have
+// used a share within the span. The limit is divided by the largest number of members in
+// any of these views: all processes that used their shares within one span were members at
+// one moment that each of them has seen.
 type Peers struct {
 	clock      clockwork.Clock
 	confirmed  Confirmations
 	settleTime time.Duration
 
 	mu          sync.Mutex
-	memberSince time.Time  // since when each view holds this start; zero where the last one does not
-	sizes       []viewSize // the oldest first
+	memberSince time.Time  // since when every view contains this incarnation; zero if the last one does not
+	sizes       []viewSize // oldest first
 }
 
-// size is how many members the views had from a moment on.
+// viewSize is the number of members in the views from a moment on.
 type viewSize struct {
 	at      time.Time
 	members int
 }
 
-// NewPeers returns the peers of a process that has just started.
+// NewPeers returns the peers of a process that has just started. Span is the length of time
+// over which the limit holds.
 func NewPeers(span time.Duration, clock clockwork.Clock, c Confirmations) *Peers {
 	return &Peers{clock: clock, confirmed: c, settleTime: span + 2*c.Gap}
 }
 
-// Follow takes over what a new view says.
+// Follow records a new view.
 func (p *Peers) Follow(s Standing) {
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -67,14 +70,15 @@
 	p.prune(now)
 }
 
-// forget drops the views that were replaced before all that counts.
+// prune drops sizes that were replaced longer than settleTime ago.
 func (p *Peers) prune(now time.Time) {
 	for len(p.sizes) > 1 && now.Sub(p.sizes[1].at) > p.settleTime {
 		p.sizes = p.sizes[1:]
 	}
 }
 
-// Most returns the most members that the views of the span had; at least one.
+// Most returns the largest number of members in the views of the last settleTime, at least
+// one.
 func (p *Peers) Most() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +90,7 @@
 	return most
 }
 
-// Settled reports whether the process may use its part.
+// Settled reports whether the process may use its share.
 func (p *Peers) Settled() bool {
 	now, steady := p.clock.Now(), p.confirmed.Steady()
 	p.mu.Lock()
--- a/node/retry/quota.go
+++ b/node/retry/quota.go
@@ -7,8 +7,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Limit is what all processes together may repeat at one service in every span of
-// time of length Window: Ratio of the first attempts, and Fixed besides.
+// Limit bounds how often all processes together may repeat requests of one service within
+// every span of time of length Window: a Ratio of the first attempts plus a Fixed number.
 type Limit struct {
 	Ratio  float64
 	Fixed  float64
@@ -16,18 +16,19 @@
 }
 
 const (
-	// ratioPart is how much of a limit's ratio a process uses on its own first attempts. Those
-	// behind the repeats of one span lie in it or in the one before, and callers may have moved
-	// to another process between the two, which both count: a half keeps the limit whatever they
-	// do. The rest of it is for attempts that are counted up to a tenth of a span before their repeats.
+	// ratioShare is how much of a limit's ratio a process uses for its own first attempts. The
+	// first attempts behind the repeats of one span lie in it or in the span before, and callers
+	// may have moved to another process between the two, where both count them: a half keeps the
+	// limit in every case. The remaining 0.05 covers attempts that are counted up to a tenth of a
+	// span before their repeats.
 	ratioShare = 0.45
-	// fixedPart is how much of a limit's fixed number all processes use together. The rest is
+	// fixedShare is how much of a limit's fixed number all processes use together. The rest is
 	// for repeats that arrive later than the window allows for.
 	fixedShare = 0.9
 )
 
-// Quota is this process's part of a Limit, which holds for each service by itself. Of the
-// fixed number it has a part while it is settled among its peers.
+// Quota is this process's share of a Limit, which applies to each service separately. It has
+// a share of the fixed number only while it is settled among its peers.
 type Quota struct {
 	limit Limit
 	clock clockwork.Clock
@@ -37,26 +38,26 @@
 	windows map[string]*Window // by service
 }
 
-// NewQuota returns the quota of a process that has just started. Its peers are followed over
-// the limit's window.
+// NewQuota returns the quota of a process that has just started. The peers must have been
+// created with the limit's window as their span.
 func NewQuota(limit Limit, clock clockwork.Clock, peers *Peers) *Quota {
 	return &Quota{limit: limit, clock: clock, peers: peers, windows: map[string]*Window{}}
 }
 
-// First notes a first attempt at the service.
+// First counts a first attempt at the service.
 func (q *Quota) First(service string) { q.window(service).First() }
 
-// Decision is what became of a question for a repeat, and what decided it.
+// Decision is the answer to a request for a repeat, with the values that led to it.
 type Decision struct {
 	Allowed bool
-	First   int  // attempts of this process in the window
+	First   int  // first attempts of this process in the window
 	Extra   int  // repeats of this process in the window, without this one
-	Fixed   int  // this process's part of the fixed number
-	Members int  // by which the fixed number was divided
-	Settled bool // this process may use its part
+	Fixed   int  // this process's share of the fixed number
+	Members int  // number of processes by which the fixed number was divided
+	Settled bool // this process may use its share of the fixed number
 }
 
-// Take decides about a repeat at the service, and counts it where it is allowed.
+// Take decides whether a request of the service may be repeated, and counts the repeat if so.
 func (q *Quota) Take(service string) Decision {
 	w := q.window(service)
 	d := q.fixedAllowance()
@@ -65,7 +66,7 @@
 	return d
 }
 
-// part returns this process's part of the fixed number.
+// fixedAllowance returns a Decision with this process's share of the fixed number.
 func (q *Quota) fixedAllowance() Decision {
 	d := Decision{Members: q.peers.Most(), Settled: q.peers.Settled()}
 	if d.Settled {
--- a/node/retry/quota_test.go
+++ b/node/retry/quota_test.go
@@ -10,46 +10,46 @@
 	"pgregory.net/rapid"
 )
 
-// The incident: at a service whose upstreams failed, all processes together repeated more
-// calls within ten seconds than a fifth of its requests and a fixed number, right after
-// processes had started. Each process kept to its part. But a start gave it a new part while
-// what its predecessor had used still counted, and a process that saw few members took a large
-// part while those that it did not see used theirs. A run of 23 separate processes that were
-// killed every 1.5 s, at a service with 60 requests a second that all failed, made 220 repeats where 205 were
-// allowed; cut off from the control processes, the four that remained took 16 each beside the
-// two of each of the others.
+// These tests guard against the following failure: while a service's upstreams failed and
+// processes were restarting, all processes together repeated more calls within ten seconds than
+// the limit of a fifth of the requests plus a fixed number, although each kept to its own share.
+// A restarted process got a new share while the repeats of its earlier incarnation still counted,
+// and a process that saw few members took a large share while those that it did not see used
+// theirs. With 23 processes killed every 1.5 s and 60 failing requests a second there were 220
+// repeats where 205 were allowed. After a partition from the control processes, the four
+// remaining ones took 16 each in addition to the two of each of the others.
 
-// allProcesses plays processes that share a limit on one clock: their views, and what
-// callers and upstreams see.
+// simulation runs processes that share a limit on one fake clock: their views, and what callers
+// and upstreams see.
 type simulation struct {
 	clock     *clockwork.FakeClock
 	random    *rand.Rand
 	limit     Limit
 	processes []*process
-	requests  []time.Time // that callers sent
-	repeats   []time.Time // as they arrive at upstreams
+	requests  []time.Time // when callers sent them
+	repeats   []time.Time // when they arrive at upstreams
 }
 
 const (
-	tick           = 50 * time.Millisecond
-	memberLease    = 3 * time.Second        // after which a silent process is no member
-	syncEvery      = 600 * time.Millisecond // at most between two confirmations of a view
-	maxRepeatDelay = 400 * time.Millisecond // that a repeat takes to its upstream
+	timeStep       = 50 * time.Millisecond
+	memberLease    = 3 * time.Second        // after which a silent process is no longer a member
+	syncEvery      = 600 * time.Millisecond // longest time between two confirmations of a view
+	maxRepeatDelay = 400 * time.Millisecond // longest time that a repeat takes to arrive at its upstream
 )
 
-// process is one of them, over all its starts.
+// process is one simulated process across all its incarnations.
 type process struct {
 	sim         *simulation
 	downUntil   time.Time
-	cutOffUntil time.Time // from the control processes: it serves on
-	weight      float64   // of the requests, against the others'
+	cutOffUntil time.Time // partitioned from the control processes; it keeps serving
+	weight      float64   // share of the requests, relative to the other processes
 
-	quota   *Quota // of this start; nil while it is down
+	quota   *Quota // of this incarnation; nil while it is down
 	peers   *Peers
-	joined  bool // this start is a member
+	joined  bool // this incarnation is a member
 	renewed time.Time
-	synced  time.Time // when its view was confirmed; zero before
-	since   time.Time // when the confirmations without a gap began
+	synced  time.Time // when its view was last confirmed; zero before the first time
+	since   time.Time // when the uninterrupted confirmations began
 	members int       // in its view
 }
 
@@ -61,14 +61,14 @@
 	return a
 }
 
-// play lets so many requests a second come for a while; the part failing of the attempts fails.
+// run simulates d with perSecond requests a second, of which the fraction failing fails.
 func (a *simulation) run(d time.Duration, perSecond, failing float64) {
-	for range d / tick {
-		a.clock.Advance(tick)
+	for range d / timeStep {
+		a.clock.Advance(timeStep)
 		for _, p := range a.processes {
 			p.tick()
 		}
-		for due := perSecond * tick.Seconds(); a.random.Float64() < due; due-- {
+		for due := perSecond * timeStep.Seconds(); a.random.Float64() < due; due-- {
 			a.request(failing)
 		}
 	}
@@ -77,7 +77,7 @@
 func (a *simulation) request(failing float64) {
 	p := a.pick()
 	if p == nil {
-		return // nobody serves
+		return // no process serves
 	}
 	now := a.clock.Now()
 	a.requests = append(a.requests, now)
@@ -87,7 +87,7 @@
 	}
 }
 
-// pick returns a process that serves, by its share.
+// pick returns a serving process at random, by weight.
 func (a *simulation) pick() *process {
 	sum := 0.0
 	for _, p := range a.processes {
@@ -110,16 +110,16 @@
 
 func (p *process) serves() bool { return p.quota != nil && !p.synced.IsZero() }
 
-// kill ends the process; it starts again after down.
+// kill ends the process; it restarts after down.
 func (p *process) kill(down time.Duration) {
 	p.quota, p.joined = nil, false
 	p.downUntil = p.sim.clock.Now().Add(down)
 }
 
-// cut keeps the process from the control processes.
+// cutOff partitions the process from the control processes for d.
 func (p *process) cutOff(d time.Duration) { p.cutOffUntil = p.sim.clock.Now().Add(d) }
 
-// live starts the process where it is due, and synchronizes its view.
+// tick restarts the process when due, and synchronizes its view.
 func (p *process) tick() {
 	now := p.sim.clock.Now()
 	if p.quota == nil {
@@ -139,10 +139,10 @@
 	p.synced, p.renewed = now, now
 	p.members = p.sim.members()
 	p.peers.Follow(Standing{Members: p.members, Self: p.joined && p.isMember()})
-	p.joined = true // in the views from now on
+	p.joined = true // from the next view on
 }
 
-// longestGap is between two confirmations of a view that counts as confirmed all the while.
+// longestGap is the longest time between two confirmations of a view that counts as uninterrupted.
 const longestGap = 3 * time.Second
 
 func (p *process) steady() time.Duration {
@@ -152,7 +152,7 @@
 	return 0
 }
 
-// member reports whether the control processes hold its lease.
+// isMember reports whether the process's lease at the control processes is valid.
 func (p *process) isMember() bool {
 	return !p.renewed.IsZero() && p.sim.clock.Now().Sub(p.renewed) <= memberLease
 }
@@ -171,8 +171,9 @@
 	return d/2 + time.Duration(a.random.Int64N(int64(d/2)))
 }
 
-// check counts the repeats of every window that begins with one of them, as the users do: against
-// the requests of that window, the one before it or the one half a window before it.
+// check counts the repeats of every window that begins with a repeat, as the users do. They are
+// compared to the requests of that window, of the one before it, or of the one that begins half a
+// window earlier, whichever has the most.
 func (a *simulation) check(t interface{ Fatalf(string, ...any) }) {
 	sort.Slice(a.repeats, func(i, j int) bool { return a.repeats[i].Before(a.repeats[j]) })
 	w := a.limit.Window
@@ -188,7 +189,7 @@
 	}
 }
 
-// within counts the times from then on for d, of a list in order.
+// within counts the times in [from, from+d) of a sorted list.
 func within(list []time.Time, from time.Time, d time.Duration) int {
 	at := func(when time.Time) int {
 		return sort.Search(len(list), func(i int) bool { return !list[i].Before(when) })
@@ -198,12 +199,12 @@
 
 var sharedLimit = Limit{Ratio: 0.2, Fixed: 86, Window: 10 * time.Second}
 
-// TestProcessesKeepTheLimitTogether plays what happened, and what else could make the parts
-// add up to more than the whole.
+// TestProcessesKeepTheLimitTogether replays the failures described above, and other situations in
+// which the shares could add up to more than the limit.
 func TestProcessesKeepTheLimitTogether(t *testing.T) {
 	const settle = 30 * time.Second
 	cases := map[string]func(a *simulation){
-		"all are killed, again and again": func(a *simulation) {
+		"all are killed repeatedly": func(a *simulation) {
 			a.run(settle, 60, 0)
 			for range 12 {
 				a.run(1200*time.Millisecond, 60, 1)
@@ -213,7 +214,7 @@
 				a.run(300*time.Millisecond, 60, 1)
 			}
 		},
-		"most are cut off from control, and serve on": func(a *simulation) {
+		"most are cut off from control and keep serving": func(a *simulation) {
 			a.processes[0].weight = float64(len(a.processes)) // callers are spread unevenly
 			a.run(settle, 25, 0)
 			for _, p := range a.processes[1:] {
@@ -221,7 +222,7 @@
 			}
 			a.run(20*time.Second, 25, 1)
 		},
-		"nothing happens to them, and a service with few requests fails": func(a *simulation) {
+		"no process fails, and a service with few requests does": func(a *simulation) {
 			a.processes = a.processes[:11]
 			a.run(settle, 20, 0)
 			a.run(20*time.Second, 20, 1)
@@ -234,7 +235,7 @@
 			}
 			a.run(50*time.Second, 25, 1)
 		},
-		"most have repeated, and stay away": func(a *simulation) {
+		"most have repeated calls and stay down": func(a *simulation) {
 			a.run(settle, 30, 0)
 			a.run(4*time.Second, 30, 1)
 			for _, p := range a.processes[1:] {
@@ -242,8 +243,8 @@
 			}
 			a.run(10*time.Second, 30, 1)
 		},
-		"all are killed once the others know them": func(a *simulation) {
-			a.processes = a.processes[:11] // among whom the fixed number leaves nothing over
+		"all are killed once they are settled": func(a *simulation) {
+			a.processes = a.processes[:11] // a number by which the fixed number divides without much remainder
 			a.run(settle, 35, 0)
 			for range 4 {
 				for _, p := range a.processes {
@@ -253,7 +254,7 @@
 				a.run(1500*time.Millisecond, 80, 1)
 			}
 		},
-		"all start for the first time, one after the other": func(a *simulation) {
+		"all start for the first time, one after another": func(a *simulation) {
 			for i, p := range a.processes {
 				p.downUntil = a.clock.Now().Add(time.Duration(i) * 400 * time.Millisecond)
 			}
@@ -287,7 +288,8 @@
 	}
 }
 
-// TestProcessesKeepTheLimitWhateverHappens draws what happens to the processes and their callers.
+// TestProcessesKeepTheLimitWhateverHappens draws random failures of the processes and movements
+// of their callers.
 func TestProcessesKeepTheLimitWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newSimulation(rapid.IntRange(1, 30).Draw(t, "processes"), sharedLimit, rapid.Uint64().Draw(t, "seed"))
@@ -317,7 +319,7 @@
 	})
 }
 
-// some returns about that part of the processes.
+// sample returns each process with the given probability.
 func (a *simulation) sample(part float64) []*process {
 	var out []*process
 	for _, p := range a.processes {
--- a/node/retry/retry.go
+++ b/node/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry bounds the extra load that retries and hedges may cause: a Budget in one
-// process, with a token bucket that fills with every first attempt; a Quota over all processes, each
-// of which keeps to a part that is safe whatever the others do.
+// Package retry bounds the extra load that retries and hedges may cause. A Budget is local to
+// one process: a token bucket filled by first attempts. A Quota is shared by all processes: each
+// keeps to a share that is safe whatever the others do.
 package retry
 
 import (
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// Budget allows extra attempts up to a share of the first attempts. So that a
-// service with few requests can retry too, a reserve is there from the start
-// and refills with time, whatever the number of requests.
+// Budget allows extra attempts up to a percentage of the first attempts. A reserve, full at the
+// start and refilled over time, lets a service with few requests retry as well.
 type Budget struct {
 	mu       sync.Mutex
 	percent  int64
@@ -21,17 +20,17 @@
 
 const (
 	attempt       = 100             // hundredths
-	budgetReserve = 10 * attempt    // allowed at any time when nothing was taken lately
-	budgetCap     = 100 * attempt   // saved up at most
-	refillEvery   = 5 * time.Second // for one attempt of the reserve
+	budgetReserve = 10 * attempt    // available at any time if nothing was taken recently
+	budgetCap     = 100 * attempt   // upper bound of what is saved up
+	refillEvery   = 5 * time.Second // per attempt of the reserve
 )
 
-// NewBudget returns a budget of percent extra attempts per hundred first ones.
-// With percent zero it allows none.
+// NewBudget returns a budget of percent extra attempts per hundred first attempts. With percent
+// zero it allows none.
 func NewBudget(percent int) *Budget { return newBudget(percent, budgetReserve) }
 
-// NewHedgeBudget returns a budget without a reserve: nothing has failed yet
-// when a hedge is sent, so a service with few requests can do without.
+// NewHedgeBudget returns a budget without a reserve: a hedge is sent before anything has failed,
+// so a service with few requests can do without.
 func NewHedgeBudget(percent int) *Budget { return newBudget(percent, 0) }
 
 func newBudget(percent int, reserve int64) *Budget {
@@ -42,14 +41,14 @@
 	return b
 }
 
-// First notes a first attempt.
+// First counts a first attempt.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.percent, budgetCap)
 }
 
-// Take reports whether an extra attempt may be made, and counts it.
+// Take reports whether an extra attempt is allowed, and counts it if so.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/node/retry/retry_test.go
+++ b/node/retry/retry_test.go
@@ -12,9 +12,8 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "seed=1") }
 
-// TestBudget compares a budget with a list of all that happened: what was
-// taken never exceeds the reserve, its refills and the share of the first
-// attempts, and a refusal comes only when that is so.
+// TestBudget compares a budget with a model: the attempts taken never exceed the reserve, its
+// refills and the percentage of the first attempts, and no attempt within the reserve is refused.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(rapidtest.Bubbled{TB: t}, func(t *rapid.T) {
@@ -50,10 +49,10 @@
 						bound = 0
 					}
 					if taken > bound {
-						t.Fatalf("%d taken, at most %d allowed", taken, bound)
+						t.Fatalf("%d extra attempts taken, at most %d allowed", taken, bound)
 					}
 					if !ok && percent > 0 && taken < reserve {
-						t.Fatalf("refused after only %d", taken)
+						t.Fatalf("refused after only %d extra attempts", taken)
 					}
 				},
 			})
@@ -61,7 +60,7 @@
 	})
 }
 
-// TestRareService: a service with a request an hour may retry it, every time.
+// TestRareService checks that a service with one request an hour may retry every one.
 func TestRareService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(10)
@@ -75,8 +74,8 @@
 	})
 }
 
-// TestShareIsExact: ten first attempts at ten percent earn one retry, not
-// nearly one.
+// TestShareIsExact checks that ten first attempts at ten percent earn exactly one retry, without
+// rounding errors.
 func TestShareIsExact(t *testing.T) {
 	b := NewBudget(10)
 	for b.Take() {
--- a/node/retry/window.go
+++ b/node/retry/window.go
@@ -7,34 +7,33 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Window bounds extra attempts in every span of time of its length to a share
-// of the first attempts in it and a fixed number. Unlike a Budget it saves
-// nothing up, so several processes that each keep to their part keep the whole.
+// Window limits the extra attempts in every span of time of its length to a ratio of the first
+// attempts in it plus a fixed number. Unlike a Budget it saves nothing up, so processes that each
+// keep to their share together keep the whole limit.
 type Window struct {
 	clock      clockwork.Clock
 	ratio      float64
 	stepLength time.Duration
-	start      time.Time // steps are counted from it, on the steady clock
+	start      time.Time // origin of the steps, on the monotonic clock
 
 	mu    sync.Mutex
 	slots [extraSteps]slot
 }
 
 type slot struct {
-	step  int64 // which step of time it counts
+	step  int64 // number of the step that the slot counts
 	first int
 	extra int
 }
 
-// Steps of time, a tenth of the window each, of which the current one has just begun or
-// is nearly over.
+// The window is divided into ten steps. The current step may have just begun or be nearly over.
 const (
 	stepsOfWindow = 10
-	// firstSteps are those whose first attempts count: no more than the window.
+	// firstSteps is the number of steps whose first attempts count: no more than the window.
 	firstSteps = stepsOfWindow
-	// extraSteps are those whose extra attempts count: the window and one step in which they
-	// are on their way. Upstreams count them when they arrive: after the 0.4 s at most
-	// that a connection takes, and a lost packet's repeats.
+	// extraSteps is the number of steps whose extra attempts count: the window, the current step and
+	// one step for attempts in transit. Upstreams count an attempt when it arrives, which takes up
+	// to 0.4 s for the connection plus the retransmissions of a lost packet.
 	extraSteps = stepsOfWindow + 2
 )
 
@@ -43,15 +42,15 @@
 	return &Window{clock: clock, ratio: ratio, stepLength: length / stepsOfWindow, start: clock.Now()}
 }
 
-// First notes a first attempt.
+// First counts a first attempt.
 func (w *Window) First() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.currentSlot().first++
 }
 
-// Take reports whether an extra attempt may be made, and counts it. fixed is
-// the number that is allowed beside the share of the first attempts.
+// Take reports whether an extra attempt is allowed, and counts it if so. Fixed is the number
+// allowed in addition to the ratio of the first attempts.
 func (w *Window) Take(fixed int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,7 +62,7 @@
 	return true
 }
 
-// Counts returns the first and the extra attempts that count now.
+// Counts returns the first and extra attempts that currently count.
 func (w *Window) Counts() (first, extra int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,9 +83,9 @@
 	return first, extra
 }
 
-// now returns the slot of the current step of time.
+// currentSlot returns the slot of the current step.
 func (w *Window) currentSlot() *slot {
-	step := extraSteps + int64(w.clock.Since(w.start)/w.stepLength) // slots of number zero are unused
+	step := extraSteps + int64(w.clock.Since(w.start)/w.stepLength) // offset, as zero marks an unused slot
 	s := &w.slots[step%extraSteps]
 	if s.step != step {
 		*s = slot{step: step}
--- a/node/retry/window_test.go
+++ b/node/retry/window_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestWindowHoldsInEverySpan draws first and extra attempts over time: whenever
-// one is allowed, the span of the window's length that ends there holds no more
-// extra attempts than the ratio of its first ones and the fixed number.
+// TestWindowHoldsInEverySpan draws first and extra attempts over time. Whenever an extra attempt
+// is allowed, the span of the window's length that ends there must hold no more extra attempts
+// than the ratio of its first attempts plus the fixed number.
 func TestWindowHoldsInEverySpan(t *testing.T) {
 	const (
 		length = 10 * time.Second
@@ -33,7 +33,7 @@
 			if !taken {
 				continue
 			}
-			// A step of the window may count beyond its length, never less.
+			// The window may count up to one step more than its length, never less.
 			allowed := ratio*float64(since(first, now.Add(-length-length/10))) + fixed
 			if n := since(extra, now.Add(-length)); float64(n) > allowed {
 				t.Fatalf("%d extra attempts in a window, %.1f allowed", n, allowed)
@@ -52,8 +52,8 @@
 	return n
 }
 
-// TestWindowSavesNothingUp lets a long time of first attempts pass before the
-// first extra one.
+// TestWindowSavesNothingUp checks that many first attempts in the past do not add to what is
+// allowed now.
 func TestWindowSavesNothingUp(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	w := NewWindow(10*time.Second, 0.2, clock)
--- a/node/routing/bench_test.go
+++ b/node/routing/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkChoose measures one choice among endpoints that have load, speeds
-// and cached prefixes.
+// BenchmarkChoose measures one choice among endpoints with load reports, learned
+// speeds and cached prefixes.
 func BenchmarkChoose(b *testing.B) {
 	prefix := PrefixHashes("m", []byte(strings.Repeat("0123456789abcdef", 1024)))
 	for _, policy := range []string{policyPredicted, policyLeastInFlight, policyRoundRobin, policyRandom} {
--- a/node/routing/cache.go
+++ b/node/routing/cache.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// trust is how far the prefix index is right about one endpoint: the moving
-// average of cached tokens found over cached tokens expected. It corrects for
-// evictions and lost cache events that the index cannot see.
+// cacheAccuracy is how accurate the prefix index is for one endpoint: a moving average
+// of found over expected cached tokens. It corrects for evictions and lost cache
+// events, which the index does not see.
 type cacheAccuracy struct {
-	inaccuracy atomic.Uint64 // float64 bits of one minus the trust
+	inaccuracy atomic.Uint64 // float64 bits of one minus the accuracy, so that the zero value means accurate
 }
 
 const accuracyWeight = 0.1
@@ -26,8 +26,7 @@
 	t.inaccuracy.Store(math.Float64bits(1 - v))
 }
 
-// Cached returns how many bytes of the prompt the endpoint is expected to have
-// cached.
+// Cached returns the expected number of bytes of the prompt in the endpoint's cache.
 func (e *Endpoint) Cached(prefix []uint64) int {
 	if e.group == nil || e.group.prefixes == nil || len(prefix) == 0 {
 		return 0
@@ -41,7 +40,7 @@
 	return 0
 }
 
-// Sent notes that a prompt was sent to the endpoint, which will have it cached.
+// Sent records that a prompt was sent to the endpoint, whose cache then holds it.
 func (e *Endpoint) Sent(prefix []uint64) {
 	if e.group == nil || e.group.prefixes == nil {
 		return
@@ -49,8 +48,8 @@
 	e.group.prefixes.add(prefix, e.index, secondOf(time.Now().UnixNano()))
 }
 
-// Found corrects the index by what an answer's usage said: the share of the
-// prompt that was cached, where expected had been foretold.
+// Found updates the cache accuracy from an answer's usage: share is the part of the
+// prompt that was cached, expected the part that the index predicted.
 func (e *Endpoint) Found(share, expected float64) { e.cache.learn(share, expected) }
 
 func secondOf(now int64) uint16 { return uint16(now / int64(time.Second)) }
--- a/node/routing/choose.go
+++ b/node/routing/choose.go
@@ -1,25 +1,25 @@
 package routing
 
-// choice is the working memory of one choice. It is pooled, so that choosing
+// choice is the scratch space of one Choose call. It is pooled, so that choosing
 // allocates nothing.
 type choice struct {
 	Request
 	group       *group
-	random      func(n int) int // below n
+	random      func(n int) int // returns a number in [0, n)
 	now         int64           // Unix nanoseconds
-	expected    float64         // seconds, for the whole size without cached parts
+	expected    float64         // seconds for a request of this size with nothing cached
 	holderArray [maxHolders]holder
-	holders     []holder // in room
-	holderMask  uint64   // bits of the holders' indexes, to rule out most endpoints at once
+	holders     []holder // backed by holderArray
+	holderMask  uint64   // bit set of the holders' indexes modulo 64: a fast test that rules out most endpoints
 	candidates  []candidate
 }
 
 const (
-	fullScanLimit = 64 // up to this many endpoints all are scored
-	sampleSize    = 32 // of more endpoints only a random sample is, and those with a cached prefix
+	fullScanLimit = 64 // up to this many endpoints, all are scored
+	sampleSize    = 32 // above it, a random sample of this size and the endpoints with a cached prefix are scored
 )
 
-// Choose returns an endpoint, or nil when none passes the filters.
+// Choose returns the endpoint for the request, or nil when none passes the filters.
 func (s *Service) Choose(r Request) *Endpoint {
 	st := s.table.Load().byService[r.Service]
 	if st == nil {
@@ -34,7 +34,7 @@
 	c.reset(r, st)
 	c.random = s.random
 	e := c.choose(&p, st)
-	c.Request = Request{} // keep no caller's memory alive
+	c.Request = Request{} // release the caller's memory before pooling
 	c.group = nil
 	s.choicePool.Put(c)
 	if e == nil {
@@ -43,7 +43,7 @@
 	return e
 }
 
-// noteEmpty tells that a first try found no endpoint.
+// reportEmpty calls the OnEmpty hook when a request's first attempt found no endpoint.
 func (s *Service) reportEmpty(r Request) {
 	if s.onEmpty != nil && len(r.Exclude) == 0 {
 		s.onEmpty(r.Service)
--- a/node/routing/endpoint.go
+++ b/node/routing/endpoint.go
@@ -6,14 +6,14 @@
 	"caperdrum.org/api/wire"
 )
 
-// Endpoint is one upstream as this entry sees it. Its counters live as long
-// as the agent's incarnation. The zero value with a Member can be used for
-// calls outside of a table.
+// Endpoint is one upstream as seen by this entry process. Its counters live as long as
+// the member's incarnation. An Endpoint with only Member set can be used outside of a
+// table.
 type Endpoint struct {
 	Member wire.Member
 
-	index  uint16 // position in the prefix index
-	group  *group // what the endpoints of the service share; nil outside of a table
+	index  uint16 // identifies the endpoint in the prefix index
+	group  *group // state shared by the service's endpoints; nil outside of a table
 	load   load
 	speed  speed
 	health health
@@ -21,30 +21,30 @@
 	cache  cacheAccuracy
 }
 
-// Outcome is how an attempt ended, as far as routing is concerned.
+// Outcome is the result of an attempt as far as routing is concerned.
 type Outcome uint8
 
 const (
-	// Answered is a whole answer.
+	// Answered means a complete answer.
 	Answered Outcome = iota
-	// Failed is any failure that speaks against the endpoint.
+	// Failed means a failure that counts against the endpoint.
 	Failed
-	// Refused did not run for a reason that is no fault, such as a full queue.
+	// Refused means not run for a reason that is not a fault, such as a full queue.
 	Refused
-	// Abandoned was given up by this entry; it took at least as long as it ran.
+	// Abandoned means cancelled by this entry; the elapsed time is a lower bound of the latency.
 	Abandoned
 )
 
-// Flight is one attempt under way at an endpoint.
+// Flight is an attempt in progress at an endpoint.
 type Flight struct {
 	endpoint *Endpoint
 	class    int
-	queue    float64 // factor by which the load at the start was expected to stretch the answer
+	queue    float64 // factor by which the load at the start was expected to lengthen the answer
 	started  time.Time
 }
 
-// Start counts an attempt in. Size is the request's work in bytes, without
-// the part whose result the endpoint has cached.
+// Start counts a new attempt. Size is the request's work in bytes, without the part
+// whose result the endpoint has cached.
 func (e *Endpoint) Start(size int) Flight {
 	now := time.Now()
 	f := Flight{endpoint: e, class: sizeClass(size), queue: e.load.queueFactor(now), started: now}
@@ -54,10 +54,10 @@
 	return f
 }
 
-// Resize corrects the size by what the endpoint turned out to have cached.
+// Resize corrects the size once it is known how much the endpoint had cached.
 func (f *Flight) Resize(size int) { f.class = sizeClass(size) }
 
-// End counts the attempt out.
+// End ends the attempt and updates the endpoint's statistics.
 func (f Flight) End(o Outcome) {
 	e := f.endpoint
 	now := time.Now()
@@ -83,8 +83,8 @@
 	}
 }
 
-// learn takes in the time of an answer, and ejects the endpoint when it has
-// become far slower than the others of its service.
+// learn records the latency of an answer, and ejects the endpoint if it has become far
+// slower than the others of its service.
 func (e *Endpoint) learn(f Flight, took time.Duration, now time.Time) {
 	sample := took.Seconds() / f.queue
 	if e.group == nil {
@@ -102,17 +102,17 @@
 	return e.group.expected(class)
 }
 
-// InFlight returns the attempts that this entry has under way there.
+// InFlight returns the number of this entry's attempts in progress at the endpoint.
 func (e *Endpoint) InFlight() int64 { return e.load.inFlight.Load() }
 
-// Latency returns the expected time of an average attempt without a queue, in
+// Latency returns the expected latency of an average attempt without queueing, in
 // seconds.
 func (e *Endpoint) Latency() float64 { return e.expected(0) * e.speed.ratio(time.Now()) }
 
-// Limit returns the attempts that the gate runs at a time.
+// Limit returns how many attempts the gate runs concurrently.
 func (e *Endpoint) Limit() int64 { return e.load.capacity() }
 
-// Begin counts in an attempt of unknown size; End counts it out.
+// Begin counts a new attempt of unknown size; Endpoint.End ends it.
 func (e *Endpoint) Begin() {
 	now := time.Now()
 	e.load.begin()
@@ -120,7 +120,7 @@
 	e.health.begin(now)
 }
 
-// End counts an attempt of unknown size out. Took is zero when it did not run.
+// End ends an attempt of unknown size. Took is zero when it did not run.
 func (e *Endpoint) End(ok bool, took time.Duration) {
 	now := time.Now()
 	e.load.end()
@@ -133,7 +133,7 @@
 	e.health.succeeded()
 }
 
-// Report takes in the load that a gate sent with an answer.
+// Report records the load that a gate sent with an answer.
 func (e *Endpoint) Report(queued, running, limit int64) {
 	e.load.report(queued, running, limit, time.Now())
 }
--- a/node/routing/filter_leaving.go
+++ b/node/routing/filter_leaving.go
@@ -1,6 +1,6 @@
 package routing
 
-// leavingFilter drops endpoints whose upstream takes no new work.
+// leavingFilter drops endpoints whose upstream is shutting down.
 type leavingFilter struct{}
 
 func (leavingFilter) keep(e *Endpoint, r *choice) bool {
--- a/node/routing/filter_role.go
+++ b/node/routing/filter_role.go
@@ -1,6 +1,6 @@
 package routing
 
-// roleFilter drops engines of another role than the request needs.
+// roleFilter drops engines whose role differs from the one that the request needs.
 type roleFilter struct{}
 
 func (roleFilter) keep(e *Endpoint, r *choice) bool {
--- a/node/routing/filter_tried.go
+++ b/node/routing/filter_tried.go
@@ -1,6 +1,6 @@
 package routing
 
-// triedFilter drops endpoints that the request tried already.
+// triedFilter drops endpoints that the request has already tried.
 type triedFilter struct{}
 
 func (triedFilter) keep(e *Endpoint, r *choice) bool {
--- a/node/routing/load.go
+++ b/node/routing/load.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// load estimates the attempts at a gate. What this entry sent is known; what
-// other entries sent is the last report less this entry's part, and fades as
-// the report ages.
+// load estimates the number of attempts at a gate. This entry's own attempts are known
+// exactly. Those of other entries are the last reported total minus this entry's own,
+// weighted down as the report ages.
 type load struct {
 	inFlight      atomic.Int64
 	otherAttempts atomic.Int64
@@ -17,7 +17,7 @@
 
 const (
 	defaultGateLimit = 8
-	reportTTL        = 4 * time.Second // a report this old says nothing any more
+	reportTTL        = 4 * time.Second // age at which a report no longer counts
 )
 
 func (l *load) begin() { l.inFlight.Add(1) }
@@ -36,7 +36,7 @@
 	return defaultGateLimit
 }
 
-// ahead returns the attempts expected at the gate now.
+// expectedAttempts returns the estimated number of attempts at the gate now.
 func (l *load) expectedAttempts(now int64) float64 {
 	own := float64(l.inFlight.Load())
 	others := l.otherAttempts.Load()
@@ -50,8 +50,8 @@
 	return own + float64(others)*(1-float64(age)/float64(reportTTL))
 }
 
-// queueFactor is how many times longer than without load one more attempt is
-// expected to take, when it has to wait for a place.
+// queueFactor returns by which factor queueing is expected to lengthen one more attempt;
+// 1 means that it need not wait.
 func (l *load) queueFactor(now time.Time) float64 {
 	limit := float64(l.capacity())
 	return 1 + max(l.expectedAttempts(now.UnixNano())+1-limit, 0)/limit
--- a/node/routing/memory_bench_test.go
+++ b/node/routing/memory_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkTableMemory measures the heap of an entry's table for each endpoint,
+// BenchmarkTableMemory measures the heap that an entry's table uses per endpoint,
 // without prefixes.
 //
 //	go test ./node/routing -run - -bench TableMemory -benchtime 1x
--- a/node/routing/models_test.go
+++ b/node/routing/models_test.go
@@ -9,9 +9,8 @@
 	"caperdrum.org/node/configsync"
 )
 
-// TestChoiceByHolds goes from the members' records to the choice: a request
-// reaches only engines that hold its model, and a change of what they hold
-// keeps their counters.
+// TestChoiceByHolds checks that a request reaches only engines whose member record lists
+// its model, and that endpoints keep their counters when that list changes.
 func TestChoiceByHolds(t *testing.T) {
 	update := func(s *Service, models string, holds map[wire.MemberID]string) {
 		sv := &optext.Service{Name: testService, Kind: string(optext.Engine), Models: models}
@@ -29,10 +28,10 @@
 	}{
 		{"held by one", "m@1,n@1", "m", two, map[wire.MemberID]bool{"a": true}},
 		{"held by the other", "m@1,n@1", "n", two, map[wire.MemberID]bool{"b": true}},
-		{"adapter under its own name", "m@1/fine,n@1", "fine", two, map[wire.MemberID]bool{"a": true}},
-		{"named, held by none", "m@1,x@1", "x", two, nil},
-		{"not named: any engine", "m@1,n@1", "public-name", two, map[wire.MemberID]bool{"a": true, "b": true}},
-		{"no model asked for", "m@1,n@1", "", two, map[wire.MemberID]bool{"a": true, "b": true}},
+		{"adapter requested by its own name", "m@1/fine,n@1", "fine", two, map[wire.MemberID]bool{"a": true}},
+		{"configured, held by none", "m@1,x@1", "x", two, nil},
+		{"not configured: any engine", "m@1,n@1", "public-name", two, map[wire.MemberID]bool{"a": true, "b": true}},
+		{"no model requested", "m@1,n@1", "", two, map[wire.MemberID]bool{"a": true, "b": true}},
 		{"takes no orders", "m@1,n@1", "m", map[wire.MemberID]string{"a": "", "b": "n@1"}, map[wire.MemberID]bool{"a": true}},
 	}
 	for _, row := range rows {
@@ -57,14 +56,14 @@
 	update(s, "m@1", map[wire.MemberID]string{"a": "n@1"})
 	ask := Request{Service: testService, Model: "m", Now: time.Now()}
 	if s.Choose(ask) != nil || empty != 1 {
-		t.Fatalf("an engine without the model was chosen, or the miss not told: %d", empty)
+		t.Fatalf("an engine without the model was chosen, or OnEmpty was not called exactly once: %d", empty)
 	}
 	before := s.Choose(Request{Service: testService, Now: time.Now()})
 	flight := before.Start(0)
 	update(s, "m@1", map[wire.MemberID]string{"a": "n@1,m@1"})
 	e := s.Choose(ask)
 	if e == nil || e != before || e.InFlight() != 1 {
-		t.Fatal("after a load the engine is not chosen with its counters")
+		t.Fatal("after the engine loaded the model, it is not chosen with its counters")
 	}
 	flight.End(Answered)
 }
--- a/node/routing/offer.go
+++ b/node/routing/offer.go
@@ -8,42 +8,42 @@
 	"caperdrum.org/api/wire"
 )
 
-// Offer is what an engine serves. A nil list means anything.
+// Offer lists what an engine serves. A nil list means anything.
 type Offer struct {
 	Models   []string
 	Adapters []string
 	Role     string // prefill, decode, or empty for both
 
-	listedModels map[string]bool // names that the lists speak about; nil means all names
+	listedModels map[string]bool // names for which the lists are complete; nil means all names
 }
 
-// lacks reports whether the lists rule a model out. A name that the operators'
-// text does not give to the service's engines may stand for any that is held.
+// rulesOut reports whether the engine certainly lacks the model. A name that the
+// configuration does not list for the service may be an alias of any held model.
 func (o *Offer) rulesOut(model string) bool {
 	return !listAllows(o.Models, model) && (o.listedModels == nil || o.listedModels[model])
 }
 
-// offer is what is known of an endpoint's offer: what it announced, and what
-// its refusals showed.
+// offer is what is known about an endpoint's models: what it announced, and what its
+// refusals revealed.
 type offer struct {
 	announced    atomic.Pointer[Offer]
 	missing      atomic.Pointer[missingModel]
 	leavingUntil atomic.Int64 // Unix nanoseconds
 }
 
-// lack remembers that an endpoint did not know a model.
+// missingModel records that an endpoint refused a request for an unknown model.
 type missingModel struct {
 	model string
 	until int64 // Unix nanoseconds
 }
 
 const (
-	missingModelTTL = 10 * time.Second // a refused model is asked for again after this
-	leavingTTL      = 3 * time.Second  // by then the members list says the same
+	missingModelTTL = 10 * time.Second // time after which a refused model is requested again
+	leavingTTL      = 3 * time.Second  // by then the member list shows the upstream as leaving
 )
 
-// offerOf returns what the member announced that its upstream holds, or nil
-// for one that takes no orders. An adapter is asked for under its own name.
+// offerOf returns what the member announced that its upstream holds, or nil for a
+// member that takes no orders. Adapters are requested by their own names.
 func offerOf(m wire.Member, named map[string]bool) *Offer {
 	if m.Holds == "" {
 		return nil
@@ -55,7 +55,7 @@
 	return o
 }
 
-// servedName returns the name that a request gives for an artifact.
+// servedName returns the name by which requests refer to an artifact.
 func servedName(artifact string) string {
 	a := wire.ParseArtifact(artifact)
 	if a.Adapter != "" {
@@ -64,7 +64,7 @@
 	return a.Model
 }
 
-// namesOf returns the names under which requests ask for the artifacts.
+// servedNames returns the names by which requests refer to the artifacts.
 func servedNames(artifacts []string) map[string]bool {
 	names := map[string]bool{}
 	for _, a := range artifacts {
@@ -73,20 +73,20 @@
 	return names
 }
 
-// sameButHolds reports whether two records differ at most in what the upstream
-// holds. Such a change leaves the endpoint's counters as they are.
+// equalExceptHolds reports whether two records differ at most in the artifacts that the
+// upstream holds. Such a change must not reset the endpoint's counters.
 func equalExceptHolds(a, b wire.Member) bool {
 	a.Holds, a.Revision = b.Holds, b.Revision
 	return a == b
 }
 
-// SetOffer notes what the endpoint announced; nil means anything.
+// SetOffer sets what the endpoint announced; nil means anything.
 func (e *Endpoint) SetOffer(o *Offer) { e.offer.announced.Store(o) }
 
-// Lacks notes that the endpoint answered that it does not know a model.
+// Lacks records that the endpoint answered that it does not know the model.
 func (e *Endpoint) Lacks(model string) {
 	e.offer.missing.Store(&missingModel{model, time.Now().Add(missingModelTTL).UnixNano()})
 }
 
-// Leaves notes that the endpoint's gate refused because its upstream leaves.
+// Leaves records that the endpoint's gate refused because its upstream is leaving.
 func (e *Endpoint) Leaves() { e.offer.leavingUntil.Store(time.Now().Add(leavingTTL).UnixNano()) }
--- a/node/routing/outlier.go
+++ b/node/routing/outlier.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// health ejects an endpoint that fails again and again or is far slower than
-// its service's median. When the ejection ends, a single request probes it.
+// health ejects an endpoint that fails several times in a row or is far slower than its
+// service's median. When the ejection ends, a single request probes it.
 type health struct {
-	failures     atomic.Int64 // in a row
-	ejections    atomic.Int64 // in a row
+	failures     atomic.Int64 // consecutive
+	ejections    atomic.Int64 // consecutive
 	ejectedUntil atomic.Int64 // Unix nanoseconds; zero when not ejected
 	probing      atomic.Bool
 }
 
 const (
 	failuresToEject   = 3
-	baseEjectTime     = 2 * time.Second // doubles with every ejection in a row
+	baseEjectTime     = 2 * time.Second // doubles with every consecutive ejection
 	maxEjectTime      = 30 * time.Second
-	slowEjectRatio    = 4 // times the median
+	slowEjectRatio    = 4 // multiple of the median
 	minSlowSamples    = 3
 	suspectRatio      = 1.8
-	maxEjectedDivisor = 3 // at most one of this many endpoints is ejected, but one of two
+	maxEjectedDivisor = 3 // at most one of this many endpoints is ejected; of two, one may be
 )
 
 func (h *health) begin(now time.Time) {
@@ -42,8 +42,8 @@
 	h.release()
 }
 
-// shut reports whether the endpoint takes no request: it is ejected, or its
-// one probe is under way.
+// unavailable reports whether the endpoint takes no request: it is ejected, or its one
+// probe is in progress.
 func (h *health) unavailable(now int64) bool {
 	to := h.ejectedUntil.Load()
 	if to == 0 {
@@ -59,11 +59,11 @@
 	h.release()
 }
 
-// Ejected reports whether the endpoint is left out at the moment.
+// Ejected reports whether the endpoint is currently ejected or being probed.
 func (e *Endpoint) Ejected(now time.Time) bool { return e.health.unavailable(now.UnixNano()) }
 
-// Suspect reports whether the endpoint is tried although it was slow or failed
-// lately, so that whoever sends to it had better not wait for it long.
+// Suspect reports whether the endpoint was recently slow or failing although it is still
+// tried; callers should not wait for it long.
 func (e *Endpoint) Suspect(now time.Time) bool {
 	return e.health.ejectedUntil.Load() != 0 || e.health.failures.Load() > 0 || e.speed.ratio(now) >= suspectRatio
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// mayEject bounds the share of a service's endpoints that are ejected.
+// mayEject limits the share of a service's endpoints that are ejected at once.
 func (e *Endpoint) mayEject() bool {
 	if e.group == nil || !e.group.ejectionEnabled.Load() {
 		return false
--- a/node/routing/pick.go
+++ b/node/routing/pick.go
@@ -1,6 +1,6 @@
 package routing
 
-// picker takes one of the candidates, of which there is at least one.
+// picker selects one of the candidates, of which there is at least one.
 type picker interface {
 	pick(c []candidate, r *choice) *Endpoint
 }
--- a/node/routing/pick_baselines.go
+++ b/node/routing/pick_baselines.go
@@ -1,6 +1,6 @@
 package routing
 
-// leastInFlight takes the endpoint with the fewest attempts of this entry.
+// leastInFlight picks the endpoint with the fewest attempts of this entry.
 type leastInFlight struct{}
 
 func (leastInFlight) pick(c []candidate, r *choice) *Endpoint {
@@ -14,14 +14,14 @@
 	return best
 }
 
-// roundRobin takes the endpoints in turn.
+// roundRobin picks the endpoints in turn.
 type roundRobin struct{}
 
 func (roundRobin) pick(c []candidate, r *choice) *Endpoint {
 	return c[r.group.roundRobinNext.Add(1)%uint64(len(c))].endpoint
 }
 
-// randomPick takes any endpoint.
+// randomPick picks a random endpoint.
 type randomPick struct{}
 
 func (randomPick) pick(c []candidate, r *choice) *Endpoint { return c[r.random(len(c))].endpoint }
--- a/node/routing/pick_two_choices.go
+++ b/node/routing/pick_two_choices.go
@@ -1,15 +1,14 @@
 package routing
 
-// twoOfBest takes the better of two random ones among the candidates that are
-// nearly as good as the best. Entries that see the same state so do not all
-// send to the same endpoint (Mitzenmacher, "The Power of Two Choices in
-// Randomized Load Balancing", 2001).
+// twoChoices picks the better of two random candidates whose cost is close to the best.
+// This keeps entries that see the same state from all sending to the same endpoint
+// (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
 type twoChoices struct{}
 
 const (
 	nearBestFactor     = 1.15
 	nearBestSeconds    = 0.0002
-	minAdvantageFactor = 1.05 // a smaller difference is noise, and must not starve an endpoint
+	minAdvantageFactor = 1.05 // a smaller difference is noise and must not starve an endpoint
 )
 
 func (twoChoices) pick(c []candidate, r *choice) *Endpoint {
--- a/node/routing/plugins_test.go
+++ b/node/routing/plugins_test.go
@@ -11,7 +11,7 @@
 	"caperdrum.org/node/configsync"
 )
 
-// filter is what every filter plugin has.
+// filter is the interface of all filter plugins.
 type filter interface {
 	keep(e *Endpoint, r *choice) bool
 }
@@ -21,7 +21,7 @@
 	here        = "here"
 )
 
-// newTestTable returns a table of n engines of one service.
+// newTestTable returns a table with one service of n engines.
 func newTestTable(n int) (*Service, []*Endpoint) {
 	s := NewTable("entry", here)
 	sv := &optext.Service{Name: testService, Kind: string(optext.Engine), Ejection: true}
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestFilters has a row per filter: what it drops, and what it keeps.
+// TestFilters checks for each filter what it drops and what it keeps.
 func TestFilters(t *testing.T) {
 	offer := &Offer{Models: []string{"m"}, Adapters: []string{"a"}, Role: "decode"}
 	rows := []struct {
@@ -59,18 +59,18 @@
 		filter  filter
 		keep    bool
 	}{
-		{"leaving by members", func(e *Endpoint) { e.Member.Leaving = true }, Request{}, leavingFilter{}, false},
-		{"leaving by refusal", func(e *Endpoint) { e.Leaves() }, Request{}, leavingFilter{}, false},
+		{"leaving in the member list", func(e *Endpoint) { e.Member.Leaving = true }, Request{}, leavingFilter{}, false},
+		{"leaving after a refusal", func(e *Endpoint) { e.Leaves() }, Request{}, leavingFilter{}, false},
 		{"not leaving", func(*Endpoint) {}, Request{}, leavingFilter{}, true},
 		{"tried", func(*Endpoint) {}, Request{Exclude: map[wire.MemberID]bool{memberID(0): true}}, triedFilter{}, false},
 		{"other tried", func(*Endpoint) {}, Request{Exclude: map[wire.MemberID]bool{memberID(1): true}}, triedFilter{}, true},
 		{"ejected", func(e *Endpoint) { fail(e, failuresToEject) }, Request{}, ejectedFilter{}, false},
-		{"failed less", func(e *Endpoint) { fail(e, failuresToEject-1) }, Request{}, ejectedFilter{}, true},
+		{"too few failures", func(e *Endpoint) { fail(e, failuresToEject-1) }, Request{}, ejectedFilter{}, true},
 		{"model offered", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "m", Adapter: "a"}, modelFilter{}, true},
-		{"model lacking", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "x"}, modelFilter{}, false},
-		{"adapter lacking", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "m", Adapter: "x"}, modelFilter{}, false},
-		{"model refused lately", func(e *Endpoint) { e.Lacks("m") }, Request{Model: "m"}, modelFilter{}, false},
-		{"other model refused lately", func(e *Endpoint) { e.Lacks("x") }, Request{Model: "m"}, modelFilter{}, true},
+		{"model missing", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "x"}, modelFilter{}, false},
+		{"adapter missing", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "m", Adapter: "x"}, modelFilter{}, false},
+		{"model refused recently", func(e *Endpoint) { e.Lacks("m") }, Request{Model: "m"}, modelFilter{}, false},
+		{"other model refused recently", func(e *Endpoint) { e.Lacks("x") }, Request{Model: "m"}, modelFilter{}, true},
 		{"role", func(e *Endpoint) { e.SetOffer(offer) }, Request{Role: "decode"}, roleFilter{}, true},
 		{"wrong role", func(e *Endpoint) { e.SetOffer(offer) }, Request{Role: "prefill"}, roleFilter{}, false},
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestScores has a row per scorer: the endpoint that must cost less.
+// TestScores checks for each scorer which of two endpoints costs less.
 func TestScores(t *testing.T) {
 	prompt := []byte(strings.Repeat("spec sheet ", 400))
 	prefix := PrefixHashes("m", prompt)
@@ -102,12 +102,12 @@
 		{"faster", func(b, w *Endpoint) { answer(b, 0, 10*time.Millisecond); answer(w, 0, 100*time.Millisecond) }, latencyScorer{}},
 		{"shorter queue reported", func(b, w *Endpoint) { b.Report(0, 8, 8); w.Report(9, 8, 8) }, latencyScorer{}},
 		{"fewer in flight", func(_, w *Endpoint) { w.Start(0) }, latencyScorer{}},
-		{"not silent", func(_, w *Endpoint) { w.Start(0); time.Sleep(time.Second); w.Report(0, 0, 8) }, latencyScorer{}},
-		{"report faded", func(b, w *Endpoint) { b.Report(4, 8, 8); time.Sleep(reportTTL); w.Report(4, 8, 8) }, latencyScorer{}},
+		{"not stalled", func(_, w *Endpoint) { w.Start(0); time.Sleep(time.Second); w.Report(0, 0, 8) }, latencyScorer{}},
+		{"report expired", func(b, w *Endpoint) { b.Report(4, 8, 8); time.Sleep(reportTTL); w.Report(4, 8, 8) }, latencyScorer{}},
 		{"prefix cached", func(b, _ *Endpoint) { b.Sent(prefix) }, prefixScorer{}},
 		{"longer prefix cached", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix[:2]) }, prefixScorer{}},
-		{"cache trusted", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix); w.Found(0, 1) }, prefixScorer{}},
-		{"cache fresh", func(b, w *Endpoint) { w.Sent(prefix); time.Sleep((prefixTTLSeconds + 1) * time.Second); b.Sent(prefix) }, prefixScorer{}},
+		{"cache index accurate", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix); w.Found(0, 1) }, prefixScorer{}},
+		{"prefix not expired", func(b, w *Endpoint) { w.Sent(prefix); time.Sleep((prefixTTLSeconds + 1) * time.Second); b.Sent(prefix) }, prefixScorer{}},
 		{"near", func(_, w *Endpoint) { w.Member.DataCenter = "there" }, distanceScorer{here}},
 	}
 	for _, row := range rows {
@@ -118,15 +118,15 @@
 				c := &choice{}
 				c.reset(Request{Now: time.Now(), Size: len(prompt), Prefix: prefix}, s.table.Load().byService[testService])
 				if better, worse := row.scorer.score(es[1], c), row.scorer.score(es[0], c); better >= worse {
-					t.Errorf("costs %g, want less than %g", better, worse)
+					t.Errorf("cost is %g, want less than %g", better, worse)
 				}
 			})
 		})
 	}
 }
 
-// TestPicks has a row per policy: how many of 300 choices go to the endpoint
-// that is ten times slower and has one attempt in flight.
+// TestPicks checks for each policy how many of 300 choices go to an endpoint that is ten
+// times slower and has one attempt in flight.
 func TestPicks(t *testing.T) {
 	for name, allowed := range map[string][2]int{
 		policyPredicted: {0, 0}, policyLeastInFlight: {0, 0}, policyRoundRobin: {100, 100}, policyRandom: {60, 140},
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestStraggler: an endpoint that becomes ten times slower loses its traffic
-// after a few requests, and gets it back some time after it is well again.
+// TestStraggler checks that an endpoint that becomes ten times slower loses its traffic
+// after a few requests, and regains it some time after it has recovered.
 func TestStraggler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, es := newTestTable(6)
@@ -177,13 +177,13 @@
 		}
 		time.Sleep(time.Minute)
 		if n := times(20*time.Millisecond, 600); n < 60 {
-			t.Errorf("only %d of 600 requests went to it once it was well", n)
+			t.Errorf("only %d of 600 requests went to the endpoint after it recovered", n)
 		}
 	})
 }
 
-// TestEjection: never more than a third of a service is ejected, one request
-// probes, and a failed probe doubles the time out.
+// TestEjection checks that at most a third of a service is ejected, that a single request
+// probes an ejected endpoint, and that a failed probe doubles the ejection time.
 func TestEjection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, es := newTestTable(7)
@@ -202,17 +202,17 @@
 		time.Sleep(baseEjectTime)
 		probe := es[0].Start(0)
 		if !es[0].Ejected(time.Now()) {
-			t.Error("a second request may go along with the probe")
+			t.Error("a second request is allowed during the probe")
 		}
 		probe.End(Failed)
 		time.Sleep(baseEjectTime)
 		if !es[0].Ejected(time.Now()) {
-			t.Error("a failed probe did not double the time")
+			t.Error("a failed probe did not double the ejection time")
 		}
 		time.Sleep(baseEjectTime)
 		es[0].Start(0).End(Answered)
 		if es[0].Ejected(time.Now()) {
-			t.Error("still out after a good probe")
+			t.Error("still ejected after a successful probe")
 		}
 		exclude := map[wire.MemberID]bool{}
 		for _, e := range es {
@@ -222,13 +222,13 @@
 		}
 		fail(es[1], 1)
 		if s.Choose(Request{Service: testService, Now: time.Now(), Exclude: exclude}) != es[1] {
-			t.Error("the last endpoint must be tried even when it is ejected")
+			t.Error("the last endpoint was not tried because it is ejected")
 		}
 	})
 }
 
-// TestSubset: the same members for the same entry, near ones first, and few
-// that change with a member.
+// TestSubset checks that an entry always gets the same members, nearby ones first, and
+// that few of them change when a member leaves.
 func TestSubset(t *testing.T) {
 	var members []wire.Member
 	for i := range 100 {
@@ -248,7 +248,7 @@
 		}
 	}
 	if len(first) != 20 || near != 10 {
-		t.Errorf("%d members, %d near; want 20 and 10", len(first), near)
+		t.Errorf("%d members, %d of them nearby; want 20 and 10", len(first), near)
 	}
 	moved := 0
 	for _, m := range subset(append(members[:50:50], members[51:]...), "entry", here, 20) {
@@ -257,12 +257,12 @@
 		}
 	}
 	if moved > 1 {
-		t.Errorf("%d members moved after one left", moved)
+		t.Errorf("%d members changed after one left", moved)
 	}
 }
 
-// TestPrefixIndexIsBounded: of far more blocks than fit the latest are found,
-// and no endpoint is credited with blocks that it was never sent.
+// TestPrefixIndexIsBounded adds far more blocks than the index holds: the latest must be
+// found, and no endpoint may be credited with blocks that it was never sent.
 func TestPrefixIndexIsBounded(t *testing.T) {
 	x := &prefixIndex{}
 	prompt := func(i int) []uint64 {
@@ -276,13 +276,13 @@
 	for i := prompts - 1000; i < prompts; i++ {
 		for _, h := range x.holders(prompt(i), prompts/1000, nil) {
 			if h.endpoint != uint16(1+i%4) {
-				t.Fatalf("prompt %d: endpoint %d is credited", i, h.endpoint)
+				t.Fatalf("prompt %d: wrongly credited to endpoint %d", i, h.endpoint)
 			}
 			found++
 		}
 	}
 	if found < 990 {
-		t.Errorf("%d of the latest 1000 prompts are found", found)
+		t.Errorf("only %d of the latest 1000 prompts found", found)
 	}
 }
 
--- a/node/routing/policy.go
+++ b/node/routing/policy.go
@@ -1,12 +1,12 @@
 package routing
 
-// policy is a named way to choose: the sum of its scores, then a pick.
+// policy combines scorers, whose costs are added up, with a picker.
 type policy struct {
 	scorers []scorer
 	picker  picker
 }
 
-// Names of policies in the operators' text.
+// Names of the policies in the operators' configuration.
 const (
 	policyPredicted     = "predicted"
 	policyLeastInFlight = "least-in-flight"
--- a/node/routing/prefix.go
+++ b/node/routing/prefix.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	prefixBlockBytes = 256 // bytes of the messages
+	prefixBlockBytes = 256 // bytes of the messages per block
 	maxPrefixBlocks  = 128
-	slotsPerBucket   = 8       // per bucket: one cache line
-	prefixBuckets    = 1 << 14 // buckets: 131072 blocks, 1 MB a service
-	prefixTTLSeconds = 600     // seconds after which a block is taken to be evicted
-	maxHolders       = 8       // endpoints that one choice looks at for their cache
+	slotsPerBucket   = 8       // one cache line
+	prefixBuckets    = 1 << 14 // 131072 blocks, 1 MB per service
+	prefixTTLSeconds = 600     // seconds after which a block is assumed to be evicted
+	maxHolders       = 8       // endpoints with a cached prefix that one choice considers
 )
 
-// PrefixHashes returns the chained hashes of a prompt's blocks, seeded with
-// the model; equal hashes at a position mean an equal prefix up to there. A
-// rest shorter than a block is left out.
+// PrefixHashes returns the chained hashes of a prompt's blocks, seeded with the model:
+// equal hashes at a position mean equal prefixes up to there. A trailing partial block is
+// left out.
 func PrefixHashes(model string, messages []byte) []uint64 {
 	n := min(len(messages)/prefixBlockBytes, maxPrefixBlocks)
 	out := make([]uint64, n)
@@ -36,13 +36,13 @@
 	return out
 }
 
-// prefixIndex is a bounded guess of which endpoint has which prompt blocks
-// cached, learned from what this entry sent. It is a set-associative table of
-// atomic words, so that readers and writers need no lock; a lost update costs
-// a wrong guess only.
+// prefixIndex is a bounded estimate of which endpoint has which prompt blocks cached,
+// learned from what this entry sent. It is a set-associative table of atomic words, so
+// that readers and writers need no lock; a lost update costs no more than a wrong
+// estimate.
 //
-// A word holds 32 bits of the hash, 16 bits of the endpoint's index and 16
-// bits of seconds.
+// A word holds 32 bits of the block's hash, the endpoint's 16-bit index and the time of
+// the last use in seconds modulo 2^16.
 type prefixIndex struct {
 	buckets [prefixBuckets][slotsPerBucket]atomic.Uint64
 }
@@ -55,7 +55,8 @@
 	return &x.buckets[hash%prefixBuckets]
 }
 
-// add notes that the endpoint has the blocks. Second is a running count.
+// add records that the endpoint has the blocks. Second is the time in seconds and may
+// wrap around. The oldest entry of a full bucket is replaced.
 func (x *prefixIndex) add(hashes []uint64, endpoint uint16, second uint16) {
 	for _, h := range hashes {
 		w := packEntry(h, endpoint, second)
@@ -87,17 +88,17 @@
 	return false
 }
 
-// holder is an endpoint and how many blocks of a prompt it has.
+// holder is an endpoint that has the first blocks of a prompt cached.
 type holder struct {
 	endpoint uint16
 	blocks   int
-	isHome   bool // this entry did not send it there, but others may have
+	isHome   bool // the endpoint is a home in the ring: this entry did not send the prefix there, but others may have
 }
 
-// holders appends to out the endpoints with the longest prefixes, longest
-// first. As chained hashes are known from the front, the longest known prefix
-// is found by bisection. From there on only every half of the way back is
-// looked at, so a shorter prefix may be credited with less than it has.
+// holders appends to out the endpoints with the longest cached prefixes, longest first.
+// Hashes are chained, so the longest known prefix is found by binary search. Below it
+// only positions at one half, one quarter and so on are looked up, so a shorter prefix
+// may be credited with less than it has.
 func (x *prefixIndex) holders(hashes []uint64, second uint16, out []holder) []holder {
 	low, high := 0, len(hashes)
 	for low < high {
--- a/node/routing/ring.go
+++ b/node/routing/ring.go
@@ -8,9 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ring gives every prompt prefix a home endpoint by consistent hashing (Karger
-// et al., 1997), so that entries which do not know of each other send the same
-// prefix to the same cache.
+// ring assigns every prompt prefix a home endpoint by consistent hashing (Karger et al.,
+// 1997), so that entries send the same prefix to the same cache without coordination.
 type ring []ringPoint
 
 type ringPoint struct {
@@ -19,7 +18,7 @@
 }
 
 const (
-	totalRingPoints = 4096 // about as many in all, so that even a few endpoints get even parts
+	totalRingPoints = 4096 // approximate total, so that even a few endpoints get even shares
 	minPointsEach   = 8
 )
 
@@ -50,11 +49,11 @@
 	return r[i].endpoint
 }
 
-// homes appends the homes of the prefixes whose length is a power of two and
-// greater than half of the longest known one, longest first. A home that is as
-// good as a known holder is listed too: an answer from elsewhere must not make
-// this entry stay there while others go home. A later turn of a chat is longer than an
-// earlier one, but shares the lengths below it.
+// homes appends the home endpoints of the prefixes whose length is a power of two and
+// greater than half of the longest known one, longest first. Homes as long as a known
+// holder are listed too: one answer from elsewhere must not keep this entry there while
+// the other entries go to the home. Powers of two are used because a later turn of a chat
+// is longer than an earlier one, but shares the lengths below it.
 func (r ring) homes(prefix []uint64, known int, out []holder) []holder {
 	if len(r) == 0 {
 		return out
--- a/node/routing/routing.go
+++ b/node/routing/routing.go
@@ -1,6 +1,5 @@
-// Package routing chooses the endpoint of an attempt by a chain of small
-// plugins, Filter, then Score, then Pick, over an immutable table of the
-// endpoints whose counters are atomic.
+// Package routing chooses the endpoint of each attempt. A chain of small plugins filters,
+// scores and picks from an immutable table of endpoints with atomic counters.
 package routing
 
 import (
@@ -17,11 +16,11 @@
 	"caperdrum.org/node/settings"
 )
 
-// Request is what the choice depends on.
+// Request holds the inputs of a choice.
 type Request struct {
 	Service string
 	Policy  string
-	Exclude map[wire.MemberID]bool // endpoints tried already
+	Exclude map[wire.MemberID]bool // endpoints already tried
 	Now     time.Time
 	Size    int      // bytes of the prompt or body
 	Prefix  []uint64 // see PrefixHashes
@@ -30,7 +29,7 @@
 	Role    string
 }
 
-// Params are what the service needs.
+// Params are the dependencies of New.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
@@ -43,14 +42,14 @@
 	dataCenter string
 	policies   map[string]policy
 	table      atomic.Pointer[table]
-	mu         sync.Mutex // of Update
+	mu         sync.Mutex // serializes Update
 	choicePool sync.Pool
 	onEmpty    func(service string)
-	random     func(n int) int // below n
+	random     func(n int) int // returns a number in [0, n)
 }
 
-// OnEmpty registers f, which is called, and must not block, when a first try
-// finds no endpoint. It must be called before requests are served.
+// OnEmpty registers f, which is called when the first attempt of a request finds no
+// endpoint, and must not block. It must be registered before requests are served.
 func (s *Service) OnEmpty(f func(service string)) { s.onEmpty = f }
 
 type table struct {
@@ -62,17 +61,17 @@
 	endpoints []*Endpoint
 	byIndex   map[uint16]*Endpoint
 	group     *group
-	ring      ring // of services whose endpoints cache prefixes
+	ring      ring // empty for services whose endpoints cache no prefixes
 }
 
-// New returns the service, which follows the members that sync publishes.
+// New returns the service, which follows the members that configsync publishes.
 func New(p Params) *Service {
 	s := NewTable(p.Settings.Node.Name, p.Settings.Node.DataCenter)
 	p.Sync.OnChange(s.Update)
 	return s
 }
 
-// NewTable returns a service for the named entry that knows what Update tells.
+// NewTable returns a service for the named entry whose members are set by Update.
 func NewTable(entry, dataCenter string) *Service {
 	s := &Service{entry: entry, dataCenter: dataCenter, policies: policies(dataCenter), random: rand.IntN}
 	s.choicePool.New = func() any { return &choice{} }
@@ -80,8 +79,8 @@
 	return s
 }
 
-// Seed makes the service draw the same random numbers every run, for
-// simulations. It must be called before the first choice.
+// Seed makes random choices reproducible, for simulations. It must be called before the
+// first choice.
 func (s *Service) Seed(seed uint64) {
 	var mu sync.Mutex
 	source := rand.New(rand.NewPCG(seed, seed))
@@ -92,8 +91,8 @@
 	}
 }
 
-// Update publishes the table of a new view. Endpoints of a known incarnation
-// keep their counters.
+// Update publishes the table of a new view. Endpoints whose member is unchanged except
+// for the artifacts that it holds keep their counters.
 func (s *Service) Update(v *configsync.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +140,7 @@
 	return g
 }
 
-// Size returns how many endpoints the service has.
+// Size returns the number of the service's endpoints.
 func (s *Service) Size(service string) int {
 	if st := s.table.Load().byService[service]; st != nil {
 		return len(st.endpoints)
--- a/node/routing/score_distance.go
+++ b/node/routing/score_distance.go
@@ -1,6 +1,6 @@
 package routing
 
-// distanceScorer is the way to another data centre and back.
+// distanceScorer adds the round trip to another data centre.
 type distanceScorer struct{ dataCenter string }
 
 const remoteDataCenterSeconds = 0.001 // seconds
--- a/node/routing/score_latency.go
+++ b/node/routing/score_latency.go
@@ -1,11 +1,11 @@
 package routing
 
-// finishScorer is the expected time until the answer: the time of an answer to
-// a request of this size at this endpoint's speed, stretched by the queue.
+// latencyScorer is the expected time until the answer: the service's average for a
+// request of this size, scaled by the endpoint's speed and by queueing.
 type latencyScorer struct{}
 
-// crowding is how much slower an endpoint is expected to be when all its
-// places are taken than when none is: batches slow each other down.
+// batchSlowdown is how much slower a fully loaded endpoint is expected to be than an idle
+// one, as a fraction: requests in one batch slow each other down.
 const batchSlowdown = 0.3
 
 func (latencyScorer) score(e *Endpoint, r *choice) float64 {
--- a/node/routing/score_prefix.go
+++ b/node/routing/score_prefix.go
@@ -1,15 +1,14 @@
 package routing
 
-// prefixScorer is the time saved where a prefix of the prompt is cached: what
-// a request of the uncached size takes less, or a prior as long as one of the
-// two sizes was not measured.
+// prefixScorer is the time saved by a cached prefix of the prompt: the difference to a
+// request of the uncached size, or a prior while either size has no measurement.
 type prefixScorer struct{}
 
 const (
-	priorPrefixGain = 0.5 // of the whole time, when the whole prompt is cached
-	minPrefixGain   = 0.2 // the same where a measurement shows less: entries that spread a prompt evict each other's
+	priorPrefixGain = 0.5 // fraction of the whole time saved when the whole prompt is cached
+	minPrefixGain   = 0.2 // lower bound of that fraction when measurements show less: entries that spread a prompt evict each other's
 	maxPrefixGain   = 0.9
-	homeAccuracy    = 0.97 // of a home, before a known holder's own trust
+	homeAccuracy    = 0.97 // accuracy assumed for a home, in place of a known holder's own
 )
 
 func (prefixScorer) score(e *Endpoint, r *choice) float64 {
--- a/node/routing/speed.go
+++ b/node/routing/speed.go
@@ -9,31 +9,31 @@
 
 const (
 	sizeClasses    = 24
-	sizeClassBytes = 256  // bytes; classes are powers of two of it
-	defaultLatency = 0.05 // seconds, until one was measured
-	averageWeight  = 0.05 // of a new sample in the service's average
-	steadyWeight   = 0.03 // of a new sample in the endpoint's steady ratio
-	fastWeight     = 0.3  // of a new sample in the ratio that finds stragglers
-	stragglerRatio = 2.5  // from here on the fast ratio counts; below it is mostly the noise of single requests
+	sizeClassBytes = 256  // bytes; size classes are powers of two of it
+	defaultLatency = 0.05 // seconds, until there is a measurement
+	averageWeight  = 0.05 // weight of a new sample in the service's average
+	steadyWeight   = 0.03 // weight of a new sample in the endpoint's steady ratio
+	fastWeight     = 0.3  // weight of a new sample in the ratio that detects stragglers
+	stragglerRatio = 2.5  // the fast ratio counts from here on; below it is mostly noise of single requests
 	maxRatio       = 20
-	outlierFactor  = 4               // a sample counts as at most this many averages in the service's average
-	ratioHalfLife  = 5 * time.Second // age at which half of a ratio's distance from one is forgotten
-	stallFactor    = 3               // expected times without any progress that count as slow
+	outlierFactor  = 4               // a sample is capped at this multiple of the service's average before it enters the average
+	ratioHalfLife  = 5 * time.Second // age at which a ratio's distance from one has decayed to half
+	stallFactor    = 3               // multiple of the expected time without any progress that counts as slow
 )
 
 func sizeClass(size int) int {
 	return min(bits.Len(uint(max(size, 0)/sizeClassBytes)), sizeClasses-1)
 }
 
-// group is what the endpoints of one service share: the average time of an
-// answer by size, and the index of prompt prefixes.
+// group is the state shared by the endpoints of one service: average latencies by size
+// class, and the index of cached prompt prefixes.
 type group struct {
 	averages        [sizeClasses]atomic.Uint64 // float64 bits, seconds
 	prefixes        *prefixIndex
 	endpoints       atomic.Pointer[[]*Endpoint]
 	nextIndex       uint16
-	roundRobinNext  atomic.Uint64 // of the round robin
-	ejectionEnabled atomic.Bool   // outlier ejection is on
+	roundRobinNext  atomic.Uint64 // counter of the round-robin policy
+	ejectionEnabled atomic.Bool   // outlier ejection is configured
 }
 
 func (g *group) learn(class int, sample float64) {
@@ -46,14 +46,14 @@
 	b.Store(math.Float64bits(next))
 }
 
-// measured returns the average time of a size class, if there is one.
+// measured returns the average latency of a size class, if there is one.
 func (g *group) measured(class int) (seconds float64, ok bool) {
 	v := math.Float64frombits(g.averages[class].Load())
 	return v, v > 0
 }
 
-// expected returns the average time of an answer to a request of a size
-// class, in seconds; the nearest class that was measured stands in.
+// expected returns the average latency of a size class in seconds, or that of the nearest
+// class with a measurement.
 func (g *group) expected(class int) float64 {
 	for d := range sizeClasses {
 		for _, c := range [2]int{class - d, class + d} {
@@ -68,18 +68,18 @@
 	return defaultLatency
 }
 
-// speed is how an endpoint compares to its service's average: a ratio of
-// times, one for average, which fades back to one so that a slow endpoint is
-// tried again. A steady average tells lasting differences from the noise of
-// single requests; a fast one finds a straggler within a few.
+// speed compares an endpoint's latency to its service's average as a ratio, where one is
+// average. The ratio decays towards one, so that a slow endpoint is tried again. A slowly
+// moving average separates lasting differences from the noise of single requests; a fast
+// one detects a straggler within a few requests.
 type speed struct {
-	steady        atomic.Uint64 // float64 bits; zero is a ratio of one
+	steady        atomic.Uint64 // float64 bits; zero means a ratio of one
 	fast          atomic.Uint64
 	samples       atomic.Int64
 	learnedAt     atomic.Int64 // Unix nanoseconds
-	progressAt    atomic.Int64 // of the last end of an attempt, or of the start of the first one
+	progressAt    atomic.Int64 // Unix nanoseconds of the last end of an attempt, or of the start of the first pending one
 	pending       atomic.Int64 // attempts begun and not ended
-	expectedNanos atomic.Int64 // expected time of the last attempt begun, nanoseconds
+	expectedNanos atomic.Int64 // expected time of the last attempt begun
 }
 
 func (s *speed) begin(now time.Time, expected float64) {
@@ -91,8 +91,8 @@
 
 func (s *speed) end() { s.pending.Add(-1) }
 
-// progress notes that the endpoint answered or refused. An attempt that was
-// given up is none.
+// progress records that the endpoint answered or refused. An abandoned attempt is no
+// progress.
 func (s *speed) progress(now time.Time) { s.progressAt.Store(now.UnixNano()) }
 
 func (s *speed) learn(now time.Time, sample float64) {
@@ -117,7 +117,7 @@
 	return 1 + (math.Float64frombits(b)-1)*decay
 }
 
-// decay is the part of a ratio's distance from one that is left at its age.
+// decay returns the fraction of a ratio's distance from one that is left at its age.
 func (s *speed) decay(now int64) float64 {
 	age := float64(now-s.learnedAt.Load()) / float64(ratioHalfLife)
 	return 1 / (1 + age*age)
@@ -140,8 +140,8 @@
 	return r
 }
 
-// stall is the lower bound of the ratio that silence gives: attempts are
-// under way and none has ended for much longer than expected.
+// stallRatio returns the lower bound of the ratio that follows from silence: attempts are
+// pending and none has ended for much longer than expected.
 func (s *speed) stallRatio(now int64) float64 {
 	silence, expected := now-s.progressAt.Load(), s.expectedNanos.Load()
 	if expected <= 0 || silence < stallFactor*expected {
--- a/node/routing/subset.go
+++ b/node/routing/subset.go
@@ -8,11 +8,10 @@
 	"caperdrum.org/api/wire"
 )
 
-// subset keeps size of a service's members for this entry, its own data
-// centre first and then by rendezvous hash (Thaler and Ravishankar, "A
-// Name-Based Mapping Scheme for Rendezvous", 1996), so that connections and
-// load estimates stay few and a change of members moves few of them. Size
-// zero keeps all.
+// subset selects size of a service's members for this entry: those in its own data centre
+// first, then by rendezvous hash (Thaler and Ravishankar, "A Name-Based Mapping Scheme for
+// Rendezvous", 1996). This bounds connections and load estimates, and a change of members
+// moves few of them. Size zero selects all.
 func subset(members []wire.Member, entry, dataCenter string, size int) []wire.Member {
 	if size <= 0 || len(members) <= size {
 		return members
