--- a/node/proxy/admit.go
+++ b/node/proxy/admit.go
@@ -10,7 +10,7 @@
 	"caperdrum.org/api/verdict"
 )
 
-// admit finds the route and the customer, and how long the call may take.
+// admit finds the call's route, customer, service and deadline.
 func (x *exchange) admit() error {
 	s := x.s
 	var invalid error
@@ -23,7 +23,7 @@
 	}
 	if x.route = x.table.route(x.r.Host, x.r.URL.EscapedPath()); x.route == nil {
 		if s.stale() {
-			return verdict.New(verdict.NotRun, verdict.CodeStale, "no such route as far as is known here").After(outageRetryAfter())
+			return verdict.New(verdict.NotRun, verdict.CodeStale, "no such route in the configuration of this process, which may be outdated").After(outageRetryAfter())
 		}
 		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no such route")
 	}
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// awaitConfiguration lets a call wait for this process's first configuration. One whose time is over by then is
-// not sent on: an upstream could only be asked in vain.
+// awaitConfiguration makes a call wait for this process's first configuration. A call whose time is over
+// by then is refused: sending it would be useless.
 func (x *exchange) awaitConfiguration() error {
 	if x.table.configured() {
 		return nil
@@ -63,27 +63,27 @@
 	return x.customer.Regions
 }
 
-// identify finds out whose call it is. A key counts only while this process
-// knows that it was not withdrawn.
+// authenticate finds the customer by the call's key. Keys count only while a recent confirmation by a
+// quorum excludes that they were withdrawn.
 func (x *exchange) authenticate() error {
 	if x.route.Public || len(x.table.customers) == 0 {
 		return nil
 	}
 	if x.s.views.StampAge() > x.s.set.Proxy.KeyAge {
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "keys cannot be checked here now").After(outageRetryAfter())
+		return verdict.New(verdict.NotRun, verdict.CodeStale, "keys cannot be checked: the configuration was not confirmed recently").After(outageRetryAfter())
 	}
 	if x.customer = x.table.customer(x.call.Key); x.customer != nil {
 		return nil
 	}
 	if x.s.stale() {
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "no such key as far as is known here").After(outageRetryAfter())
+		return verdict.New(verdict.NotRun, verdict.CodeStale, "no such key in the configuration of this process, which may be outdated").After(outageRetryAfter())
 	}
 	e := verdict.New(verdict.NotRun, verdict.CodeInvalid, "unknown key")
 	e.Status = http.StatusUnauthorized
 	return e
 }
 
-// read takes in the body.
+// readBody reads the call's body within the configured limit and the memory budget.
 func (x *exchange) readBody() error {
 	limit := x.table.config.Limits.MaxBodyBytes
 	if limit <= 0 {
@@ -94,7 +94,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body is above %d bytes", limit)
+		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body exceeds %d bytes", limit)
 	case errors.Is(err, errNoMemory):
 		bodiesRefusedVar.Add(1)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s", err).After(defaultRetryAfter)
--- a/node/proxy/coldstart_test.go
+++ b/node/proxy/coldstart_test.go
@@ -9,15 +9,15 @@
 	"caperdrum.org/node/coldstart"
 )
 
-// TestColdUpstreamsThatNobodyChose has one of eight processes of a data centre choose by itself
-// while upstreams are cold: those elsewhere get none of its calls, those here one in the time in
-// which each of the eight may have one. What the owner chose goes there in any case.
+// TestColdUpstreamsThatNobodyChose has one process choose by itself among cold upstreams. It must send
+// nothing to other data centres, nothing to an upstream for which it is not among the eight allowed
+// callers, and else one call a second. An upstream chosen by the stage owner gets the call in any case.
 func TestColdUpstreamsThatNobodyChose(t *testing.T) {
 	e := newEndpoints(noNotices())
 	now := time.Unix(1000, 0)
 	here, there := wire.AnnouncedUpstream("i-here", "llm", "10.0.0.1:80", "north", false).Said(1, true), wire.AnnouncedUpstream("i-there", "llm", "10.0.0.2:80", "south", false).Said(1, true)
 	list := []wire.Member{here, there}
-	limit := coldstart.Limit{Excess: 1.5, Slack: 5} // of 18 a second: 8 processes
+	limit := coldstart.Limit{Excess: 1.5, Slack: 5} // at a rate of 18 a second: 8 processes may call
 	var processes []string
 	for i := range 16 {
 		processes = append(processes, fmt.Sprint("p", i))
@@ -28,26 +28,26 @@
 	}
 	c := criteria{dataCenter: "north", cold: coldPolicy{limit: limit, rate: 18, self: may[false], nearby: processes}}
 	if m, ok := e.acquire(list, c, now); ok {
-		t.Fatalf("took %q, which others share", m.ID)
+		t.Fatalf("chose %q, which only other processes may call", m.ID)
 	}
 	c.cold.self = may[true]
 	if m, ok := e.acquire(list, c, now); !ok || m.ID != here.ID {
-		t.Fatalf("took %q, %t", m.ID, ok)
+		t.Fatalf("chose %q, %t", m.ID, ok)
 	}
 	for _, after := range []time.Duration{0, 900 * time.Millisecond} {
 		if m, ok := e.acquire(list, c, now.Add(after)); ok {
-			t.Fatalf("took %q again after %s", m.ID, after)
+			t.Fatalf("chose %q again after %s", m.ID, after)
 		}
 	}
 	if _, ok := e.acquire(list, c, now.Add(time.Second)); !ok {
-		t.Fatal("took none when it may again")
+		t.Fatal("chose none after a second")
 	}
 	c.chosen = there.ID
 	if m, ok := e.acquire(list, c, now.Add(2*time.Second)); !ok || m.ID != there.ID {
-		t.Fatalf("took %q in place of the owner's choice", m.ID)
+		t.Fatalf("chose %q instead of the owner's choice", m.ID)
 	}
 	c.chosen, c.cold.rate = "", 0
 	if _, ok := e.acquire(list, c, now.Add(2*time.Second)); !ok {
-		t.Fatal("an upstream without a rate is bounded")
+		t.Fatal("an upstream without a rate is limited")
 	}
 }
--- a/node/proxy/endpoints.go
+++ b/node/proxy/endpoints.go
@@ -14,69 +14,69 @@
 )
 
 const (
-	// pauseMin is how long an upstream is passed over after a call that failed,
-	// doubled with each failure in a row up to pauseMax.
+	// minBackoff is how long an upstream is avoided after a failed call. It doubles with each
+	// consecutive failure up to maxBackoff.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 4 * time.Second
-	// fullPause is how long one that was full is passed over.
+	// refusalBackoff is how long an upstream is avoided after it refused a call as full.
 	refusalBackoff = 50 * time.Millisecond
-	// silence is how long an upstream of short calls may leave all of them
-	// unanswered until others are preferred. Over ten times a usual call.
+	// maxSilence is how long an upstream of short calls may answer none of them before others are
+	// preferred. It is more than ten times the usual duration of a call.
 	maxSilence = 400 * time.Millisecond
-	// darkFor is for how long the owner's word counts that a data centre is dark.
+	// unreachableTTL is how long the stage owner's report of an unreachable data centre counts.
 	unreachableTTL = 2 * time.Second
-	// affinitySlack is how many more calls an upstream that holds a prompt's
-	// prefix may have than the next one by the same hash.
+	// affinitySlack is how many more calls the upstream that holds a prompt's prefix may have than
+	// the next one by the same hash.
 	affinitySlack = 6
 )
 
-// endpoints is what this process knows of upstreams by its own calls.
+// endpoints is this process's state of upstreams, learned from its own calls.
 type endpoints struct {
-	notices *upstream.Notices // what upstreams say themselves
+	notices *upstream.Notices // what upstreams announce in their answers, such as pauses
 
 	mu               sync.Mutex
-	announced        map[string][]wire.Member // of the last view
+	announced        map[string][]wire.Member // of the last view, by service
 	byStart          map[wire.Start]*endpoint
 	direct           coldstart.Direct
 	split            *rollout.Split
-	unreachableUntil map[string]time.Time // data centres whose upstreams are passed over, until then
+	unreachableUntil map[string]time.Time // by data centre: its upstreams are avoided until then
 }
 
 type endpoint struct {
 	inFlight     int
 	failures     int
-	avoidUntil   time.Time // passed over until then
-	addressTaken bool      // another upstream has its address
-	removed      bool      // it is no member any more: it is forgotten with its last call
-	silentSince  time.Time // since when calls are unanswered; zero when none is
+	avoidUntil   time.Time // avoided until then after failures and refusals
+	addressTaken bool      // another upstream answered at its address
+	removed      bool      // no longer a member; deleted when its last call ends
+	silentSince  time.Time // start of the time without any answer to its calls; zero if there is none
 }
 
 func newEndpoints(n *upstream.Notices) *endpoints {
 	return &endpoints{notices: n, byStart: map[wire.Start]*endpoint{}, split: rollout.NewSplit(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
 }
 
-// keep forgets upstreams that are no members. It returns the addresses of those that
-// have started again since the last call. Services whose upstreams have not changed are passed over.
-func (e *endpoints) update(announced map[string][]wire.Member) (again []string) {
+// update applies the announced upstreams of a view and deletes the state of removed ones. It returns the
+// addresses of upstreams that restarted since the last update. Services without changes are skipped.
+func (e *endpoints) update(announced map[string][]wire.Member) (restarted []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for service, before := range e.announced {
+	for service, previous := range e.announced {
 		if _, there := announced[service]; !there {
-			again = append(again, e.updateService(before, nil)...)
+			restarted = append(restarted, e.updateService(previous, nil)...)
 		}
 	}
 	for service, list := range announced {
-		if before := e.announced[service]; !configsync.SameList(before, list) {
-			again = append(again, e.updateService(before, list)...)
+		if previous := e.announced[service]; !configsync.SameList(previous, list) {
+			restarted = append(restarted, e.updateService(previous, list)...)
 		}
 	}
 	e.announced = announced
-	return again
+	return restarted
 }
 
-// replace takes over the next list of a service.
-func (e *endpoints) updateService(before, list []wire.Member) (again []string) {
-	before, list = configsync.ChangedPart(before, list)
+// updateService applies the new list of a service's upstreams.
+func (e *endpoints) updateService(previous, list []wire.Member) (restarted []string) {
+	previous, list = configsync.ChangedPart(previous, list)
 	present := make(map[wire.MemberID]int, len(list))
 	for i, m := range list {
 		present[m.ID] = i
@@ -84,13 +84,13 @@
 			ep.removed = false
 		}
 	}
-	for _, m := range before {
+	for _, m := range previous {
 		i, there := present[m.ID]
 		if there && list[i].Incarnation == m.Incarnation {
 			continue
 		}
 		if there {
-			again = append(again, list[i].Direct)
+			restarted = append(restarted, list[i].Direct)
 		}
 		if ep := e.byStart[m.Start()]; ep != nil && ep.inFlight == 0 {
 			delete(e.byStart, m.Start())
@@ -98,28 +98,28 @@
 			ep.removed = true
 		}
 	}
-	return again
+	return restarted
 }
 
-// choice is what decides between upstreams.
+// criteria are the inputs of the choice between upstreams.
 type criteria struct {
 	tried      []wire.Start
 	dataCenter string        // preferred
-	affinity   uint64        // hash of a prompt's shared parts; zero for none
-	shortCalls bool          // calls are short, so that silence means something
-	chosen     wire.MemberID // taken where nothing speaks against it; empty for none
+	affinity   uint64        // hash of the prompt's shared parts; zero if none
+	shortCalls bool          // calls are short, so that a silent upstream is suspicious
+	chosen     wire.MemberID // by the stage owner; taken unless it is avoided; empty if none
 	cold       coldPolicy
 }
 
-// coldShare is what this process may send to upstreams that are cold and that nobody chose for it.
+// coldPolicy limits the calls to cold upstreams that this process chooses by itself.
 type coldPolicy struct {
 	limit  coldstart.Limit
-	rate   float64 // of the service's upstreams; zero: any
+	rate   float64 // calls per second that the service's upstreams sustain; zero: no limit
 	self   wire.MemberID
-	nearby []string // processes in this one's data centre
+	nearby []string // processes in this process's data centre
 }
 
-// take picks an upstream, and counts the call as its own until release.
+// acquire selects an upstream and counts the call there until release.
 func (e *endpoints) acquire(list []wire.Member, c criteria, now time.Time) (wire.Member, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,8 +141,8 @@
 	return m, true
 }
 
-// pick picks an upstream of the versions to which the call may go. One that the owner of the
-// stages wants was counted there.
+// pickVersion selects an upstream among the versions that the call may use during a rollout. An upstream
+// that the stage owner chose was counted against the rollout's share there.
 func (e *endpoints) pickVersion(list []wire.Member, c criteria, now time.Time) (wire.Member, bool) {
 	if len(list) == 0 {
 		return wire.Member{}, false
@@ -163,12 +163,12 @@
 	return e.pickBest(stable.Choose(list), c, now)
 }
 
-// hear takes over which data centres are dark, as the owner of the stages says.
-func (e *endpoints) setUnreachable(dark []string, now time.Time) {
+// setUnreachable sets the data centres that the stage owner reports as unreachable.
+func (e *endpoints) setUnreachable(dataCenters []string, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.unreachableUntil = nil
-	for _, dc := range dark {
+	for _, dc := range dataCenters {
 		if e.unreachableUntil == nil {
 			e.unreachableUntil = map[string]time.Time{}
 		}
@@ -176,14 +176,14 @@
 	}
 }
 
-// follow takes over the roll-outs of a view.
+// setRollouts applies the rollouts of a view.
 func (e *endpoints) setRollouts(r wire.Rollouts) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.split.Follow(r)
 }
 
-// peek returns what take would pick.
+// peek returns the best upstream without counting a call, whatever its version.
 func (e *endpoints) peek(list []wire.Member, c criteria, now time.Time) (wire.Member, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -212,7 +212,7 @@
 	return list[best], true
 }
 
-// mayWarm reports whether a call may go to the upstream as far as it is cold.
+// allowsCold reports whether the limits for cold upstreams allow the call.
 func (e *endpoints) allowsCold(m wire.Member, c criteria, now time.Time) bool {
 	if !m.Cold || c.cold.rate <= 0 || m.ID == c.chosen {
 		return true
@@ -220,7 +220,7 @@
 	return m.DataCenter == c.dataCenter && e.direct.Allows(now, string(m.ID)) && c.cold.limit.Among(c.cold.rate, string(m.ID), string(c.cold.self), c.cold.nearby)
 }
 
-// rank orders upstreams; the least is the best.
+// rank orders upstreams; the lowest is the best.
 type rank struct {
 	avoided bool
 	load    float64
@@ -247,7 +247,7 @@
 		return r
 	}
 	if m.DataCenter != c.dataCenter {
-		r.load += 0.5 // of a call: another data centre costs less than waiting
+		r.load += 0.5 // in calls: using another data centre costs less than queueing
 	}
 	r.tie = upstream.Weight(uint64(now.UnixNano()), m.ID)
 	return r
@@ -262,7 +262,7 @@
 	return ep
 }
 
-// heard notes that the upstream answered something.
+// noteAnswer records that the upstream answered a call.
 func (e *endpoints) noteAnswer(start wire.Start, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -273,18 +273,18 @@
 	}
 }
 
-// standing is what the end of a call says of the upstream.
+// callOutcome is what the end of a call says about the upstream.
 type callOutcome int
 
 const (
 	callAnswered callOutcome = iota // it answered
-	callFailed                      // it did not answer, or broke off
+	callFailed                      // no answer, or the connection broke
 	callRefused                     // it refused the call
 	callMoved                       // another upstream answered at its address
-	callUnknown                     // the caller left, or its time was over
+	callUnknown                     // the caller left, or the deadline passed
 )
 
-// release ends a call.
+// release ends a call and applies its outcome.
 func (e *endpoints) release(start wire.Start, s callOutcome, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -309,7 +309,7 @@
 	}
 }
 
-// load returns how many calls this process has at the upstream.
+// callsInFlight returns the number of this process's calls at the upstream.
 func (e *endpoints) callsInFlight(start wire.Start) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/proxy/events.go
+++ b/node/proxy/events.go
@@ -4,16 +4,14 @@
 	"bytes"
 )
 
-// eventSplitter cuts a stream of server-sent events into whole events, so that
-// a break in the middle of one passes nothing on that the next upstream sends
-// again.
+// eventSplitter passes on only complete server-sent events, so that when a stream breaks inside an event,
+// no part of it was passed on that the next upstream sends again.
 type eventSplitter struct {
 	pending []byte
-	lastID  string // id of the last whole event
+	lastID  string // ID of the last complete event
 }
 
-// feed takes in bytes and returns those that complete events; the slice is
-// valid until the next call.
+// feed adds bytes and returns those that complete events. The slice is valid until the next call.
 func (e *eventSplitter) feed(p []byte) []byte {
 	e.pending = append(e.pending, p...)
 	end := completeEventsEnd(e.pending)
@@ -26,7 +24,7 @@
 	return whole
 }
 
-// wholeEvents returns where the last blank line ends.
+// completeEventsEnd returns the offset after the last blank line, which ends an event.
 func completeEventsEnd(p []byte) int {
 	end := 0
 	if i := bytes.LastIndex(p, []byte("\n\n")); i >= 0 {
--- a/node/proxy/fleet_test.go
+++ b/node/proxy/fleet_test.go
@@ -17,7 +17,7 @@
 	"caperdrum.org/node/upstream"
 )
 
-// fleetMembers are processes, engines and upstreams of stages in the proportions of a large deployment.
+// fleetMembers returns processes, engines and stage upstreams in the proportions of a large deployment.
 func fleetMembers(processes int) []wire.Member {
 	var out []wire.Member
 	for i := range processes {
@@ -25,7 +25,7 @@
 	}
 	for _, x := range []struct {
 		service string
-		each    float64 // upstreams for each process
+		each    float64 // upstreams per process
 	}{{"llm", 1.77}, {"desk", 0.07}, {"trace", 0.42}, {"store", 0.34}, {"book", 0.42}} {
 		for i := range int(x.each * float64(processes)) {
 			out = append(out, wire.AnnouncedUpstream(wire.MemberID(fmt.Sprintf("i-%s-%05d", x.service, i)), x.service, fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250), fmt.Sprint("dc", i%6), false))
@@ -42,12 +42,12 @@
 	return out
 }
 
-// fleet is a process of a large deployment that follows its members.
+// fleet is a process that follows the members of a large deployment.
 type fleet struct {
 	holder      *configsync.Holder
 	service     *Service
 	members     []wire.Member
-	firstEngine int // of the engines in members
+	firstEngine int // index of the first engine in members
 	seq         uint64
 }
 
@@ -67,7 +67,7 @@
 	f.service.applyView(v)
 }
 
-// replace has an upstream be replaced by its next start.
+// restartEngine replaces an engine by its next incarnation.
 func (f *fleet) restartEngine(t testing.TB, i int) {
 	m := f.members[f.firstEngine+i%f.firstEngine]
 	m.Incarnation = f.seq + 1
@@ -75,8 +75,8 @@
 	f.applySync(t, &wire.SyncReply{Members: &wire.MembersDelta{From: f.seq - 1, To: f.seq, Changed: []wire.Member{m}}})
 }
 
-// TestMemberChangeCopiesOneList has engines be replaced in deployments of three sizes: a process allocates no more
-// for a change than a copy of the list of that service and what does not grow with the deployment.
+// TestMemberChangeCopiesOneList replaces engines in deployments of three sizes. Per change, a process may
+// allocate only a copy of that service's list and an amount that does not grow with the deployment.
 func TestMemberChangeCopiesOneList(t *testing.T) {
 	const (
 		changes = 100
@@ -93,12 +93,12 @@
 		allocated := (after.TotalAlloc - before.TotalAlloc) / changes
 		list := f.holder.View().Announced[f.members[f.firstEngine].Service]
 		if bound := uint64(len(list)*int(unsafe.Sizeof(wire.Member{}))*5/4 + fixed); allocated > bound {
-			t.Errorf("%d processes: %d bytes a change, more than %d", processes, allocated, bound)
+			t.Errorf("%d processes: %d bytes per change, more than %d", processes, allocated, bound)
 		}
 	}
 }
 
-// BenchmarkMemberChange shows what a replaced upstream costs each process.
+// BenchmarkMemberChange measures what a replaced upstream costs each process.
 func BenchmarkMemberChange(b *testing.B) {
 	for _, processes := range []int{90, 360, 720} {
 		b.Run(fmt.Sprint(processes), func(b *testing.B) {
--- a/node/proxy/memory.go
+++ b/node/proxy/memory.go
@@ -9,27 +9,25 @@
 )
 
 const (
-	// heldPart is the part of the process's memory that bytes of callers and upstreams may take, one in so
-	// many.
+	// memoryDivisor sets the memory budget: one part in this many of the memory that the process may use.
 	memoryDivisor = 5
-	// heldDefault is that bound where the settings do not say what the process may use.
+	// defaultMemoryBudget is the budget in bytes when the settings do not set the process's memory.
 	defaultMemoryBudget = 64 << 20
-	// freeBytes of each call are not counted: it could not go on without them.
+	// uncountedBytes of each body and each answer are not counted, so that every call makes progress.
 	uncountedBytes = readChunkBytes
 )
 
-// holdings bound the bytes that the process holds for all calls: bodies, and answers that their callers have
-// not taken yet.
+// memoryBudget limits the bytes buffered for all calls: bodies, and answers that callers have not read yet.
 type memoryBudget struct {
 	limit int64
 
 	mu        sync.Mutex
 	used      int64
-	freed     chan struct{} // closed when bytes are given back; nil while nobody waits
-	overdrawn *callMemory   // the one call that reads on without room; nil: none
+	freed     chan struct{} // closed when bytes are freed; nil if nobody waits
+	overdrawn *callMemory   // the one call that may exceed the budget; nil if none
 }
 
-// newHoldings bounds them for a process that may use so many MB of 2^20 bytes; zero: no limit is known.
+// newMemoryBudget returns the budget of a process that may use the given memory in MiB; zero means not set.
 func newMemoryBudget(memory int) *memoryBudget {
 	if memory <= 0 {
 		return &memoryBudget{limit: defaultMemoryBudget}
@@ -37,7 +35,7 @@
 	return &memoryBudget{limit: int64(memory) << 20 / memoryDivisor}
 }
 
-// take reports whether there is room for n bytes, and counts them.
+// tryReserve reserves n bytes and reports whether the budget allowed it.
 func (b *memoryBudget) tryReserve(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,8 +46,9 @@
 	return true
 }
 
-// wait takes n bytes for a call once there is room for them, or reports why not. One call at a time, until its
-// release, takes them without room: calls that each have a part of an answer would else wait for each other.
+// reserve waits until the budget has room for n bytes and reserves them for a call. It returns ctx's error if
+// that ends first. One call at a time, until its release, may exceed the budget: otherwise calls that each
+// hold a part of an answer would wait for each other forever.
 func (b *memoryBudget) reserve(ctx context.Context, call *callMemory, n int64) error {
 	for {
 		b.mu.Lock()
@@ -75,14 +74,14 @@
 	}
 }
 
-// force counts n bytes for which there may be no room.
+// forceReserve reserves n bytes even if that exceeds the budget.
 func (b *memoryBudget) forceReserve(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(n)
 }
 
-// inUse returns how many bytes are held.
+// inUse returns the number of reserved bytes.
 func (b *memoryBudget) inUse() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,7 +98,7 @@
 	b.notify()
 }
 
-// count adds n bytes to what is held. It must be called with the lock, like wake.
+// add changes the number of reserved bytes by n. The caller must hold the lock, as for notify.
 func (b *memoryBudget) add(n int64) {
 	b.used += n
 	heldBytesVar.Add(n)
@@ -112,7 +111,7 @@
 	}
 }
 
-// end gives back what a call holds.
+// releaseCall frees all bytes reserved for a call.
 func (b *memoryBudget) releaseCall(call *callMemory) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -124,39 +123,39 @@
 	b.notify()
 }
 
-// held counts the bytes of one call.
+// callMemory counts the bytes reserved for one call.
 type callMemory struct {
 	budget   *memoryBudget
 	reserved int64
 }
 
-// release gives back what the call holds.
+// release frees all bytes reserved for the call.
 func (m *callMemory) release() { m.budget.releaseCall(m) }
 
-// fullReader reads a caller's body, and ends with errHeld when there is no room for it.
+// bodyReader reads a caller's body and returns errNoMemory when the budget is exhausted.
 type bodyReader struct {
 	r         io.Reader
 	memory    *callMemory
 	uncounted int64
 }
 
-// errHeld says that a body would take more memory than the process may use.
-const errNoMemory = errors.ConstError("proxy: the calls that are under way take all memory that bodies may use")
+// errNoMemory says that a body does not fit into the memory budget.
+const errNoMemory = errors.ConstError("proxy: no memory left to buffer the body: other calls use all of it")
 
 // Read implements io.Reader.
-func (f *bodyReader) Read(p []byte) (int, error) {
-	n, err := f.r.Read(p)
-	if counted := int64(n) - f.uncounted; counted > 0 {
-		if !f.memory.budget.tryReserve(counted) {
+func (b *bodyReader) Read(p []byte) (int, error) {
+	n, err := b.r.Read(p)
+	if counted := int64(n) - b.uncounted; counted > 0 {
+		if !b.memory.budget.tryReserve(counted) {
 			return 0, errNoMemory
 		}
-		f.memory.reserved += counted
+		b.memory.reserved += counted
 	}
-	f.uncounted = max(0, f.uncounted-int64(n))
+	b.uncounted = max(0, b.uncounted-int64(n))
 	return n, err
 }
 
-// patientReader reads an upstream's answer as there is room for it.
+// answerReader reads an upstream's answer and waits while the budget is exhausted.
 type answerReader struct {
 	ctx       context.Context
 	r         io.Reader
@@ -165,18 +164,18 @@
 }
 
 // Read implements io.Reader.
-func (f *answerReader) Read(p []byte) (int, error) {
-	if f.uncounted <= 0 {
+func (a *answerReader) Read(p []byte) (int, error) {
+	if a.uncounted <= 0 {
 		p = p[:min(len(p), readChunkBytes)]
-		if err := f.memory.budget.reserve(f.ctx, f.memory, int64(len(p))); err != nil {
+		if err := a.memory.budget.reserve(a.ctx, a.memory, int64(len(p))); err != nil {
 			return 0, err
 		}
-		n, err := f.r.Read(p)
-		f.memory.budget.free(int64(len(p) - n))
-		f.memory.reserved += int64(n)
+		n, err := a.r.Read(p)
+		a.memory.budget.free(int64(len(p) - n))
+		a.memory.reserved += int64(n)
 		return n, err
 	}
-	n, err := f.r.Read(p[:min(int64(len(p)), f.uncounted)])
-	f.uncounted -= int64(n)
+	n, err := a.r.Read(p[:min(int64(len(p)), a.uncounted)])
+	a.uncounted -= int64(n)
 	return n, err
 }
--- a/node/proxy/memory_test.go
+++ b/node/proxy/memory_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 )
 
-// TestAnswersDoNotWaitForEachOther has several large answers arrive at once, each of which the process can hold,
-// and not all: each has a part already when there is no room any more. All are delivered, one after the other.
+// TestAnswersDoNotWaitForEachOther has several large answers arrive at once. The budget has room for each, but
+// not for all, and is exhausted when each has a part. All must be delivered, one after another.
 func TestAnswersDoNotWaitForEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -17,7 +17,7 @@
 			size    = 700 << 10
 		)
 		h := &memoryBudget{limit: 1 << 20}
-		all := make(chan struct{}) // closed once each has a part
+		all := make(chan struct{}) // closed once each caller has a part
 		var wg sync.WaitGroup
 		for range callers {
 			part := make(chan struct{})
@@ -35,7 +35,7 @@
 					t.Errorf("%d bytes: %v", len(rest), err)
 				}
 				if used := h.inUse(); used > h.limit+size {
-					t.Errorf("%d bytes are held", used)
+					t.Errorf("%d bytes are reserved", used)
 				}
 			})
 			<-part
@@ -43,7 +43,7 @@
 		close(all)
 		wg.Wait()
 		if got := h.inUse(); got != 0 {
-			t.Errorf("%d bytes are held at the end", got)
+			t.Errorf("%d bytes are still reserved at the end", got)
 		}
 	})
 }
--- a/node/proxy/metrics.go
+++ b/node/proxy/metrics.go
@@ -11,32 +11,32 @@
 	"caperdrum.org/api/optext"
 )
 
-// Counters since the start of the process. Labels are routes, services and codes
-// of the text and of package verdict, so their number is bounded.
+// Counters since the start of the process. Labels are configured routes and services, and codes of package
+// verdict, so their number is bounded.
 var (
-	callsVar           = expvar.NewMap("proxy_calls")          // admitted, by route
-	sendsVar           = expvar.NewMap("proxy_sends")          // calls of upstreams, by service
-	failedSendsVar     = expvar.NewMap("proxy_failed_sends")   // without an answer, by service
-	repeatsVar         = expvar.NewMap("proxy_repeats")        // calls that upstreams get beyond the first of a request, by service/reason
-	deniedVar          = expvar.NewMap("proxy_repeats_denied") // by the quota, by service/reason
-	refusedVar         = expvar.NewMap("proxy_refused")        // by code/verdict
+	callsVar           = expvar.NewMap("proxy_calls")          // admitted calls, by route
+	sendsVar           = expvar.NewMap("proxy_sends")          // attempts sent to upstreams, by service
+	failedSendsVar     = expvar.NewMap("proxy_failed_sends")   // attempts without an answer, by service
+	repeatsVar         = expvar.NewMap("proxy_repeats")        // attempts after the first of a call, by service/reason
+	deniedVar          = expvar.NewMap("proxy_repeats_denied") // repeats denied by the quota, by service/reason
+	refusedVar         = expvar.NewMap("proxy_refused")        // refused calls, by code/verdict
 	callersLeftVar     = expvar.NewInt("proxy_callers_left")
-	upstreamCrashesVar = expvar.NewMap("proxy_upstreams_ended_under_calls") // calls that broke off since their upstream ended, by service
-	barredVar          = expvar.NewMap("proxy_barred")                      // calls kept from upstreams since they end them, by route
+	upstreamCrashesVar = expvar.NewMap("proxy_upstreams_ended_under_calls") // calls that broke because their upstream's process ended, by service
+	barredVar          = expvar.NewMap("proxy_barred")                      // calls refused because upstreams crashed on them, by route
 	streamsBrokenVar   = expvar.NewInt("proxy_streams_broken")
-	heldBytesVar       = expvar.NewInt("proxy_held_bytes")       // of bodies, and of answers that callers have not taken yet
-	overBudgetVar      = expvar.NewInt("proxy_held_over")        // answers that were read without room for them, one at a time
-	bodiesRefusedVar   = expvar.NewInt("proxy_bodies_refused")   // since there was no room for them
-	slowCallersVar     = expvar.NewInt("proxy_callers_too_slow") // whose answers were cut off since they did not take them in time
+	heldBytesVar       = expvar.NewInt("proxy_held_bytes")       // reserved for bodies, and for answers that callers have not read yet
+	overBudgetVar      = expvar.NewInt("proxy_held_over")        // answers read in excess of the memory budget, one at a time
+	bodiesRefusedVar   = expvar.NewInt("proxy_bodies_refused")   // bodies refused for lack of memory
+	slowCallersVar     = expvar.NewInt("proxy_callers_too_slow") // answers aborted because the caller did not read them in time
 )
 
-// Bounds of the latency histograms: a microsecond to ten minutes, to two digits.
+// Range of the latency histograms: 1 us to 10 min, with two significant digits.
 const (
 	latencyMax    = int64(10 * time.Minute / time.Microsecond)
 	latencyDigits = 2
 )
 
-// latencies are histograms of whole answers, by route, in microseconds.
+// latencies are histograms of the time until the whole answer, in microseconds, by route.
 type latencies struct {
 	mu      sync.Mutex
 	byRoute map[string]*hdrhistogram.Histogram
@@ -58,11 +58,11 @@
 		h = hdrhistogram.New(1, latencyMax, latencyDigits)
 		answerLatencies.byRoute[r.Name] = h
 	}
-	// Values above the bound are cut: no call lasts that long.
+	// Longer values are capped; no call lasts that long.
 	h.RecordValue(min(took.Microseconds(), latencyMax))
 }
 
-// quantiles of a histogram, as its metrics show them.
+// quantiles summarizes a histogram, in microseconds.
 type quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -81,7 +81,7 @@
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
-		return "{}" // numbers always encode
+		return "{}" // cannot happen: integers always encode
 	}
 	return string(data)
 }
--- a/node/proxy/pause_test.go
+++ b/node/proxy/pause_test.go
@@ -12,7 +12,7 @@
 	"caperdrum.org/node/upstream"
 )
 
-// asksForPause turns calls away and asks for a pause.
+// refuseWithPause refuses calls and asks for a pause.
 func refuseWithPause(seconds string, arrived *atomic.Int32) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		arrived.Add(1)
@@ -22,15 +22,15 @@
 	}
 }
 
-// TestPausedUpstreamIsNotTried has one upstream of three ask for a pause: it gets nothing more, also where the owner of the
-// stages chose it. Once all have asked, callers hear of the least pause at once and no repeat is counted.
+// TestPausedUpstreamIsNotTried has one of three upstreams ask for a pause. It must get no further call, even if the
+// stage owner chooses it. Once all have asked, callers are told the shortest pause at once and no repeat is counted.
 func TestPausedUpstreamIsNotTried(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	var paused, served atomic.Int32
 	var all atomic.Bool
-	b.upstream("llm", "i-1", refuseWithPause("3600", &paused))
+	f.upstream("llm", "i-1", refuseWithPause("3600", &paused))
 	for _, id := range []string{"i-2", "i-3"} {
-		b.upstream("llm", id, func(w http.ResponseWriter, r *http.Request) {
+		f.upstream("llm", id, func(w http.ResponseWriter, r *http.Request) {
 			if all.Load() {
 				refuseWithPause(map[string]string{"i-2": "600.5", "i-3": "900"}[id], &served)(w, r)
 				return
@@ -38,10 +38,10 @@
 			served.Add(1)
 		})
 	}
-	b.stages.engine = "i-1"
+	f.stages.engine = "i-1"
 	send := func() *http.Response {
 		t.Helper()
-		resp, _, err := b.send(http.MethodPost, "/quote/1", map[string]string{"Caperdrum-Pieces": "1"})
+		resp, _, err := f.send(http.MethodPost, "/quote/1", map[string]string{"Caperdrum-Pieces": "1"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 		}
 	}
 	if paused.Load() != 1 || served.Load() != 10 {
-		t.Fatalf("the one that asked for a pause got %d calls, the others served %d", paused.Load(), served.Load())
+		t.Fatalf("the paused upstream got %d calls, the others served %d", paused.Load(), served.Load())
 	}
 	all.Store(true)
 	for i := range 5 {
@@ -64,29 +64,29 @@
 		}
 	}
 	if paused.Load() != 1 || served.Load() != 12 {
-		t.Fatalf("got %d and %d calls", paused.Load(), served.Load()-10)
+		t.Fatalf("the paused upstream got %d calls, the others %d after they asked for a pause", paused.Load(), served.Load()-10)
 	}
-	if jobs := len(b.stages.jobs); jobs != 11 {
-		t.Fatalf("the stages of %d calls were made, of 11 that could be served or were not known to be hopeless", jobs)
+	if jobs := len(f.stages.jobs); jobs != 11 {
+		t.Fatalf("the stages of %d calls ran, want 11: those of the calls that were served, and of the one sent before all upstreams had paused", jobs)
 	}
 }
 
-// TestUpstreamThatSpokeMeanwhile asks for a pause while a call is on its way to it.
+// TestUpstreamThatSpokeMeanwhile has an upstream announce that it leaves after it was selected for a call.
 func TestUpstreamThatSpokeMeanwhile(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	var arrived atomic.Int32
-	b.upstream("desk", "i-1", func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
-	start := b.view.Announced["desk"][0].Start()
-	m, ok := b.service.endpoints.acquire(b.view.Announced["desk"], criteria{}, time.Now())
+	f.upstream("desk", "i-1", func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
+	start := f.view.Announced["desk"][0].Start()
+	m, ok := f.service.endpoints.acquire(f.view.Announced["desk"], criteria{}, time.Now())
 	if !ok || m.Start() != start {
 		t.Fatal(m, ok)
 	}
-	b.service.notices.Heard(start, upstream.Answer{Leaving: true})
-	_, err := b.service.pool.Do(t.Context(), &upstream.Request{Upstream: start, Address: m.Direct, Method: http.MethodGet, Target: "/confirm/1", Host: "desk.example", Header: http.Header{}})
+	f.service.notices.Heard(start, upstream.Answer{Leaving: true})
+	_, err := f.service.pool.Do(t.Context(), &upstream.Request{Upstream: start, Address: m.Direct, Method: http.MethodGet, Target: "/confirm/1", Host: "desk.example", Header: http.Header{}})
 	if v := verdict.From(err); err == nil || v.Verdict != verdict.NotRun || v.Code != verdict.CodeLeaving || arrived.Load() != 0 {
 		t.Fatalf("%v, %d arrived", err, arrived.Load())
 	}
-	if resp, body, err := b.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+	if resp, body, err := f.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Fatal(resp, body, err)
 	}
 }
--- a/node/proxy/plain.go
+++ b/node/proxy/plain.go
@@ -16,11 +16,11 @@
 	"caperdrum.org/node/logging"
 )
 
-// maxPlainAnswer bounds an answer that is held until it is known to be whole.
+// maxPlainAnswerBytes bounds an answer, which is buffered until it is complete.
 const maxPlainAnswerBytes = 8 << 20
 
-// plain serves a call whose answer is one body. The answer is passed on only
-// once it is whole, so that one that was cut can still be replaced.
+// servePlain serves a call whose answer is a single body. The answer is passed on only once it is complete, so
+// that a truncated one can still be replaced by that of another upstream.
 func (x *exchange) servePlain(ctx context.Context) error {
 	x.s.repeats.First(x.service.Name)
 	var tried []wire.Start
@@ -43,7 +43,7 @@
 	}
 }
 
-// whole reads the body of the attempt's answer.
+// readAnswer reads the body of the attempt's answer and ends the attempt.
 func (x *exchange) readAnswer(ctx context.Context, a *attempt) ([]byte, *verdict.Error) {
 	if a.response == nil {
 		return nil, a.err
@@ -60,37 +60,35 @@
 	case err != nil:
 		x.investigateBreak(a.member)
 	case len(body) > maxPlainAnswerBytes:
-		err = errors.Errorf("the answer is above %d bytes", maxPlainAnswerBytes)
+		err = errors.Errorf("the answer exceeds %d bytes", maxPlainAnswerBytes)
 	}
 	if err != nil {
 		x.discard(a, outcome)
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "the answer of %s was cut: %v", a.member.ID, err)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "the answer of %s is incomplete: %v", a.member.ID, err)
 	}
 	x.discard(a, callAnswered)
 	return body, nil
 }
 
-// keptAnswer is an upstream's whole answer that says that it failed.
+// upstreamFailure is a complete answer with which an upstream reports a failure.
 type upstreamFailure struct {
 	from *attempt
 	body []byte
 }
 
-// failedItself reports whether the upstream's answer is a failure of its own to
-// a call that another upstream may be tried for.
+// isRepeatableFailure reports whether the upstream answered with a server error to a call that may be repeated
+// at another upstream.
 func (x *exchange) isRepeatableFailure(a *attempt) bool {
 	return a.response.Status >= http.StatusInternalServerError && x.route.Repeatable()
 }
 
-// keep keeps such an answer: the caller gets it unless another try brings a
-// better one.
+// saveFailure saves such an answer: the caller gets it unless a repeat brings a better one.
 func (x *exchange) saveFailure(a *attempt, body []byte) *verdict.Error {
 	x.savedFailure = &upstreamFailure{from: a, body: body}
 	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "%s answered %d", a.member.ID, a.response.Status)
 }
 
-// passKept passes the kept answer on. It reports false when there is none, or no
-// caller to get it.
+// sendSavedFailure sends the saved answer to the caller. It returns false if there is none or the caller has left.
 func (x *exchange) sendSavedFailure() bool {
 	if x.savedFailure == nil || x.r.Context().Err() != nil {
 		return false
@@ -99,7 +97,7 @@
 	return true
 }
 
-// pass passes a whole answer on.
+// sendAnswer sends a complete answer to the caller.
 func (x *exchange) sendAnswer(a *attempt, body []byte) {
 	x.firstByte = time.Since(x.began)
 	x.copyHeader(a)
@@ -107,7 +105,7 @@
 	x.w.WriteHeader(a.response.Status)
 	if x.r.Method != http.MethodHead {
 		defer x.setWriteDeadline(time.Now())()
-		x.write(body) // a caller that left needs no answer
+		x.write(body) // the error is ignored: a caller that left needs no answer
 	}
 	x.recordAnswer(a, "")
 }
@@ -118,7 +116,7 @@
 	return x.noteWriteError(err)
 }
 
-// delivered notes whether the caller took what was written. That it did not is no fault of an upstream.
+// noteWriteError records that the caller no longer reads its answer, which is no fault of an upstream. It returns err.
 func (x *exchange) noteWriteError(err error) error {
 	if err == nil || x.callerGone {
 		return err
@@ -126,13 +124,13 @@
 	x.callerGone = true
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		slowCallersVar.Add(1)
-		x.s.log.Info("answer cut off", "request", x.call.ID, "route", x.route.Name, "reason", "the caller takes it too slowly", "after", time.Since(x.began))
+		x.s.log.Info("answer aborted", "request", x.call.ID, "route", x.route.Name, "reason", "the caller reads it too slowly", "after", time.Since(x.began))
 	}
 	return err
 }
 
-// deliverBy bounds how long the caller may take to read the answer that begins now. The function that it
-// returns ends the bound: the connection serves further calls.
+// setWriteDeadline limits how long the caller may take to read the answer that begins now. The returned function
+// removes the limit, as the connection serves further calls.
 func (x *exchange) setWriteDeadline(now time.Time) (end func()) {
 	latest := x.deadline
 	if latest.Before(now) {
@@ -140,7 +138,7 @@
 	}
 	c := http.NewResponseController(x.w)
 	if c.SetWriteDeadline(latest.Add(writeGrace)) != nil {
-		return func() {} // a writer without deadlines
+		return func() {} // the writer does not support deadlines
 	}
 	return func() { c.SetWriteDeadline(time.Time{}) }
 }
@@ -151,7 +149,7 @@
 	maps.Copy(x.w.Header(), header)
 }
 
-// answered notes that the caller has got an upstream's answer.
+// recordAnswer records that the caller got an upstream's whole answer.
 func (x *exchange) recordAnswer(a *attempt, lastEvent string) {
 	took := time.Since(x.began)
 	observe(x.route, took)
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy serves callers on routes: it takes a call, has its stages done,
-// sends it to an announced upstream and passes the answer on as it came.
+// Package proxy serves callers on routes: it accepts a call, has its stages run, sends it to an announced upstream
+// and passes the answer on unchanged.
 package proxy
 
 import (
@@ -33,33 +33,30 @@
 )
 
 const (
-	// headerTimeout and idleTimeout bound slow callers. They are no less than
-	// what the text's limits grant, which change while the listener stands.
+	// headerTimeout and idleTimeout limit slow callers. They are no shorter than the limits that the configuration
+	// may set, which change while the listener is open.
 	headerTimeout       = 10 * time.Second
 	idleTimeout         = 60 * time.Second
 	maxHeaderBytes      = 64 << 10
 	defaultMaxBodyBytes = 4 << 20
-	// comeBack is when a caller is told to come back whose call was not run for
-	// lack of an upstream or of room.
+	// defaultRetryAfter is the Retry-After of calls that were not run for lack of an upstream or of memory.
 	defaultRetryAfter = 200 * time.Millisecond
-	// outageMin and outageMax bound when a caller is told to come back that was
-	// refused since this process has lost control, or has just started: an
-	// election and the first synchronization take about a second, and many callers
-	// have one more try only.
+	// minOutageWait and maxOutageWait bound the Retry-After of calls refused because this process lost control or
+	// has just started: an election and the first synchronization take about a second, and many callers retry only
+	// once.
 	minOutageWait = 900 * time.Millisecond
 	maxOutageWait = 1500 * time.Millisecond
-	// staleAfter is the age of a quorum's confirmation from which on this
-	// process no longer refuses for good: a route or key may be new.
+	// staleAfter is the age of the last confirmation by a quorum above which refusals for an unknown route or key
+	// are no longer final, as it may be new.
 	staleAfter = 3 * time.Second
-	// lateDelivery is how long after its deadline an answer is still being sent to a caller that reads
-	// slowly: one that has left is not told apart from one that reads nothing.
+	// writeGrace is how long after its deadline an answer is still sent to a slowly reading caller. A caller that
+	// left cannot be told from one that reads nothing.
 	writeGrace = 10 * time.Second
-	// lastAnswers is left of the time to stop for the final answers of calls
-	// that are still under way.
+	// finalAnswerTime is the part of the time to stop that is reserved for final answers to calls in progress.
 	finalAnswerTime = 500 * time.Millisecond
 )
 
-// Params are what the service needs.
+// Params are the dependencies of New.
 type Params struct {
 	dig.In
 	Settings   *settings.Settings
@@ -73,25 +70,25 @@
 	Security   *security.Store `optional:"true"`
 }
 
-// views is what the proxy asks of synchronization.
+// viewSource is the part of configsync.Service that the proxy uses.
 type viewSource interface {
 	StampAge() time.Duration
-	// Steady is for how long the view was confirmed without a gap; see package configsync.
+	// Steady returns for how long the view has been confirmed without a gap; see package configsync.
 	Steady() time.Duration
 	Self() wire.Member
 	SetLeaving(leaving bool)
 }
 
-// stages has the stages of a call done.
+// stages is the part of stagework.Service that the proxy uses. Run has the stages of a call run.
 type stages interface {
 	Run(ctx context.Context, j stagework.Job) (r stagework.Result, release stagework.Release, err error)
 	// Choose has an engine chosen for a call without stages.
 	Choose(ctx context.Context, j stagework.Job) (r stagework.Result, release stagework.Release, ok bool)
-	// Silent is how long the owner of the stage queues has not answered.
+	// Silent returns for how long the stage owner has not answered.
 	Silent() time.Duration
 }
 
-// Service is the callers' listener on routes.
+// Service is the HTTP server for callers.
 type Service struct {
 	set            *settings.Settings
 	log            logr.Logger
@@ -105,8 +102,8 @@
 	table          atomic.Pointer[table]
 	startup        *startupWait
 	stopping       atomic.Bool
-	notReadyReason atomic.Pointer[string] // why this process is not ready; nil while it is
-	callsContext   context.Context        // ends when calls must get their final answer
+	notReadyReason atomic.Pointer[string] // last reported state: why this process is not ready, empty if it is; nil before the first report
+	callsContext   context.Context        // cancelled when calls must get their final answer
 	cancelCalls    context.CancelFunc
 	server         *http.Server
 	readyServer    *http.Server
@@ -119,17 +116,17 @@
 	answers        *quarantine.Answers
 	running        *running
 	memory         *memoryBudget
-	counter        *rollout.Counter  // of answers, while a service is rolled out
-	rollouts       *rollout.Reporter // of them
+	counter        *rollout.Counter  // of answers per version during a rollout
+	rollouts       *rollout.Reporter // reports these counts
 }
 
-// New returns the service; Start opens its listeners.
+// New returns the service. Start opens its listeners.
 func New(p Params) *Service {
 	s := newService(p.Settings, p.Log, p.Protocol, p.Notices, p.ConfigSync, p.Stages)
 	s.reporter = quarantine.NewReporter(s.reportTo(p.Control.ReportCrashes))
 	s.counter = p.Counter
 	s.rollouts = &rollout.Reporter{Counter: p.Counter, Clock: clockwork.NewRealClock(), Self: p.ConfigSync.Self, Processes: s.processCount, Send: p.Control.ReportRollouts,
-		Lost: func(err error) { s.log.Info("counts of a roll-out not acknowledged", "error", err.Error()) }}
+		Lost: func(err error) { s.log.Info("rollout counts not acknowledged", "error", err.Error()) }}
 	s.secure = p.Security
 	p.ConfigSync.OnChange(s.applyView)
 	return s
@@ -149,14 +146,14 @@
 	return s
 }
 
-// share sets up what this process has of the bounds over all processes.
+// initQuota creates this process's share of the limits that hold over all processes.
 func (s *Service) initQuota(clock clockwork.Clock) {
 	p := s.set.Proxy
 	s.peers = retry.NewPeers(p.RepeatWindow, clock, retry.Confirmations{Steady: s.views.Steady, Gap: configsync.LongestGap})
 	s.repeats = retry.NewQuota(retry.Limit{Ratio: p.RepeatRatio, Fixed: p.RepeatFixed, Window: p.RepeatWindow}, clock, s.peers)
 }
 
-// follow takes over a view of the configuration and the members.
+// applyView applies a new view of the configuration and the members.
 func (s *Service) applyView(v *configsync.View) {
 	t := newTable(v, s.set.Node.RegionsOfDataCenters(), s.table.Load())
 	s.table.Store(t)
@@ -177,7 +174,7 @@
 	}
 }
 
-// processes is how many processes there are like this one.
+// processCount returns the number of proxy processes, this one included.
 func (s *Service) processCount() int {
 	if t := s.table.Load(); t != nil {
 		return t.proxyCount
@@ -187,7 +184,7 @@
 
 // Start implements kernel.Starter.
 func (s *Service) Start(context.Context) error {
-	front, err := s.secure.Listen(s.set.Proxy.Listen, security.Callers)
+	callers, err := s.secure.Listen(s.set.Proxy.Listen, security.Callers)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -197,7 +194,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stopBackground = cancel
-	go s.server.Serve(front)
+	go s.server.Serve(callers)
 	go s.readyServer.Serve(ready)
 	go s.pool.Run(ctx)
 	go s.reporter.Run(ctx)
@@ -205,9 +202,8 @@
 	return nil
 }
 
-// Stop implements kernel.Stopper. The process says at once that it is not
-// ready, still serves until the balancer has noticed, and then finishes what
-// it has begun.
+// Stop implements kernel.Stopper. The process reports at once that it is not ready, keeps serving until the load
+// balancer has noticed, and then finishes the calls in progress.
 func (s *Service) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	s.views.SetLeaving(true)
@@ -226,7 +222,7 @@
 	return err
 }
 
-// exchange is one call on a route.
+// exchange is one call on a route and its answer.
 type exchange struct {
 	s            *Service
 	w            http.ResponseWriter
@@ -236,24 +232,24 @@
 	route        *optext.Route
 	service      *optext.Service
 	customer     *optext.Customer
-	allowed      residency.Within // where it may be served
+	allowed      residency.Within // data centres in which it may be served
 	body         []byte
-	memory       callMemory // of all that is kept for the call
-	callerGone   bool       // the caller takes nothing more
+	memory       callMemory // reserved for the call's body and answer
+	callerGone   bool       // the caller no longer reads the answer
 	began        time.Time
 	deadline     time.Time
-	sends        int    // calls of upstreams so far
-	repeatReason reason // why the next one repeats another; empty for the first
-	mayHaveRun   bool   // one of them has run or may have run
+	sends        int    // attempts so far
+	repeatReason reason // why the next attempt repeats another; empty for the first
+	mayHaveRun   bool   // an attempt has run or may have run
 
 	answering atomic.Bool // an upstream has begun to answer
 
-	savedFailure   *upstreamFailure // nil when no upstream has answered with a failure
-	firstByte      time.Duration    // until the answer began
-	stagesDone     bool             // the results of the stages are there
-	inputs         []string         // their handles
+	savedFailure   *upstreamFailure // nil if no upstream has answered with a failure
+	firstByte      time.Duration    // time until the answer began
+	stagesDone     bool             // the results of the stages are available
+	inputs         []string         // handles of these results
 	releaseResults stagework.Release
-	engine         wire.MemberID // that the owner of the stages chose; empty when it did not
+	engine         wire.MemberID // chosen by the stage owner; empty if it chose none
 	fetchFrom      string        // address from which that engine fetches parts of the prompt; empty for none
 	engineOutcome  stagework.EngineOutcome
 }
@@ -263,7 +259,7 @@
 	x := &exchange{s: s, w: w, r: r, began: time.Now(), table: s.table.Load(), memory: callMemory{budget: s.memory}}
 	defer x.memory.release()
 	if s.stopping.Load() {
-		w.Header().Set("Connection", "close") // the caller's next call goes elsewhere
+		w.Header().Set("Connection", "close") // sends the caller's next call to another process
 	}
 	if err := x.admit(); err != nil {
 		x.refuse(err)
@@ -299,15 +295,14 @@
 	}
 }
 
-// afterOutage is when a caller should come back after control was lost, spread so
-// that not all come at once.
+// outageRetryAfter returns a random Retry-After for calls refused while control is lost, so that callers do not
+// all come back at once.
 func outageRetryAfter() time.Duration { return minOutageWait + rand.N(maxOutageWait-minOutageWait) }
 
-// stale reports whether a route or key that is unknown here may be known
-// elsewhere.
+// stale reports whether a route or key that is unknown to this process may be known to others.
 func (s *Service) stale() bool { return s.views.StampAge() > staleAfter }
 
-// hopByHop are headers that concern one connection (RFC 9110, section 7.6.1).
+// hopByHop are headers that apply to a single connection (RFC 9110, section 7.6.1).
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
 
 func dropHopByHop(h http.Header) {
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -80,7 +80,7 @@
 keys = secret, older
 `
 
-// fixedViews is a process whose view was confirmed the given time ago.
+// fixedViews is a viewSource whose last confirmation has a fixed age.
 type fixedViews struct{ age time.Duration }
 
 func (v *fixedViews) StampAge() time.Duration { return v.age }
@@ -90,18 +90,18 @@
 }
 func (v *fixedViews) SetLeaving(bool) {}
 
-// fakeStages answers jobs at once.
+// fakeStages implements stages and answers at once.
 type fakeStages struct {
 	mu       sync.Mutex
 	jobs     []stagework.Job
 	released int
 	silent   time.Duration
-	before   func() // runs before a job is answered
+	before   func() // called before a job is answered
 	err      error
 
-	engine    wire.MemberID             // that is chosen
-	fetchFrom string                    // where it gets parts of the prompt
-	outcomes  []stagework.EngineOutcome // what was said of it
+	engine    wire.MemberID             // the chosen engine; empty for none
+	fetchFrom string                    // where the engine fetches parts of the prompt
+	outcomes  []stagework.EngineOutcome // reported for the engine
 }
 
 func (f *fakeStages) Choose(context.Context, stagework.Job) (stagework.Result, stagework.Release, bool) {
@@ -126,14 +126,14 @@
 
 func (f *fakeStages) Silent() time.Duration { return f.silent }
 
-// bed is a proxy before upstreams that a test scripts.
+// fixture is a proxy with upstreams whose handlers the test provides.
 type fixture struct {
 	t       *testing.T
 	service *Service
 	server  *httptest.Server
 	views   *fixedViews
 	stages  *fakeStages
-	clock   *clockwork.FakeClock // of the quota
+	clock   *clockwork.FakeClock // of the repeat quota
 	view    configsync.View
 }
 
@@ -146,48 +146,48 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &fixture{t: t, views: &fixedViews{}, stages: &fakeStages{}}
-	self := b.views.Self()
-	b.view = configsync.View{Config: config, Version: 7, Announced: map[string][]wire.Member{}, Members: memberset.Of(self), Peers: []wire.Member{self}}
-	b.service = newService(&settings.Settings{Proxy: settings.ProxyRole{KeyAge: 4 * time.Second, RepeatRatio: 0.2, RepeatFixed: 50, RepeatWindow: 10 * time.Second}}, logr.Discard(), upstream.Native{}, noNotices(), b.views, b.stages)
-	b.clock = clockwork.NewFakeClock()
-	b.service.initQuota(b.clock)
-	b.server = httptest.NewServer(b.service)
+	f := &fixture{t: t, views: &fixedViews{}, stages: &fakeStages{}}
+	self := f.views.Self()
+	f.view = configsync.View{Config: config, Version: 7, Announced: map[string][]wire.Member{}, Members: memberset.Of(self), Peers: []wire.Member{self}}
+	f.service = newService(&settings.Settings{Proxy: settings.ProxyRole{KeyAge: 4 * time.Second, RepeatRatio: 0.2, RepeatFixed: 50, RepeatWindow: 10 * time.Second}}, logr.Discard(), upstream.Native{}, noNotices(), f.views, f.stages)
+	f.clock = clockwork.NewFakeClock()
+	f.service.initQuota(f.clock)
+	f.server = httptest.NewServer(f.service)
 	t.Cleanup(func() {
-		b.server.Close()
-		b.service.pool.Close()
+		f.server.Close()
+		f.service.pool.Close()
 	})
-	b.service.applyView(&b.view)
-	b.clock.Advance(time.Minute) // the process is settled
-	return b
+	f.service.applyView(&f.view)
+	f.clock.Advance(time.Minute) // so that the process is settled and may repeat calls
+	return f
 }
 
-// upstream adds an upstream of the service.
-func (b *fixture) upstream(service, id string, h http.HandlerFunc) {
+// upstream announces a new upstream of the service.
+func (f *fixture) upstream(service, id string, h http.HandlerFunc) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderRequestID, r.Header.Get(wire.HeaderRequestID))
 		h(w, r)
 	}))
-	b.t.Cleanup(srv.Close)
-	b.announce(service, append(b.view.Announced[service], wire.Member{ID: wire.MemberID(id), Service: service, Direct: srv.Listener.Addr().String()}))
+	f.t.Cleanup(srv.Close)
+	f.announce(service, append(f.view.Announced[service], wire.Member{ID: wire.MemberID(id), Service: service, Direct: srv.Listener.Addr().String()}))
 }
 
-func (b *fixture) announce(service string, list []wire.Member) {
-	next := b.view
+func (f *fixture) announce(service string, list []wire.Member) {
+	next := f.view
 	next.Announced = map[string][]wire.Member{}
-	for name, l := range b.view.Announced {
+	for name, l := range f.view.Announced {
 		next.Announced[name] = l
 	}
 	next.Announced[service] = list
-	b.view = next
-	b.service.applyView(&next)
+	f.view = next
+	f.service.applyView(&next)
 }
 
-func (b *fixture) send(method, path string, header map[string]string) (*http.Response, string, error) {
-	b.t.Helper()
-	r, err := http.NewRequest(method, b.server.URL+path, strings.NewReader("body"))
+func (f *fixture) send(method, path string, header map[string]string) (*http.Response, string, error) {
+	f.t.Helper()
+	r, err := http.NewRequest(method, f.server.URL+path, strings.NewReader("body"))
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	r.Host = "desk.example"
 	r.Header.Set(wire.HeaderRequestID, "try-1")
@@ -204,14 +204,14 @@
 	return resp, string(body), err
 }
 
-func (b *fixture) wantStatus(status int, method, path string, header map[string]string) string {
-	b.t.Helper()
-	resp, body, err := b.send(method, path, header)
+func (f *fixture) wantStatus(status int, method, path string, header map[string]string) string {
+	f.t.Helper()
+	resp, body, err := f.send(method, path, header)
 	if err != nil || resp.StatusCode != status {
-		b.t.Fatalf("%v, %v %q; want %d", err, resp, body, status)
+		f.t.Fatalf("%v, %v %q; want %d", err, resp, body, status)
 	}
 	if promises := status == http.StatusServiceUnavailable; promises != (resp.Header.Get("Retry-After") != "") {
-		b.t.Fatalf("status %d with Retry-After %q", status, resp.Header.Get("Retry-After"))
+		f.t.Fatalf("status %d with Retry-After %q", status, resp.Header.Get("Retry-After"))
 	}
 	return body
 }
@@ -225,56 +225,56 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// TestCallReachesItsRoute passes method, path, body and the customer on, and
-// neither the key nor headers that only caperdrum sets.
+// TestCallReachesItsRoute checks that method, path, body and customer are passed on, and neither the key nor
+// headers that only the proxy may set.
 func TestCallReachesItsRoute(t *testing.T) {
-	b := newFixture(t)
-	b.upstream("desk", "d1", func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t)
+	f.upstream("desk", "d1", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s %s customer=%s key=%q instance=%s inputs=%q", r.Method, r.RequestURI, body, r.Header.Get("Caperdrum-Customer"),
 			r.Header.Get("Authorization"), r.Header.Get("Caperdrum-Instance"), r.Header.Get("Caperdrum-Inputs"))
 	})
-	got := b.wantStatus(http.StatusOK, http.MethodPost, "/confirm/a%2Fb?x=1", map[string]string{"Caperdrum-Inputs": "forged", "Caperdrum-Customer": "forged"})
+	got := f.wantStatus(http.StatusOK, http.MethodPost, "/confirm/a%2Fb?x=1", map[string]string{"Caperdrum-Inputs": "forged", "Caperdrum-Customer": "forged"})
 	if want := `POST /confirm/a%2Fb?x=1 body customer=foundry key="" instance=d1 inputs=""`; got != want {
 		t.Fatalf("got %s", got)
 	}
 }
 
-// TestWhoMayCall lists refusals before anything is sent.
+// TestWhoMayCall checks which calls are refused before anything is sent.
 func TestWhoMayCall(t *testing.T) {
 	cases := map[string]struct {
 		path, key string
 		age       time.Duration
 		status    int
 	}{
-		"an unknown route":                      {"/nowhere/", "secret", 0, 404},
-		"an unknown route, known long ago":      {"/nowhere/", "secret", staleAfter + 1, 503},
-		"an unknown key":                        {"/confirm/", "guess", 0, 401},
-		"an unknown key, known long ago":        {"/confirm/", "guess", staleAfter + 1, 503},
-		"a known key that is not confirmed":     {"/confirm/", "secret", 5 * time.Second, 503},
-		"a second key of a customer":            {"/confirm/", "older", 0, 200},
-		"a public route needs none":             {"/reserve/deep/", "", time.Hour, 200},
-		"a route whose prefix is not whole":     {"/confirmed", "secret", 0, 404},
-		"a body on a route with a known prefix": {"/reserve/", "secret", 0, 200},
+		"an unknown route":                              {"/nowhere/", "secret", 0, 404},
+		"an unknown route, stale configuration":         {"/nowhere/", "secret", staleAfter + 1, 503},
+		"an unknown key":                                {"/confirm/", "guess", 0, 401},
+		"an unknown key, stale configuration":           {"/confirm/", "guess", staleAfter + 1, 503},
+		"a known key without a recent confirmation":     {"/confirm/", "secret", 5 * time.Second, 503},
+		"a second key of a customer":                    {"/confirm/", "older", 0, 200},
+		"a public route needs no key":                   {"/reserve/deep/", "", time.Hour, 200},
+		"a path that does not contain the whole prefix": {"/confirmed", "secret", 0, 404},
+		"a path that equals a prefix":                   {"/reserve/", "secret", 0, 200},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t)
-			b.upstream("desk", "d1", answerOK)
-			b.views.age = c.age
-			b.wantStatus(c.status, http.MethodPost, c.path, map[string]string{"Authorization": "Bearer " + c.key})
+			f := newFixture(t)
+			f.upstream("desk", "d1", answerOK)
+			f.views.age = c.age
+			f.wantStatus(c.status, http.MethodPost, c.path, map[string]string{"Authorization": "Bearer " + c.key})
 		})
 	}
 }
 
-// TestNoConfigurationYet refuses as not run, not as unknown.
+// TestNoConfigurationYet checks that calls before the first configuration are refused as not run, not as unknown.
 func TestNoConfigurationYet(t *testing.T) {
-	b := newFixture(t)
-	b.service.table.Store(nil)
-	b.wantStatus(http.StatusServiceUnavailable, http.MethodGet, "/confirm/", nil)
+	f := newFixture(t)
+	f.service.table.Store(nil)
+	f.wantStatus(http.StatusServiceUnavailable, http.MethodGet, "/confirm/", nil)
 }
 
-// counter counts the calls of an upstream.
+// callCounter counts the calls that reach an upstream.
 type callCounter struct{ n atomic.Int32 }
 
 func (c *callCounter) count(h http.HandlerFunc) http.HandlerFunc {
@@ -284,11 +284,10 @@
 	}
 }
 
-// TestWhatMayBeRepeated lists how two upstreams behave, and how often a call may
-// reach them.
+// TestWhatMayBeRepeated checks for failing upstreams how often a call may reach one.
 func TestWhatMayBeRepeated(t *testing.T) {
 	serverError := func(w http.ResponseWriter, _ *http.Request) {
-		http.Error(w, "own failure", http.StatusInternalServerError)
+		http.Error(w, "server error", http.StatusInternalServerError)
 	}
 	cases := map[string]struct {
 		path   string
@@ -296,23 +295,23 @@
 		status int
 		calls  int
 	}{
-		"a confirmation that broke off":         {"/confirm/", breakOff, http.StatusBadGateway, 1},
-		"a confirmation that was refused":       {"/confirm/", refuseNotRun, http.StatusServiceUnavailable, 1},
-		"a confirmation that failed":            {"/confirm/", serverError, http.StatusInternalServerError, 1},
-		"an idempotent call that failed":        {"/reserve/", serverError, http.StatusInternalServerError, 2},
-		"an idempotent call that was cut":       {"/reserve/", breakOff, http.StatusBadGateway, 2},
-		"an idempotent call, refused":           {"/reserve/", refuseNotRun, http.StatusServiceUnavailable, 2},
-		"a chat that broke off before it began": {"/chat/", breakOff, http.StatusBadGateway, 1},
+		"a confirmation whose connection broke":         {"/confirm/", breakOff, http.StatusBadGateway, 1},
+		"a confirmation that was refused":               {"/confirm/", refuseNotRun, http.StatusServiceUnavailable, 1},
+		"a confirmation that failed":                    {"/confirm/", serverError, http.StatusInternalServerError, 1},
+		"an idempotent call that failed":                {"/reserve/", serverError, http.StatusInternalServerError, 2},
+		"an idempotent call whose connection broke":     {"/reserve/", breakOff, http.StatusBadGateway, 2},
+		"an idempotent call that was refused":           {"/reserve/", refuseNotRun, http.StatusServiceUnavailable, 2},
+		"a chat whose connection broke before it began": {"/chat/", breakOff, http.StatusBadGateway, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t)
+			f := newFixture(t)
 			var n callCounter
 			for _, service := range []string{"desk", "llm"} {
-				b.upstream(service, service+"1", n.count(c.h))
-				b.upstream(service, service+"2", n.count(c.h))
+				f.upstream(service, service+"1", n.count(c.h))
+				f.upstream(service, service+"2", n.count(c.h))
 			}
-			b.wantStatus(c.status, http.MethodPost, c.path, nil)
+			f.wantStatus(c.status, http.MethodPost, c.path, nil)
 			if int(n.n.Load()) != c.calls {
 				t.Fatalf("%d calls of upstreams, want %d", n.n.Load(), c.calls)
 			}
@@ -320,12 +319,11 @@
 	}
 }
 
-// TestRefusalAfterARun lets a call that may be repeated break off or fail at the
-// upstream that is tried first, and be refused as not run by the other one. The
-// caller must not be told that it has not run, and gets the answer that there is.
+// TestRefusalAfterARun has the first attempt of a repeatable call fail and the second refused as not run. The
+// caller must not be told that the call has not run, and gets the failed answer if there is one.
 func TestRefusalAfterARun(t *testing.T) {
 	fails := func(w http.ResponseWriter, _ *http.Request) {
-		http.Error(w, "own failure", http.StatusInternalServerError)
+		http.Error(w, "server error", http.StatusInternalServerError)
 	}
 	cases := map[string]struct {
 		path   string
@@ -333,14 +331,14 @@
 		status int
 		body   string
 	}{
-		"a call that broke off":        {"/reserve/", breakOff, http.StatusBadGateway, "may-have-run"},
-		"a call that failed by itself": {"/reserve/", fails, http.StatusInternalServerError, "own failure"},
-		"a stream that broke off":      {"/quote/", breakOff, http.StatusBadGateway, "may-have-run"},
-		"a stream that failed":         {"/quote/", fails, http.StatusInternalServerError, "own failure"},
+		"a call whose connection broke":   {"/reserve/", breakOff, http.StatusBadGateway, "may-have-run"},
+		"a call that failed":              {"/reserve/", fails, http.StatusInternalServerError, "server error"},
+		"a stream whose connection broke": {"/quote/", breakOff, http.StatusBadGateway, "may-have-run"},
+		"a stream that failed":            {"/quote/", fails, http.StatusInternalServerError, "server error"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t)
+			f := newFixture(t)
 			var n callCounter
 			either := n.count(func(w http.ResponseWriter, r *http.Request) {
 				if n.n.Load() == 1 {
@@ -350,47 +348,47 @@
 				refuseNotRun(w, r)
 			})
 			for _, service := range []string{"desk", "llm"} {
-				b.upstream(service, service+"1", either)
-				b.upstream(service, service+"2", either)
+				f.upstream(service, service+"1", either)
+				f.upstream(service, service+"2", either)
 			}
-			if got := b.wantStatus(c.status, http.MethodPost, c.path, nil); !strings.Contains(got, c.body) || n.n.Load() != 2 {
+			if got := f.wantStatus(c.status, http.MethodPost, c.path, nil); !strings.Contains(got, c.body) || n.n.Load() != 2 {
 				t.Fatalf("%q after %d calls", got, n.n.Load())
 			}
 		})
 	}
 }
 
-// announceGone announces an upstream of a service, "gone", at an address where nobody listens.
-func (b *fixture) announceGone(service string) {
+// announceGone announces an upstream "gone" of the service, at an address where nobody listens.
+func (f *fixture) announceGone(service string) {
 	gone := httptest.NewServer(http.NotFoundHandler())
 	address := gone.Listener.Addr().String()
 	gone.Close()
-	b.announce(service, append(b.view.Announced[service], wire.Member{ID: "gone", Service: service, Direct: address}))
+	f.announce(service, append(f.view.Announced[service], wire.Member{ID: "gone", Service: service, Direct: address}))
 }
 
-// TestUnreachableUpstreamIsReplaced announces an address where nobody listens
-// beside one that answers: it counts as no attempt.
+// TestUnreachableUpstreamIsReplaced announces an address where nobody listens beside one that answers. A refused
+// connection must not count as an attempt.
 func TestUnreachableUpstreamIsReplaced(t *testing.T) {
-	b := newFixture(t)
-	b.upstream("desk", "d1", answerOK)
-	b.announceGone("desk")
+	f := newFixture(t)
+	f.upstream("desk", "d1", answerOK)
+	f.announceGone("desk")
 	for range 5 {
-		b.wantStatus(http.StatusOK, http.MethodPost, "/confirm/", nil)
+		f.wantStatus(http.StatusOK, http.MethodPost, "/confirm/", nil)
 	}
 }
 
-// TestMovedAddressIsReplaced lets another upstream answer at an address.
+// TestMovedAddressIsReplaced has another upstream answer at an announced address.
 func TestMovedAddressIsReplaced(t *testing.T) {
-	b := newFixture(t)
-	b.upstream("desk", "d1", answerOK)
-	b.upstream("desk", "old", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) })
+	f := newFixture(t)
+	f.upstream("desk", "d1", answerOK)
+	f.upstream("desk", "old", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) })
 	for range 5 {
-		b.wantStatus(http.StatusOK, http.MethodPost, "/confirm/", nil)
+		f.wantStatus(http.StatusOK, http.MethodPost, "/confirm/", nil)
 	}
 }
 
-// events is an engine that sends events from the one after Last-Event-Id on, and
-// breaks off in the middle of event cut, if that is above zero.
+// events returns an engine that sends n events, from the one after Last-Event-Id on, and breaks the connection in
+// the middle of event cut if that is above zero.
 func events(n, cut int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -411,27 +409,27 @@
 	}
 }
 
-// TestStreamGoesOnElsewhere breaks a resumable stream in the middle of an event:
-// the caller gets each event once, and the results of the stages are made again.
+// TestStreamGoesOnElsewhere breaks a resumable stream in the middle of an event: the caller must get each event
+// once, and the stages are run again.
 func TestStreamGoesOnElsewhere(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	var n callCounter
 	flaky := events(6, 4)
-	b.upstream("llm", "e1", n.count(func(w http.ResponseWriter, r *http.Request) {
+	f.upstream("llm", "e1", n.count(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last-Event-Id") == "" {
 			flaky(w, r)
 			return
 		}
 		events(6, 0)(w, r)
 	}))
-	b.upstream("llm", "e2", n.count(func(w http.ResponseWriter, r *http.Request) {
+	f.upstream("llm", "e2", n.count(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last-Event-Id") == "" {
 			flaky(w, r)
 			return
 		}
 		events(6, 0)(w, r)
 	}))
-	got := b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "2", "Caperdrum-Piece-Key": "k"})
+	got := f.wantStatus(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "2", "Caperdrum-Piece-Key": "k"})
 	var ids []string
 	for line := range strings.Lines(got) {
 		if id, found := strings.CutPrefix(line, "id: "); found {
@@ -441,24 +439,24 @@
 	if strings.Join(ids, " ") != "1 2 3 4 5 6" || n.n.Load() != 2 {
 		t.Fatalf("events %v from %d upstreams", ids, n.n.Load())
 	}
-	if len(b.stages.jobs) != 2 || b.stages.released != 2 {
-		t.Fatalf("%d jobs, %d released", len(b.stages.jobs), b.stages.released)
+	if len(f.stages.jobs) != 2 || f.stages.released != 2 {
+		t.Fatalf("%d jobs, %d released", len(f.stages.jobs), f.stages.released)
 	}
 }
 
-// TestCutStreamDoesNotLookWhole breaks a stream that may not be resumed.
+// TestCutStreamDoesNotLookWhole breaks a stream that may not be resumed: the caller must see an error.
 func TestCutStreamDoesNotLookWhole(t *testing.T) {
-	b := newFixture(t)
-	b.upstream("llm", "e1", events(6, 4))
-	b.upstream("llm", "e2", events(6, 4))
-	resp, body, err := b.send(http.MethodPost, "/chat/", nil)
+	f := newFixture(t)
+	f.upstream("llm", "e1", events(6, 4))
+	f.upstream("llm", "e2", events(6, 4))
+	resp, body, err := f.send(http.MethodPost, "/chat/", nil)
 	if err == nil || resp == nil || strings.Contains(body, "da\n") || !strings.HasSuffix(body, "token3\n\n") {
 		t.Fatalf("%v, %q", err, body)
 	}
 }
 
-// TestLongPromptsLeaveTheEngineMoreTime compares the time that the stages are given
-// for calls whose prompts differ in their last part, and in a shared one.
+// TestLongPromptsLeaveTheEngineMoreTime checks how much time is reserved for the engine, depending on the length
+// of the prompt's last part; shared parts do not count.
 func TestLongPromptsLeaveTheEngineMoreTime(t *testing.T) {
 	part := func(tokens int64) upstream.PromptPart { return upstream.PromptPart{ID: "p", Tokens: tokens} }
 	cases := map[string]struct {
@@ -477,42 +475,42 @@
 	}
 }
 
-// TestStagesOfACall lists how the stages end, and what the caller gets.
+// TestStagesOfACall checks what the caller gets depending on how the stages end.
 func TestStagesOfACall(t *testing.T) {
 	pieces := map[string]string{"Caperdrum-Pieces": "3", "Caperdrum-Piece-Key": "k"}
-	t.Run("the engine gets their results", func(t *testing.T) {
-		b := newFixture(t)
-		b.upstream("llm", "e1", func(w http.ResponseWriter, r *http.Request) {
+	t.Run("the engine gets the results", func(t *testing.T) {
+		f := newFixture(t)
+		f.upstream("llm", "e1", func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprintf(w, "data: %s\n\n", r.Header.Get("Caperdrum-Inputs"))
 		})
-		if got := b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", pieces); got != "data: handle-1\n\n" {
+		if got := f.wantStatus(http.StatusOK, http.MethodPost, "/quote/", pieces); got != "data: handle-1\n\n" {
 			t.Fatalf("got %q", got)
 		}
-		if j := b.stages.jobs[0]; j.ID != "try-1" || j.Key != "k" || j.Stages[0].Pieces != 3 {
+		if j := f.stages.jobs[0]; j.ID != "try-1" || j.Key != "k" || j.Stages[0].Pieces != 3 {
 			t.Fatalf("job %+v", j)
 		}
 	})
-	t.Run("none are asked for", func(t *testing.T) {
-		b := newFixture(t)
-		b.upstream("llm", "e1", events(1, 0))
-		b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "0"})
-		if len(b.stages.jobs) != 0 {
+	t.Run("no stages are requested", func(t *testing.T) {
+		f := newFixture(t)
+		f.upstream("llm", "e1", events(1, 0))
+		f.wantStatus(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "0"})
+		if len(f.stages.jobs) != 0 {
 			t.Fatal("a job without pieces")
 		}
 	})
-	t.Run("they are refused", func(t *testing.T) {
-		b := newFixture(t)
-		b.stages.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "busy").After(time.Second)
+	t.Run("the stages are refused", func(t *testing.T) {
+		f := newFixture(t)
+		f.stages.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "busy").After(time.Second)
 		var n callCounter
-		b.upstream("llm", "e1", n.count(events(1, 0)))
-		b.wantStatus(http.StatusServiceUnavailable, http.MethodPost, "/quote/", pieces)
+		f.upstream("llm", "e1", n.count(events(1, 0)))
+		f.wantStatus(http.StatusServiceUnavailable, http.MethodPost, "/quote/", pieces)
 		if n.n.Load() != 0 {
 			t.Fatal("the engine was called")
 		}
 	})
-	t.Run("their results are gone", func(t *testing.T) {
-		b := newFixture(t)
-		b.upstream("llm", "e1", func(w http.ResponseWriter, r *http.Request) {
+	t.Run("the results are lost", func(t *testing.T) {
+		f := newFixture(t)
+		f.upstream("llm", "e1", func(w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("Caperdrum-Inputs") == "handle-1" {
 				w.Header().Set(wire.HeaderVerdict, verdict.NotRun.String())
 				w.WriteHeader(http.StatusConflict)
@@ -520,56 +518,54 @@
 			}
 			events(1, 0)(w, r)
 		})
-		b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", pieces)
-		if len(b.stages.jobs) != 2 {
-			t.Fatalf("%d jobs", len(b.stages.jobs))
+		f.wantStatus(http.StatusOK, http.MethodPost, "/quote/", pieces)
+		if len(f.stages.jobs) != 2 {
+			t.Fatalf("%d jobs", len(f.stages.jobs))
 		}
 	})
 }
 
-// TestUpstreamThatLeftMeanwhile lets the only engine that was known at the
-// admission leave while the stages run.
+// TestUpstreamThatLeftMeanwhile has the only known engine leave while the stages run.
 func TestUpstreamThatLeftMeanwhile(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	var left callCounter
-	b.upstream("llm", "left", left.count(events(1, 0)))
-	b.stages.before = func() {
-		b.announce("llm", nil)
-		b.upstream("llm", "next", events(1, 0))
+	f.upstream("llm", "left", left.count(events(1, 0)))
+	f.stages.before = func() {
+		f.announce("llm", nil)
+		f.upstream("llm", "next", events(1, 0))
 	}
-	b.wantStatus(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "1"})
+	f.wantStatus(http.StatusOK, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "1"})
 	if left.n.Load() != 0 {
 		t.Fatal("an upstream that has left was called")
 	}
 }
 
-// TestDeadline lets an upstream be silent: the caller gets its final answer at
-// the deadline, and the upstream sees the connection close.
+// TestDeadline has an upstream stay silent: the caller must get its final answer at the deadline, and the upstream
+// see the connection close.
 func TestDeadline(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	closed := make(chan struct{}, 1)
-	b.upstream("desk", "d1", func(_ http.ResponseWriter, r *http.Request) {
+	f.upstream("desk", "d1", func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		closed <- struct{}{}
 	})
-	b.wantStatus(http.StatusGatewayTimeout, http.MethodPost, "/confirm/", map[string]string{wire.HeaderTimeout: "50ms"})
+	f.wantStatus(http.StatusGatewayTimeout, http.MethodPost, "/confirm/", map[string]string{wire.HeaderTimeout: "50ms"})
 	<-closed
 }
 
-// TestStoppingProcessAnswers ends a call that is under way when the process must
-// give its last answers.
+// TestStoppingProcessAnswers checks that a call in progress gets a final answer when the process must end.
 func TestStoppingProcessAnswers(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	arrived := make(chan struct{})
-	b.upstream("desk", "d1", func(_ http.ResponseWriter, r *http.Request) {
+	f.upstream("desk", "d1", func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		close(arrived)
 		<-r.Context().Done()
 	})
 	got := make(chan int, 1)
 	go func() {
-		resp, _, err := b.send(http.MethodPost, "/confirm/", nil)
+		resp, _, err := f.send(http.MethodPost, "/confirm/", nil)
 		if err != nil {
 			got <- 0
 			return
@@ -577,32 +573,32 @@
 		got <- resp.StatusCode
 	}()
 	<-arrived
-	b.service.cancelCalls()
+	f.service.cancelCalls()
 	if status := <-got; status < 500 || status == http.StatusServiceUnavailable {
 		t.Fatalf("status %d", status)
 	}
 }
 
-// TestReadiness lists when a balancer may send callers here.
+// TestReadiness checks when a load balancer may send callers to the process.
 func TestReadiness(t *testing.T) {
 	cases := map[string]struct {
 		change func(*fixture)
 		ready  bool
 	}{
-		"all is well":                    {func(*fixture) {}, true},
-		"stopping":                       {func(b *fixture) { b.service.stopping.Store(true) }, false},
-		"no configuration yet":           {func(b *fixture) { b.service.table.Store(nil) }, false},
-		"no quorum for a while":          {func(b *fixture) { b.views.age = 3 * time.Second }, true},
-		"no quorum, keys do not count":   {func(b *fixture) { b.views.age = 5 * time.Second }, false},
-		"another owner is about to come": {func(b *fixture) { b.stages.silent = time.Second }, true},
-		"the owner is out of reach":      {func(b *fixture) { b.stages.silent = 2 * time.Second }, false},
+		"everything works":                   {func(*fixture) {}, true},
+		"stopping":                           {func(f *fixture) { f.service.stopping.Store(true) }, false},
+		"no configuration yet":               {func(f *fixture) { f.service.table.Store(nil) }, false},
+		"no quorum for a short time":         {func(f *fixture) { f.views.age = 3 * time.Second }, true},
+		"no quorum, keys no longer count":    {func(f *fixture) { f.views.age = 5 * time.Second }, false},
+		"another stage owner is being named": {func(f *fixture) { f.stages.silent = time.Second }, true},
+		"the stage owner is unreachable":     {func(f *fixture) { f.stages.silent = 2 * time.Second }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t)
-			c.change(b)
+			f := newFixture(t)
+			c.change(f)
 			w := httptest.NewRecorder()
-			b.service.serveReady(w, httptest.NewRequest(http.MethodGet, "/", nil))
+			f.service.serveReady(w, httptest.NewRequest(http.MethodGet, "/", nil))
 			if ready := w.Code == http.StatusOK; ready != c.ready {
 				t.Fatalf("status %d", w.Code)
 			}
@@ -610,20 +606,20 @@
 	}
 }
 
-// TestRefusalSendsTheCallerElsewhere refuses a call at a process that is not
-// ready: its connection ends, since a kept one stays here.
+// TestRefusalSendsTheCallerElsewhere checks that a process that is not ready closes the connection of a refused
+// call, as a kept connection would bring the caller back to it.
 func TestRefusalSendsTheCallerElsewhere(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	for _, silent := range []time.Duration{0, time.Minute} {
-		b.stages.silent = silent
-		resp, _, err := b.send(http.MethodPost, "/nowhere/", nil)
+		f.stages.silent = silent
+		resp, _, err := f.send(http.MethodPost, "/nowhere/", nil)
 		if err != nil || resp.Close != (silent > 0) {
 			t.Fatalf("%v, closes %v after a silence of %v", err, resp.Close, silent)
 		}
 	}
 }
 
-// TestEventSplitter feeds a stream in every pair of parts.
+// TestEventSplitter feeds a stream split at every position.
 func TestEventSplitter(t *testing.T) {
 	stream := "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\nid: 4\nda"
 	for cut := range len(stream) {
@@ -635,68 +631,68 @@
 	}
 }
 
-// TestChosenEngineTakesTheCall has the owner of the stages choose between two engines:
-// the call goes there, one that does not answer is reported, and where nothing was
-// chosen the process chooses by itself.
+// TestChosenEngineTakesTheCall has the stage owner choose one of two engines: the call must go there, and an engine
+// that does not answer is reported. Without a choice the process chooses by itself.
 func TestChosenEngineTakesTheCall(t *testing.T) {
 	for _, wanted := range []wire.MemberID{"e1", "e2", ""} {
-		b := newFixture(t)
+		f := newFixture(t)
 		calls := map[string]*callCounter{"e1": {}, "e2": {}}
 		for id, c := range calls {
-			b.upstream("llm", id, c.count(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "id: 1\n\n") }))
+			f.upstream("llm", id, c.count(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "id: 1\n\n") }))
 		}
-		b.stages.engine = wanted
-		b.wantStatus(http.StatusOK, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
+		f.stages.engine = wanted
+		f.wantStatus(http.StatusOK, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
 		if wanted != "" && calls[string(wanted)].n.Load() != 1 {
 			t.Errorf("%s was chosen and got %d calls", wanted, calls[string(wanted)].n.Load())
 		}
-		b.stages.mu.Lock()
-		if want := []stagework.EngineOutcome{stagework.EngineBegan}; wanted != "" && !slices.Equal(b.stages.outcomes, want) {
-			t.Errorf("the owner is told %v", b.stages.outcomes)
+		f.stages.mu.Lock()
+		if want := []stagework.EngineOutcome{stagework.EngineBegan}; wanted != "" && !slices.Equal(f.stages.outcomes, want) {
+			t.Errorf("outcomes reported to the stage owner: %v", f.stages.outcomes)
 		}
-		b.stages.mu.Unlock()
+		f.stages.mu.Unlock()
 		if sum := calls["e1"].n.Load() + calls["e2"].n.Load(); sum != 1 {
 			t.Errorf("%d calls", sum)
 		}
 	}
-	b := newFixture(t)
-	b.upstream("llm", "broken", breakOff)
-	b.stages.engine = "broken"
-	b.wantStatus(http.StatusBadGateway, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
-	b.stages.mu.Lock()
-	defer b.stages.mu.Unlock()
-	if !slices.Equal(b.stages.outcomes, []stagework.EngineOutcome{stagework.EngineFailed}) {
-		t.Errorf("the owner is told %v", b.stages.outcomes)
+	f := newFixture(t)
+	f.upstream("llm", "broken", breakOff)
+	f.stages.engine = "broken"
+	f.wantStatus(http.StatusBadGateway, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
+	f.stages.mu.Lock()
+	defer f.stages.mu.Unlock()
+	if !slices.Equal(f.stages.outcomes, []stagework.EngineOutcome{stagework.EngineFailed}) {
+		t.Errorf("outcomes reported to the stage owner: %v", f.stages.outcomes)
 	}
 }
 
-// TestChosenEngineThatIsReplacedIsReported has the owner choose an engine that refuses connections: another one takes
-// the call, and the owner hears of it. Else it would choose the same one for every call until the members drop it.
+// TestChosenEngineThatIsReplacedIsReported has the stage owner choose an engine that refuses connections: another
+// one must get the call, and the owner the report. Without it the owner would choose the same engine for every call
+// until it is no longer a member.
 func TestChosenEngineThatIsReplacedIsReported(t *testing.T) {
-	b := newFixture(t)
-	b.upstream("llm", "other", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "id: 1\n\n") })
-	b.announceGone("llm")
-	b.stages.engine = "gone"
-	b.wantStatus(http.StatusOK, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
-	b.stages.mu.Lock()
-	defer b.stages.mu.Unlock()
-	if !slices.Equal(b.stages.outcomes, []stagework.EngineOutcome{stagework.EngineFailed}) {
-		t.Errorf("the owner is told %v", b.stages.outcomes)
+	f := newFixture(t)
+	f.upstream("llm", "other", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "id: 1\n\n") })
+	f.announceGone("llm")
+	f.stages.engine = "gone"
+	f.wantStatus(http.StatusOK, http.MethodPost, "/chat/", map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10"})
+	f.stages.mu.Lock()
+	defer f.stages.mu.Unlock()
+	if !slices.Equal(f.stages.outcomes, []stagework.EngineOutcome{stagework.EngineFailed}) {
+		t.Errorf("outcomes reported to the stage owner: %v", f.stages.outcomes)
 	}
 }
 
-// TestChosenEngineFetches tells the chosen engine, and no other, where it gets parts of
-// the prompt: an engine that takes the call in its place reads them.
+// TestChosenEngineFetches checks that only the chosen engine is told where to fetch parts of the prompt. An engine
+// that replaces it reads them itself.
 func TestChosenEngineFetches(t *testing.T) {
 	for _, c := range []struct {
 		path  string
 		fails bool
 	}{{"/chat/", false}, {"/quote/", false}, {"/quote/", true}} {
-		b := newFixture(t)
+		f := newFixture(t)
 		var mu sync.Mutex
 		told := map[string]string{}
 		for _, id := range []string{"chosen", "other"} {
-			b.upstream("llm", id, func(w http.ResponseWriter, r *http.Request) {
+			f.upstream("llm", id, func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
 				told[id] = r.Header.Get("Caperdrum-Fetch-From")
 				mu.Unlock()
@@ -706,11 +702,11 @@
 				fmt.Fprint(w, "id: 1\n\n")
 			})
 		}
-		b.stages.engine, b.stages.fetchFrom = "chosen", "10.0.0.9:80"
-		b.wantStatus(http.StatusOK, http.MethodPost, c.path, map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10", "Caperdrum-Pieces": "1", "Caperdrum-Fetch-From": "forged"})
+		f.stages.engine, f.stages.fetchFrom = "chosen", "10.0.0.9:80"
+		f.wantStatus(http.StatusOK, http.MethodPost, c.path, map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10", "Caperdrum-Pieces": "1", "Caperdrum-Fetch-From": "forged"})
 		mu.Lock()
 		if other, sent := told["other"]; told["chosen"] != "10.0.0.9:80" || other != "" || sent != c.fails {
-			t.Errorf("%+v: told %v", c, told)
+			t.Errorf("%+v: Caperdrum-Fetch-From by engine: %v", c, told)
 		}
 		mu.Unlock()
 	}
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -10,43 +10,42 @@
 	"caperdrum.org/node/quarantine"
 )
 
-// comeBackBarred is when the caller of a barred call is told to come back: there is no use in
-// it until an operator lifts the bar.
+// barredRetryAfter is the Retry-After of barred calls, which are refused until an operator lifts the bar.
 const barredRetryAfter = time.Minute
 
-// noReports stands for the leader until the service has control.
+// noReports is the report function until the service has a connection to control.
 func noReports(context.Context, *wire.CrashReport) error { return nil }
 
-// reportTo sends reports by send, and logs those that were not acknowledged; they are sent again.
+// reportTo wraps send to log reports that were not acknowledged. They are sent again.
 func (s *Service) reportTo(send func(context.Context, *wire.CrashReport) error) func(context.Context, *wire.CrashReport) error {
 	return func(ctx context.Context, r *wire.CrashReport) error {
 		err := send(ctx, r)
 		if err != nil {
-			s.log.Info("report of crashes not acknowledged", "crashes", len(r.Crashes), "answered", len(r.Answered), "error", err.Error())
+			s.log.Info("crash report not acknowledged", "crashes", len(r.Crashes), "answered", len(r.Answered), "error", err.Error())
 		}
 		return err
 	}
 }
 
-// copied is what other tries of the same call share with this one.
+// quarantineCall returns the part of the call that is the same in all its copies.
 func (x *exchange) quarantineCall() quarantine.Call {
 	return quarantine.Call{Customer: x.customerName(), Method: x.r.Method, Host: x.r.Host, Target: x.r.RequestURI, Body: x.body}
 }
 
-// broke has it found out why the call broke off at the upstream.
+// investigateBreak starts an inquiry into why the call's connection to the upstream broke.
 func (x *exchange) investigateBreak(m wire.Member) {
 	x.s.inquiries.Broke(quarantine.Broken{Call: x.quarantineCall(), Request: x.call.ID, Route: x.route.Name, Upstream: m})
 }
 
-// endedUnder reports that an upstream's process ended while it had a call. One that had said that
-// it leaves may end with calls.
+// upstreamCrashed reports that an upstream's process ended while it had a call. An upstream that announced that it
+// leaves may end with calls in progress.
 func (s *Service) upstreamCrashed(b quarantine.Broken) {
 	if s.table.Load().leaving(b.Upstream.Start()) {
 		return
 	}
 	upstreamCrashesVar.Add(b.Upstream.Service, 1)
 	sketch := b.Call.Sketch(b.Route)
-	s.log.Info("upstream ended under a call", "request", b.Request, "route", b.Route, "customer", b.Call.Customer, "fingerprint", sketch.Fingerprint,
+	s.log.Info("upstream crashed during a call", "request", b.Request, "route", b.Route, "customer", b.Call.Customer, "fingerprint", sketch.Fingerprint,
 		"upstream", b.Upstream.ID, "address", b.Upstream.Direct, "service", b.Upstream.Service)
 	if s.answers.Take(b.Call) {
 		s.reportCrash(&wire.CrashReport{Answered: []wire.CallSketch{sketch}})
@@ -60,36 +59,36 @@
 	s.reporter.Add(r)
 }
 
-// barred returns why the call must not reach an upstream, or nil.
+// checkBarred returns an error if the call is barred from upstreams, else nil.
 func (x *exchange) checkBarred() *verdict.Error {
 	if x.s.guard.Quiet() {
 		return nil
 	}
-	standing, f := x.s.guard.Check(x.quarantineCall(), x.s.stale())
+	standing, fingerprint := x.s.guard.Check(x.quarantineCall(), x.s.stale())
 	if standing != quarantine.Barred {
 		return nil
 	}
 	barredVar.Add(x.route.Name, 1)
-	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams have ended while they ran this call; it is in quarantine as %s", f).After(barredRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams crashed while they ran this call; it is in quarantine as %s", fingerprint).After(barredRetryAfter)
 }
 
-// suspected reports whether several upstreams have ended under the call. It then reaches one at most
-// each time that its caller sends it: each may be another one that ends.
+// isSuspect reports whether several upstreams crashed during the call. It is then sent to at most one upstream each
+// time that its caller sends it, as it may crash every one.
 func (x *exchange) isSuspect() bool {
 	standing, _ := x.s.guard.Check(x.quarantineCall(), true)
 	return standing != quarantine.Unsuspected
 }
 
-// clear remembers that an upstream has answered the call, and tells everybody where it is a suspect.
+// reportAnswered records that an upstream answered the call, and reports it if the call is a suspect.
 func (x *exchange) reportAnswered(a *attempt) {
 	if a.response.Status/100 != http.StatusOK/100 || !a.response.Framed() {
-		return // an answer that ends with its connection may be one that was cut
+		return // an answer delimited by the end of its connection may be incomplete
 	}
 	x.s.answers.Add(x.quarantineCall())
-	standing, f := x.s.guard.Check(x.quarantineCall(), true)
+	standing, fingerprint := x.s.guard.Check(x.quarantineCall(), true)
 	if standing == quarantine.Unsuspected {
 		return
 	}
-	x.s.log.Info("suspect answered", "request", x.call.ID, "route", x.route.Name, "customer", x.customerName(), "fingerprint", f, "upstream", a.member.ID)
+	x.s.log.Info("suspect call answered", "request", x.call.ID, "route", x.route.Name, "customer", x.customerName(), "fingerprint", fingerprint, "upstream", a.member.ID)
 	x.s.reportCrash(&wire.CrashReport{Answered: []wire.CallSketch{x.quarantineCall().Sketch(x.route.Name)}})
 }
--- a/node/proxy/quarantine_test.go
+++ b/node/proxy/quarantine_test.go
@@ -14,7 +14,7 @@
 	"caperdrum.org/node/quarantine"
 )
 
-// reports collects what a process reports.
+// reports collects the crash reports of a process.
 type reports struct {
 	mu   sync.Mutex
 	list []*wire.CrashReport
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// await returns all reports once they hold n crashes and answers.
+// await waits for n crashes and answers in total, and returns them.
 func (r *reports) await(t *testing.T, n int) (crashes []wire.Crash, answered []wire.CallSketch) {
 	t.Helper()
 	for range 400 {
@@ -46,18 +46,18 @@
 	return nil, nil
 }
 
-// reporting lets the bed's process report to the returned list.
-func (b *fixture) collectReports() *reports {
+// collectReports redirects the process's crash reports to the returned list.
+func (f *fixture) collectReports() *reports {
 	r := &reports{}
-	b.service.reporter = quarantine.NewReporter(r.take)
+	f.service.reporter = quarantine.NewReporter(r.take)
 	ctx, cancel := context.WithCancel(context.Background())
-	b.t.Cleanup(cancel)
-	go b.service.reporter.Run(ctx)
+	f.t.Cleanup(cancel)
+	go f.service.reporter.Run(ctx)
 	return r
 }
 
-// fragile adds an upstream that answers by h, which may end the upstream's process.
-func (b *fixture) crashingUpstream(id string, h func(w http.ResponseWriter, r *http.Request, end func())) {
+// crashingUpstream announces an upstream that answers by h, which may end the upstream's process.
+func (f *fixture) crashingUpstream(id string, h func(w http.ResponseWriter, r *http.Request, end func())) {
 	var srv *httptest.Server
 	srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderRequestID, r.Header.Get(wire.HeaderRequestID))
@@ -66,44 +66,44 @@
 			panic(http.ErrAbortHandler) // closes the connection
 		})
 	}))
-	b.t.Cleanup(srv.Close)
-	b.announce("desk", append(b.view.Announced["desk"], wire.Member{ID: wire.MemberID(id), Incarnation: 3, Service: "desk", Direct: srv.Listener.Addr().String()}))
+	f.t.Cleanup(srv.Close)
+	f.announce("desk", append(f.view.Announced["desk"], wire.Member{ID: wire.MemberID(id), Incarnation: 3, Service: "desk", Direct: srv.Listener.Addr().String()}))
 }
 
 func alwaysCrash(_ http.ResponseWriter, _ *http.Request, end func()) { end() }
 
-func (b *fixture) setSuspect(sketch wire.CallSketch, revision uint64, barred bool) {
-	b.view.Suspects = wire.Suspects{Revision: revision, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape, Barred: barred}}}
-	b.announce("desk", b.view.Announced["desk"])
+func (f *fixture) setSuspect(sketch wire.CallSketch, revision uint64, barred bool) {
+	f.view.Suspects = wire.Suspects{Revision: revision, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape, Barred: barred}}}
+	f.announce("desk", f.view.Announced["desk"])
 }
 
-// TestEndsAreReported tells an upstream that ends under a call from one that merely cuts an answer, and a call that was
-// answered before from one that was not.
+// TestEndsAreReported checks that an upstream that crashes during a call is reported, unlike one that only breaks the
+// connection, and that a call that was answered before is reported as answered.
 func TestEndsAreReported(t *testing.T) {
-	b := newFixture(t)
-	r := b.collectReports()
-	b.upstream("desk", "i-1", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	if resp, body, err := b.send(http.MethodPost, "/confirm/cut", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
+	f := newFixture(t)
+	r := f.collectReports()
+	f.upstream("desk", "i-1", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	if resp, body, err := f.send(http.MethodPost, "/confirm/cut", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Fatal(resp, body, err)
 	}
-	b.announce("desk", nil)
-	b.crashingUpstream("i-2", alwaysCrash)
-	if resp, body, err := b.send(http.MethodPost, "/confirm/fatal", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
+	f.announce("desk", nil)
+	f.crashingUpstream("i-2", alwaysCrash)
+	if resp, body, err := f.send(http.MethodPost, "/confirm/fatal", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Fatal(resp, body, err)
 	}
 	crashes, answered := r.await(t, 1)
 	if len(crashes) != 1 || len(answered) != 0 || crashes[0].Upstream != (wire.Start{ID: "i-2", Incarnation: 3}) || crashes[0].Calls[0].Route != "confirm" || crashes[0].Calls[0].Customer != "foundry" {
 		t.Fatalf("%+v, %+v", crashes, answered)
 	}
-	b.announce("desk", nil)
+	f.announce("desk", nil)
 	var ends atomic.Bool
-	b.crashingUpstream("i-3", func(_ http.ResponseWriter, _ *http.Request, end func()) {
+	f.crashingUpstream("i-3", func(_ http.ResponseWriter, _ *http.Request, end func()) {
 		if ends.Load() {
 			end()
 		}
 	})
 	for _, status := range []int{http.StatusOK, http.StatusBadGateway} {
-		if resp, body, err := b.send(http.MethodPost, "/confirm/innocent", nil); err != nil || resp.StatusCode != status {
+		if resp, body, err := f.send(http.MethodPost, "/confirm/innocent", nil); err != nil || resp.StatusCode != status {
 			t.Fatal(resp, body, err)
 		}
 		ends.Store(true)
@@ -113,83 +113,83 @@
 	}
 }
 
-// TestBarredCallReachesNoUpstream bars a call before it comes and while its stages are made. It is refused as not run at once,
-// with no invitation to come back soon; the same body of another path is served.
+// TestBarredCallReachesNoUpstream bars a call while its stages run. It must be refused as not run, without a short
+// Retry-After, and refused before its stages the next time. The same body with another path is served.
 func TestBarredCallReachesNoUpstream(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	var arrived atomic.Int32
-	b.upstream("llm", "i-1", func(w http.ResponseWriter, r *http.Request) { arrived.Add(1) })
+	f.upstream("llm", "i-1", func(w http.ResponseWriter, r *http.Request) { arrived.Add(1) })
 	call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/quote/1", Body: []byte("body")}
 	expect := func(path string, status int) {
 		t.Helper()
-		resp, body, err := b.send(http.MethodPost, path, map[string]string{"Caperdrum-Pieces": "1"})
+		resp, body, err := f.send(http.MethodPost, path, map[string]string{"Caperdrum-Pieces": "1"})
 		if err != nil || resp.StatusCode != status {
 			t.Fatal(resp, body, err)
 		}
 		if after := resp.Header.Get("Retry-After"); status == http.StatusServiceUnavailable && after != "60.00" {
-			t.Fatalf("told to come back after %q: %s", after, body)
+			t.Fatalf("Retry-After is %q: %s", after, body)
 		}
 	}
 	sketch := call.Sketch("quote")
 	barred := wire.Suspects{Revision: 1, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape, Barred: true}}}
-	b.stages.before = func() { b.service.guard.Follow(barred) }
+	f.stages.before = func() { f.service.guard.Follow(barred) }
 	expect("/quote/1", http.StatusServiceUnavailable)
-	made := len(b.stages.jobs)
+	made := len(f.stages.jobs)
 	expect("/quote/1", http.StatusServiceUnavailable)
-	if n := arrived.Load(); n != 0 || len(b.stages.jobs) != made {
-		t.Fatalf("%d arrived, stages of %d", n, len(b.stages.jobs)-made)
+	if n := arrived.Load(); n != 0 || len(f.stages.jobs) != made {
+		t.Fatalf("%d calls arrived, stages of %d ran", n, len(f.stages.jobs)-made)
 	}
 	expect("/quote/2", http.StatusOK)
 }
 
-// TestCallIsEndedWhenItIsBarred has a call wait at its upstream while it is barred.
+// TestCallIsEndedWhenItIsBarred bars a call while it waits at its upstream.
 func TestCallIsEndedWhenItIsBarred(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	left := make(chan struct{})
-	b.upstream("desk", "i-1", func(w http.ResponseWriter, r *http.Request) {
+	f.upstream("desk", "i-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/confirm/1" {
-			io.Copy(io.Discard, r.Body) // a server notices that its caller left once it has read all
+			io.Copy(io.Discard, r.Body) // an HTTP server notices that its client left only after it has read the body
 			call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/confirm/1", Body: []byte("body")}
-			b.setSuspect(call.Sketch("confirm"), 1, true)
+			f.setSuspect(call.Sketch("confirm"), 1, true)
 			<-r.Context().Done()
 			close(left)
 		}
 	})
-	if resp, body, err := b.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
+	if resp, body, err := f.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Fatal(resp, body, err)
 	}
 	<-left
-	if resp, body, err := b.send(http.MethodPost, "/confirm/2", nil); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, body, err := f.send(http.MethodPost, "/confirm/2", nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, body, err)
 	}
 }
 
-// TestStreamThatIsAnsweredGoesOn bars a call while its stream is under way.
+// TestStreamThatIsAnsweredGoesOn bars a call while its stream is being answered.
 func TestStreamThatIsAnsweredGoesOn(t *testing.T) {
-	b := newFixture(t)
-	b.upstream("llm", "i-1", func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t)
+	f.upstream("llm", "i-1", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "id: 1\ndata: a\n\n")
 		http.NewResponseController(w).Flush()
-		for b.service.running.answering() == 0 {
+		for f.service.running.answering() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/quote/1", Body: []byte("body")}
-		b.service.guard.Follow(wire.Suspects{Revision: 1, List: []wire.Suspect{{Fingerprint: call.Fingerprint(), Shape: call.Shape(), Barred: true}}})
-		b.service.running.cancelBarred()
+		f.service.guard.Follow(wire.Suspects{Revision: 1, List: []wire.Suspect{{Fingerprint: call.Fingerprint(), Shape: call.Shape(), Barred: true}}})
+		f.service.running.cancelBarred()
 		select {
 		case <-r.Context().Done():
-		case <-time.After(50 * time.Millisecond): // a call that is ended closes its connection before
+		case <-time.After(50 * time.Millisecond): // a cancelled call would have closed its connection by now
 			io.WriteString(w, "id: 2\ndata: b\n\n")
 		}
 	})
-	resp, body, err := b.send(http.MethodPost, "/quote/1", map[string]string{"Caperdrum-Pieces": "1"})
+	resp, body, err := f.send(http.MethodPost, "/quote/1", map[string]string{"Caperdrum-Pieces": "1"})
 	if err != nil || resp.StatusCode != http.StatusOK || body != "id: 1\ndata: a\n\nid: 2\ndata: b\n\n" {
 		t.Fatal(resp, body, err)
 	}
 }
 
-// answering counts the calls that an upstream has begun to answer.
+// answering returns the number of calls that an upstream has begun to answer.
 func (r *running) answering() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -202,22 +202,23 @@
 	return n
 }
 
-// TestSuspectThatMeetsAnotherUpstream has the address of an upstream be another's: a suspect is refused as not run, others go on.
+// TestSuspectThatMeetsAnotherUpstream has other upstreams answer at the announced addresses: a suspect is refused as
+// not run after one attempt, other calls try further upstreams.
 func TestSuspectThatMeetsAnotherUpstream(t *testing.T) {
 	for _, suspect := range []bool{false, true} {
-		b := newFixture(t)
+		f := newFixture(t)
 		var arrived atomic.Int32
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
-			b.upstream("desk", id, func(w http.ResponseWriter, _ *http.Request) {
+			f.upstream("desk", id, func(w http.ResponseWriter, _ *http.Request) {
 				arrived.Add(1)
 				w.WriteHeader(http.StatusMisdirectedRequest)
 			})
 		}
 		if suspect {
 			call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/reserve/1", Body: []byte("body")}
-			b.setSuspect(call.Sketch("reserve"), 1, false)
+			f.setSuspect(call.Sketch("reserve"), 1, false)
 		}
-		if resp, body, err := b.send(http.MethodPost, "/reserve/1", nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+		if resp, body, err := f.send(http.MethodPost, "/reserve/1", nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatal(resp, body, err)
 		}
 		if want := map[bool]int32{false: 3, true: 1}[suspect]; arrived.Load() != want {
@@ -226,42 +227,42 @@
 	}
 }
 
-// TestSuspectIsNotRepeated ends an upstream under a call that may be repeated: it is, unless it is a suspect.
+// TestSuspectIsNotRepeated crashes upstreams during a repeatable call: it must be repeated unless it is a suspect.
 func TestSuspectIsNotRepeated(t *testing.T) {
 	for _, suspect := range []bool{false, true} {
-		b := newFixture(t)
+		f := newFixture(t)
 		var ended atomic.Int32
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
-			b.crashingUpstream(id, func(w http.ResponseWriter, r *http.Request, end func()) {
+			f.crashingUpstream(id, func(w http.ResponseWriter, r *http.Request, end func()) {
 				ended.Add(1)
 				end()
 			})
 		}
 		if suspect {
 			call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/reserve/1", Body: []byte("body")}
-			b.setSuspect(call.Sketch("reserve"), 1, false)
+			f.setSuspect(call.Sketch("reserve"), 1, false)
 		}
-		if resp, body, err := b.send(http.MethodPost, "/reserve/1", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
+		if resp, body, err := f.send(http.MethodPost, "/reserve/1", nil); err != nil || resp.StatusCode != http.StatusBadGateway {
 			t.Fatal(resp, body, err)
 		}
 		if want := map[bool]int32{false: 2, true: 1}[suspect]; ended.Load() != want {
-			t.Errorf("suspect %v: %d upstreams have ended, want %d", suspect, ended.Load(), want)
+			t.Errorf("suspect %v: %d upstreams crashed, want %d", suspect, ended.Load(), want)
 		}
 	}
 }
 
-// TestAnswerClearsASuspect answers a suspect; another one of the same shape is not cleared by that.
+// TestAnswerClearsASuspect checks that an answer clears a suspect, but no other suspect of the same shape.
 func TestAnswerClearsASuspect(t *testing.T) {
-	b := newFixture(t)
-	r := b.collectReports()
-	b.upstream("desk", "i-1", func(w http.ResponseWriter, r *http.Request) {})
+	f := newFixture(t)
+	r := f.collectReports()
+	f.upstream("desk", "i-1", func(w http.ResponseWriter, r *http.Request) {})
 	call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/confirm/1", Body: []byte("body")}
 	other := call
 	other.Body = []byte("ydob")
-	b.setSuspect(other.Sketch("confirm"), 1, false)
+	f.setSuspect(other.Sketch("confirm"), 1, false)
 	for i, sketch := range []wire.CallSketch{other.Sketch("confirm"), call.Sketch("confirm")} {
-		b.setSuspect(sketch, uint64(i+1), false)
-		if resp, body, err := b.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusOK {
+		f.setSuspect(sketch, uint64(i+1), false)
+		if resp, body, err := f.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, body, err)
 		}
 	}
--- a/node/proxy/ready.go
+++ b/node/proxy/ready.go
@@ -7,13 +7,11 @@
 	"caperdrum.org/node/logging"
 )
 
-// ownerSilence is how long the owner of the stage queues may be silent until this
-// process takes no new connections. Above the time in which another owner is
-// named, 400 ms, so that all processes do not leave the rotation at once.
+// maxOwnerSilence is how long the stage owner may be silent before this process takes no new connections. It is above
+// the 400 ms in which another owner is named, so that all processes do not become unready at once.
 const maxOwnerSilence = 1200 * time.Millisecond
 
-// notReady says why this process should get no new connections; empty when it
-// should.
+// notReady returns why this process should get no new connections, or an empty string if it should.
 func (s *Service) notReady() string {
 	t := s.table.Load()
 	switch {
@@ -22,14 +20,14 @@
 	case !t.configured():
 		return "no configuration yet"
 	case s.views.StampAge() > s.set.Proxy.KeyAge:
-		return "no confirmation by a quorum"
+		return "no recent confirmation by a quorum"
 	case s.stages.Silent() > maxOwnerSilence:
-		return "the owner of the stages does not answer"
+		return "the stage owner does not answer"
 	}
 	return ""
 }
 
-// answerReady tells a balancer whether this process takes new connections.
+// serveReady tells a load balancer whether this process takes new connections.
 func (s *Service) serveReady(w http.ResponseWriter, _ *http.Request) {
 	why := s.notReady()
 	old := s.notReadyReason.Swap(&why)
--- a/node/proxy/regions_test.go
+++ b/node/proxy/regions_test.go
@@ -9,8 +9,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestCallsStayInTheirRegions binds routes and a customer to regions: upstreams elsewhere get no calls, also
-// no repeats, and a call that nobody may serve is refused at once.
+// TestCallsStayInTheirRegions restricts routes and a customer to regions: upstreams elsewhere must get no calls and
+// no repeats, and a call without any eligible upstream is refused at once.
 func TestCallsStayInTheirRegions(t *testing.T) {
 	const dataCenters = "\n[data_center:d-east]\nregion = east\n[data_center:d-west]\nregion = west\n"
 	for name, c := range map[string]struct {
@@ -18,14 +18,14 @@
 		east, west      int // calls that reach upstreams there
 		status          int
 	}{
-		"a route in the east":                    {"regions = east", "", 1, 0, http.StatusInternalServerError},
-		"a customer in the west":                 {"", "regions = west", 0, 1, http.StatusInternalServerError},
-		"both":                                   {"regions = east, west", "regions = west", 0, 1, http.StatusInternalServerError},
-		"a route and a customer without a place": {"regions = east", "regions = west", 0, 0, http.StatusServiceUnavailable},
-		"neither":                                {"", "", 1, 1, http.StatusInternalServerError},
+		"a route in the east":    {"regions = east", "", 1, 0, http.StatusInternalServerError},
+		"a customer in the west": {"", "regions = west", 0, 1, http.StatusInternalServerError},
+		"both":                   {"regions = east, west", "regions = west", 0, 1, http.StatusInternalServerError},
+		"a route and a customer without a common region": {"regions = east", "regions = west", 0, 0, http.StatusServiceUnavailable},
+		"neither": {"", "", 1, 1, http.StatusInternalServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t)
+			f := newFixture(t)
 			config, err := optext.Parse("text", []byte(fmt.Sprintf(`
 [service:desk]
 kind = plain
@@ -45,15 +45,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.view.Config = config
+			f.view.Config = config
 			var east, west callCounter
 			fails := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
-			b.upstream("desk", "e", east.count(fails))
-			b.upstream("desk", "w", west.count(fails))
-			list := append([]wire.Member{}, b.view.Announced["desk"]...)
+			f.upstream("desk", "e", east.count(fails))
+			f.upstream("desk", "w", west.count(fails))
+			list := append([]wire.Member{}, f.view.Announced["desk"]...)
 			list[0].DataCenter, list[1].DataCenter = "d-east", "d-west"
-			b.announce("desk", list)
-			b.wantStatus(c.status, http.MethodPost, "/reserve/", nil)
+			f.announce("desk", list)
+			f.wantStatus(c.status, http.MethodPost, "/reserve/", nil)
 			if int(east.n.Load()) != c.east || int(west.n.Load()) != c.west {
 				t.Fatalf("%d calls in the east, %d in the west, want %d and %d", east.n.Load(), west.n.Load(), c.east, c.west)
 			}
--- a/node/proxy/repeat_test.go
+++ b/node/proxy/repeat_test.go
@@ -12,13 +12,12 @@
 	"caperdrum.org/node/memberset"
 )
 
-// The incident: a service got more calls beyond the first of each request than are allowed
-// (see package retry). Two kinds of them asked for no leave: a call whose stage results were gone
-// at the engine went there again once they were made anew, and one that met another upstream at an
-// address went to the next one, up to three times. So one lost upstream of a stage, or addresses
-// that were used again, could double the calls of a service whatever the limit was.
+// These tests guard against repeats that bypass the quota (see package retry). Two kinds once did: a call whose stage
+// results were lost was sent again after the stages had run once more, and a call that met another upstream at an
+// address was sent to up to three further ones. One lost stage upstream, or reused addresses, could so double the calls
+// of a service whatever its limit.
 
-// arrivals counts what upstreams get by the id of the request, rejected or not.
+// arrivals counts the calls that reach upstreams by request ID, including those that they reject.
 type arrivals struct {
 	mu sync.Mutex
 	by map[string]int
@@ -33,7 +32,7 @@
 	}
 }
 
-// beyondFirst is how many of them were not the first of their request.
+// beyondFirst returns the number of arrivals that were not the first of their request.
 func (a *arrivals) beyondFirst() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -44,8 +43,8 @@
 	return n
 }
 
-// TestNothingIsSentAgainBeyondTheLimit sends calls that no upstream runs, each for another
-// reason, within one window, and counts as the users do.
+// TestNothingIsSentAgainBeyondTheLimit sends calls that no upstream runs, for different reasons, within one window, and
+// counts repeats as the users do.
 func TestNothingIsSentAgainBeyondTheLimit(t *testing.T) {
 	const calls = 400
 	refuse := func(status int) http.HandlerFunc {
@@ -58,25 +57,25 @@
 		path string
 		h    http.HandlerFunc
 	}{
-		"results of the stages are gone":      {"/quote/", refuse(http.StatusConflict)},
-		"and of calls that have one attempt":  {"/chat/", refuse(http.StatusConflict)},
-		"upstreams are full":                  {"/reserve/", refuse(http.StatusServiceUnavailable)},
-		"upstreams break off":                 {"/reserve/", breakOff},
-		"addresses are used by others by now": {"/reserve/", refuse(http.StatusMisdirectedRequest)},
+		"stage results are lost":                        {"/quote/", refuse(http.StatusConflict)},
+		"stage results are lost, with one attempt only": {"/chat/", refuse(http.StatusConflict)},
+		"upstreams are full":                            {"/reserve/", refuse(http.StatusServiceUnavailable)},
+		"connections break":                             {"/reserve/", breakOff},
+		"addresses were reused by other upstreams":      {"/reserve/", refuse(http.StatusMisdirectedRequest)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t)
+			f := newFixture(t)
 			seen := &arrivals{by: map[string]int{}}
-			limit := b.service.set.Proxy
+			limit := f.service.set.Proxy
 			for _, service := range []string{"desk", "llm"} {
-				b.upstream(service, service, seen.count(c.h))
+				f.upstream(service, service, seen.count(c.h))
 			}
 			for i := range calls {
-				for _, service := range []string{"desk", "llm"} { // others are announced meanwhile
-					b.replaceAtSameAddress(service, fmt.Sprint(service, "-", i))
+				for _, service := range []string{"desk", "llm"} { // so that each call finds untried upstreams
+					f.replaceAtSameAddress(service, fmt.Sprint(service, "-", i))
 				}
-				if _, _, err := b.send(http.MethodPost, c.path, map[string]string{wire.HeaderRequestID: fmt.Sprint("call-", i), "Caperdrum-Pieces": "1", "Caperdrum-Piece-Key": "k"}); err != nil {
+				if _, _, err := f.send(http.MethodPost, c.path, map[string]string{wire.HeaderRequestID: fmt.Sprint("call-", i), "Caperdrum-Pieces": "1", "Caperdrum-Piece-Key": "k"}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -87,32 +86,32 @@
 	}
 }
 
-// startAgain announces that four others have taken the place of a service's upstreams, at the
-// same address.
-func (b *fixture) replaceAtSameAddress(service, id string) {
-	address := b.view.Announced[service][0].Direct
+// replaceAtSameAddress announces four new upstreams in place of a service's upstreams, all at the address of the
+// first one.
+func (f *fixture) replaceAtSameAddress(service, id string) {
+	address := f.view.Announced[service][0].Direct
 	var list []wire.Member
 	for k := range 4 {
 		list = append(list, wire.Member{ID: wire.MemberID(fmt.Sprint(id, "-", k)), Service: service, Direct: address})
 	}
-	b.announce(service, list)
+	f.announce(service, list)
 }
 
-// TestStartThatIsNoMemberHasNoPart lets calls fail at a process whose view does not hold this
-// start of it: what its predecessor has repeated still counts.
+// TestStartThatIsNoMemberHasNoPart has calls fail at a process whose view does not contain its incarnation. It must not
+// repeat them: the repeats of its earlier incarnation still count.
 func TestStartThatIsNoMemberHasNoPart(t *testing.T) {
 	for name, members := range map[string][]wire.Member{
-		"it has not joined":           {},
-		"its predecessor is a member": {{ID: "proxy-1", Peer: "127.0.0.1:1"}},
+		"it has not joined":                   {},
+		"its earlier incarnation is a member": {{ID: "proxy-1", Peer: "127.0.0.1:1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t)
-			b.view.Members, b.view.Peers = memberset.Of(members...), members
+			f := newFixture(t)
+			f.view.Members, f.view.Peers = memberset.Of(members...), members
 			var n callCounter
-			b.upstream("desk", "d1", n.count(breakOff))
-			b.upstream("desk", "d2", n.count(breakOff))
-			b.clock.Advance(time.Minute)
-			b.wantStatus(http.StatusBadGateway, http.MethodPost, "/reserve/", nil)
+			f.upstream("desk", "d1", n.count(breakOff))
+			f.upstream("desk", "d2", n.count(breakOff))
+			f.clock.Advance(time.Minute)
+			f.wantStatus(http.StatusBadGateway, http.MethodPost, "/reserve/", nil)
 			if n.n.Load() != 1 {
 				t.Fatalf("%d calls of upstreams", n.n.Load())
 			}
@@ -120,47 +119,48 @@
 	}
 }
 
-// TestResultsThatAreLostTwice: the call is made once more, and then refused at once as not run.
+// TestResultsThatAreLostTwice checks that a call whose stage results are lost is sent once more and then refused as not
+// run.
 func TestResultsThatAreLostTwice(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	var n callCounter
 	for _, id := range []string{"e1", "e2", "e3"} {
-		b.upstream("llm", id, n.count(func(w http.ResponseWriter, _ *http.Request) {
+		f.upstream("llm", id, n.count(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(wire.HeaderVerdict, "not-run")
 			w.WriteHeader(http.StatusConflict)
 		}))
 	}
-	b.wantStatus(http.StatusServiceUnavailable, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "1", "Caperdrum-Piece-Key": "k"})
-	if n.n.Load() != 2 || len(b.stages.jobs) != 2 || b.stages.released != 2 {
-		t.Fatalf("%d calls of engines, %d jobs, %d released", n.n.Load(), len(b.stages.jobs), b.stages.released)
+	f.wantStatus(http.StatusServiceUnavailable, http.MethodPost, "/quote/", map[string]string{"Caperdrum-Pieces": "1", "Caperdrum-Piece-Key": "k"})
+	if n.n.Load() != 2 || len(f.stages.jobs) != 2 || f.stages.released != 2 {
+		t.Fatalf("%d calls of engines, %d jobs, %d released", n.n.Load(), len(f.stages.jobs), f.stages.released)
 	}
 }
 
-// TestConnectionsAreSharedWithThoseSeenLately lets most processes vanish from the view: they may
-// be cut off and keep their connections, so this one's part grows only when that can't be.
+// TestConnectionsAreSharedWithThoseSeenLately removes most processes from the view. They may be partitioned and keep
+// their connections, so this process's share may grow only when that is excluded.
 func TestConnectionsAreSharedWithThoseSeenLately(t *testing.T) {
-	b := newFixture(t)
-	self := b.views.Self()
+	f := newFixture(t)
+	self := f.views.Self()
 	see := func(n int) {
-		next := b.view
+		next := f.view
 		next.Peers = []wire.Member{self}
 		for i := range n - 1 {
 			id := wire.MemberID(fmt.Sprint("other-", i))
 			next.Peers = append(next.Peers, wire.Member{ID: id, Peer: "127.0.0.1:2"})
 		}
 		next.Members = memberset.Of(next.Peers...)
-		b.service.applyView(&next)
+		f.service.applyView(&next)
 	}
-	x := &exchange{s: b.service, service: &optext.Service{}}
+	x := &exchange{s: f.service, service: &optext.Service{}}
 	x.service.MaxConnections = 40
 	see(9)
-	b.clock.Advance(time.Minute)
+	f.clock.Advance(time.Minute)
 	see(1)
-	x.table = b.service.table.Load()
+	x.table = f.service.table.Load()
 	if n := x.maxConnections(); n != 4 {
-		t.Errorf("%d connections right after the others vanished", n)
+		t.Errorf("%d connections right after the other processes vanished", n)
 	}
-	b.clock.Advance(time.Minute)
+	f.clock.Advance(time.Minute)
 	if n := x.maxConnections(); n != 20 {
 		t.Errorf("%d connections a minute later", n)
 	}
--- a/node/proxy/restart_test.go
+++ b/node/proxy/restart_test.go
@@ -7,9 +7,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestUpstreamThatStartsAgainIsNew lets an upstream fail a call, have another under way
-// and start again: it is not passed over for what its earlier start did, may be
-// tried by a call that its earlier start has failed, and is told apart once.
+// TestUpstreamThatStartsAgainIsNew restarts an upstream that failed a call and has another in progress. Its new
+// incarnation must not be avoided for earlier failures, may be tried by a call that the earlier one failed, and is
+// reported as restarted once.
 func TestUpstreamThatStartsAgainIsNew(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEndpoints(noNotices())
@@ -18,8 +18,8 @@
 			{ID: "u", Service: "s", Direct: "10.0.0.1:80", DataCenter: "d", Incarnation: incarnation},
 			{ID: "v", Service: "s", Direct: "10.0.0.2:80", DataCenter: "e", Incarnation: 1}}}
 	}
-	if again := e.update(members(1)); len(again) != 0 {
-		t.Fatalf("%v have started again", again)
+	if restarted := e.update(members(1)); len(restarted) != 0 {
+		t.Fatalf("%v restarted", restarted)
 	}
 	before := members(1)["s"][0]
 	here := criteria{dataCenter: "d", tried: []wire.Start{before.Start()}}
@@ -29,21 +29,21 @@
 	if m, _ := e.peek(members(1)["s"], here, now); m.ID != "v" {
 		t.Fatalf("%s is tried again", m.ID)
 	}
-	if again := e.update(members(2)); len(again) != 1 || again[0] != before.Direct {
-		t.Fatalf("%v have started again", again)
+	if restarted := e.update(members(2)); len(restarted) != 1 || restarted[0] != before.Direct {
+		t.Fatalf("%v restarted", restarted)
 	}
-	if again := e.update(members(2)); len(again) != 0 {
-		t.Fatalf("%v have started again, once more", again)
+	if restarted := e.update(members(2)); len(restarted) != 0 {
+		t.Fatalf("%v reported as restarted again", restarted)
 	}
 	if m, _ := e.peek(members(2)["s"], here, now); m.ID != "u" {
-		t.Fatalf("%s is taken, not the one that has started again", m.ID)
+		t.Fatalf("%s was chosen, not the restarted upstream", m.ID)
 	}
-	e.release(before.Start(), callFailed, now) // of a call of the start before
+	e.release(before.Start(), callFailed, now) // of a call of the earlier incarnation
 	after := members(2)["s"][0]
 	if got := e.callsInFlight(after.Start()); got != 0 {
-		t.Fatalf("%d calls count at the next start", got)
+		t.Fatalf("%d calls are counted at the new incarnation", got)
 	}
 	if m, _ := e.peek(members(2)["s"], here, now); m.ID != "u" {
-		t.Fatal("a failure of the start before counts")
+		t.Fatal("a failure of the earlier incarnation counts")
 	}
 }
--- a/node/proxy/rollout_test.go
+++ b/node/proxy/rollout_test.go
@@ -8,7 +8,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// trialList are four upstreams of each of two versions.
+// versionedUpstreams returns four upstreams of each of two versions.
 func versionedUpstreams() []wire.Member {
 	var list []wire.Member
 	for i := range 4 {
@@ -25,8 +25,8 @@
 	return wire.Rollouts{Revision: 1, List: []wire.Rollout{{Service: "desk", Target: "v2", State: wire.RolloutRunning, Share: share, Replaced: []string{"v1"}, Order: 1, Revision: 1}}}
 }
 
-// TestTargetGetsItsShare sends calls while a service is rolled out: the target gets its share, at the one
-// upstream that then bears the load of one.
+// TestTargetGetsItsShare checks that the target of a rollout gets its share of the calls, all at one upstream, which
+// then carries the normal load of one upstream.
 func TestTargetGetsItsShare(t *testing.T) {
 	for _, share := range []float64{0, 0.05, 0.2} {
 		e := newEndpoints(noNotices())
@@ -37,7 +37,7 @@
 			now := time.Unix(1000, int64(i))
 			m, ok := e.acquire(versionedUpstreams(), criteria{dataCenter: "north"}, now)
 			if !ok {
-				t.Fatal("took none")
+				t.Fatal("no upstream was chosen")
 			}
 			e.release(m.Start(), callAnswered, now)
 			sent[m.Version]++
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestOwnersChoiceIsCountedOnce has the owner of the stages choose engines: its choice is taken, also one of
-// the target, and a call whose engine cannot be had goes to the versions that serve already.
+// TestOwnersChoiceIsCountedOnce checks that an engine chosen by the stage owner gets the call even if it belongs to the
+// target, and that a call whose chosen engine is unavailable goes to the stable versions.
 func TestOwnersChoiceIsCountedOnce(t *testing.T) {
 	e := newEndpoints(noNotices())
 	e.setRollouts(rolloutWithShare(0.05))
@@ -65,18 +65,18 @@
 		c := criteria{dataCenter: "north", chosen: wire.MemberID(fmt.Sprint("i-", i%4, "v2"))}
 		m, ok := e.acquire(versionedUpstreams(), c, now)
 		if !ok || m.ID != c.chosen {
-			t.Fatalf("took %q in place of the owner's choice %q", m.ID, c.chosen)
+			t.Fatalf("chose %q instead of the owner's choice %q", m.ID, c.chosen)
 		}
 		e.release(m.Start(), callUnknown, now)
 		c.tried = []wire.Start{m.Start()}
 		if m, ok := e.acquire(versionedUpstreams(), c, now); !ok || m.Version != "v1" {
-			t.Fatalf("the second try went to %q of %s", m.ID, m.Version)
+			t.Fatalf("the second attempt went to %q of version %s", m.ID, m.Version)
 		}
 	}
 }
 
-// TestTargetAlone leaves only the target's upstreams: beyond its share it gets nothing, since nobody knows
-// whether it is sound.
+// TestTargetAlone checks that the target gets nothing beyond its share even if it is the only version left, as it may be
+// faulty.
 func TestTargetAlone(t *testing.T) {
 	e := newEndpoints(noNotices())
 	e.setRollouts(rolloutWithShare(0.05))
@@ -87,6 +87,6 @@
 		}
 	}
 	if m, ok := e.acquire(list, criteria{}, time.Unix(1000, 0)); ok {
-		t.Fatalf("took %q", m.ID)
+		t.Fatalf("chose %q", m.ID)
 	}
 }
--- a/node/proxy/running.go
+++ b/node/proxy/running.go
@@ -7,7 +7,7 @@
 	"caperdrum.org/api/verdict"
 )
 
-// running are the calls that are under way.
+// running is the set of calls in progress.
 type running struct {
 	mu    sync.Mutex
 	calls map[*exchange]context.CancelCauseFunc
@@ -15,8 +15,7 @@
 
 func newRunning() *running { return &running{calls: map[*exchange]context.CancelCauseFunc{}} }
 
-// add returns a context that ends when the call is barred, and the function that takes the call
-// out again.
+// add adds a call. It returns a context that is cancelled when the call is barred, and a function that removes the call.
 func (r *running) add(ctx context.Context, x *exchange) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	r.mu.Lock()
@@ -30,8 +29,8 @@
 	}
 }
 
-// endBarred ends the calls that are barred by now: one that still waits at its upstream does not
-// end it then. One that is being answered runs already.
+// cancelBarred cancels the calls that are now barred, so that those still queued at their upstream do not crash it. A call
+// that is being answered already runs and is left alone.
 func (r *running) cancelBarred() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +44,7 @@
 	}
 }
 
-// barredMeanwhile returns why the call was ended because it was barred, or nil.
+// barredCause returns the error with which the call was cancelled as barred, or nil.
 func barredCause(ctx context.Context) *verdict.Error {
 	err, _ := context.Cause(ctx).(*verdict.Error)
 	return err
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -18,12 +18,12 @@
 	"caperdrum.org/node/upstream"
 )
 
-// attempt is one call of an upstream.
+// attempt is one call sent to an upstream.
 type attempt struct {
 	member   wire.Member
-	response *upstream.Response // nil when there was none
-	err      *verdict.Error     // why there was none, or why it counts as none
-	latency  time.Duration      // until the answer began
+	response *upstream.Response // nil if there was none
+	err      *verdict.Error     // why there is no usable answer; nil if there is one
+	latency  time.Duration      // time until the answer began
 }
 
 // notRun reports whether the upstream has not run the call and never will.
@@ -34,20 +34,18 @@
 	return a.response != nil && a.response.Status == http.StatusMisdirectedRequest
 }
 
-// maxUnsent bounds how many upstreams that cannot be reached, or that left
-// their address, a call tries beside those it is sent to.
+// maxUnsentAttempts bounds how many unreachable or replaced upstreams a call tries in addition to its attempts.
 const maxUnsentAttempts = 3
 
-// send sends the call to an upstream. One that could not be reached at all is
-// replaced by another; one that has left its address, which has got the call, as far as the
-// quota of repeats goes.
+// send sends the call to an upstream. If the upstream cannot be reached, another one is tried. If another upstream
+// answers at its address, which has then received the call, another one is tried as far as the repeat quota allows.
 func (x *exchange) send(ctx context.Context, tried *[]wire.Start, c criteria, lastEvent string) *attempt {
 	for unsent := 0; ; unsent++ {
 		if err := x.checkBarred(); err != nil {
 			return &attempt{err: err}
 		}
 		c.tried = *tried
-		// The stages may have taken seconds: an upstream may have left meanwhile.
+		// Read again each time: upstreams may have left during the stages, which can take seconds.
 		list := x.eligibleUpstreams(x.service.Name)
 		m, ok := x.s.endpoints.acquire(list, c, time.Now())
 		if !ok {
@@ -59,7 +57,7 @@
 			x.discard(a, callMoved)
 			x.s.inquiries.Ended(m.Start())
 			x.setEngineOutcome(m, stagework.EngineFailed)
-			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstream, "another upstream has the address of %s", m.ID).After(defaultRetryAfter)}
+			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstream, "another upstream answered at the address of %s", m.ID).After(defaultRetryAfter)}
 			if unsent < maxUnsentAttempts && ctx.Err() == nil && x.allowRepeat(addressMoved) {
 				continue
 			}
@@ -119,14 +117,15 @@
 	return a
 }
 
-// report notes what the owner of the stages is told of the engine that it chose, also where another one takes the call.
+// setEngineOutcome records what is reported to the stage owner about the engine that it chose, even if another engine
+// serves the call.
 func (x *exchange) setEngineOutcome(m wire.Member, outcome stagework.EngineOutcome) {
 	if m.ID == x.engine {
 		x.engineOutcome = outcome
 	}
 }
 
-// outcomeOf is what the owner of the stages is told of an engine at which an attempt failed.
+// engineOutcomeOf returns what is reported to the stage owner about an engine at which an attempt failed.
 func engineOutcomeOf(err error) stagework.EngineOutcome {
 	if upstream.Unreached(err) {
 		return stagework.EngineUnreached
@@ -134,12 +133,12 @@
 	return stagework.EngineFailed
 }
 
-// pause is how long it takes until an upstream of the service wants calls again, where none does.
+// upstreamPause returns the time until the first upstream of the service accepts calls again, or zero if one does now.
 func (x *exchange) upstreamPause() time.Duration {
 	return x.s.notices.LeastPause(x.s.table.Load().announced[x.service.Name])
 }
 
-// hopeless returns why there is no use in having the stages of the call done, or nil.
+// checkServable returns an error if running the stages of the call would be pointless, else nil.
 func (x *exchange) checkServable() *verdict.Error {
 	if err := x.checkBarred(); err != nil {
 		return err
@@ -150,7 +149,7 @@
 	return x.checkRegions()
 }
 
-// upstreams are those of a service that may serve the call, as far as is known now.
+// eligibleUpstreams returns the service's currently announced upstreams in data centres that the call may use.
 func (x *exchange) eligibleUpstreams(service string) []wire.Member {
 	list := x.s.table.Load().announced[service]
 	if !x.allowed.Bound {
@@ -159,7 +158,7 @@
 	return slices.DeleteFunc(slices.Clone(list), func(m wire.Member) bool { return !x.allowed.Has(m.DataCenter) })
 }
 
-// nowhere returns why no upstream may serve a call that is bound to regions, or nil.
+// checkRegions returns an error if a service of the call has no upstream in the regions to which the call is restricted.
 func (x *exchange) checkRegions() *verdict.Error {
 	if !x.allowed.Bound {
 		return nil
@@ -172,23 +171,23 @@
 	}
 	for _, service := range services {
 		if len(x.eligibleUpstreams(service)) == 0 {
-			return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, where the call may be served", service, x.allowed.DataCenters).After(defaultRetryAfter)
+			return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, to which the call is restricted", service, x.allowed.DataCenters).After(defaultRetryAfter)
 		}
 	}
 	return nil
 }
 
-// nobody returns why there is no upstream to try.
+// noUpstreamError returns the error for a call that has no upstream to try.
 func (x *exchange) noUpstreamError() *verdict.Error {
 	if pause := x.upstreamPause(); pause > 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "all upstreams of service %s have asked for a pause", x.service.Name).After(pause)
+		return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "all upstreams of service %s asked for a pause", x.service.Name).After(pause)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream to try", x.service.Name).After(defaultRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no available upstream", x.service.Name).After(defaultRetryAfter)
 }
 
-// connections is this process's part of the connections to one upstream. It is divided by the
-// most processes lately: one that is cut off serves on for some seconds with the connections
-// that it has, while the others no longer see it.
+// maxConnections returns this process's share of the connections to one upstream; zero means no limit. The limit is
+// divided by the largest recent number of processes: one that is partitioned keeps serving on its connections for some
+// seconds while the others no longer see it.
 func (x *exchange) maxConnections() int {
 	if x.service.MaxConnections <= 0 {
 		return 0
@@ -196,14 +195,14 @@
 	return max(2, x.service.MaxConnections/(x.s.peers.Most()+1))
 }
 
-// drop ends an attempt whose answer is not used.
+// discard closes an attempt's answer and ends the attempt.
 func (x *exchange) discard(a *attempt, outcome callOutcome) {
 	a.response.Close()
 	x.s.endpoints.release(a.member.Start(), outcome, time.Now())
 	x.countOutcome(a, outcome)
 }
 
-// count counts how the attempt ended, while the service is rolled out.
+// countOutcome counts the attempt's outcome during a rollout of the service.
 func (x *exchange) countOutcome(a *attempt, outcome callOutcome) {
 	switch {
 	case outcome == callFailed, outcome == callAnswered && a.response.Status >= http.StatusInternalServerError:
@@ -213,25 +212,24 @@
 	}
 }
 
-// outOfTime reports whether the call's time is over while its caller still waits.
+// outOfTime reports whether the deadline passed while the caller still waits.
 func (x *exchange) outOfTime(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.DeadlineExceeded) && x.r.Context().Err() == nil
 }
 
-// refusal is the body of a call that got no upstream's answer.
+// refusal is the body of the answer to a call that no upstream answered.
 type refusal struct {
 	Message string          `json:"message"`
 	Code    verdict.Code    `json:"code"`
 	Verdict verdict.Verdict `json:"verdict"`
 }
 
-// note remembers whether an attempt may have run: a later one that was refused does
-// not make the call one that has not run.
+// noteFailure records whether a failed attempt may have run: a later attempt that is refused does not change that.
 func (x *exchange) noteFailure(err *verdict.Error) {
 	x.mayHaveRun = x.mayHaveRun || err.Verdict != verdict.NotRun
 }
 
-// refuse answers a call that got no upstream's answer.
+// refuse answers a call that no upstream answered.
 func (x *exchange) refuse(err error) {
 	e := *verdict.From(err)
 	if x.mayHaveRun && e.Verdict == verdict.NotRun {
@@ -245,7 +243,7 @@
 	if e.Verdict == verdict.NotRun && e.Status >= http.StatusInternalServerError {
 		e.Status = http.StatusServiceUnavailable
 	} else if e.Status == http.StatusServiceUnavailable {
-		e.Status = http.StatusBadGateway // 503 would promise that it has not run
+		e.Status = http.StatusBadGateway // 503 would promise that the call has not run
 	}
 	refusedVar.Add(string(e.Code)+"/"+e.Verdict.String(), 1)
 	x.s.log.Info("call refused", "request", x.call.ID, "route", x.routeName(), "status", e.Status, "code", e.Code, "verdict", e.Verdict,
@@ -253,7 +251,7 @@
 	h := x.w.Header()
 	h.Set("Content-Type", "application/json")
 	if x.s.notReady() != "" {
-		h.Set("Connection", "close") // the caller comes back through the balancer
+		h.Set("Connection", "close") // the caller reconnects through the load balancer
 	}
 	if e.Status == http.StatusServiceUnavailable || e.Status == http.StatusTooManyRequests {
 		wait := e.RetryAfter
--- a/node/proxy/slow_caller_test.go
+++ b/node/proxy/slow_caller_test.go
@@ -19,11 +19,11 @@
 
 const slowCallers = 500
 
-// slowStream is a stream to a caller that reads nothing for now.
+// slowStream is a stream whose caller reads nothing until read is called.
 type slowStream struct{ buffer *streamBuffer }
 
 func startSlowStream(ctx context.Context, h *memoryBudget, whole []byte) *slowStream {
-	r, w := io.Pipe() // holds nothing itself
+	r, w := io.Pipe() // unbuffered
 	s := &slowStream{buffer: newStreamBuffer(ctx, r, h)}
 	go func() {
 		for part := whole; len(part) > 0; {
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestSlowCallersLeaveUpstreamsFree has callers read nothing: their upstreams write all the same and end. Later
-// each caller gets its whole stream.
+// TestSlowCallersLeaveUpstreamsFree has callers read nothing: their upstreams must still be able to write everything and
+// end. Afterwards each caller gets its whole stream.
 func TestSlowCallersLeaveUpstreamsFree(t *testing.T) {
 	h := newMemoryBudget(184)
 	var streams []*slowStream
@@ -65,7 +65,7 @@
 		<-s.buffer.done
 	}
 	if got := h.inUse(); got != slowCallers*24_000 {
-		t.Fatalf("%d bytes are held", got)
+		t.Fatalf("%d bytes are reserved", got)
 	}
 	for i, s := range streams {
 		if got := s.read(t); !bytes.Equal(got, text(i)) {
@@ -74,11 +74,11 @@
 		s.buffer.free()
 	}
 	if got := h.inUse(); got != 0 {
-		t.Fatalf("%d bytes are held at the end", got)
+		t.Fatalf("%d bytes are still reserved at the end", got)
 	}
 }
 
-// TestSlowCallersTakeBoundedMemory has them take more than the process may hold: upstreams wait, nothing is lost,
+// TestSlowCallersTakeBoundedMemory has slow callers exhaust the memory budget: upstreams must wait, nothing may be lost,
 // and a caller that reads is served.
 func TestSlowCallersTakeBoundedMemory(t *testing.T) {
 	h := &memoryBudget{limit: 1 << 20}
@@ -95,12 +95,12 @@
 			t.Fatalf("%d bytes", len(got))
 		}
 		if used := h.inUse(); used > h.limit+slowCallers*readChunkBytes {
-			t.Fatalf("%d bytes are held", used)
+			t.Fatalf("%d bytes are reserved", used)
 		}
 	}
 }
 
-// TestStreamEndsWithItsCall ends calls whose callers read nothing and whose spools are full.
+// TestStreamEndsWithItsCall cancels a call whose caller reads nothing while the memory budget is exhausted.
 func TestStreamEndsWithItsCall(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	h := &memoryBudget{limit: 100}
@@ -108,17 +108,17 @@
 	cancel()
 	s.buffer.free()
 	if got := h.inUse(); got != 0 {
-		t.Fatalf("%d bytes are held", got)
+		t.Fatalf("%d bytes are reserved", got)
 	}
 }
 
-// TestBodiesTakeBoundedMemory sends large bodies while their upstream answers none: what the process cannot hold
-// is refused as not run, and small ones are served.
+// TestBodiesTakeBoundedMemory sends large bodies while their upstream does not answer. A body that exceeds the memory
+// budget must be refused as not run, and a small one served.
 func TestBodiesTakeBoundedMemory(t *testing.T) {
-	b := newFixture(t)
-	b.service.memory = &memoryBudget{limit: 3 << 20}
+	f := newFixture(t)
+	f.service.memory = &memoryBudget{limit: 3 << 20}
 	release, arrived := make(chan struct{}), make(chan struct{}, 16)
-	b.upstream("desk", "d1", func(w http.ResponseWriter, r *http.Request) {
+	f.upstream("desk", "d1", func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body)
 		if n > 1000 {
 			arrived <- struct{}{}
@@ -127,7 +127,7 @@
 		fmt.Fprint(w, n)
 	})
 	send := func(size int) int {
-		r, err := http.NewRequest(http.MethodPost, b.server.URL+"/reserve/deep/", strings.NewReader(strings.Repeat("x", size)))
+		r, err := http.NewRequest(http.MethodPost, f.server.URL+"/reserve/deep/", strings.NewReader(strings.Repeat("x", size)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -141,7 +141,7 @@
 		return resp.StatusCode
 	}
 	var wg sync.WaitGroup
-	for range 3 { // of a megabyte less what is free of each
+	for range 3 { // of one MiB less uncountedBytes each
 		wg.Go(func() {
 			if status := send(1 << 20); status != http.StatusOK {
 				t.Errorf("status %d", status)
@@ -152,40 +152,39 @@
 		<-arrived
 	}
 	if status := send(1 << 20); status != http.StatusServiceUnavailable {
-		t.Errorf("status %d of a body for which there is no room", status)
+		t.Errorf("status %d for a body above the memory budget", status)
 	}
 	if status := send(100); status != http.StatusOK {
-		t.Errorf("status %d of a small body", status)
+		t.Errorf("status %d for a small body", status)
 	}
 	close(release)
 	wg.Wait()
-	for range 100 { // handlers end after their answers
-		if b.service.memory.inUse() == 0 {
+	for range 100 { // handlers return after their answers
+		if f.service.memory.inUse() == 0 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("bytes are held at the end")
+	t.Error("bytes are still reserved at the end")
 }
 
-// deafCaller is a caller to which nothing can be written any more, though its connection is not known to be
-// closed.
+// timedOutWriter is a caller that reads nothing while its connection still looks open: every write times out.
 type timedOutWriter struct{ *httptest.ResponseRecorder }
 
 // Write implements http.ResponseWriter.
 func (timedOutWriter) Write([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
-// TestCallersFaultIsNoUpstreams has callers take nothing of their streams while a service is rolled out: neither is it
-// counted against the version that answered, nor is the upstream passed over, nor is the stream begun elsewhere.
+// TestCallersFaultIsNoUpstreams has a caller not read its stream during a rollout. The version that answered must not
+// be counted as failed, the upstream must not be avoided, and the stream must not be started elsewhere.
 func TestCallersFaultIsNoUpstreams(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	var calls atomic.Int32
-	b.upstream("llm", "e1", func(w http.ResponseWriter, _ *http.Request) {
+	f.upstream("llm", "e1", func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
 		w.Header().Set("Content-Type", "text/event-stream")
 		fmt.Fprint(w, "id: 1\ndata: one\n\n")
 	})
-	b.service.counter.Follow(wire.Rollouts{List: []wire.Rollout{{Service: "llm", Target: "v2", State: wire.RolloutRunning, Order: 1}}})
+	f.service.counter.Follow(wire.Rollouts{List: []wire.Rollout{{Service: "llm", Target: "v2", State: wire.RolloutRunning, Order: 1}}})
 	r := httptest.NewRequest(http.MethodPost, "/quote/", strings.NewReader("body"))
 	r.Host = "desk.example"
 	r.Header.Set("Authorization", "Bearer secret")
@@ -195,15 +194,15 @@
 				t.Errorf("the answer ends with %v", p)
 			}
 		}()
-		b.service.ServeHTTP(timedOutWriter{httptest.NewRecorder()}, r)
+		f.service.ServeHTTP(timedOutWriter{httptest.NewRecorder()}, r)
 	}()
 	if got := calls.Load(); got != 1 {
 		t.Errorf("%d calls of upstreams", got)
 	}
-	if counts := b.service.counter.Report(); counts != nil {
+	if counts := f.service.counter.Report(); counts != nil {
 		t.Errorf("counted: %+v", counts)
 	}
-	for _, ep := range b.service.endpoints.byStart {
+	for _, ep := range f.service.endpoints.byStart {
 		if ep.failures > 0 {
 			t.Errorf("%d failures of the upstream", ep.failures)
 		}
--- a/node/proxy/startup.go
+++ b/node/proxy/startup.go
@@ -10,21 +10,18 @@
 )
 
 const (
-	// startGap is how long after its start this process lets calls wait for its first
-	// configuration. From the start of all processes after a loss of power to the
-	// configuration: 0.35 s to 0.9 s, an election included. A caller that waits so
-	// long is still in time for the goals of streams; one that is told to come back
-	// is not, since it cannot be told of less than such a gap.
+	// maxStartupWait is how long after its start this process lets calls wait for its first configuration. After a
+	// power loss, which restarts all processes, it arrives 0.35 s to 0.9 s after the start, election included. A call
+	// that waits that long still meets the goals of streams; one that is refused does not, as its Retry-After would
+	// have to cover the same time.
 	maxStartupWait = 1200 * time.Millisecond
-	// maxWaiting bounds the calls that wait, whose headers are some 2 kB each and
-	// whose goroutines take 20 kB: 10 MB. Eight times what comes to a process
-	// in startGap at 53 calls a second.
+	// maxWaitingCalls bounds the memory of waiting calls to 10 MB: some 2 kB for the headers and 20 kB for the
+	// goroutines of each. It is eight times the calls that reach a process in maxStartupWait at 53 a second.
 	maxWaitingCalls = 512
 )
 
-// firstView lets calls wait for this process's first configuration, for a short
-// time after its start. Later it lets none wait: a process that has none by then
-// does not know when it will.
+// startupWait lets calls wait for this process's first configuration, for a short time after its start. Later no
+// call waits: a process without a configuration by then does not know when it will get one.
 type startupWait struct {
 	clock      clockwork.Clock
 	deadline   time.Time
@@ -37,12 +34,12 @@
 	return &startupWait{clock: clock, deadline: clock.Now().Add(maxStartupWait), configured: make(chan struct{})}
 }
 
-// set says that there is a configuration.
+// setConfigured ends the wait of all calls.
 func (f *startupWait) setConfigured() { f.once.Do(func() { close(f.configured) }) }
 
-// wait returns once there is a configuration, or when waiting for it is over:
-// the process is past its start, too many calls wait, ctx ends, or the caller's
-// time is over, which it reports. A caller that says no time has zero.
+// wait returns when there is a configuration, when maxStartupWait is over, when ctx ends or when the caller's time
+// is over, and at once if too many calls wait. It reports whether the caller's time is over. CallerTime is zero for
+// a caller that sets no timeout.
 func (f *startupWait) wait(ctx context.Context, callerTime time.Duration) (tooLate bool) {
 	now := f.clock.Now()
 	left := f.deadline.Sub(now)
--- a/node/proxy/startup_test.go
+++ b/node/proxy/startup_test.go
@@ -12,26 +12,25 @@
 	"caperdrum.org/api/wire"
 )
 
-// starting is a bed whose process has no configuration yet, on a clock of the
-// test's.
+// newStartingFixture returns a fixture whose process has no configuration yet, and the clock of its startup.
 func newStartingFixture(t *testing.T) (*fixture, *clockwork.FakeClock) {
-	b, clock := newFixture(t), clockwork.NewFakeClock()
-	b.upstream("desk", "d", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	b.service.table.Store(nil) // the bed's upstreams come with a view
-	b.service.startup = newStartupWait(clock)
-	return b, clock
+	f, clock := newFixture(t), clockwork.NewFakeClock()
+	f.upstream("desk", "d", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+	f.service.table.Store(nil) // announcing the upstream has applied a view
+	f.service.startup = newStartupWait(clock)
+	return f, clock
 }
 
-// ask sends a call and returns where its status will come.
-func (b *fixture) callAsync() <-chan int { return b.callAsyncWithin(0) }
+// callAsync sends a call and returns a channel that receives its status.
+func (f *fixture) callAsync() <-chan int { return f.callAsyncWithin(0) }
 
-// askWithin sends a call of a caller that waits for so long; zero: it does not say.
-func (b *fixture) callAsyncWithin(wait time.Duration) <-chan int {
+// callAsyncWithin sends a call with the given timeout; zero means none.
+func (f *fixture) callAsyncWithin(wait time.Duration) <-chan int {
 	status := make(chan int, 1)
 	go func() {
-		r, err := http.NewRequest(http.MethodGet, b.server.URL+"/reserve/deep/x", nil)
+		r, err := http.NewRequest(http.MethodGet, f.server.URL+"/reserve/deep/x", nil)
 		if err != nil {
-			b.t.Error(err)
+			f.t.Error(err)
 		}
 		r.Host = "desk.example"
 		if wait > 0 {
@@ -48,37 +47,37 @@
 	return status
 }
 
-// TestCallWaitsForTheFirstConfiguration sends a call to a process that has just
-// started: it is served as soon as there is a configuration.
+// TestCallWaitsForTheFirstConfiguration checks that a call to a process that has just started is served as soon as there
+// is a configuration.
 func TestCallWaitsForTheFirstConfiguration(t *testing.T) {
-	b, clock := newStartingFixture(t)
-	status := b.callAsync()
+	f, clock := newStartingFixture(t)
+	status := f.callAsync()
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	b.service.applyView(&b.view)
+	f.service.applyView(&f.view)
 	if got := <-status; got != http.StatusOK {
 		t.Fatalf("status %d", got)
 	}
 }
 
-// TestNobodyWaitsPastTheStart lets a call wait until the time for it is over, and
-// sends another one after that: both are refused as not run.
+// TestNobodyWaitsPastTheStart checks that a call that waited for maxStartupWait, and one that comes later, are refused as
+// not run.
 func TestNobodyWaitsPastTheStart(t *testing.T) {
-	b, clock := newStartingFixture(t)
-	status := b.callAsync()
+	f, clock := newStartingFixture(t)
+	status := f.callAsync()
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
 	clock.Advance(maxStartupWait)
-	for _, s := range []<-chan int{status, b.callAsync()} {
+	for _, s := range []<-chan int{status, f.callAsync()} {
 		if got := <-s; got != http.StatusServiceUnavailable {
 			t.Fatalf("status %d", got)
 		}
 	}
 }
 
-// sent is how many calls have gone to upstreams of a service so far.
+// sendCount returns the number of calls sent to upstreams of the service so far.
 func sendCount(service string) int64 {
 	if n, ok := sendsVar.Get(service).(*expvar.Int); ok {
 		return n.Value()
@@ -86,22 +85,22 @@
 	return 0
 }
 
-// TestCallIsNotSentPastItsDeadline lets a call wait until its caller's time is over: it is refused as not run then,
-// and no upstream is asked in vain. One that has time waits on and is served.
+// TestCallIsNotSentPastItsDeadline checks that a call whose timeout ends while it waits is refused as not run and not
+// sent, and that one with time left is served.
 func TestCallIsNotSentPastItsDeadline(t *testing.T) {
 	const short = 300 * time.Millisecond
-	b, clock := newStartingFixture(t)
-	first, second := b.callAsyncWithin(short), b.callAsync()
+	f, clock := newStartingFixture(t)
+	first, second := f.callAsyncWithin(short), f.callAsync()
 	if err := clock.BlockUntilContext(t.Context(), 2); err != nil {
 		t.Fatal(err)
 	}
 	before := sendCount("desk")
-	b.service.table.Store(newTable(&b.view, nil, nil)) // it comes with the caller's last moment
+	f.service.table.Store(newTable(&f.view, nil, nil)) // the configuration arrives at the last moment
 	clock.Advance(short)
 	if got := <-first; got != http.StatusServiceUnavailable {
 		t.Errorf("status %d at the deadline", got)
 	}
-	b.service.applyView(&b.view)
+	f.service.applyView(&f.view)
 	if got := <-second; got != http.StatusOK {
 		t.Errorf("status %d with time left", got)
 	}
@@ -110,8 +109,7 @@
 	}
 }
 
-// TestWaitingCallsAreBounded fills the places for calls that wait: the next one
-// does not wait.
+// TestWaitingCallsAreBounded checks that a call does not wait when maxWaitingCalls others do.
 func TestWaitingCallsAreBounded(t *testing.T) {
 	f := newStartupWait(clockwork.NewFakeClock())
 	f.waiting.Store(maxWaitingCalls)
@@ -122,5 +120,5 @@
 	f.waiting.Store(0)
 	left, leave := context.WithTimeout(context.Background(), time.Nanosecond)
 	defer leave()
-	f.wait(left, 0) // a caller that has left does not wait either
+	f.wait(left, 0) // must return: the caller has left
 }
--- a/node/proxy/stream.go
+++ b/node/proxy/stream.go
@@ -15,7 +15,7 @@
 
 const readChunkBytes = 16 << 10
 
-// stream serves a call whose answer is a stream of events.
+// serveStream serves a call whose answer is a stream of server-sent events.
 func (x *exchange) serveStream(ctx context.Context) error {
 	x.s.repeats.First(x.service.Name)
 	defer func() { x.releaseStages() }()
@@ -33,7 +33,7 @@
 		if a.inputsGone() {
 			x.discard(a, callAnswered)
 			x.releaseStages()
-			// Once they were lost a second time, a third engine will hardly find them.
+			// After two losses a third engine is unlikely to find the results.
 			if rerun || !x.allowRepeat(inputsLost) {
 				return out.fail(errInputsLost(a.member.ID))
 			}
@@ -49,22 +49,20 @@
 		if err.Verdict != verdict.NotRun && !x.route.Repeatable() || ctx.Err() != nil || x.callerGone || !x.mayRepeat(err) {
 			return out.fail(err)
 		}
-		x.s.log.Info("stream goes on elsewhere", "request", x.call.ID, "from", a.member.ID, "last_event", out.events.lastID, "reason", err.Message)
+		x.s.log.Info("stream retried on another upstream", "request", x.call.ID, "from", a.member.ID, "last_event", out.events.lastID, "reason", err.Message)
 	}
 }
 
-// inputsGone reports whether results of the stages were lost before the
-// upstream had fetched them.
+// inputsGone reports whether results of the stages were lost before the upstream had fetched them.
 func (a *attempt) inputsGone() bool {
 	return a.response != nil && a.response.Status == http.StatusConflict && a.response.Answer.NotRun
 }
 
 func errInputsLost(engine wire.MemberID) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeUpstream, "results of the stages were lost before %s had them", engine).After(defaultRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeUpstream, "results of the stages were lost before %s fetched them", engine).After(defaultRetryAfter)
 }
 
-// relay passes an upstream's stream on. It reports whether the caller has got
-// its answer.
+// relay passes an upstream's stream on to the caller. It reports whether the call is done.
 func (x *exchange) relay(ctx context.Context, a *attempt, out *streamWriter) (done bool, verr *verdict.Error) {
 	if a.response == nil {
 		return false, a.err
@@ -76,7 +74,7 @@
 	if a.response.Status != http.StatusOK {
 		if out.started {
 			x.discard(a, callFailed)
-			return false, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "%s answered %d to a stream that goes on", a.member.ID, a.response.Status)
+			return false, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "%s answered %d to a resumed stream", a.member.ID, a.response.Status)
 		}
 		body, err := x.readAnswer(ctx, a)
 		if err != nil {
@@ -104,18 +102,17 @@
 		x.investigateBreak(a.member)
 		x.discard(a, callFailed)
 	}
-	return false, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "the stream of %s broke off: %v", a.member.ID, err)
+	return false, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "the stream of %s broke: %v", a.member.ID, err)
 }
 
-// streamWriter writes the caller's stream.
+// streamWriter writes the caller's stream, which may come from several upstreams in turn.
 type streamWriter struct {
 	x       *exchange
 	started bool
 	events  eventSplitter
 }
 
-// begin sends the first upstream's headers; those of the ones after it are not
-// passed on.
+// begin sends the headers of the first upstream; those of later ones are not passed on.
 func (o *streamWriter) begin(a *attempt) {
 	if o.started {
 		o.events.pending = nil
@@ -128,14 +125,13 @@
 	http.NewResponseController(o.x.w).Flush()
 }
 
-// copy passes whole events on as they come. It returns io.EOF after a whole
-// stream.
+// copy passes complete events on as they arrive. It returns io.EOF at the end of a complete stream.
 func (o *streamWriter) copy(ctx context.Context, a *attempt) error {
 	defer o.x.setWriteDeadline(time.Now())()
 	buffer := newStreamBuffer(ctx, a.response.Body, o.x.s.memory)
 	err := o.copyFrom(buffer)
 	if err != io.EOF {
-		a.response.Abort() // a read that waits
+		a.response.Abort() // unblocks a pending read
 	}
 	buffer.free()
 	return err
@@ -159,26 +155,26 @@
 	}
 }
 
-// finish passes on what followed the last event of a whole stream.
+// finish passes on what followed the last event of a complete stream.
 func (o *streamWriter) finish() {
 	if len(o.events.pending) > 0 {
 		o.x.write(o.events.pending)
 	}
 }
 
-// abandon ends a stream that cannot go on: as a refusal before it began, and
-// else so that it does not look whole.
+// fail ends a stream that cannot continue. Before it began, it returns err for the refusal; later it aborts the
+// connection, so that the stream does not look complete.
 func (o *streamWriter) fail(err *verdict.Error) error {
 	if !o.started {
 		return err
 	}
 	streamsBrokenVar.Add(1)
-	o.x.s.log.Info("stream broken off", "request", o.x.call.ID, "route", o.x.route.Name, "last_event", o.events.lastID, "reason", err.Message,
+	o.x.s.log.Info("stream aborted", "request", o.x.call.ID, "route", o.x.route.Name, "last_event", o.events.lastID, "reason", err.Message,
 		"sends", o.x.sends, "after", time.Since(o.x.began), "caller_left", o.x.r.Context().Err() != nil)
 	panic(http.ErrAbortHandler)
 }
 
-// runStages has the stages of the call done, unless their results are there.
+// runStages has the stages of the call run, unless their results are available.
 func (x *exchange) runStages(ctx context.Context) error {
 	if x.stagesDone {
 		return nil
@@ -200,8 +196,8 @@
 	return nil
 }
 
-// chooseEngine asks for the engine of a call without stages. Without an answer this
-// process chooses by itself.
+// chooseEngine asks the stage owner for the engine of a call without stages. Without an answer this process chooses by
+// itself.
 func (x *exchange) chooseEngine(ctx context.Context, job stagework.Job) {
 	if job.Prompt == nil {
 		return
@@ -232,8 +228,8 @@
 	return job, pieces
 }
 
-// engineAt is the data centre of the engine that the call would go to now: large
-// results are best made there.
+// engineDataCenter returns the data centre of the engine to which the call would go now, where large results are best
+// computed.
 func (x *exchange) engineDataCenter() string {
 	m, ok := x.s.endpoints.peek(x.eligibleUpstreams(x.service.Name), x.selectionCriteria(), time.Now())
 	if !ok {
@@ -242,26 +238,25 @@
 	return m.DataCenter
 }
 
-// choice is how the call's engine is chosen.
+// selectionCriteria returns the criteria for choosing the call's upstream.
 func (x *exchange) selectionCriteria() criteria {
 	return criteria{dataCenter: x.s.set.Node.DataCenter, affinity: upstream.PrefixHash(x.call.Prefix),
 		cold: coldPolicy{limit: x.s.set.Proxy.ColdLimit(), rate: x.service.ColdRate, self: x.s.views.Self().ID, nearby: x.s.table.Load().proxiesByDataCenter[x.s.set.Node.DataCenter]}}
 }
 
 const (
-	// engineFirst is how long an engine takes to its first event besides reading the
-	// prompt: 47 ms by the users' sheet, links, and turns of other calls.
+	// firstEventTime is how long an engine takes to its first event besides reading the prompt: 47 ms by the users'
+	// specification, plus network latency and the turns of other calls.
 	firstEventTime = 90 * time.Millisecond
-	// prefillRate is how many tokens of a prompt an engine reads in a millisecond.
-	// The users' sheet says 112, which other calls at the engine share.
+	// prefillTokensPerMs is the rate at which an engine reads a prompt. The users' specification says 112, which calls
+	// at the same engine share.
 	prefillTokensPerMs = 80
-	// longestPrompt bounds what a caller may claim, in tokens: twice the longest that
-	// the users describe.
+	// maxPromptTokens bounds what a caller may claim: twice the longest prompt that the users describe.
 	maxPromptTokens = 128 << 10
 )
 
-// engineStart is left of a goal for the engine to read the prompt and begin. Only
-// the last part of a prompt is certainly read: engines keep shared ones.
+// engineTime returns the part of a goal that is reserved for the engine to read the prompt and begin its answer. Only
+// the last part of a prompt is certain to be read: engines cache shared ones.
 func engineTime(prompt []upstream.PromptPart) time.Duration {
 	if len(prompt) == 0 {
 		return firstEventTime
@@ -270,8 +265,8 @@
 	return firstEventTime + time.Duration(tokens)*time.Millisecond/prefillTokensPerMs
 }
 
-// release gives the results of the stages up: an upstream has fetched them, or
-// the call is over. Another upstream needs them made again.
+// releaseStages releases the results of the stages: an upstream has fetched them, or the call is over. For another
+// upstream the stages have to run again.
 func (x *exchange) releaseStages() {
 	if x.stagesDone {
 		x.stagesDone = false
--- a/node/proxy/stream_buffer.go
+++ b/node/proxy/stream_buffer.go
@@ -6,24 +6,24 @@
 	"sync"
 )
 
-// spoolLimit bounds what is kept of one stream for a caller that reads slower than its upstream writes, in bytes:
-// an upstream whose whole stream fits ends, and is free for others, however slow the caller is.
+// maxStreamBufferBytes bounds what is buffered of one stream for a caller that reads slower than its upstream writes. An
+// upstream whose whole stream fits is free for other calls, however slow the caller is.
 const maxStreamBufferBytes = 256 << 10
 
-// spool reads a stream ahead of its caller. When it is full, or all calls together hold too much, the upstream
-// has to wait.
+// streamBuffer reads a stream ahead of its caller. When it is full or the memory budget is exhausted, the upstream has
+// to wait.
 type streamBuffer struct {
 	ctx    context.Context
 	budget *memoryBudget
 
 	mu     sync.Mutex
 	data   []byte
-	err    error         // why there is no more after data
-	change chan struct{} // closed at the next change; nil while nobody waits
-	done   chan struct{} // closed when nothing is read any more
+	err    error         // why nothing follows data
+	change chan struct{} // closed at the next change; nil if nobody waits
+	done   chan struct{} // closed when reading has ended
 }
 
-// newSpool begins to read from r.
+// newStreamBuffer starts to read from r.
 func newStreamBuffer(ctx context.Context, r io.Reader, h *memoryBudget) *streamBuffer {
 	s := &streamBuffer{ctx: ctx, budget: h, done: make(chan struct{})}
 	go s.fill(r)
@@ -41,8 +41,8 @@
 	}
 }
 
-// add keeps bytes and reports whether more may come. It waits for room: the last chunk of each stream is kept
-// in any case, so that every stream goes on.
+// add buffers bytes and reports whether reading may go on. It waits for room, but an empty buffer takes one chunk even
+// beyond the memory budget, so that every stream makes progress.
 func (s *streamBuffer) add(p []byte, err error) bool {
 	for {
 		s.mu.Lock()
@@ -70,7 +70,8 @@
 	}
 }
 
-// next returns what has come since the last call, or why nothing does any more.
+// next waits for data and returns what has arrived since the last call. After the last data it returns the error with
+// which reading ended, io.EOF for a complete stream.
 func (s *streamBuffer) next() ([]byte, error) {
 	for {
 		s.mu.Lock()
@@ -92,14 +93,14 @@
 	}
 }
 
-// drop gives back what nobody takes any more. The reader must have ended.
+// free waits until reading has ended and frees the remaining data. The caller must make reading end.
 func (s *streamBuffer) free() {
 	<-s.done
 	s.budget.free(int64(len(s.data)))
 	s.data = nil
 }
 
-// wait returns a channel that is closed at the next change. It must be called with the lock.
+// changeSignal returns a channel that is closed at the next change. The caller must hold the lock.
 func (s *streamBuffer) changeSignal() <-chan struct{} {
 	if s.change == nil {
 		s.change = make(chan struct{})
--- a/node/proxy/table.go
+++ b/node/proxy/table.go
@@ -13,31 +13,31 @@
 	"caperdrum.org/node/residency"
 )
 
-// table is an immutable picture of what decides about calls.
+// table is the immutable state derived from a view, by which calls are routed.
 type table struct {
 	version             uint64
-	membersSeq          uint64 // of the members
+	membersSeq          uint64 // sequence number of the members
 	config              *optext.Config
 	byHost              map[string][]*optext.Route // longest prefix first
 	customers           map[[sha256.Size]byte]*optext.Customer
 	announced           map[string][]wire.Member
 	members             memberset.Set
-	peers               []wire.Member       // of which proxies and proxiesIn were made
-	proxyCount          int                 // processes that share what is bounded over all of them; at least one
-	proxiesByDataCenter map[string][]string // them, by data centre
+	peers               []wire.Member       // from which proxyCount and proxiesByDataCenter were computed
+	proxyCount          int                 // processes that share the limits over all processes; at least one
+	proxiesByDataCenter map[string][]string // IDs of these processes
 	regions             residency.Regions
 }
 
-// newTable returns the table of a view. What has not changed since before, which may be nil, is taken over.
-func newTable(v *configsync.View, regions map[string]string, before *table) *table {
+// newTable returns the table of a view. It reuses what has not changed since the previous table, which may be nil.
+func newTable(v *configsync.View, regions map[string]string, previous *table) *table {
 	t := &table{version: v.Version, membersSeq: v.Seq, config: v.Config, announced: v.Announced, members: v.Members, peers: v.Peers}
-	if before != nil && before.config == v.Config {
-		t.byHost, t.customers, t.regions = before.byHost, before.customers, before.regions
+	if previous != nil && previous.config == v.Config {
+		t.byHost, t.customers, t.regions = previous.byHost, previous.customers, previous.regions
 	} else {
 		t.setConfig(v.Config, regions)
 	}
-	if before != nil && configsync.SameList(before.peers, v.Peers) {
-		t.proxyCount, t.proxiesByDataCenter = before.proxyCount, before.proxiesByDataCenter
+	if previous != nil && configsync.SameList(previous.peers, v.Peers) {
+		t.proxyCount, t.proxiesByDataCenter = previous.proxyCount, previous.proxiesByDataCenter
 	} else {
 		t.setPeers(v.Peers)
 	}
@@ -68,16 +68,16 @@
 	t.proxyCount = max(len(peers), 1)
 }
 
-// configured reports whether this process knows a configuration.
+// configured reports whether this process has a configuration. The table may be nil.
 func (t *table) configured() bool { return t != nil && t.version > 0 }
 
-// leaving reports whether the start of an upstream has said that it leaves.
+// leaving reports whether this incarnation of an upstream has announced that it leaves.
 func (t *table) leaving(start wire.Start) bool {
 	m, known := t.members.Get(start.ID)
 	return known && m.Start() == start && m.Leaving
 }
 
-// route returns the route of the host with the longest prefix of path.
+// route returns the route of the host with the longest prefix of path, or nil.
 func (t *table) route(host, path string) *optext.Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// customer returns whose key it is, or nil.
+// customer returns the customer that the key belongs to, or nil.
 func (t *table) customer(key string) *optext.Customer {
 	if key == "" {
 		return nil
@@ -98,19 +98,18 @@
 	return t.customers[sha256.Sum256([]byte(key))]
 }
 
-// service picks one of the route's services by its weights; at is between 0
-// and 1.
-func pickService(r *optext.Route, at float64) string {
+// pickService picks one of the route's services by weight; point is a random number in [0, 1).
+func pickService(r *optext.Route, point float64) string {
 	sum := 0.0
 	for _, w := range r.Weights {
 		sum += w.Weight
 	}
-	at *= sum
+	point *= sum
 	for _, w := range r.Weights {
-		if at < w.Weight {
+		if point < w.Weight {
 			return w.Service
 		}
-		at -= w.Weight
+		point -= w.Weight
 	}
 	return r.Weights[len(r.Weights)-1].Service
 }
