--- a/node/routing/endpoint.go
+++ b/node/routing/endpoint.go
@@ -47,21 +47,21 @@
 // whose result the endpoint has cached.
 func (e *Endpoint) Start(size int) Flight {
 	now := time.Now()
-	f := Flight{endpoint: e, class: sizeClass(size), queue: e.load.queueFactor(now), started: now}
+	a := Flight{endpoint: e, class: sizeClass(size), queue: e.load.queueFactor(now), started: now}
 	e.load.begin()
-	e.speed.begin(now, e.expected(f.class))
+	e.speed.begin(now, e.expected(a.class))
 	e.health.begin(now)
-	return f
+	return a
 }
 
 // Resize corrects the size once it is known how much the endpoint had cached.
-func (f *Flight) Resize(size int) { f.class = sizeClass(size) }
+func (a *Flight) Resize(size int) { a.class = sizeClass(size) }
 
 // End ends the attempt and updates the endpoint's statistics.
-func (f Flight) End(o Outcome) {
-	e := f.endpoint
+func (a Flight) End(o Outcome) {
+	e := a.endpoint
 	now := time.Now()
-	took := now.Sub(f.started)
+	took := now.Sub(a.started)
 	e.load.end()
 	e.speed.end()
 	if o != Abandoned {
@@ -69,13 +69,13 @@
 	}
 	switch o {
 	case Answered:
-		e.learn(f, took, now)
+		e.learn(a, took, now)
 		e.health.succeeded()
 	case Failed:
 		e.failed(now)
 	case Abandoned:
-		if took.Seconds() > f.queue*e.expected(f.class) {
-			e.learn(f, took, now)
+		if took.Seconds() > a.queue*e.expected(a.class) {
+			e.learn(a, took, now)
 		}
 		e.health.release()
 	case Refused:
@@ -85,13 +85,13 @@
 
 // learn records the latency of an answer, and ejects the endpoint if it has become far
 // slower than the others of its service.
-func (e *Endpoint) learn(f Flight, took time.Duration, now time.Time) {
-	sample := took.Seconds() / f.queue
+func (e *Endpoint) learn(a Flight, took time.Duration, now time.Time) {
+	sample := took.Seconds() / a.queue
 	if e.group == nil {
 		return
 	}
-	e.speed.learn(now, sample/e.expected(f.class))
-	e.group.learn(f.class, sample)
+	e.speed.learn(now, sample/e.expected(a.class))
+	e.group.learn(a.class, sample)
 	e.ejectIfSlow(now)
 }
 
--- a/node/routing/plugins_test.go
+++ b/node/routing/plugins_test.go
@@ -107,7 +107,7 @@
 		{"prefix cached", func(b, _ *Endpoint) { b.Sent(prefix) }, prefixScorer{}},
 		{"longer prefix cached", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix[:2]) }, prefixScorer{}},
 		{"cache index accurate", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix); w.Found(0, 1) }, prefixScorer{}},
-		{"prefix not expired", func(b, w *Endpoint) { w.Sent(prefix); time.Sleep((prefixTTLSeconds + 1) * time.Second); b.Sent(prefix) }, prefixScorer{}},
+		{"prefix fresh", func(b, w *Endpoint) { w.Sent(prefix); time.Sleep((prefixTTL + 1) * time.Second); b.Sent(prefix) }, prefixScorer{}},
 		{"near", func(_, w *Endpoint) { w.Member.DataCenter = "there" }, distanceScorer{here}},
 	}
 	for _, row := range rows {
--- a/node/routing/prefix.go
+++ b/node/routing/prefix.go
@@ -12,7 +12,7 @@
 	maxPrefixBlocks  = 128
 	slotsPerBucket   = 8       // one cache line
 	prefixBuckets    = 1 << 14 // 131072 blocks, 1 MB per service
-	prefixTTLSeconds = 600     // seconds after which a block is assumed to be evicted
+	prefixTTL        = 600     // seconds after which a block is assumed to be evicted
 	maxHolders       = 8       // endpoints with a cached prefix that one choice considers
 )
 
@@ -81,7 +81,7 @@
 	tag := hash>>32 | 1
 	b := x.bucket(hash)
 	for i := range b {
-		if v := b[i].Load(); v>>32 == tag && second-uint16(v) < prefixTTLSeconds {
+		if v := b[i].Load(); v>>32 == tag && second-uint16(v) < prefixTTL {
 			return true
 		}
 	}
@@ -114,7 +114,7 @@
 		b := x.bucket(hashes[i])
 		for j := range b {
 			v := b[j].Load()
-			if v>>32 == tag && second-uint16(v) < prefixTTLSeconds {
+			if v>>32 == tag && second-uint16(v) < prefixTTL {
 				out = appendHolder(out, holder{endpoint: uint16(v >> 16), blocks: i + 1})
 			}
 		}
