--- a/node/pipeline/exchange.go
+++ b/node/pipeline/exchange.go
@@ -185,7 +185,7 @@
 	ctx      context.Context
 	w        *work
 	endpoint *routing.Endpoint
-	flight   routing.Flight
+	flight   routing.Attempt
 	started  time.Time
 	status   int     // of the answer
 	foretold float64 // share of the prompt that was expected to be cached
@@ -249,10 +249,10 @@
 			countStage(m.w.Stage, took, o == routing.Answered)
 		}
 		if verdict.From(orNil(err)).Code == verdict.CodeLeaving {
-			m.endpoint.Leaves()
+			m.endpoint.SetLeaving()
 		}
 		if told && o == routing.Answered {
-			m.endpoint.Found(found, m.foretold)
+			m.endpoint.LearnCacheShare(found, m.foretold)
 		}
 	})
 }
--- a/node/pipeline/race.go
+++ b/node/pipeline/race.go
@@ -117,7 +117,7 @@
 	r.under[n] = e
 	r.launched++
 	r.running++
-	cached := e.Cached(r.w.prefix)
+	cached := e.CachedBytes(r.w.prefix)
 	size := r.w.size - cached
 	if n == 0 {
 		r.size = size
@@ -190,7 +190,7 @@
 		return false
 	}
 	if optext.Kind(r.w.service.Kind) == optext.Engine && status == http.StatusNotFound {
-		res.at.Lacks(r.w.model)
+		res.at.SetModelMissing(r.w.model)
 		return true
 	}
 	return status >= http.StatusInternalServerError || status == http.StatusTooManyRequests
--- a/node/routing/cache.go
+++ b/node/routing/cache.go
@@ -26,8 +26,8 @@
 	t.inaccuracy.Store(math.Float64bits(1 - v))
 }
 
-// Cached returns the expected number of bytes of the prompt in the endpoint's cache.
-func (e *Endpoint) Cached(prefix []uint64) int {
+// CachedBytes returns the expected number of bytes of the prompt in the endpoint's cache.
+func (e *Endpoint) CachedBytes(prefix []uint64) int {
 	if e.group == nil || e.group.prefixes == nil || len(prefix) == 0 {
 		return 0
 	}
@@ -48,8 +48,8 @@
 	e.group.prefixes.add(prefix, e.index, secondOf(time.Now().UnixNano()))
 }
 
-// Found updates the cache accuracy from an answer's usage: share is the part of the
-// prompt that was cached, expected the part that the index predicted.
-func (e *Endpoint) Found(share, expected float64) { e.cache.learn(share, expected) }
+// LearnCacheShare updates the cache accuracy from an answer's usage: share is the part of
+// the prompt that was cached, expected the part that the index predicted.
+func (e *Endpoint) LearnCacheShare(share, expected float64) { e.cache.learn(share, expected) }
 
 func secondOf(now int64) uint16 { return uint16(now / int64(time.Second)) }
--- a/node/routing/endpoint.go
+++ b/node/routing/endpoint.go
@@ -35,8 +35,8 @@
 	Abandoned
 )
 
-// Flight is an attempt in progress at an endpoint.
-type Flight struct {
+// Attempt is an attempt in progress at an endpoint.
+type Attempt struct {
 	endpoint *Endpoint
 	class    int
 	queue    float64 // factor by which the load at the start was expected to lengthen the answer
@@ -45,9 +45,9 @@
 
 // Start counts a new attempt. Size is the request's work in bytes, without the part
 // whose result the endpoint has cached.
-func (e *Endpoint) Start(size int) Flight {
+func (e *Endpoint) Start(size int) Attempt {
 	now := time.Now()
-	a := Flight{endpoint: e, class: sizeClass(size), queue: e.load.queueFactor(now), started: now}
+	a := Attempt{endpoint: e, class: sizeClass(size), queue: e.load.queueFactor(now), started: now}
 	e.load.begin()
 	e.speed.begin(now, e.expected(a.class))
 	e.health.begin(now)
@@ -55,10 +55,10 @@
 }
 
 // Resize corrects the size once it is known how much the endpoint had cached.
-func (a *Flight) Resize(size int) { a.class = sizeClass(size) }
+func (a *Attempt) Resize(size int) { a.class = sizeClass(size) }
 
 // End ends the attempt and updates the endpoint's statistics.
-func (a Flight) End(o Outcome) {
+func (a Attempt) End(o Outcome) {
 	e := a.endpoint
 	now := time.Now()
 	took := now.Sub(a.started)
@@ -85,7 +85,7 @@
 
 // learn records the latency of an answer, and ejects the endpoint if it has become far
 // slower than the others of its service.
-func (e *Endpoint) learn(a Flight, took time.Duration, now time.Time) {
+func (e *Endpoint) learn(a Attempt, took time.Duration, now time.Time) {
 	sample := took.Seconds() / a.queue
 	if e.group == nil {
 		return
--- a/node/routing/offer.go
+++ b/node/routing/offer.go
@@ -83,10 +83,10 @@
 // SetOffer sets what the endpoint announced; nil means anything.
 func (e *Endpoint) SetOffer(o *Offer) { e.offer.announced.Store(o) }
 
-// Lacks records that the endpoint answered that it does not know the model.
-func (e *Endpoint) Lacks(model string) {
+// SetModelMissing records that the endpoint answered that it does not know the model.
+func (e *Endpoint) SetModelMissing(model string) {
 	e.offer.missing.Store(&missingModel{model, time.Now().Add(missingModelTTL).UnixNano()})
 }
 
-// Leaves records that the endpoint's gate refused because its upstream is leaving.
-func (e *Endpoint) Leaves() { e.offer.leavingUntil.Store(time.Now().Add(leavingTTL).UnixNano()) }
+// SetLeaving records that the endpoint's gate refused because its upstream is leaving.
+func (e *Endpoint) SetLeaving() { e.offer.leavingUntil.Store(time.Now().Add(leavingTTL).UnixNano()) }
--- a/node/routing/plugins_test.go
+++ b/node/routing/plugins_test.go
@@ -60,7 +60,7 @@
 		keep    bool
 	}{
 		{"leaving in the member list", func(e *Endpoint) { e.Member.Leaving = true }, Request{}, leavingFilter{}, false},
-		{"leaving after a refusal", func(e *Endpoint) { e.Leaves() }, Request{}, leavingFilter{}, false},
+		{"leaving after a refusal", func(e *Endpoint) { e.SetLeaving() }, Request{}, leavingFilter{}, false},
 		{"not leaving", func(*Endpoint) {}, Request{}, leavingFilter{}, true},
 		{"tried", func(*Endpoint) {}, Request{Exclude: map[wire.MemberID]bool{memberID(0): true}}, triedFilter{}, false},
 		{"other tried", func(*Endpoint) {}, Request{Exclude: map[wire.MemberID]bool{memberID(1): true}}, triedFilter{}, true},
@@ -69,8 +69,8 @@
 		{"model offered", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "m", Adapter: "a"}, modelFilter{}, true},
 		{"model missing", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "x"}, modelFilter{}, false},
 		{"adapter missing", func(e *Endpoint) { e.SetOffer(offer) }, Request{Model: "m", Adapter: "x"}, modelFilter{}, false},
-		{"model refused recently", func(e *Endpoint) { e.Lacks("m") }, Request{Model: "m"}, modelFilter{}, false},
-		{"other model refused recently", func(e *Endpoint) { e.Lacks("x") }, Request{Model: "m"}, modelFilter{}, true},
+		{"model refused recently", func(e *Endpoint) { e.SetModelMissing("m") }, Request{Model: "m"}, modelFilter{}, false},
+		{"other model refused recently", func(e *Endpoint) { e.SetModelMissing("x") }, Request{Model: "m"}, modelFilter{}, true},
 		{"role", func(e *Endpoint) { e.SetOffer(offer) }, Request{Role: "decode"}, roleFilter{}, true},
 		{"wrong role", func(e *Endpoint) { e.SetOffer(offer) }, Request{Role: "prefill"}, roleFilter{}, false},
 	}
@@ -106,7 +106,7 @@
 		{"report expired", func(b, w *Endpoint) { b.Report(4, 8, 8); time.Sleep(reportTTL); w.Report(4, 8, 8) }, latencyScorer{}},
 		{"prefix cached", func(b, _ *Endpoint) { b.Sent(prefix) }, prefixScorer{}},
 		{"longer prefix cached", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix[:2]) }, prefixScorer{}},
-		{"cache index accurate", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix); w.Found(0, 1) }, prefixScorer{}},
+		{"cache index accurate", func(b, w *Endpoint) { b.Sent(prefix); w.Sent(prefix); w.LearnCacheShare(0, 1) }, prefixScorer{}},
 		{"prefix fresh", func(b, w *Endpoint) { w.Sent(prefix); time.Sleep((prefixTTL + 1) * time.Second); b.Sent(prefix) }, prefixScorer{}},
 		{"near", func(_, w *Endpoint) { w.Member.DataCenter = "there" }, distanceScorer{here}},
 	}
