--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -149,7 +149,7 @@
 // initQuota creates this process's share of the limits that hold over all processes.
 func (s *Service) initQuota(clock clockwork.Clock) {
 	p := s.set.Proxy
-	s.peers = retry.NewPeers(p.RepeatWindow, clock, retry.Confirmations{Steady: s.views.Steady, Gap: configsync.LongestGap})
+	s.peers = retry.NewPeers(p.RepeatWindow, clock, retry.Confirmations{ConfirmedFor: s.views.Steady, Gap: configsync.LongestGap})
 	s.repeats = retry.NewQuota(retry.Limit{Ratio: p.RepeatRatio, Fixed: p.RepeatFixed, Window: p.RepeatWindow}, clock, s.peers)
 }
 
@@ -161,7 +161,7 @@
 	s.counter.Follow(v.Rollouts)
 	self := s.views.Self()
 	here, known := v.Members.Get(self.ID)
-	s.peers.Follow(retry.Standing{Members: t.proxyCount, Self: known && here.Start() == self.Start()})
+	s.peers.Update(retry.Membership{Members: t.proxyCount, IncludesSelf: known && here.Start() == self.Start()})
 	s.inquiries.Follow(v.Members)
 	if s.guard.Follow(v.Suspects) {
 		s.running.cancelBarred()
--- a/node/proxy/repeat.go
+++ b/node/proxy/repeat.go
@@ -48,7 +48,7 @@
 	}
 	counter.Add(x.service.Name+"/"+string(why), 1)
 	x.s.log.Info("repeat", "request", x.call.ID, "service", x.service.Name, "result", result, "reason", why,
-		"first", d.First, "repeats", d.Extra, "fixed", d.Fixed, "members", d.Members, "settled", d.Settled, "stamp_age", logging.Age(x.s.views.StampAge()))
+		"first", d.First, "repeats", d.Repeats, "fixed", d.Fixed, "members", d.Members, "settled", d.Settled, "stamp_age", logging.Age(x.s.views.StampAge()))
 	x.repeatReason = why
 	return d.Allowed
 }
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -192,7 +192,7 @@
 	if x.service.MaxConnections <= 0 {
 		return 0
 	}
-	return max(2, x.service.MaxConnections/(x.s.peers.Most()+1))
+	return max(2, x.service.MaxConnections/(x.s.peers.MaxMembers()+1))
 }
 
 // discard closes an attempt's answer and ends the attempt.
--- a/node/retry/peers.go
+++ b/node/retry/peers.go
@@ -7,18 +7,18 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Standing describes a view of the processes that share a limit.
-type Standing struct {
-	Members int  // number of processes in the view
-	Self    bool // the view contains this incarnation of this process
+// Membership describes a view of the processes that share a limit.
+type Membership struct {
+	Members      int  // number of processes in the view
+	IncludesSelf bool // the view contains this incarnation of this process
 }
 
 // Confirmations tells how long a quorum has been confirming this process's view.
 type Confirmations struct {
-	// Steady returns for how long the view has been confirmed without interruption: at most Gap
+	// ConfirmedFor returns for how long the view has been confirmed without interruption: at most Gap
 	// between two confirmations and since the last one. It returns zero after a longer gap.
-	Steady func() time.Duration
-	Gap    time.Duration
+	ConfirmedFor func() time.Duration
+	Gap          time.Duration
 }
 
 // Peers tracks how many processes share a limit that holds over every span of time of a
@@ -53,13 +53,13 @@
 	return &Peers{clock: clock, confirmed: c, settleTime: span + 2*c.Gap}
 }
 
-// Follow records a new view.
-func (p *Peers) Follow(s Standing) {
+// Update records a new view.
+func (p *Peers) Update(s Membership) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case !s.Self:
+	case !s.IncludesSelf:
 		p.memberSince = time.Time{}
 	case p.memberSince.IsZero():
 		p.memberSince = now
@@ -77,9 +77,9 @@
 	}
 }
 
-// Most returns the largest number of members in the views of the last settleTime, at least
+// MaxMembers returns the largest number of members in the views of the last settleTime, at least
 // one.
-func (p *Peers) Most() int {
+func (p *Peers) MaxMembers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.prune(p.clock.Now())
@@ -92,7 +92,7 @@
 
 // Settled reports whether the process may use its share.
 func (p *Peers) Settled() bool {
-	now, steady := p.clock.Now(), p.confirmed.Steady()
+	now, steady := p.clock.Now(), p.confirmed.ConfirmedFor()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.memberSince.IsZero() && min(now.Sub(p.memberSince), steady) >= p.settleTime
--- a/node/retry/quota.go
+++ b/node/retry/quota.go
@@ -51,7 +51,7 @@
 type Decision struct {
 	Allowed bool
 	First   int  // first attempts of this process in the window
-	Extra   int  // repeats of this process in the window, without this one
+	Repeats int  // repeats of this process in the window, without this one
 	Fixed   int  // this process's share of the fixed number
 	Members int  // number of processes by which the fixed number was divided
 	Settled bool // this process may use its share of the fixed number
@@ -61,14 +61,14 @@
 func (q *Quota) Take(service string) Decision {
 	w := q.window(service)
 	d := q.fixedAllowance()
-	d.First, d.Extra = w.Counts()
+	d.First, d.Repeats = w.Counts()
 	d.Allowed = w.Take(d.Fixed)
 	return d
 }
 
 // fixedAllowance returns a Decision with this process's share of the fixed number.
 func (q *Quota) fixedAllowance() Decision {
-	d := Decision{Members: q.peers.Most(), Settled: q.peers.Settled()}
+	d := Decision{Members: q.peers.MaxMembers(), Settled: q.peers.Settled()}
 	if d.Settled {
 		d.Fixed = int(fixedShare * q.limit.Fixed / float64(d.Members))
 	}
--- a/node/retry/quota_test.go
+++ b/node/retry/quota_test.go
@@ -138,7 +138,7 @@
 	}
 	p.synced, p.renewed = now, now
 	p.members = p.sim.members()
-	p.peers.Follow(Standing{Members: p.members, Self: p.joined && p.isMember()})
+	p.peers.Update(Membership{Members: p.members, IncludesSelf: p.joined && p.isMember()})
 	p.joined = true // from the next view on
 }
 
