--- a/node/coldstart/coldstart.go
+++ b/node/coldstart/coldstart.go
@@ -35,23 +35,23 @@
 	return (rate*excess + float64(l.Slack)) / parts
 }
 
-// Chooser limits what the process that chooses for all others sends to one upstream. It is not
+// ChooserLimiter limits what the process that chooses for all others sends to one upstream. It is not
 // safe for concurrent use.
-type Chooser struct{ sent []time.Time } // times of the calls within the last second, oldest first
+type ChooserLimiter struct{ sent []time.Time } // times of the calls within the last second, oldest first
 
 // Allows reports whether one more call may be sent now. Upstreams without a rate are not limited.
-func (c *Chooser) Allows(now time.Time, l Limit, rate float64) bool {
+func (c *ChooserLimiter) Allows(now time.Time, l Limit, rate float64) bool {
 	return rate <= 0 || c.recent(now) < int(l.share(rate))
 }
 
 // Count counts a call sent now.
-func (c *Chooser) Count(now time.Time) {
+func (c *ChooserLimiter) Count(now time.Time) {
 	c.recent(now)
 	c.sent = append(c.sent, now)
 }
 
 // recent returns the number of calls in the second before now.
-func (c *Chooser) recent(now time.Time) int {
+func (c *ChooserLimiter) recent(now time.Time) int {
 	old := 0
 	for old < len(c.sent) && now.Sub(c.sent[old]) >= time.Second {
 		old++
@@ -60,9 +60,9 @@
 	return len(c.sent)
 }
 
-// Among reports whether self is one of the processes in the upstream's data centre that may call
+// MayCall reports whether self is one of the processes in the upstream's data centre that may call
 // it on their own. Processes that see the same peers agree on which ones these are.
-func (l Limit) Among(rate float64, upstream, self string, processes []string) bool {
+func (l Limit) MayCall(rate float64, upstream, self string, processes []string) bool {
 	own, before := rank(upstream, self), 0
 	for _, p := range processes {
 		if rank(upstream, p) < own {
@@ -75,22 +75,22 @@
 // rank orders the processes differently for each upstream.
 func rank(upstream, process string) uint64 { return xxhash.Sum64String(upstream + "/" + process) }
 
-// Direct limits what a process that chooses by itself sends to each upstream. It is safe for
+// DirectLimiter limits what a process that chooses by itself sends to each upstream. It is safe for
 // concurrent use.
-type Direct struct {
+type DirectLimiter struct {
 	mu          sync.Mutex
 	nextAllowed map[string]time.Time // by upstream: when the next call may be sent
 }
 
 // Allows reports whether a call may be sent to the upstream now.
-func (d *Direct) Allows(now time.Time, upstream string) bool {
+func (d *DirectLimiter) Allows(now time.Time, upstream string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !now.Before(d.nextAllowed[upstream])
 }
 
 // Count counts a call sent to the upstream now.
-func (d *Direct) Count(now time.Time, upstream string) {
+func (d *DirectLimiter) Count(now time.Time, upstream string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.nextAllowed == nil {
--- a/node/coldstart/coldstart_test.go
+++ b/node/coldstart/coldstart_test.go
@@ -36,15 +36,15 @@
 			t.Run(fmt.Sprint(c, seed), func(t *testing.T) {
 				random := rand.New(rand.NewPCG(seed, 1))
 				bound := int(c.rate*max(1, c.limit.Excess)) + c.limit.Slack
-				choosers := make([]Chooser, 2)
-				var directs []*Direct
+				choosers := make([]ChooserLimiter, 2)
+				var directs []*DirectLimiter
 				var names []string
 				for i := range c.processes {
 					names = append(names, fmt.Sprint("p", i))
 				}
 				for _, name := range names {
-					if c.limit.Among(c.rate, "u", name, names) {
-						directs = append(directs, &Direct{})
+					if c.limit.MayCall(c.rate, "u", name, names) {
+						directs = append(directs, &DirectLimiter{})
 					}
 				}
 				var arrivals []time.Time
@@ -78,7 +78,7 @@
 
 // TestUpstreamsWithoutARateAreNotBounded sends a thousand calls at one moment.
 func TestUpstreamsWithoutARateAreNotBounded(t *testing.T) {
-	var c Chooser
+	var c ChooserLimiter
 	now := time.Unix(1000, 0)
 	for range 1000 {
 		if !c.Allows(now, Limit{}, 0) {
--- a/node/proxy/coldstart_test.go
+++ b/node/proxy/coldstart_test.go
@@ -24,7 +24,7 @@
 	}
 	may := map[bool]wire.MemberID{}
 	for _, p := range processes {
-		may[limit.Among(18, "i-here", p, processes)] = wire.MemberID(p)
+		may[limit.MayCall(18, "i-here", p, processes)] = wire.MemberID(p)
 	}
 	c := criteria{dataCenter: "north", cold: coldPolicy{limit: limit, rate: 18, self: may[false], nearby: processes}}
 	if m, ok := e.acquire(list, c, now); ok {
--- a/node/proxy/endpoints.go
+++ b/node/proxy/endpoints.go
@@ -37,7 +37,7 @@
 	mu               sync.Mutex
 	announced        map[string][]wire.Member // of the last view, by service
 	byStart          map[wire.Start]*endpoint
-	direct           coldstart.Direct
+	direct           coldstart.DirectLimiter
 	split            *rollout.Split
 	unreachableUntil map[string]time.Time // by data centre: its upstreams are avoided until then
 }
@@ -217,7 +217,7 @@
 	if !m.Cold || c.cold.rate <= 0 || m.ID == c.chosen {
 		return true
 	}
-	return m.DataCenter == c.dataCenter && e.direct.Allows(now, string(m.ID)) && c.cold.limit.Among(c.cold.rate, string(m.ID), string(c.cold.self), c.cold.nearby)
+	return m.DataCenter == c.dataCenter && e.direct.Allows(now, string(m.ID)) && c.cold.limit.MayCall(c.cold.rate, string(m.ID), string(c.cold.self), c.cold.nearby)
 }
 
 // rank orders upstreams; the lowest is the best.
--- a/node/stagework/engines.go
+++ b/node/stagework/engines.go
@@ -79,7 +79,7 @@
 	sending  time.Time // until when its link is busy with parts for others
 	failures int
 	until    time.Time // passed over until then
-	chosen   coldstart.Chooser
+	chosen   coldstart.ChooserLimiter
 }
 
 // plan is an engine for a call, and what it does before the call's first event.
