--- a/node/proxy/admit.go
+++ b/node/proxy/admit.go
@@ -30,7 +30,7 @@
 	if err := x.authenticate(); err != nil {
 		return err
 	}
-	x.allowed = x.table.regions.Within(x.route.Regions, x.customerRegions())
+	x.allowed = x.table.regions.Allowed(x.route.Regions, x.customerRegions())
 	x.service = x.table.config.Services[pickService(x.route, rand.Float64())]
 	x.deadline = x.began.Add(x.route.Timeout)
 	if wait := x.call.Wait; wait > 0 && wait < x.route.Timeout {
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -232,7 +232,7 @@
 	route        *optext.Route
 	service      *optext.Service
 	customer     *optext.Customer
-	allowed      residency.Within // data centres in which it may be served
+	allowed      residency.AllowedDataCenters // data centres in which it may be served
 	body         []byte
 	memory       callMemory // reserved for the call's body and answer
 	callerGone   bool       // the caller no longer reads the answer
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -152,15 +152,15 @@
 // eligibleUpstreams returns the service's currently announced upstreams in data centres that the call may use.
 func (x *exchange) eligibleUpstreams(service string) []wire.Member {
 	list := x.s.table.Load().announced[service]
-	if !x.allowed.Bound {
+	if !x.allowed.Restricted {
 		return list
 	}
-	return slices.DeleteFunc(slices.Clone(list), func(m wire.Member) bool { return !x.allowed.Has(m.DataCenter) })
+	return slices.DeleteFunc(slices.Clone(list), func(m wire.Member) bool { return !x.allowed.Contains(m.DataCenter) })
 }
 
 // checkRegions returns an error if a service of the call has no upstream in the regions to which the call is restricted.
 func (x *exchange) checkRegions() *verdict.Error {
-	if !x.allowed.Bound {
+	if !x.allowed.Restricted {
 		return nil
 	}
 	services := []string{x.service.Name}
--- a/node/proxy/table.go
+++ b/node/proxy/table.go
@@ -46,7 +46,7 @@
 
 func (t *table) setConfig(c *optext.Config, regions map[string]string) {
 	t.byHost, t.customers = map[string][]*optext.Route{}, map[[sha256.Size]byte]*optext.Customer{}
-	t.regions = residency.RegionsOf(regions, c)
+	t.regions = residency.MergeRegions(regions, c)
 	for _, r := range c.Routes {
 		t.byHost[r.Host] = append(t.byHost[r.Host], r)
 	}
--- a/node/residency/residency.go
+++ b/node/residency/residency.go
@@ -14,12 +14,12 @@
 // Regions maps each data centre to its region.
 type Regions map[string]string
 
-// ErrRegion says that a configuration names a region to which no known data centre belongs.
-const ErrRegion = errors.ConstError("residency: unknown region")
+// ErrUnknownRegion says that a configuration names a region to which no known data centre belongs.
+const ErrUnknownRegion = errors.ConstError("residency: unknown region")
 
-// RegionsOf merges the regions from the settings with those of the operators' configuration,
+// MergeRegions merges the regions from the settings with those of the operators' configuration,
 // which take precedence.
-func RegionsOf(settings map[string]string, c *optext.Config) Regions {
+func MergeRegions(settings map[string]string, c *optext.Config) Regions {
 	out := Regions{}
 	for dataCenter, region := range settings {
 		out[dataCenter] = region
@@ -32,7 +32,7 @@
 	return out
 }
 
-// Check returns an error that wraps ErrRegion if a route or customer of the configuration names
+// Check returns an error that wraps ErrUnknownRegion if a route or customer of the configuration names
 // an unknown region. Without any known region it checks nothing.
 func (r Regions) Check(c *optext.Config) error {
 	if len(r) == 0 {
@@ -54,7 +54,7 @@
 func (r Regions) check(who string, regions []string) error {
 	for _, region := range regions {
 		if !r.known(region) {
-			return errors.Annotatef(ErrRegion, "%s is restricted to region %q, to which no known data centre belongs; known regions: %s", who, region, strings.Join(r.names(), ", "))
+			return errors.Annotatef(ErrUnknownRegion, "%s is restricted to region %q, to which no known data centre belongs; known regions: %s", who, region, strings.Join(r.names(), ", "))
 		}
 	}
 	return nil
@@ -80,33 +80,33 @@
 	return out
 }
 
-// Within returns the data centres that are allowed by every one of the lists of regions. An empty
+// Allowed returns the data centres that are allowed by every one of the lists of regions. An empty
 // list allows all, as does the zero value of the result.
-func (r Regions) Within(lists ...[]string) Within {
-	var w Within
+func (r Regions) Allowed(lists ...[]string) AllowedDataCenters {
+	var a AllowedDataCenters
 	for _, list := range lists {
 		if len(list) == 0 {
 			continue
 		}
 		var in []string
 		for dataCenter, region := range r {
-			if slices.Contains(list, region) && w.Has(dataCenter) {
+			if slices.Contains(list, region) && a.Contains(dataCenter) {
 				in = append(in, dataCenter)
 			}
 		}
 		slices.Sort(in)
-		w = Within{Bound: true, DataCenters: in}
+		a = AllowedDataCenters{Restricted: true, DataCenters: in}
 	}
-	return w
+	return a
 }
 
-// Within is the set of data centres in which a call may be served.
-type Within struct {
-	Bound       bool     `json:"bound,omitempty"` // false: all data centres are allowed
+// AllowedDataCenters is the set of data centres in which a call may be served.
+type AllowedDataCenters struct {
+	Restricted  bool     `json:"bound,omitempty"` // false: all data centres are allowed
 	DataCenters []string `json:"data_centers,omitempty"`
 }
 
-// Has reports whether the call may be served in the data centre.
-func (w Within) Has(dataCenter string) bool {
-	return !w.Bound || slices.Contains(w.DataCenters, dataCenter)
+// Contains reports whether the call may be served in the data centre.
+func (a AllowedDataCenters) Contains(dataCenter string) bool {
+	return !a.Restricted || slices.Contains(a.DataCenters, dataCenter)
 }
--- a/node/residency/residency_test.go
+++ b/node/residency/residency_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfN(rapid.SampledFrom([]string{"east", "west", "north", "nowhere"}), 0, 3)
 		lists := rapid.SliceOfN(names, 0, 3).Draw(t, "lists")
-		w := regions.Within(lists...)
+		w := regions.Allowed(lists...)
 		for dataCenter, region := range regions {
 			allowed := true
 			for _, list := range lists {
@@ -26,11 +26,11 @@
 				}
 				allowed = allowed && in
 			}
-			if w.Has(dataCenter) != allowed {
+			if w.Contains(dataCenter) != allowed {
 				t.Fatalf("%v: allowed in %s: %t", lists, dataCenter, !allowed)
 			}
 		}
-		if w.Bound && w.Has("unknown") {
+		if w.Restricted && w.Contains("unknown") {
 			t.Fatalf("%v: a data centre without a region is allowed", lists)
 		}
 	})
@@ -42,7 +42,7 @@
 	if err := regions.Check(good); err != nil {
 		t.Fatal(err)
 	}
-	if err := regions.Check(bad); !errors.Is(err, ErrRegion) {
+	if err := regions.Check(bad); !errors.Is(err, ErrUnknownRegion) {
 		t.Fatalf("%v", err)
 	}
 	if err := (Regions{}).Check(bad); err != nil {
--- a/node/stagework/engines.go
+++ b/node/stagework/engines.go
@@ -45,9 +45,9 @@
 
 // Prompt is what the choice of an engine needs of a call.
 type Prompt struct {
-	Service string                `json:"service"` // whose upstreams the engines are
-	Parts   []upstream.PromptPart `json:"parts"`   // in order, shared ones first
-	Within  residency.Within      `json:"within,omitzero"`
+	Service string                       `json:"service"` // whose upstreams the engines are
+	Parts   []upstream.PromptPart        `json:"parts"`   // in order, shared ones first
+	Within  residency.AllowedDataCenters `json:"within,omitzero"`
 }
 
 // engines chooses engines by what they have to read before a call's first event: the
@@ -242,14 +242,14 @@
 // those that keep its shared parts, or count as such, and some others, by turns.
 func (e *engines) candidates(p *Prompt, first wire.MemberID, track rollout.Track) []*engineLoad {
 	members := track.Choose(e.members[p.Service])
-	if p.Within.Bound {
-		members = slices.DeleteFunc(slices.Clone(members), func(m wire.Member) bool { return !p.Within.Has(m.DataCenter) })
+	if p.Within.Restricted {
+		members = slices.DeleteFunc(slices.Clone(members), func(m wire.Member) bool { return !p.Within.Contains(m.DataCenter) })
 	}
 	n := min(len(members), mostLooked)
 	out := make([]*engineLoad, 0, 2*n)
 	if n < len(members) {
 		for _, l := range e.holders.of(p) {
-			if l.member.Service == p.Service && track.Admits(l.member.Version) && p.Within.Has(l.member.DataCenter) {
+			if l.member.Service == p.Service && track.Admits(l.member.Version) && p.Within.Contains(l.member.DataCenter) {
 				out = append(out, l)
 			}
 		}
--- a/node/stagework/fetch.go
+++ b/node/stagework/fetch.go
@@ -67,7 +67,7 @@
 	}
 	var best *engineLoad
 	for _, l := range e.holders.of(p) {
-		if l.member.Service != p.Service || l.member.Leaving || l.failures > 0 || !p.Within.Has(l.member.DataCenter) || !l.keeps(shared(p.Parts)) {
+		if l.member.Service != p.Service || l.member.Leaving || l.failures > 0 || !p.Within.Contains(l.member.DataCenter) || !l.keeps(shared(p.Parts)) {
 			continue
 		}
 		if best == nil || l.sendsBefore(best, now) {
--- a/node/stagework/job.go
+++ b/node/stagework/job.go
@@ -24,10 +24,10 @@
 	DataCenter string        `json:"data_center"`
 	Priority   int           `json:"priority,omitempty"` // 0 is the most urgent
 	// Within are the data centres in which pieces and the call itself may be made.
-	Within residency.Within `json:"within,omitzero"`
-	Caller string           `json:"caller,omitempty"` // peer address of the process whose call it is; empty: it wants no news
-	Made   []StageMade      `json:"made,omitempty"`   // stages that an owner before has made
-	Again  bool             `json:"again,omitempty"`  // it was handed in before, at an owner that did not end it
+	Within residency.AllowedDataCenters `json:"within,omitzero"`
+	Caller string                       `json:"caller,omitempty"` // peer address of the process whose call it is; empty: it wants no news
+	Made   []StageMade                  `json:"made,omitempty"`   // stages that an owner before has made
+	Again  bool                         `json:"again,omitempty"`  // it was handed in before, at an owner that did not end it
 	// Owner is the process that its caller takes for the owner: one that was named may not
 	// have heard of it yet.
 	Owner  wire.StageOwner `json:"owner"`
@@ -117,7 +117,7 @@
 }
 
 // errNowhere refuses a job that may be made in data centres only where no upstream of a service is.
-func errNowhere(service string, w residency.Within) error {
+func errNowhere(service string, w residency.AllowedDataCenters) error {
 	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, where the stages may be made", service, w.DataCenters)
 }
 
--- a/node/stagework/queue.go
+++ b/node/stagework/queue.go
@@ -197,7 +197,7 @@
 	out := make([]*piece, 0, len(q.waiting))
 	closed := q.reach.closed(now, w.member.DataCenter)
 	for _, p := range q.waiting {
-		if closed && !p.stranded || !p.job.Within.Has(w.member.DataCenter) {
+		if closed && !p.stranded || !p.job.Within.Contains(w.member.DataCenter) {
 			continue
 		}
 		if p.home == "" || p.home == w.member.DataCenter || p.nowhere || p.wait > fullCall(q.spec) || p.pressed(now, q.spec) {
--- a/node/stagework/reach.go
+++ b/node/stagework/reach.go
@@ -108,7 +108,7 @@
 		}
 	}
 	for _, p := range q.waiting {
-		p.stranded = !slices.ContainsFunc(lit, p.job.Within.Has)
+		p.stranded = !slices.ContainsFunc(lit, p.job.Within.Contains)
 		if p.stranded {
 			q.stranded = dark
 		}
--- a/node/stagework/reach_test.go
+++ b/node/stagework/reach_test.go
@@ -147,11 +147,11 @@
 	all := []string{"dc0", "dc1", "dc2", "dc3", "dc4", "dc5"}
 	for name, c := range map[string]struct {
 		dark   []string
-		within residency.Within
+		within residency.AllowedDataCenters
 	}{
-		"all are dark":       {all, residency.Within{}},
-		"its region is":      {[]string{"dc0"}, residency.Within{Bound: true, DataCenters: []string{"dc0"}}},
-		"both of its region": {[]string{"dc0", "dc1"}, residency.Within{Bound: true, DataCenters: []string{"dc0", "dc1"}}},
+		"all are dark":       {all, residency.AllowedDataCenters{}},
+		"its region is":      {[]string{"dc0"}, residency.AllowedDataCenters{Restricted: true, DataCenters: []string{"dc0"}}},
+		"both of its region": {[]string{"dc0", "dc1"}, residency.AllowedDataCenters{Restricted: true, DataCenters: []string{"dc0", "dc1"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			known := endsAfter(t, c.dark, c.within, func(*scheduler) {})
@@ -164,7 +164,7 @@
 }
 
 // endsAfter is how long a job takes to end that may go to dark data centres only.
-func endsAfter(t *testing.T, dark []string, within residency.Within, tick func(*scheduler)) time.Duration {
+func endsAfter(t *testing.T, dark []string, within residency.AllowedDataCenters, tick func(*scheduler)) time.Duration {
 	s, now := fleetOwner(90)
 	for _, dc := range dark {
 		for i := range darkUpstreams {
--- a/node/stagework/within.go
+++ b/node/stagework/within.go
@@ -5,12 +5,12 @@
 )
 
 // within reports whether the service has an upstream where a job may be made.
-func (q *serviceQueue) within(w residency.Within) bool {
-	if !w.Bound {
+func (q *serviceQueue) within(w residency.AllowedDataCenters) bool {
+	if !w.Restricted {
 		return true
 	}
 	for _, x := range q.workers {
-		if !x.leaving && w.Has(x.member.DataCenter) {
+		if !x.leaving && w.Contains(x.member.DataCenter) {
 			return true
 		}
 	}
@@ -20,7 +20,7 @@
 // outside returns the service for which a job waits that is bound to data centres where the service has no
 // upstream any more; empty: none.
 func (s *scheduler) outside(j *job) string {
-	if !j.Within.Bound {
+	if !j.Within.Restricted {
 		return ""
 	}
 	for i, st := range j.Stages {
--- a/node/stagework/within_test.go
+++ b/node/stagework/within_test.go
@@ -37,16 +37,16 @@
 			s.setServices(specs, members)
 		}
 		follow()
-		bound := map[string]residency.Within{}
+		bound := map[string]residency.AllowedDataCenters{}
 		under := []*call{}
 		for i := range 30 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 120).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 5).Draw(t, "what") == 0 {
 				follow()
 			}
-			w := residency.Within{Bound: rapid.Bool().Draw(t, "bound")}
+			w := residency.AllowedDataCenters{Restricted: rapid.Bool().Draw(t, "bound")}
 			for _, dc := range dataCenters {
-				if w.Bound && rapid.Bool().Draw(t, dc) {
+				if w.Restricted && rapid.Bool().Draw(t, dc) {
 					w.DataCenters = append(w.DataCenters, dc)
 				}
 			}
@@ -58,17 +58,17 @@
 			s.add(now, job, func(r Result, err error) {
 				if err == nil && r.Engine != "" {
 					l := s.engines.by[r.Engine]
-					if !w.Has(l.member.DataCenter) {
+					if !w.Contains(l.member.DataCenter) {
 						t.Fatalf("%s, within %v: engine %s in %s", id, w, r.Engine, l.member.DataCenter)
 					}
-					if r.FetchFrom != "" && !w.Has(s.engines.by[wire.MemberID(r.FetchFrom)].member.DataCenter) {
+					if r.FetchFrom != "" && !w.Contains(s.engines.by[wire.MemberID(r.FetchFrom)].member.DataCenter) {
 						t.Fatalf("%s, within %v: parts are fetched from %s", id, w, r.FetchFrom)
 					}
 				}
 			})
 			for _, c := range s.start(now) {
 				for _, p := range c.pieces {
-					if w := bound[p.job.ID]; !w.Has(c.worker.member.DataCenter) {
+					if w := bound[p.job.ID]; !w.Contains(c.worker.member.DataCenter) {
 						t.Fatalf("a piece of %s, within %v, is made in %s", p.job.ID, w, c.worker.member.DataCenter)
 					}
 				}
@@ -99,7 +99,7 @@
 	s.setServices(specs, map[string][]wire.Member{"a": {member("a0", "dc0"), member("a1", "dc1")}})
 	var errs []error
 	add := func(id, dc string) {
-		s.add(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: time.Minute, Within: residency.Within{Bound: true, DataCenters: []string{dc}}, Stages: []Stage{{Service: "a", Pieces: 3, Bytes: 1}}},
+		s.add(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: time.Minute, Within: residency.AllowedDataCenters{Restricted: true, DataCenters: []string{dc}}, Stages: []Stage{{Service: "a", Pieces: 3, Bytes: 1}}},
 			func(_ Result, err error) { errs = append(errs, err) })
 	}
 	refused := func(n int) {
@@ -129,7 +129,7 @@
 		p.busy("e0", 1_000_000)
 		p.busy("e2", 1_000_000)
 		pr := prompt("shared", 1000)
-		pr.Within = residency.Within{Bound: bound, DataCenters: []string{"dc1"}}
+		pr.Within = residency.AllowedDataCenters{Restricted: bound, DataCenters: []string{"dc1"}}
 		x := p.plan(pr)
 		if x.engine.DataCenter != "dc1" {
 			t.Fatalf("bound %t: engine %s", bound, x.engine.ID)
