--- a/node/proxy/coldstart_test.go
+++ b/node/proxy/coldstart_test.go
@@ -9,10 +9,10 @@
 	"caperdrum.org/node/coldstart"
 )
 
-// TestColdUpstreamsThatNobodyChose has one process choose by itself among cold upstreams. It must send
+// TestDirectCallsToColdUpstreams has one process choose by itself among cold upstreams. It must send
 // nothing to other data centres, nothing to an upstream for which it is not among the eight allowed
 // callers, and else one call a second. An upstream chosen by the stage owner gets the call in any case.
-func TestColdUpstreamsThatNobodyChose(t *testing.T) {
+func TestDirectCallsToColdUpstreams(t *testing.T) {
 	e := newEndpoints(noNotices())
 	now := time.Unix(1000, 0)
 	here, there := wire.AnnouncedUpstream("i-here", "llm", "10.0.0.1:80", "north", false).Said(1, true), wire.AnnouncedUpstream("i-there", "llm", "10.0.0.2:80", "south", false).Said(1, true)
--- a/node/proxy/endpoints.go
+++ b/node/proxy/endpoints.go
@@ -152,8 +152,8 @@
 	if stable.Whole() {
 		return e.pickBest(list, c, now)
 	}
-	if wanted := slices.IndexFunc(list, func(m wire.Member) bool { return m.ID == c.chosen }); wanted >= 0 {
-		return e.pickBest(append(stable.Choose(list), list[wanted]), c, now)
+	if chosen := slices.IndexFunc(list, func(m wire.Member) bool { return m.ID == c.chosen }); chosen >= 0 {
+		return e.pickBest(append(stable.Choose(list), list[chosen]), c, now)
 	}
 	if track := e.split.Next(service, e.split.HasTarget(service, list)); track.Target() {
 		if m, ok := e.pickBest(track.Choose(list), c, now); ok {
--- a/node/proxy/quarantine_test.go
+++ b/node/proxy/quarantine_test.go
@@ -77,9 +77,9 @@
 	f.announce("desk", f.view.Announced["desk"])
 }
 
-// TestEndsAreReported checks that an upstream that crashes during a call is reported, unlike one that only breaks the
+// TestCrashesAreReported checks that an upstream that crashes during a call is reported, unlike one that only breaks the
 // connection, and that a call that was answered before is reported as answered.
-func TestEndsAreReported(t *testing.T) {
+func TestCrashesAreReported(t *testing.T) {
 	f := newFixture(t)
 	r := f.collectReports()
 	f.upstream("desk", "i-1", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
--- a/node/proxy/slow_caller_test.go
+++ b/node/proxy/slow_caller_test.go
@@ -174,9 +174,10 @@
 // Write implements http.ResponseWriter.
 func (timedOutWriter) Write([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
-// TestCallersFaultIsNoUpstreams has a caller not read its stream during a rollout. The version that answered must not
-// be counted as failed, the upstream must not be avoided, and the stream must not be started elsewhere.
-func TestCallersFaultIsNoUpstreams(t *testing.T) {
+// TestSlowCallerIsNotCountedAgainstUpstream has a caller not read its stream during a rollout. The version that
+// answered must not be counted as failed, the upstream must not be avoided, and the stream must not be started
+// elsewhere.
+func TestSlowCallerIsNotCountedAgainstUpstream(t *testing.T) {
 	f := newFixture(t)
 	var calls atomic.Int32
 	f.upstream("llm", "e1", func(w http.ResponseWriter, _ *http.Request) {
