--- a/node/proxy/events.go
+++ b/node/proxy/events.go
@@ -4,19 +4,17 @@
 	"bytes"
 )
 
-// eventSplitter cuts a stream of server-sent events into whole events, so that
-// a break in the middle of one passes nothing on that the next upstream sends
-// again.
+// eventSplitter passes on only complete server-sent events, so that when a stream breaks inside an event,
+// no part of it was passed on that the next upstream sends again.
 type eventSplitter struct {
 	pending []byte
-	last    string // id of the last whole event
+	lastID  string // ID of the last complete event
 }
 
-// feed takes in bytes and returns those that complete events; the slice is
-// valid until the next call.
+// feed adds bytes and returns those that complete events. The slice is valid until the next call.
 func (e *eventSplitter) feed(p []byte) []byte {
 	e.pending = append(e.pending, p...)
-	end := wholeEvents(e.pending)
+	end := completeEventsEnd(e.pending)
 	if end == 0 {
 		return nil
 	}
@@ -26,8 +24,8 @@
 	return whole
 }
 
-// wholeEvents returns where the last blank line ends.
-func wholeEvents(p []byte) int {
+// completeEventsEnd returns the offset after the last blank line, which ends an event.
+func completeEventsEnd(p []byte) int {
 	end := 0
 	if i := bytes.LastIndex(p, []byte("\n\n")); i >= 0 {
 		end = i + 2
@@ -41,7 +39,7 @@
 func (e *eventSplitter) noteID(whole []byte) {
 	for line := range bytes.Lines(whole) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			e.last = string(bytes.TrimSpace(id))
+			e.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
--- a/node/residency/residency_test.go
+++ b/node/residency/residency_test.go
@@ -11,12 +11,12 @@
 
 var regions = Regions{"a1": "east", "a2": "east", "b1": "west", "c1": "north"}
 
-// TestWithin has a data centre allowed exactly where each list that names regions names its own.
+// TestWithin checks that a data centre is allowed exactly if every non-empty list names its region.
 func TestWithin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfN(rapid.SampledFrom([]string{"east", "west", "north", "nowhere"}), 0, 3)
 		lists := rapid.SliceOfN(names, 0, 3).Draw(t, "lists")
-		w := regions.Within(lists...)
+		w := regions.Allowed(lists...)
 		for dataCenter, region := range regions {
 			allowed := true
 			for _, list := range lists {
@@ -26,12 +26,12 @@
 				}
 				allowed = allowed && in
 			}
-			if w.Has(dataCenter) != allowed {
-				t.Fatalf("%v: %s allowed is %t", lists, dataCenter, !allowed)
+			if w.Contains(dataCenter) != allowed {
+				t.Fatalf("%v: allowed in %s: %t", lists, dataCenter, !allowed)
 			}
 		}
-		if w.Bound && w.Has("unknown") {
-			t.Fatalf("%v: a data centre of no known region is allowed", lists)
+		if w.Restricted && w.Contains("unknown") {
+			t.Fatalf("%v: a data centre without a region is allowed", lists)
 		}
 	})
 }
@@ -42,10 +42,10 @@
 	if err := regions.Check(good); err != nil {
 		t.Fatal(err)
 	}
-	if err := regions.Check(bad); !errors.Is(err, ErrRegion) {
+	if err := regions.Check(bad); !errors.Is(err, ErrUnknownRegion) {
 		t.Fatalf("%v", err)
 	}
 	if err := (Regions{}).Check(bad); err != nil {
-		t.Fatalf("no region is known, and it says %v", err)
+		t.Fatalf("no region is known, and Check returned %v", err)
 	}
 }
--- a/node/retry/peers.go
+++ b/node/retry/peers.go
@@ -7,89 +7,93 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Standing is a process's place among those that share a limit, as its view has it.
-type Standing struct {
-	Members int  // the processes that the view holds
-	Self    bool // it holds this start of this process
+// Membership describes a view of the processes that share a limit.
+type Membership struct {
+	Members      int  // number of processes in the view
+	IncludesSelf bool // the view contains this incarnation of this process
 }
 
-// Confirmations are those of a process's view by a quorum.
+// Confirmations tells how long a quorum has been confirming this process's view.
 type Confirmations struct {
-	// Steady returns for how long the view has been confirmed, with no more than Gap between two
-	// confirmations or since the last one; zero where that is over.
-	Steady func() time.Duration
-	Gap    time.Duration
+	// ConfirmedFor returns for how long the view has been confirmed without interruption: at most Gap
+	// between two confirmations and since the last one. It returns zero after a longer gap.
+	ConfirmedFor func() time.Duration
+	Gap          time.Duration
 }
 
-// Peers follows with how many others a process shares what is bounded over all of them in
-// every span of time of some length.
+// Peers tracks how many processes share a limit that holds over every span of time of a
+// given length.
 //
-// A part of such a bound is safe only while no others use theirs unseen. So a process has none until
-// it is settled: a member in each view, which a quorum has confirmed without a gap, for a span and two gaps. Until
-// then another start of it, or processes that it does not see, may have used a part within the span. And the bound
-// is divided by the most members that any of these views had: of any processes that have used their parts within one
-// span, all were members at one moment that each of them has seen.
+// A process may use its share of the limit only while no process that it does not see uses
+// another. So it gets a share only once it is settled: it has been a member in every view,
+// and a quorum has confirmed the views without interruption, for the span plus two gaps.
+// Before that, an earlier incarnation of it, or processes that it does not see, may have
+// used a share within the span. The limit is divided by the largest number of members in
+// any of these views: all processes that used their shares within one span were members at
+// one moment that each of them has seen.
 type Peers struct {
-	clock     clockwork.Clock
-	confirmed Confirmations
-	settling  time.Duration
+	clock      clockwork.Clock
+	confirmed  Confirmations
+	settleTime time.Duration
 
-	mu     sync.Mutex
-	member time.Time // since when each view holds this start; zero where the last one does not
-	views  []size    // the oldest first
+	mu          sync.Mutex
+	memberSince time.Time  // since when every view contains this incarnation; zero if the last one does not
+	sizes       []viewSize // oldest first
 }
 
-// size is how many members the views had from a moment on.
-type size struct {
+// viewSize is the number of members in the views from a moment on.
+type viewSize struct {
 	at      time.Time
 	members int
 }
 
-// NewPeers returns the peers of a process that has just started.
+// NewPeers returns the peers of a process that has just started. Span is the length of time
+// over which the limit holds.
 func NewPeers(span time.Duration, clock clockwork.Clock, c Confirmations) *Peers {
-	return &Peers{clock: clock, confirmed: c, settling: span + 2*c.Gap}
+	return &Peers{clock: clock, confirmed: c, settleTime: span + 2*c.Gap}
 }
 
-// Follow takes over what a new view says.
-func (p *Peers) Follow(s Standing) {
+// Update records a new view.
+func (p *Peers) Update(s Membership) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case !s.Self:
-		p.member = time.Time{}
-	case p.member.IsZero():
-		p.member = now
+	case !s.IncludesSelf:
+		p.memberSince = time.Time{}
+	case p.memberSince.IsZero():
+		p.memberSince = now
 	}
-	if n := len(p.views); n == 0 || p.views[n-1].members != s.Members {
-		p.views = append(p.views, size{now, s.Members})
+	if n := len(p.sizes); n == 0 || p.sizes[n-1].members != s.Members {
+		p.sizes = append(p.sizes, viewSize{now, s.Members})
 	}
-	p.forget(now)
+	p.prune(now)
 }
 
-// forget drops the views that were replaced before all that counts.
-func (p *Peers) forget(now time.Time) {
-	for len(p.views) > 1 && now.Sub(p.views[1].at) > p.settling {
-		p.views = p.views[1:]
+// prune drops sizes that were replaced longer than settleTime ago.
+func (p *Peers) prune(now time.Time) {
+	for len(p.sizes) > 1 && now.Sub(p.sizes[1].at) > p.settleTime {
+		p.sizes = p.sizes[1:]
 	}
 }
 
-// Most returns the most members that the views of the span had; at least one.
-func (p *Peers) Most() int {
+// MaxMembers returns the largest number of members in the views of the last settleTime, at least
+// one.
+func (p *Peers) MaxMembers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(p.clock.Now())
+	p.prune(p.clock.Now())
 	most := 1
-	for _, v := range p.views {
+	for _, v := range p.sizes {
 		most = max(most, v.members)
 	}
 	return most
 }
 
-// Settled reports whether the process may use its part.
+// Settled reports whether the process may use its share.
 func (p *Peers) Settled() bool {
-	now, steady := p.clock.Now(), p.confirmed.Steady()
+	now, steady := p.clock.Now(), p.confirmed.ConfirmedFor()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.member.IsZero() && min(now.Sub(p.member), steady) >= p.settling
+	return !p.memberSince.IsZero() && min(now.Sub(p.memberSince), steady) >= p.settleTime
 }
