--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -39,36 +39,36 @@
 	entries   int // live entries, which share every customer's rate
 	inFlight  int
 	bytes     int64
-	customers map[string]*customer
+	customers map[string]*customerState
 }
 
-type customer struct {
-	limiter  limiter
-	rate     float64 // of this entry
-	inFlight int
-	share    float64
-	seen     time.Time
+type customerState struct {
+	limiter     limiter
+	rate        float64 // of this entry
+	inFlight    int
+	share       float64
+	lastRequest time.Time
 }
 
 const (
-	fairFrom   = 0.5             // of the entry's places: above, no customer may exceed its share of them
-	activeFor  = 5 * time.Second // a customer counts for the shares this long after a request
-	comeBack   = time.Second
-	bytesTimes = 64 // default limit of all bodies, in bodies of the greatest size
+	fairShareThreshold = 0.5             // of the entry's places: above, no customer may exceed its share of them
+	activeWindow       = 5 * time.Second // a customer counts for the shares this long after a request
+	retryAfter         = time.Second
+	bodyBytesFactor    = 64 // default limit of all bodies, in bodies of the greatest size
 )
 
 var refusedVar = expvar.NewMap("admission_refused") // by cause
 
 // New returns the service, which follows the number of entries.
 func New(p Params) *Service {
-	s := NewWith(Limits{InFlight: p.Settings.Entry.MaxInFlight, Bytes: bytesTimes * p.Settings.Entry.MaxBody})
+	s := NewWith(Limits{InFlight: p.Settings.Entry.MaxInFlight, Bytes: bodyBytesFactor * p.Settings.Entry.MaxBody})
 	p.Sync.OnChange(func(v *configsync.View) { s.SetEntries(countEntries(v)) })
 	return s
 }
 
 // NewWith returns a service with the given limits for a single entry.
 func NewWith(l Limits) *Service {
-	return &Service{limits: l, entries: 1, shed: newShedder(), customers: map[string]*customer{}}
+	return &Service{limits: l, entries: 1, shed: newShedder(), customers: map[string]*customerState{}}
 }
 
 func countEntries(v *configsync.View) int {
@@ -99,13 +99,13 @@
 // ended.
 func (s *Service) Admit(c *optext.Customer, w Work, size int) (release func(), refusal *verdict.Error) {
 	now := time.Now()
-	if scarce := s.shed.admit(c, w, now); scarce != "" {
-		return nil, refuse("brownout", verdict.CodeOverloaded, comeBack, "service %s is overloaded and customer %s exceeds its part", scarce, c.Name)
+	if overloaded := s.shed.admit(c, w, now); overloaded != "" {
+		return nil, refuse("brownout", verdict.CodeOverloaded, retryAfter, "service %s is overloaded and customer %s exceeds its part", overloaded, c.Name)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cu := s.customer(c, now)
-	if refusal := s.full(c, cu, size, now); refusal != nil {
+	cu := s.stateOf(c, now)
+	if refusal := s.checkLimits(c, cu, size, now); refusal != nil {
 		return nil, refusal
 	}
 	if cu.rate > 0 {
@@ -125,7 +125,7 @@
 	return verdict.New(verdict.NotRun, code, format, args...).After(wait)
 }
 
-func (s *Service) release(cu *customer, size int) {
+func (s *Service) release(cu *customerState, size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
@@ -135,13 +135,13 @@
 
 // customer returns the customer's state, with its rate for this entry: an
 // equal part for every live entry.
-func (s *Service) customer(c *optext.Customer, now time.Time) *customer {
+func (s *Service) stateOf(c *optext.Customer, now time.Time) *customerState {
 	cu := s.customers[c.Name]
 	if cu == nil {
-		cu = &customer{}
+		cu = &customerState{}
 		s.customers[c.Name] = cu
 	}
-	cu.share, cu.seen = c.Share, now
+	cu.share, cu.lastRequest = c.Share, now
 	if rate := c.Rate / float64(s.entries); rate != cu.rate {
 		cu.rate = rate
 		if rate > 0 {
@@ -153,24 +153,24 @@
 
 // full checks the entry's own limits. While many places are taken, a customer
 // may hold no more than its share among the active ones.
-func (s *Service) full(c *optext.Customer, cu *customer, size int, now time.Time) *verdict.Error {
+func (s *Service) checkLimits(c *optext.Customer, cu *customerState, size int, now time.Time) *verdict.Error {
 	switch {
 	case s.inFlight >= s.limits.InFlight:
-		return refuse("entry-full", verdict.CodeOverloaded, comeBack, "this entry serves %d requests already", s.inFlight)
+		return refuse("entry-full", verdict.CodeOverloaded, retryAfter, "this entry serves %d requests already", s.inFlight)
 	case s.limits.Bytes > 0 && s.bytes+int64(size) > s.limits.Bytes:
-		return refuse("entry-bytes", verdict.CodeOverloaded, comeBack, "this entry holds %d bytes of requests already", s.bytes)
-	case float64(s.inFlight) < fairFrom*float64(s.limits.InFlight):
+		return refuse("entry-bytes", verdict.CodeOverloaded, retryAfter, "this entry holds %d bytes of requests already", s.bytes)
+	case float64(s.inFlight) < fairShareThreshold*float64(s.limits.InFlight):
 		return nil
 	case float64(cu.inFlight) >= s.fairShare(cu, now)*float64(s.limits.InFlight):
-		return refuse("share", verdict.CodeCustomerLimit, comeBack, "customer %s holds its share of this entry, which is busy", c.Name)
+		return refuse("share", verdict.CodeCustomerLimit, retryAfter, "customer %s holds its share of this entry, which is busy", c.Name)
 	}
 	return nil
 }
 
-func (s *Service) fairShare(cu *customer, now time.Time) float64 {
+func (s *Service) fairShare(cu *customerState, now time.Time) float64 {
 	sum := 0.0
 	for _, other := range s.customers {
-		if other.inFlight > 0 || now.Sub(other.seen) < activeFor {
+		if other.inFlight > 0 || now.Sub(other.lastRequest) < activeWindow {
 			sum += other.share
 		}
 	}
--- a/node/admission/shed.go
+++ b/node/admission/shed.go
@@ -37,38 +37,38 @@
 
 // demand is what one customer asks of a service in one shed order.
 type demand struct {
-	share  float64
-	now    float64 // requests of the current period
-	rate   float64 // moving average over periods
-	part   float64 // admitted part
-	credit float64 // admits the part evenly: a request passes when it reaches one
-	grant  float64 // requests per period that the customer may have admitted
-	bank   float64 // what it left of earlier grants: lets a burst pass
+	share      float64
+	requests   float64 // requests of the current period
+	rate       float64 // moving average over periods
+	admitRatio float64 // admitted part
+	credit     float64 // admits the part evenly: a request passes when it reaches one
+	grant      float64 // requests per period that the customer may have admitted
+	savedGrant float64 // what it left of earlier grants: lets a burst pass
 }
 
 const (
 	period        = 200 * time.Millisecond
 	idlePeriods   = 50   // after as many periods without a report nothing is known
-	overloadShare = 0.03 // of attempts refused: above, the gates have too much work
-	minReports    = 4
+	overloadRatio = 0.03 // of attempts refused: above, the gates have too much work
+	minAttempts   = 4
 	headroom      = 1.05 // admitted over what was taken: gates must not run dry
-	growth        = 1.05 // of the budget in a period without overload
-	leastBudget   = 0.5  // requests a period, so that an end of the overload is seen
+	budgetGrowth  = 1.05 // of the budget in a period without overload
+	minBudget     = 0.5  // requests a period, so that an end of the overload is seen
 	demandWeight  = 0.5  // of the last period in a demand's rate
 	budgetWeight  = 0.5  // of the last overloaded period in the budget
-	mostBanked    = 4    // requests
-	leastRate     = 0.01 // a demand below is forgotten
+	maxSavedGrant = 4    // requests
+	minRate       = 0.01 // a demand below is forgotten
 )
 
 func newShedder() *shedder { return &shedder{services: map[string]*serviceLoad{}} }
 
-func (s *shedder) load(service string, now time.Time) *serviceLoad {
+func (s *shedder) loadOf(service string, now time.Time) *serviceLoad {
 	l := s.services[service]
 	if l == nil {
 		l = &serviceLoad{since: now, demand: map[demandKey]*demand{}}
 		s.services[service] = l
 	}
-	l.roll(now)
+	l.rollPeriod(now)
 	return l
 }
 
@@ -77,7 +77,7 @@
 func (s *shedder) report(service string, overloaded bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.load(service, now)
+	l := s.loadOf(service, now)
 	if overloaded {
 		l.refused++
 		return
@@ -87,74 +87,74 @@
 
 // admit notes a request, and returns the name of a service for whose sake it is
 // shed, or nothing.
-func (s *shedder) admit(c *optext.Customer, w Work, now time.Time) (scarce string) {
+func (s *shedder) admit(c *optext.Customer, w Work, now time.Time) (overloaded string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := demandKey{c.Name, w.Order}
-	var worst *demand
+	var tightest *demand
 	for _, name := range w.Services {
-		d := s.load(name, now).want(key, c.Share)
-		if d.part < 1 && (worst == nil || d.part < worst.part) {
-			worst, scarce = d, name
+		d := s.loadOf(name, now).addRequest(key, c.Share)
+		if d.admitRatio < 1 && (tightest == nil || d.admitRatio < tightest.admitRatio) {
+			tightest, overloaded = d, name
 		}
 	}
-	if worst == nil {
+	if tightest == nil {
 		return ""
 	}
-	worst.credit += worst.part
+	tightest.credit += tightest.admitRatio
 	switch {
-	case worst.credit >= 1:
-		worst.credit--
-	case worst.bank >= 1:
-		worst.bank--
+	case tightest.credit >= 1:
+		tightest.credit--
+	case tightest.savedGrant >= 1:
+		tightest.savedGrant--
 	default:
-		return scarce
+		return overloaded
 	}
 	return ""
 }
 
 // want counts one request. A demand not known yet is admitted whole until the
 // period ends.
-func (l *serviceLoad) want(key demandKey, share float64) *demand {
+func (l *serviceLoad) addRequest(key demandKey, share float64) *demand {
 	d := l.demand[key]
 	if d == nil {
-		d = &demand{part: 1, bank: mostBanked}
+		d = &demand{admitRatio: 1, savedGrant: maxSavedGrant}
 		l.demand[key] = d
 	}
-	d.share = max(share, leastRate)
-	d.now++
+	d.share = max(share, minRate)
+	d.requests++
 	return d
 }
 
 // roll ends the period when it is over.
-func (l *serviceLoad) roll(now time.Time) {
-	passed := float64(int(now.Sub(l.since) / period))
-	if passed < 1 {
+func (l *serviceLoad) rollPeriod(now time.Time) {
+	periods := float64(int(now.Sub(l.since) / period))
+	if periods < 1 {
 		return
 	}
 	l.since = now
-	l.ageDemand(passed)
-	if passed > idlePeriods {
+	l.updateDemand(periods)
+	if periods > idlePeriods {
 		l.budget = 0
 	} else {
-		l.adjust(passed)
+		l.adjustBudget(periods)
 	}
 	l.sent, l.refused = 0, 0
-	l.divide()
+	l.allocateBudget()
 }
 
-func (l *serviceLoad) ageDemand(passed float64) {
+func (l *serviceLoad) updateDemand(periods float64) {
 	for key, d := range l.demand {
 		if d.rate == 0 {
-			d.rate = d.now / passed
+			d.rate = d.requests / periods
 		}
-		d.rate += demandWeight * (d.now/passed - d.rate)
-		if passed > idlePeriods {
+		d.rate += demandWeight * (d.requests/periods - d.rate)
+		if periods > idlePeriods {
 			d.rate = 0
 		}
-		d.bank = min(d.bank+max(d.grant*passed-d.now, 0), mostBanked)
-		d.now = 0
-		if d.rate < leastRate {
+		d.savedGrant = min(d.savedGrant+max(d.grant*periods-d.requests, 0), maxSavedGrant)
+		d.requests = 0
+		if d.rate < minRate {
 			delete(l.demand, key)
 		}
 	}
@@ -162,25 +162,25 @@
 
 // adjust sets the budget by what the gates took when they refused, and lets it
 // grow when they did not.
-func (l *serviceLoad) adjust(passed float64) {
-	if l.sent >= minReports && l.refused > overloadShare*l.sent {
-		took := max((l.sent-l.refused)/passed*headroom, leastBudget)
+func (l *serviceLoad) adjustBudget(periods float64) {
+	if l.sent >= minAttempts && l.refused > overloadRatio*l.sent {
+		took := max((l.sent-l.refused)/periods*headroom, minBudget)
 		if l.budget == 0 {
 			l.budget = took
 		}
 		l.budget += budgetWeight * (took - l.budget)
 		return
 	}
-	l.budget *= growth
+	l.budget *= budgetGrowth
 }
 
 // divide sets the admitted part of every demand. Without overload, or when the
 // budget exceeds the demand, all is admitted.
-func (l *serviceLoad) divide() {
+func (l *serviceLoad) allocateBudget() {
 	sum, exempt := 0.0, 0.0
 	customers := map[string]*customerDemand{}
 	for key, d := range l.demand {
-		d.part, d.grant = 1, mostBanked
+		d.admitRatio, d.grant = 1, maxSavedGrant
 		sum += d.rate
 		if key.order == neverShed {
 			exempt += d.rate
@@ -192,7 +192,7 @@
 			customers[key.customer] = c
 		}
 		c.rate += d.rate
-		c.list = append(c.list, orderedDemand{key.order, d})
+		c.demands = append(c.demands, orderedDemand{key.order, d})
 	}
 	if l.budget > 2*sum {
 		l.budget = 0
@@ -200,16 +200,16 @@
 	if l.budget == 0 || l.budget >= sum {
 		return
 	}
-	level := fillLevel(customers, max(l.budget-exempt, 0))
+	level := waterLevel(customers, max(l.budget-exempt, 0))
 	for _, c := range customers {
-		c.spend(level * c.share)
+		c.allocate(level * c.share)
 	}
 }
 
 // customerDemand is what one customer asks of a service.
 type customerDemand struct {
 	share, rate float64
-	list        []orderedDemand
+	demands     []orderedDemand
 }
 
 type orderedDemand struct {
@@ -218,17 +218,17 @@
 }
 
 // spend admits the customer's demands, those that are shed last first.
-func (c *customerDemand) spend(budget float64) {
-	sort.Slice(c.list, func(i, j int) bool { return c.list[i].order > c.list[j].order })
-	for _, d := range c.list {
-		d.part, d.grant = min(budget/d.rate, 1), budget
+func (c *customerDemand) allocate(budget float64) {
+	sort.Slice(c.demands, func(i, j int) bool { return c.demands[i].order > c.demands[j].order })
+	for _, d := range c.demands {
+		d.admitRatio, d.grant = min(budget/d.rate, 1), budget
 		budget = max(budget-d.rate, 0)
 	}
 }
 
 // fillLevel returns the rate per share at which the customers' rates, each cut
 // at the level times its share, make up the budget.
-func fillLevel(customers map[string]*customerDemand, budget float64) float64 {
+func waterLevel(customers map[string]*customerDemand, budget float64) float64 {
 	list := make([]*customerDemand, 0, len(customers))
 	shares := 0.0
 	for _, c := range customers {
--- a/node/admission/shed_test.go
+++ b/node/admission/shed_test.go
@@ -58,7 +58,7 @@
 	m.taken[c.name]++
 }
 
-func (m *overloadModel) shedShare(name string) float64 {
+func (m *overloadModel) shedRatio(name string) float64 {
 	return 1 - float64(m.sent[name])/float64(m.offered[name])
 }
 
@@ -96,7 +96,7 @@
 		m.run(step.settle, callers)
 		m.run(50, callers)
 		for i, c := range callers {
-			if got := m.shedShare(c.name); got < step.want[i][0] || got > step.want[i][1] {
+			if got := m.shedRatio(c.name); got < step.want[i][0] || got > step.want[i][1] {
 				t.Errorf("%s: of %s %.3f is shed, want %v", step.when, c.name, got, step.want[i])
 			}
 		}
@@ -126,8 +126,8 @@
 		t.Errorf("the gates refuse %.3f of what they take", share)
 	}
 	for _, name := range []string{"s chat", "s draft", "t chat"} {
-		if m.shedShare(name) > 0 {
-			t.Errorf("of %s %.3f is shed", name, m.shedShare(name))
+		if m.shedRatio(name) > 0 {
+			t.Errorf("of %s %.3f is shed", name, m.shedRatio(name))
 		}
 	}
 	large, small := m.sent["l chat"]+m.sent["l draft"], m.sent["L chat"]+m.sent["L draft"]
--- a/node/admission/work.go
+++ b/node/admission/work.go
@@ -10,10 +10,10 @@
 
 // Orders of work whose text names none.
 const (
-	neverShed         = -1
-	orderDeferrable   = 1
-	orderInteractive  = 2
-	orderConfirmation = 3
+	neverShed             = -1
+	shedOrderDeferrable   = 1
+	shedOrderInteractive  = 2
+	shedOrderConfirmation = 3
 )
 
 // OfPipeline returns what a request to a pipeline needs.
@@ -28,9 +28,9 @@
 // OfCall returns what a single call needs. A confirmation is refused here only
 // when its own service has too much work: its key is then not claimed in vain.
 func OfCall(sv *optext.Service) Work {
-	w := Work{Order: orderInteractive}
+	w := Work{Order: shedOrderInteractive}
 	if !sv.Repeatable {
-		w.Order = orderConfirmation
+		w.Order = shedOrderConfirmation
 	}
 	w.add(sv)
 	return w
@@ -54,9 +54,9 @@
 	}
 	switch optext.Class(p.Class) {
 	case optext.Deferrable:
-		return orderDeferrable
+		return shedOrderDeferrable
 	case optext.Interactive:
-		return orderInteractive
+		return shedOrderInteractive
 	default:
 		return neverShed
 	}
--- a/node/order/demand.go
+++ b/node/order/demand_reporter.go
@@ -30,27 +30,27 @@
 	sync    *configsync.Service
 	control *peer.Control
 	cancel  context.CancelFunc
-	kick    chan struct{}
+	wakeup  chan struct{}
 
 	mu     sync.Mutex
 	misses map[string]int64
 }
 
 const (
-	demandPause   = 100 * time.Millisecond // gathers the misses of a burst
-	demandTimeout = 3 * time.Second
+	demandBatchDelay = 100 * time.Millisecond // gathers the misses of a burst
+	demandTimeout    = 3 * time.Second
 )
 
 // NewDemand returns the service.
 func NewDemand(p DemandParams) *Demand {
-	d := &Demand{self: wire.MemberID(p.Settings.Node.Name), sync: p.Sync, kick: make(chan struct{}, 1),
+	d := &Demand{self: wire.MemberID(p.Settings.Node.Name), sync: p.Sync, wakeup: make(chan struct{}, 1),
 		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), misses: map[string]int64{}}
-	p.Routing.OnEmpty(d.miss)
+	p.Routing.OnEmpty(d.recordMiss)
 	return d
 }
 
 // miss counts one request. Only services with models can be woken.
-func (d *Demand) miss(service string) {
+func (d *Demand) recordMiss(service string) {
 	v := d.sync.View()
 	if v == nil || v.Config.Services[service] == nil || len(v.Config.Services[service].Models) == 0 {
 		return
@@ -59,7 +59,7 @@
 	d.misses[service]++
 	d.mu.Unlock()
 	select {
-	case d.kick <- struct{}{}:
+	case d.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -84,10 +84,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.kick:
+		case <-d.wakeup:
 		}
 		d.send(ctx)
-		time.Sleep(demandPause)
+		time.Sleep(demandBatchDelay)
 	}
 }
 
--- a/node/order/carrier_test.go
+++ b/node/order/dispatcher_test.go
@@ -19,16 +19,16 @@
 // leaders over one replicated log. Leaders propose on pictures of any age;
 // answers to polls are delayed, doubled and lost; agents restart; leaders
 // that are cut off answer nothing, since their read barrier fails.
-type system struct {
-	machine *state.Machine
-	carrier *order.Carrier
-	polls   []*wire.OrderPoll
-	replies []exchange
+type simulation struct {
+	machine    *state.Machine
+	dispatcher *order.Carrier
+	polls      []*wire.OrderPoll
+	replies    []exchange
 
-	pictures []picture // that some leader may still act on
-	begun    []uint64  // tokens in the order in which the engine saw them
-	working  uint64    // order under way at the engine
-	sender   *order.Carrier
+	observations      []observation // that some leader may still act on
+	started           []uint64      // tokens in the order in which the engine saw them
+	running           uint64        // order under way at the engine
+	runningDispatcher *order.Carrier
 }
 
 type exchange struct {
@@ -36,13 +36,13 @@
 	reply wire.OrderPollReply
 }
 
-type picture struct{ fence uint64 }
+type observation struct{ fence uint64 }
 
-func newSystem() *system {
-	return &system{machine: state.New(), carrier: order.NewCarrier(upstream)}
+func newSystem() *simulation {
+	return &simulation{machine: state.New(), dispatcher: order.NewCarrier(upstream)}
 }
 
-func (s *system) apply(t *rapid.T, c *state.OrderCommand) []state.IssueResult {
+func (s *simulation) apply(t *rapid.T, c *state.OrderCommand) []state.IssueResult {
 	data, err := state.Command{Orders: c}.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -59,17 +59,17 @@
 	return min(n-1, rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 5}).Draw(t, "back"))
 }
 
-func (s *system) look(*rapid.T) {
-	s.pictures = append(s.pictures, picture{s.machine.View().Fences[upstream]})
+func (s *simulation) observe(*rapid.T) {
+	s.observations = append(s.observations, observation{s.machine.View().Fences[upstream]})
 }
 
 // decide lets a leader act on a picture that may be old; the same decision
 // may be replicated more than once.
-func (s *system) decide(t *rapid.T) {
-	if len(s.pictures) == 0 {
+func (s *simulation) decide(t *rapid.T) {
+	if len(s.observations) == 0 {
 		t.Skip("nobody has looked")
 	}
-	p := s.pictures[len(s.pictures)-1-fewBack(t, len(s.pictures))]
+	p := s.observations[len(s.observations)-1-fewBack(t, len(s.observations))]
 	open := s.machine.View().Orders[upstream].State == wire.OrderOpen
 	now := s.machine.View().Fences[upstream]
 	kind := rapid.SampledFrom([]wire.OrderKind{wire.OrderLoad, wire.OrderUnload}).Draw(t, "kind")
@@ -87,20 +87,20 @@
 
 // giveUp ends the open order without a report, as a leader does after its
 // timeout.
-func (s *system) giveUp(t *rapid.T) {
+func (s *simulation) giveUp(t *rapid.T) {
 	rec := s.machine.View().Orders[upstream]
 	s.apply(t, &state.OrderCommand{Epoch: 1, End: []wire.OrderReport{{Upstream: upstream, Token: rec.Order.Token, State: wire.OrderFailed}}})
 }
 
-func (s *system) ask(*rapid.T) {
+func (s *simulation) sendPoll(*rapid.T) {
 	p := &wire.OrderPoll{}
-	s.carrier.Fill(p)
+	s.dispatcher.Fill(p)
 	s.polls = append(s.polls, p)
 }
 
 // answer is the leader's part after its barrier: it replicates the reports and
 // reads the newest state.
-func (s *system) answer(t *rapid.T) {
+func (s *simulation) answer(t *rapid.T) {
 	if len(s.polls) == 0 {
 		t.Skip("no poll")
 	}
@@ -115,41 +115,41 @@
 }
 
 // deliver hands an answer to the agent, perhaps late and perhaps again.
-func (s *system) deliver(t *rapid.T) {
+func (s *simulation) deliver(t *rapid.T) {
 	if len(s.replies) == 0 {
 		t.Skip("no answer")
 	}
 	x := s.replies[len(s.replies)-1-fewBack(t, len(s.replies))]
 	late := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 1, 8}).Draw(t, "seconds")) * time.Second
-	o := s.carrier.Take(x.poll, &x.reply, late, s.working != 0)
+	o := s.dispatcher.Take(x.poll, &x.reply, late, s.running != 0)
 	if o == nil {
 		return
 	}
 	if late > startLimit {
 		t.Fatalf("order %d was passed on %s after it was issued", o.Token, late)
 	}
-	if s.working != 0 {
-		t.Fatalf("order %d was passed on while %d is under way", o.Token, s.working)
+	if s.running != 0 {
+		t.Fatalf("order %d was passed on while %d is under way", o.Token, s.running)
 	}
-	if n := len(s.begun); n > 0 && o.Token <= s.begun[n-1] {
-		t.Fatalf("order %d was passed on after %d", o.Token, s.begun[n-1])
+	if n := len(s.started); n > 0 && o.Token <= s.started[n-1] {
+		t.Fatalf("order %d was passed on after %d", o.Token, s.started[n-1])
 	}
-	s.begun = append(s.begun, o.Token)
-	s.working, s.sender = o.Token, s.carrier
+	s.started = append(s.started, o.Token)
+	s.running, s.runningDispatcher = o.Token, s.dispatcher
 }
 
-func (s *system) finish(t *rapid.T) {
-	if s.working == 0 {
+func (s *simulation) finish(t *rapid.T) {
+	if s.running == 0 {
 		t.Skip("the engine is idle")
 	}
-	s.sender.Finish(s.working, wire.OrderDone, "")
-	s.working = 0
+	s.runningDispatcher.Finish(s.running, wire.OrderDone, "")
+	s.running = 0
 }
 
 // restart loses the agent's memory, and with its connections every answer to
 // it. The engine goes on with what it was told.
-func (s *system) restart(*rapid.T) {
-	s.carrier, s.polls, s.replies = order.NewCarrier(upstream), nil, nil
+func (s *simulation) restart(*rapid.T) {
+	s.dispatcher, s.polls, s.replies = order.NewCarrier(upstream), nil, nil
 }
 
 // TestOrdersNeverGoBackwards drives an engine that checks nothing itself.
@@ -157,9 +157,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSystem()
 		t.Repeat(map[string]func(*rapid.T){
-			"look": s.look, "decide": s.decide, "give up": s.giveUp, "ask": s.ask, "answer": s.answer,
+			"look": s.observe, "decide": s.decide, "give up": s.giveUp, "ask": s.sendPoll, "answer": s.answer,
 			"deliver": s.deliver, "finish": s.finish, "restart": s.restart,
-			"": func(t *rapid.T) { s.look(t); s.ask(t) }, // keeps the others fed
+			"": func(t *rapid.T) { s.observe(t); s.sendPoll(t) }, // keeps the others fed
 		})
 	})
 }
@@ -180,8 +180,8 @@
 			s.finish(t)
 			s.roundTrip(t)
 		}
-		if len(s.begun) != rounds {
-			t.Fatalf("%d of %d orders were carried out", len(s.begun), rounds)
+		if len(s.started) != rounds {
+			t.Fatalf("%d of %d orders were carried out", len(s.started), rounds)
 		}
 		if st := s.machine.View().Orders[upstream].State; st != wire.OrderDone {
 			t.Fatalf("the last order is %s", st)
@@ -189,9 +189,9 @@
 	})
 }
 
-func (s *system) roundTrip(t *rapid.T) {
+func (s *simulation) roundTrip(t *rapid.T) {
 	s.polls, s.replies = nil, nil
-	s.ask(t)
+	s.sendPoll(t)
 	p := s.polls[0]
 	s.apply(t, &state.OrderCommand{Epoch: 1, End: p.Reports})
 	v := s.machine.View()
@@ -199,8 +199,8 @@
 	if rec := v.Orders[upstream]; p.Established && rec.State == wire.OrderOpen && rec.Order.Token > p.Seen {
 		reply.Order = &rec.Order
 	}
-	if o := s.carrier.Take(p, &reply, 0, s.working != 0); o != nil {
-		s.begun = append(s.begun, o.Token)
-		s.working, s.sender = o.Token, s.carrier
+	if o := s.dispatcher.Take(p, &reply, 0, s.running != 0); o != nil {
+		s.started = append(s.started, o.Token)
+		s.running, s.runningDispatcher = o.Token, s.dispatcher
 	}
 }
--- a/node/order/engine.go
+++ b/node/order/engine.go
@@ -22,24 +22,24 @@
 )
 
 const (
-	stateTimeout  = 2 * time.Second
-	readerIdle    = 4 * time.Second // shorter than the usual keep-alive of model servers
-	maxDetail     = 256             // bytes of an engine's message that a report keeps
-	maxStateBytes = 1 << 20
+	stateTimeout     = 2 * time.Second
+	stateIdleTimeout = 4 * time.Second // shorter than the usual keep-alive of model servers
+	maxDetailBytes   = 256             // bytes of an engine's message that a report keeps
+	maxStateBytes    = 1 << 20
 )
 
 // engine is the client of the upstream's order interface.
 type engine struct {
-	base   string
-	client *http.Client // of orders
-	reader *http.Client // of the engine's state
+	base        string
+	orderClient *http.Client // of orders
+	stateClient *http.Client // of the engine's state
 }
 
 // newEngine sends every order on a fresh connection, on which the transport
 // never repeats a request by itself.
 func newEngine(address string) *engine {
-	return &engine{base: "http://" + address, client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
-		reader: &http.Client{Transport: &http.Transport{IdleConnTimeout: readerIdle}}}
+	return &engine{base: "http://" + address, orderClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		stateClient: &http.Client{Transport: &http.Transport{IdleConnTimeout: stateIdleTimeout}}}
 }
 
 // state asks the engine what it holds. An upstream without the interface takes
@@ -51,12 +51,12 @@
 	if err != nil {
 		return wire.EngineState{}, errors.Trace(err)
 	}
-	resp, err := e.reader.Do(req)
+	resp, err := e.stateClient.Do(req)
 	if err != nil {
 		return wire.EngineState{}, errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	defer io.Copy(io.Discard, io.LimitReader(resp.Body, maxDetail)) // an unread body costs the connection
+	defer io.Copy(io.Discard, io.LimitReader(resp.Body, maxDetailBytes)) // an unread body costs the connection
 	var st wire.EngineState
 	if resp.StatusCode != http.StatusOK {
 		return st, nil
@@ -68,7 +68,7 @@
 }
 
 // pass hands an order on and waits until the engine has carried it out.
-func (e *engine) pass(ctx context.Context, o *wire.Order) error {
+func (e *engine) execute(ctx context.Context, o *wire.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	body, err := json.Marshal(o)
@@ -81,12 +81,12 @@
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderToken, strconv.FormatUint(o.Token, 10))
-	resp, err := e.client.Do(req)
+	resp, err := e.orderClient.Do(req)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
+	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetailBytes))
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		return errors.Errorf("engine answered %d: %s", resp.StatusCode, bytes.TrimSpace(detail))
 	}
--- a/node/order/meter.go
+++ b/node/order/meter.go
@@ -15,16 +15,16 @@
 
 // meter adds up for how long the upstream was held. An upstream that takes no
 // orders is always held.
-type meter struct {
-	at           time.Time
+type usageMeter struct {
+	last         time.Time
 	held, waking bool
 }
 
 // advance counts the time since the last call under the state of that call,
 // and returns what it counted, in seconds.
-func (m *meter) advance(now time.Time, st wire.EngineState) (held, waking float64) {
-	if !m.at.IsZero() {
-		passed := now.Sub(m.at).Seconds()
+func (m *usageMeter) advance(now time.Time, st wire.EngineState) (held, waking float64) {
+	if !m.last.IsZero() {
+		passed := now.Sub(m.last).Seconds()
 		if m.held {
 			held = passed
 		}
@@ -32,7 +32,7 @@
 			waking = passed
 		}
 	}
-	m.at = now
+	m.last = now
 	m.waking = st.TakesOrders && st.Busy
 	m.held = !st.TakesOrders || m.waking || len(st.Holds) > 0
 	return held, waking
--- a/node/order/meter_test.go
+++ b/node/order/meter_test.go
@@ -20,7 +20,7 @@
 		{"loaded", wire.EngineState{TakesOrders: true, Holds: loaded}, 2, 0},
 		{"loading another", wire.EngineState{TakesOrders: true, Holds: loaded, Busy: true}, 2, 2},
 	}
-	var m meter
+	var m usageMeter
 	now := time.Unix(0, 0)
 	m.advance(now, rows[0].state)
 	for i, row := range rows {
--- a/node/order/service.go
+++ b/node/order/service.go
@@ -33,25 +33,25 @@
 
 // Service carries out orders at one upstream.
 type Service struct {
-	set     settings.AgentRole
-	log     logr.Logger
-	ring    *timeline.Ring
-	sync    *configsync.Service
-	gate    *gate.Service
-	control *peer.Control
-	engine  *engine
-	cancel  context.CancelFunc
-	done    chan struct{}
-	hurry   chan struct{} // an order ended, the text changed or a hint came: poll at once
+	settings settings.AgentRole
+	log      logr.Logger
+	ring     *timeline.Ring
+	sync     *configsync.Service
+	gate     *gate.Service
+	control  *peer.Control
+	engine   *engine
+	cancel   context.CancelFunc
+	done     chan struct{}
+	wakeup   chan struct{} // an order ended, the text changed or a hint came: poll at once
 
 	// Owned by run.
-	meter    meter
-	takes    bool            // the upstream takes orders
-	looked   time.Time       // when the engine was asked last
-	reported *wire.OrderPoll // the last one that a leader answered, or nil
-	asked    time.Time       // when it was sent
+	meter       usageMeter
+	takesOrders bool            // the upstream takes orders
+	lastRefresh time.Time       // when the engine was asked last
+	lastPoll    *wire.OrderPoll // the last one that a leader answered, or nil
+	lastPollAt  time.Time       // when it was sent
 
-	refreshing sync.Mutex // a picture of the engine is stored before a newer one is asked for
+	refreshMu sync.Mutex // a picture of the engine is stored before a newer one is asked for
 
 	mu       sync.Mutex
 	carrier  *Carrier
@@ -60,11 +60,11 @@
 }
 
 const (
-	checkInterval = time.Second      // between two looks at the gate's load, which cost no message
-	lookInterval  = 2 * time.Second  // between two looks at the engine
-	idleReport    = 10 * time.Second // between two polls that say the same
-	pollTimeout   = 5 * time.Second
-	drainPause    = 20 * time.Millisecond
+	gateCheckInterval   = time.Second      // between two looks at the gate's load, which cost no message
+	engineCheckInterval = 2 * time.Second  // between two looks at the engine
+	maxPollInterval     = 10 * time.Second // between two polls that say the same
+	pollTimeout         = 5 * time.Second
+	drainCheckInterval  = 20 * time.Millisecond
 )
 
 var (
@@ -74,9 +74,9 @@
 
 // New returns the service.
 func New(p Params) *Service {
-	s := &Service{set: p.Settings.Agent, log: p.Log, ring: p.Ring, sync: p.Sync, gate: p.Gate,
+	s := &Service{settings: p.Settings.Agent, log: p.Log, ring: p.Ring, sync: p.Sync, gate: p.Gate,
 		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), engine: newEngine(p.Settings.Agent.Upstream),
-		done: make(chan struct{}), hurry: make(chan struct{}, 1), carrier: NewCarrier(wire.MemberID(p.Settings.Node.Name))}
+		done: make(chan struct{}), wakeup: make(chan struct{}, 1), carrier: NewCarrier(wire.MemberID(p.Settings.Node.Name))}
 	version := uint64(0)
 	p.Sync.OnChange(func(v *configsync.View) {
 		if v.Version != version {
@@ -90,7 +90,7 @@
 
 func (s *Service) wake() {
 	select {
-	case s.hurry <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -114,14 +114,14 @@
 
 func (s *Service) run(ctx context.Context) {
 	defer close(s.done)
-	ticker := time.NewTicker(checkInterval)
+	ticker := time.NewTicker(gateCheckInterval)
 	defer ticker.Stop()
 	for woken := true; ; {
-		s.turn(ctx, woken)
+		s.tick(ctx, woken)
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.hurry:
+		case <-s.wakeup:
 			woken = true
 		case <-ticker.C:
 			woken = false
@@ -130,35 +130,35 @@
 }
 
 // turn asks the leader when there is something to say or to fetch.
-func (s *Service) turn(ctx context.Context, woken bool) {
-	if now := time.Now(); woken || now.Sub(s.looked) >= lookInterval {
-		s.looked, s.takes = now, s.refresh(ctx)
+func (s *Service) tick(ctx context.Context, woken bool) {
+	if now := time.Now(); woken || now.Sub(s.lastRefresh) >= engineCheckInterval {
+		s.lastRefresh, s.takesOrders = now, s.refresh(ctx)
 	}
-	p := s.poll()
+	p := s.buildPoll()
 	held, waking := s.meter.advance(time.Now(), p.Engine)
 	heldVar.Add(held)
 	wakeVar.Add(waking)
-	if !s.takes || !woken && !s.due(p) {
+	if !s.takesOrders || !woken && !s.pollDue(p) {
 		return
 	}
-	if err := s.ask(ctx, p); err != nil {
-		s.reported = nil
+	if err := s.sendPoll(ctx, p); err != nil {
+		s.lastPoll = nil
 		s.log.V(logging.Detail).Info("no orders read", "error", err.Error())
 	}
 }
 
 // due reports whether p differs from what the leader knows, there is an order
 // to fetch, or the leader has not heard from here for long.
-func (s *Service) due(p *wire.OrderPoll) bool {
-	return s.reported == nil || time.Since(s.asked) >= idleReport || s.sync.Hint().Fence > p.Seen || !reflect.DeepEqual(p, s.reported)
+func (s *Service) pollDue(p *wire.OrderPoll) bool {
+	return s.lastPoll == nil || time.Since(s.lastPollAt) >= maxPollInterval || s.sync.Hint().Fence > p.Seen || !reflect.DeepEqual(p, s.lastPoll)
 }
 
 // refresh reads what the engine holds and announces it. It reports whether the
 // upstream takes orders. An engine that cannot be asked counts as busy: its
 // health check decides on its traffic.
 func (s *Service) refresh(ctx context.Context) bool {
-	s.refreshing.Lock()
-	defer s.refreshing.Unlock()
+	s.refreshMu.Lock()
+	defer s.refreshMu.Unlock()
 	var st wire.EngineState
 	var err error
 	if s.hasModels() {
@@ -182,13 +182,13 @@
 	if v == nil {
 		return false
 	}
-	sv := v.Config.Services[s.set.Service]
+	sv := v.Config.Services[s.settings.Service]
 	return sv != nil && len(sv.Models) > 0
 }
 
-func (s *Service) poll() *wire.OrderPoll {
+func (s *Service) buildPoll() *wire.OrderPoll {
 	t := s.gate.Traffic()
-	p := &wire.OrderPoll{Service: s.set.Service, Incarnation: s.sync.Self().Incarnation, Arrived: t.Arrived,
+	p := &wire.OrderPoll{Service: s.settings.Service, Incarnation: s.sync.Self().Incarnation, Arrived: t.Arrived,
 		Queued: t.Queued, InFlight: t.InFlight, Limit: t.Limit}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +198,7 @@
 }
 
 // ask sends p and begins the order that the answer brings.
-func (s *Service) ask(ctx context.Context, p *wire.OrderPoll) error {
+func (s *Service) sendPoll(ctx context.Context, p *wire.OrderPoll) error {
 	callCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	sent := time.Now()
@@ -206,12 +206,12 @@
 	if err := s.control.CallLeader(callCtx, wire.MethodOrders, p, &reply); err != nil {
 		return errors.Trace(err)
 	}
-	s.reported, s.asked = p, sent
+	s.lastPoll, s.lastPollAt = p, sent
 	s.mu.Lock()
 	o := s.carrier.Take(p, &reply, time.Since(sent), s.state.Busy)
 	s.mu.Unlock()
 	if o != nil {
-		go s.carryOut(ctx, o)
+		go s.executeOrder(ctx, o)
 	}
 	if !p.Established {
 		s.wake() // the fence is known now: an order may wait behind it
@@ -221,13 +221,13 @@
 
 // carryOut passes one order on and remembers its outcome. What takes something
 // away from the engine waits until the gate's attempts have ended.
-func (s *Service) carryOut(ctx context.Context, o *wire.Order) {
+func (s *Service) executeOrder(ctx context.Context, o *wire.Order) {
 	s.log.Info("order passed on", "token", o.Token, "kind", o.Kind, "artifact", o.Artifact.String(), "role", o.Role)
 	s.ring.Record(timeline.Event{Kind: "order-passed", Detail: string(o.Kind) + " " + o.Artifact.String() + o.Role})
 	passedVar.Add(1)
 	err := s.drain(ctx, o)
 	if err == nil {
-		err = s.engine.pass(ctx, o)
+		err = s.engine.execute(ctx, o)
 	}
 	if ctx.Err() != nil {
 		return // stopping: the next start learns the outcome from the engine
@@ -272,7 +272,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(drainPause):
+		case <-time.After(drainCheckInterval):
 		}
 	}
 }
--- a/node/planner/day_test.go
+++ b/node/planner/day_test.go
@@ -68,16 +68,16 @@
 }
 
 const (
-	daySeconds  = 24 * 3600
-	learnDays   = 1
-	planEvery   = 2 // seconds
-	storeRate   = 2_000_000_000
-	storeBurst  = 28_000_000_000
-	baseEvery   = 15 // seconds between two looks of the threshold baseline
-	baseHigh    = 0.8
-	baseLow     = 0.3
-	baseAim     = 0.6
-	baseFallGap = 60 // seconds between two steps down
+	daySeconds            = 24 * 3600
+	learnDays             = 1
+	planEvery             = 2 // seconds
+	storeRate             = 2_000_000_000
+	storeBurst            = 28_000_000_000
+	thresholdInterval     = 15 // seconds between two looks of the threshold baseline
+	thresholdHigh         = 0.8
+	thresholdLow          = 0.3
+	thresholdTarget       = 0.6
+	thresholdDownInterval = 60 // seconds between two steps down
 )
 
 // pool is the engines of one stage. Attempts wait in one queue, as entries
@@ -104,16 +104,16 @@
 
 // run is one policy on one deployment.
 type run struct {
-	d               deployment
-	policy          string
-	pools           []*pool
-	rng             *rand.Rand
-	machine         *state.Machine
-	planner         *planner.Planner
-	sent, whole     int
-	orders, wasted  int
-	quietSent, lost int
-	newSent, newBad int // on the first day, when nothing was learned yet
+	d                            deployment
+	policy                       string
+	pools                        []*pool
+	rng                          *rand.Rand
+	machine                      *state.Machine
+	planner                      *planner.Planner
+	sent, inTime                 int
+	orders, wasted               int
+	quietSent, quietMissed       int
+	firstDaySent, firstDayMissed int // on the first day, when nothing was learned yet
 }
 
 func newRun(d deployment, policy string) *run {
@@ -137,7 +137,7 @@
 	return n
 }
 
-func (p *pool) drop(ms int64) {
+func (p *pool) releaseSlots(ms int64) {
 	k := 0
 	for _, at := range p.free {
 		if at > ms {
@@ -157,7 +157,7 @@
 		p.misses++
 		return 0, false
 	}
-	p.drop(ms)
+	p.releaseSlots(ms)
 	start := ms
 	if over := len(p.free) - slots; over >= 0 {
 		slices.Sort(p.free)
@@ -199,12 +199,12 @@
 		switch {
 		case r.policy == "forecast" && second%planEvery == 0:
 			r.plan(t, second, measured)
-		case r.policy == "threshold" && second%baseEvery == 0:
+		case r.policy == "threshold" && second%thresholdInterval == 0:
 			r.threshold(second)
 		}
-		r.settle(t, second)
+		r.finishLoads(t, second)
 		if measured {
-			r.hold(quiet)
+			r.addHeldTime(quiet)
 		}
 	}
 }
@@ -217,25 +217,25 @@
 		}
 	}
 	if !measured {
-		r.newSent++
+		r.firstDaySent++
 		if !ok {
-			r.newBad++
+			r.firstDayMissed++
 		}
 		return
 	}
 	r.sent++
 	if ok {
-		r.whole++
+		r.inTime++
 	}
 	if quiet {
 		r.quietSent++
 		if !ok {
-			r.lost++
+			r.quietMissed++
 		}
 	}
 }
 
-func (r *run) hold(quiet bool) {
+func (r *run) addHeldTime(quiet bool) {
 	for _, p := range r.pools {
 		for _, e := range p.engines {
 			if e.warm || e.readyAt > 0 {
@@ -249,7 +249,7 @@
 }
 
 // settle ends loads that are due.
-func (r *run) settle(t *testing.T, second int) {
+func (r *run) finishLoads(t *testing.T, second int) {
 	for _, p := range r.pools {
 		for _, e := range p.engines {
 			if e.readyAt == 0 || e.readyAt > second {
@@ -362,15 +362,15 @@
 		load := float64(p.peak)
 		p.peak = 0
 		switch used := load / float64(held*p.limit); {
-		case used > baseHigh:
-			want := int(math.Ceil(load / (baseAim * float64(p.limit))))
+		case used > thresholdHigh:
+			want := int(math.Ceil(load / (thresholdTarget * float64(p.limit))))
 			for _, e := range p.engines {
 				if held < want && !e.warm && e.readyAt == 0 {
 					e.readyAt = second + int(p.load.Seconds())
 					held++
 				}
 			}
-		case used < baseLow && held > 1 && second-p.lastFall >= baseFallGap:
+		case used < thresholdLow && held > 1 && second-p.lastFall >= thresholdDownInterval:
 			p.lastFall = second
 			for i := len(p.engines) - 1; i >= 0; i-- {
 				if p.engines[i].warm {
@@ -382,7 +382,7 @@
 	}
 }
 
-func (r *run) attainment() float64 { return 100 * float64(r.whole) / float64(r.sent) }
+func (r *run) attainment() float64 { return 100 * float64(r.inTime) / float64(r.sent) }
 
 func (r *run) cost(i int) (sum float64) {
 	for _, p := range r.pools {
@@ -409,8 +409,8 @@
 			always := runs["always on"]
 			for _, policy := range []string{"always on", "threshold", "forecast"} {
 				r := runs[policy]
-				line := fmt.Sprintf("%-10s attainment %.3f%% of %d (first day %.3f%%; quiet: %d of %d missed), cost day %.1f%% quiet %.1f%%, orders %d wasted %d;", policy, r.attainment(), r.sent, 100-100*float64(r.newBad)/float64(r.newSent),
-					r.lost, r.quietSent, 100*r.cost(0)/always.cost(0), 100*r.cost(1)/always.cost(1), r.orders, r.wasted)
+				line := fmt.Sprintf("%-10s attainment %.3f%% of %d (first day %.3f%%; quiet: %d of %d missed), cost day %.1f%% quiet %.1f%%, orders %d wasted %d;", policy, r.attainment(), r.sent, 100-100*float64(r.firstDayMissed)/float64(r.firstDaySent),
+					r.quietMissed, r.quietSent, 100*r.cost(0)/always.cost(0), 100*r.cost(1)/always.cost(1), r.orders, r.wasted)
 				for i, p := range r.pools {
 					line += fmt.Sprintf(" %s %.0f/%.0f engine-hours", p.name, p.held[0]/3600, always.pools[i].held[0]/3600)
 				}
--- a/node/planner/forecast.go
+++ b/node/planner/forecast.go
@@ -8,41 +8,41 @@
 )
 
 // serviceMemory is what the planner remembers of a service.
-type serviceMemory struct {
-	window  slidingMax
-	slot    int // of the day; valid when started
-	peak    float64
-	started bool
-	smooth  float64 // load, averaged over about smoothTime
-	at      time.Time
+type serviceHistory struct {
+	recentNeed   slidingMax
+	slot         int // of the day; valid when started
+	peak         float64
+	started      bool
+	smoothedLoad float64 // load, averaged over about smoothTime
+	smoothedAt   time.Time
 }
 
 const (
-	day        = 24 * time.Hour
-	slotLength = day / state.ForecastSlots
-	smoothTime = 30 * time.Second
-	fallWeight = 0.3 // of a lower peak in the learned value; a higher one counts whole
-	perAttempt = 1000
+	day                     = 24 * time.Hour
+	slotLength              = day / state.ForecastSlots
+	smoothingTime           = 30 * time.Second
+	peakDecayWeight         = 0.3 // of a lower peak in the learned value; a higher one counts whole
+	forecastUnitsPerAttempt = 1000
 )
 
 func slotOf(t time.Time) int { return int(t.Sub(t.Truncate(day)) / slotLength) }
 
 // average smooths the load, so that a queue that builds up while engines load,
 // or a short peak, is not taken for demand.
-func (m *serviceMemory) average(now time.Time, load float64) {
-	if m.at.IsZero() {
-		m.smooth = load
+func (m *serviceHistory) smoothLoad(now time.Time, load float64) {
+	if m.smoothedAt.IsZero() {
+		m.smoothedLoad = load
 	} else {
-		m.smooth += (load - m.smooth) * (1 - math.Exp(-now.Sub(m.at).Seconds()/smoothTime.Seconds()))
+		m.smoothedLoad += (load - m.smoothedLoad) * (1 - math.Exp(-now.Sub(m.smoothedAt).Seconds()/smoothingTime.Seconds()))
 	}
-	m.at = now
+	m.smoothedAt = now
 }
 
 // learn tracks the peak of the smoothed load in the current slot of the day and, when the slot
 // ends, returns its new value: a rise is taken over at once, a fall by an
 // exponentially weighted average.
-func (m *serviceMemory) learn(now time.Time, service string, seen []uint32) []state.ForecastSlot {
-	load := m.smooth
+func (m *serviceHistory) updateForecast(now time.Time, service string, learned []uint32) []state.ForecastSlot {
+	load := m.smoothedLoad
 	slot := slotOf(now)
 	if m.started && slot == m.slot {
 		m.peak = max(m.peak, load)
@@ -54,14 +54,14 @@
 		return nil
 	}
 	old := 0.0
-	if ended < len(seen) {
-		old = float64(seen[ended]) / perAttempt
+	if ended < len(learned) {
+		old = float64(learned[ended]) / forecastUnitsPerAttempt
 	}
 	if peak < old {
-		peak = old + fallWeight*(peak-old)
+		peak = old + peakDecayWeight*(peak-old)
 	}
-	value := uint32(math.Round(peak * perAttempt))
-	if ended < len(seen) && seen[ended] == value {
+	value := uint32(math.Round(peak * forecastUnitsPerAttempt))
+	if ended < len(learned) && learned[ended] == value {
 		return nil
 	}
 	return []state.ForecastSlot{{Service: service, Slot: ended, Peak: value}}
@@ -69,15 +69,15 @@
 
 // forecastPeak returns the largest learned load of the slots that touch the
 // time from now until lead has passed.
-func forecastPeak(seen []uint32, now time.Time, lead time.Duration) float64 {
-	if len(seen) < state.ForecastSlots {
+func forecastPeak(learned []uint32, now time.Time, lead time.Duration) float64 {
+	if len(learned) < state.ForecastSlots {
 		return 0
 	}
-	peak := seen[slotOf(now)]
+	peak := learned[slotOf(now)]
 	for d := slotLength; d < lead && d < day; d += slotLength {
-		peak = max(peak, seen[slotOf(now.Add(d))])
+		peak = max(peak, learned[slotOf(now.Add(d))])
 	}
-	return float64(max(peak, seen[slotOf(now.Add(lead))])) / perAttempt
+	return float64(max(peak, learned[slotOf(now.Add(lead))])) / forecastUnitsPerAttempt
 }
 
 // slidingMax holds the maximum of a series over a trailing time span.
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -69,23 +69,23 @@
 }
 
 const (
-	utilization   = 0.7  // share of an engine's limit that the working set plans with
-	urgent        = 1.0  // share of the warm engines' limits above which a peak counts whole
-	ahead         = 0.85 // the same for loading ahead of demand; what is seen then adds the rest
-	defaultLimit  = 8
-	failurePause  = time.Minute // after a failed load an engine is passed over this long, times the failures
-	maxPause      = 10 * time.Minute
-	endGrace      = 10 * time.Second // beyond an order's timeout
-	rollbackAfter = 2                // engines on which a new version failed before the old one is restored
+	targetUtilization     = 0.7  // share of an engine's limit that the working set plans with
+	overloadUtilization   = 1.0  // share of the warm engines' limits above which a peak counts whole
+	forecastUtilization   = 0.85 // the same for loading ahead of demand; what is seen then adds the rest
+	defaultLimit          = 8
+	failureBackoff        = time.Minute // after a failed load an engine is passed over this long, times the failures
+	maxFailureBackoff     = 10 * time.Minute
+	reportGrace           = 10 * time.Second // beyond an order's timeout
+	rollbackAfterFailures = 2                // engines on which a new version failed before the old one is restored
 )
 
 // Planner remembers what hysteresis and retries need. It may be lost: a new
 // one starts with the engines that are warm.
 type Planner struct {
-	services map[string]*serviceMemory
-	failures map[failureKey]*failure
-	ended    map[wire.MemberID]uint64    // last token whose outcome was counted
-	opened   map[wire.MemberID]openOrder // open orders and since when they are known
+	services        map[string]*serviceHistory
+	failures        map[failureKey]*loadFailures
+	countedOutcomes map[wire.MemberID]uint64    // last token whose outcome was counted
+	openOrders      map[wire.MemberID]openOrder // open orders and since when they are known
 }
 
 type failureKey struct {
@@ -93,7 +93,7 @@
 	artifact wire.Artifact
 }
 
-type failure struct {
+type loadFailures struct {
 	count int
 	until time.Time
 }
@@ -105,23 +105,23 @@
 
 // NewPlanner returns a Planner without memory.
 func NewPlanner() *Planner {
-	return &Planner{services: map[string]*serviceMemory{}, failures: map[failureKey]*failure{},
-		ended: map[wire.MemberID]uint64{}, opened: map[wire.MemberID]openOrder{}}
+	return &Planner{services: map[string]*serviceHistory{}, failures: map[failureKey]*loadFailures{},
+		countedOutcomes: map[wire.MemberID]uint64{}, openOrders: map[wire.MemberID]openOrder{}}
 }
 
 // Plan returns the decisions for the picture in.
 func (p *Planner) Plan(in Input) Plan {
 	out := Plan{Targets: map[string]int{}}
-	p.learnOutcomes(in)
-	p.forgetFailures(in.Specs)
-	out.End = p.overdue(in)
-	var wants []want
+	p.recordOutcomes(in)
+	p.dropObsoleteFailures(in.Specs)
+	out.End = p.endUnreported(in)
+	var wants []prioritizedOrder
 	for _, spec := range in.Specs {
 		engines := enginesOf(in.Engines, spec.Service)
 		if len(engines) == 0 {
 			continue
 		}
-		target, slots := p.target(in, spec, engines)
+		target, slots := p.targetEngines(in, spec, engines)
 		out.Targets[spec.Service] = target
 		out.Forecast = append(out.Forecast, slots...)
 		wants = append(wants, p.reconcile(in, spec, engines, target)...)
@@ -129,7 +129,7 @@
 			out.Rollback = p.rollback(spec, engines)
 		}
 	}
-	slices.SortStableFunc(wants, compareWants)
+	slices.SortStableFunc(wants, compareUrgency)
 	for _, w := range wants {
 		out.Issue = append(out.Issue, w.issue)
 	}
@@ -138,7 +138,7 @@
 
 // forgetFailures drops what failed of artifacts that are not wanted any more,
 // so that a version which is wanted again later starts afresh.
-func (p *Planner) forgetFailures(specs []Spec) {
+func (p *Planner) dropObsoleteFailures(specs []Spec) {
 	for key := range p.failures {
 		wanted := slices.ContainsFunc(specs, func(s Spec) bool { return slices.Contains(s.Artifacts, key.artifact) })
 		if !wanted {
@@ -159,7 +159,7 @@
 }
 
 // want is an order with its urgency.
-type want struct {
+type prioritizedOrder struct {
 	issue    state.OrderIssue
 	waiting  bool // attempts wait for it
 	deadline time.Duration
@@ -167,7 +167,7 @@
 
 // compareWants puts orders that need no bytes first, since they cost the
 // budget nothing, then loads that attempts wait for, then by deadline.
-func compareWants(a, b want) int {
+func compareUrgency(a, b prioritizedOrder) int {
 	if free := cmp.Compare(min(a.issue.Order.Bytes, 1), min(b.issue.Order.Bytes, 1)); free != 0 {
 		return free
 	}
@@ -182,34 +182,34 @@
 
 // target returns how many engines should be warm, and what was learned for
 // the forecast. It rises at once and falls only after IdleAfter.
-func (p *Planner) target(in Input, spec Spec, engines []Engine) (int, []state.ForecastSlot) {
+func (p *Planner) targetEngines(in Input, spec Spec, engines []Engine) (int, []state.ForecastSlot) {
 	if !spec.Scale {
 		return len(engines), nil
 	}
 	m := p.services[spec.Service]
 	if m == nil {
-		m = &serviceMemory{}
+		m = &serviceHistory{}
 		p.services[spec.Service] = m
-		m.window.push(in.Now, countWarm(engines), spec.IdleAfter)
+		m.recentNeed.push(in.Now, countWarm(engines), spec.IdleAfter)
 	}
-	load, limit := demand(engines, in.Misses[spec.Service])
-	m.average(in.Now, load)
-	need := enginesFor(load, limit, utilization)
-	if warm := countWarm(engines); load <= urgent*float64(limit*warm) {
+	load, limit := currentLoad(engines, in.Misses[spec.Service])
+	m.smoothLoad(in.Now, load)
+	need := enginesNeeded(load, limit, targetUtilization)
+	if warm := countWarm(engines); load <= overloadUtilization*float64(limit*warm) {
 		need = min(need, warm+1) // a short peak within what is warm calls for one more at most
 	}
 	var slots []state.ForecastSlot
 	if spec.Forecast {
 		seen := in.Forecast[spec.Service]
-		need = max(need, enginesFor(forecastPeak(seen, in.Now, spec.WakeLead), limit, ahead))
-		slots = m.learn(in.Now, spec.Service, seen)
+		need = max(need, enginesNeeded(forecastPeak(seen, in.Now, spec.WakeLead), limit, forecastUtilization))
+		slots = m.updateForecast(in.Now, spec.Service, seen)
 	}
 	need = max(need, spec.MinWarm)
-	return min(m.window.push(in.Now, need, spec.IdleAfter), len(engines)), slots
+	return min(m.recentNeed.push(in.Now, need, spec.IdleAfter), len(engines)), slots
 }
 
 // demand returns the attempts in flight or waiting, and an engine's limit.
-func demand(engines []Engine, misses int64) (float64, int) {
+func currentLoad(engines []Engine, misses int64) (float64, int) {
 	load, limit := float64(misses), 0
 	arrivals := misses
 	for _, e := range engines {
@@ -226,7 +226,7 @@
 	return load, limit
 }
 
-func enginesFor(load float64, limit int, used float64) int {
+func enginesNeeded(load float64, limit int, used float64) int {
 	return int(math.Ceil(load / (used * float64(limit))))
 }
 
--- a/node/planner/planner_test.go
+++ b/node/planner/planner_test.go
@@ -34,10 +34,10 @@
 	engines map[wire.MemberID]*fakeEngine
 	ids     []wire.MemberID
 	issued  int
-	fails   map[failing]bool
+	fails   map[failureKey]bool
 }
 
-type failing struct {
+type failureKey struct {
 	engine  wire.MemberID
 	version string
 }
@@ -54,7 +54,7 @@
 }
 
 func newFleet(n int, sp planner.Spec) *fleet {
-	f := &fleet{machine: state.New(), planner: planner.NewPlanner(), now: origin, spec: sp, engines: map[wire.MemberID]*fakeEngine{}, fails: map[failing]bool{}}
+	f := &fleet{machine: state.New(), planner: planner.NewPlanner(), now: origin, spec: sp, engines: map[wire.MemberID]*fakeEngine{}, fails: map[failureKey]bool{}}
 	for i := range n {
 		id := wire.MemberID(fmt.Sprintf("e%02d", i))
 		f.ids = append(f.ids, id)
@@ -148,7 +148,7 @@
 		switch {
 		case o.Kind == wire.OrderUnload:
 			e.holds = slices.DeleteFunc(e.holds, func(a wire.Artifact) bool { return a == o.Artifact })
-		case f.fails[failing{id, o.Artifact.Version}]:
+		case f.fails[failureKey{id, o.Artifact.Version}]:
 			report.State = wire.OrderFailed
 		default:
 			e.holds = append(e.holds, o.Artifact)
@@ -265,7 +265,7 @@
 			"load":          func(t *rapid.T) { pick(t).load = rapid.IntRange(0, 20).Draw(t, "attempts") },
 			"fail": func(t *rapid.T) {
 				id := rapid.SampledFrom(f.ids).Draw(t, "engine")
-				f.fails[failing{id, "1"}] = rapid.Bool().Draw(t, "fails")
+				f.fails[failureKey{id, "1"}] = rapid.Bool().Draw(t, "fails")
 			},
 		})
 		clear(f.fails)
@@ -367,7 +367,7 @@
 	f.settle(t)
 	f.spec.Artifacts = []wire.Artifact{model2}
 	for _, id := range f.ids {
-		f.fails[failing{id, "2"}] = true
+		f.fails[failureKey{id, "2"}] = true
 	}
 	for range 100 {
 		if r := f.round(t, 0).Rollback; r != nil {
--- a/node/planner/reconcile.go
+++ b/node/planner/reconcile.go
@@ -11,15 +11,15 @@
 
 // changeShare is the part of a service's serving engines, one in so many, that
 // a roll-out changes at a time.
-const changeShare = 4
+const rolloutFraction = 4
 
 // reconcile compares what the engines report with what they should hold and
 // returns at most one order per engine.
-func (p *Planner) reconcile(in Input, spec Spec, engines []Engine, target int) []want {
+func (p *Planner) reconcile(in Input, spec Spec, engines []Engine, target int) []prioritizedOrder {
 	ranked := p.rank(in.Now, spec, engines)
 	warm := 0
 	for _, e := range ranked[:target] {
-		if missing(spec, e) == nil {
+		if firstMissing(spec, e) == nil {
 			warm++
 		}
 	}
@@ -33,9 +33,9 @@
 			changing++
 		}
 	}
-	var out []want
+	var out []prioritizedOrder
 	for i, e := range ranked {
-		if !ready(e) {
+		if !acceptsOrder(e) {
 			continue
 		}
 		order := p.orderFor(in.Now, spec, e, i < target, warm >= target)
@@ -43,13 +43,13 @@
 			continue
 		}
 		if i < target && len(e.State.Holds) > 0 {
-			if changing >= max(1, target/changeShare) {
+			if changing >= max(1, target/rolloutFraction) {
 				continue
 			}
 			changing++
 		}
 		order.Upstream, order.Timeout = e.ID, spec.LoadTimeout
-		out = append(out, want{issue: state.OrderIssue{After: e.Fence, Order: *order}, waiting: waiting, deadline: spec.Deadline})
+		out = append(out, prioritizedOrder{issue: state.OrderIssue{After: e.Fence, Order: *order}, waiting: waiting, deadline: spec.Deadline})
 	}
 	return out
 }
@@ -57,7 +57,7 @@
 // ready reports whether the engine can be told something: its report is newer
 // than the last order, and nothing is open in the state, at its agent or at
 // the engine itself.
-func ready(e Engine) bool {
+func acceptsOrder(e Engine) bool {
 	return e.Settled && e.Seen >= e.Fence && e.Last.State != wire.OrderOpen && e.Running == 0 && !e.State.Busy
 }
 
@@ -67,12 +67,12 @@
 		if len(e.State.Holds) == 0 || !othersWarm {
 			return nil // it may be all that serves until the wanted ones are warm
 		}
-		return &wire.Order{Kind: wire.OrderUnload, Artifact: lastHeld(e.State.Holds)}
+		return &wire.Order{Kind: wire.OrderUnload, Artifact: nextToUnload(e.State.Holds)}
 	}
 	if spec.Role != "" && e.State.Role != spec.Role {
 		return &wire.Order{Kind: wire.OrderSetRole, Role: spec.Role}
 	}
-	if a := missing(spec, e); a != nil {
+	if a := firstMissing(spec, e); a != nil {
 		if f := p.failures[failureKey{e.ID, *a}]; f != nil && now.Before(f.until) {
 			return nil
 		}
@@ -82,14 +82,14 @@
 		}
 		return order
 	}
-	if extra := extras(spec, e); len(extra) > 0 {
-		return &wire.Order{Kind: wire.OrderUnload, Artifact: lastHeld(extra)}
+	if extra := unwanted(spec, e); len(extra) > 0 {
+		return &wire.Order{Kind: wire.OrderUnload, Artifact: nextToUnload(extra)}
 	}
 	return nil
 }
 
 // missing returns the first artifact that a warm engine lacks.
-func missing(spec Spec, e Engine) *wire.Artifact {
+func firstMissing(spec Spec, e Engine) *wire.Artifact {
 	for _, a := range spec.Artifacts {
 		if !slices.Contains(e.State.Holds, a) {
 			return &a
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func extras(spec Spec, e Engine) []wire.Artifact {
+func unwanted(spec Spec, e Engine) []wire.Artifact {
 	var out []wire.Artifact
 	for _, a := range e.State.Holds {
 		if !slices.Contains(spec.Artifacts, a) {
@@ -109,7 +109,7 @@
 }
 
 // lastHeld returns an adapter before a model, since the model carries it.
-func lastHeld(held []wire.Artifact) wire.Artifact {
+func nextToUnload(held []wire.Artifact) wire.Artifact {
 	for _, a := range held {
 		if a.Adapter != "" {
 			return a
@@ -125,7 +125,7 @@
 func (p *Planner) rank(now time.Time, spec Spec, engines []Engine) []Engine {
 	out := slices.Clone(engines)
 	slices.SortStableFunc(out, func(a, b Engine) int {
-		if c := cmp.Compare(p.distance(now, spec, a), p.distance(now, spec, b)); c != 0 {
+		if c := cmp.Compare(p.warmupCost(now, spec, a), p.warmupCost(now, spec, b)); c != 0 {
 			return c
 		}
 		return cmp.Compare(b.InFlight+b.Queued, a.InFlight+a.Queued)
@@ -134,42 +134,42 @@
 }
 
 const (
-	distanceWarm = iota
-	distanceLoading
-	distanceOtherVersion
-	distanceCached
-	distanceCold
-	distanceFailed
+	costWarm = iota
+	costLoading
+	costOtherVersion
+	costCached
+	costCold
+	costFailed
 )
 
-func (p *Planner) distance(now time.Time, spec Spec, e Engine) int {
-	a := missing(spec, e)
+func (p *Planner) warmupCost(now time.Time, spec Spec, e Engine) int {
+	a := firstMissing(spec, e)
 	if a == nil {
-		return distanceWarm
+		return costWarm
 	}
 	if f := p.failures[failureKey{e.ID, *a}]; f != nil && now.Before(f.until) {
-		return distanceFailed
+		return costFailed
 	}
 	switch {
 	case e.Last.State == wire.OrderOpen && e.Last.Order.Kind == wire.OrderLoad:
-		return distanceLoading
+		return costLoading
 	case len(e.State.Holds) > 0:
-		return distanceOtherVersion
+		return costOtherVersion
 	case slices.Contains(e.State.Cached, *a):
-		return distanceCached
+		return costCached
 	default:
-		return distanceCold
+		return costCold
 	}
 }
 
 // learnOutcomes counts failed loads, once per order.
-func (p *Planner) learnOutcomes(in Input) {
+func (p *Planner) recordOutcomes(in Input) {
 	for _, e := range in.Engines {
 		last := e.Last
-		if last.State == wire.OrderOpen || last.Order.Token == 0 || p.ended[e.ID] == last.Order.Token {
+		if last.State == wire.OrderOpen || last.Order.Token == 0 || p.countedOutcomes[e.ID] == last.Order.Token {
 			continue
 		}
-		p.ended[e.ID] = last.Order.Token
+		p.countedOutcomes[e.ID] = last.Order.Token
 		if last.Order.Kind != wire.OrderLoad {
 			continue
 		}
@@ -180,17 +180,17 @@
 		}
 		f := p.failures[key]
 		if f == nil {
-			f = &failure{}
+			f = &loadFailures{}
 			p.failures[key] = f
 		}
 		f.count++
-		f.until = in.Now.Add(min(time.Duration(f.count)*failurePause, maxPause))
+		f.until = in.Now.Add(min(time.Duration(f.count)*failureBackoff, maxFailureBackoff))
 	}
 }
 
 // overdue ends the orders that will get no report: the agent saw the token and
 // does not run it, or the timeout has passed.
-func (p *Planner) overdue(in Input) []wire.OrderReport {
+func (p *Planner) endUnreported(in Input) []wire.OrderReport {
 	var out []wire.OrderReport
 	open := map[wire.MemberID]openOrder{}
 	for _, e := range in.Engines {
@@ -198,23 +198,23 @@
 			continue
 		}
 		token := e.Last.Order.Token
-		known := p.opened[e.ID]
-		if known.token != token {
-			known = openOrder{token, in.Now}
+		first := p.openOrders[e.ID]
+		if first.token != token {
+			first = openOrder{token, in.Now}
 		}
-		open[e.ID] = known
+		open[e.ID] = first
 		report := wire.OrderReport{Upstream: e.ID, Token: token}
 		switch {
 		case e.Settled && e.Seen >= token && e.Running != token:
 			report.State, report.Detail = wire.OrderInterrupted, "the agent does not run it"
-		case in.Now.Sub(known.since) > e.Last.Order.Timeout+endGrace:
+		case in.Now.Sub(first.since) > e.Last.Order.Timeout+reportGrace:
 			report.State, report.Detail = wire.OrderFailed, "no report in time"
 		default:
 			continue
 		}
 		out = append(out, report)
 	}
-	p.opened = open
+	p.openOrders = open
 	return out
 }
 
@@ -238,7 +238,7 @@
 				}
 			}
 		}
-		if old != nil && failed >= min(rollbackAfter, len(engines)) {
+		if old != nil && failed >= min(rollbackAfterFailures, len(engines)) {
 			return &Rollback{Service: spec.Service, From: a, To: *old}
 		}
 	}
--- a/node/planner/service.go
+++ b/node/planner/service.go
@@ -34,11 +34,11 @@
 	replica *replica.Replica
 	start   time.Time
 	cancel  context.CancelFunc
-	poke    chan struct{}
+	wakeup  chan struct{}
 
 	mu     sync.Mutex
 	term   uint64 // of the leadership that the fields below belong to
-	polls  map[wire.MemberID]*poll
+	polls  map[wire.MemberID]*agentPoll
 	misses map[string]int64
 
 	// Owned by run.
@@ -50,20 +50,20 @@
 }
 
 // poll is the last report of one agent.
-type poll struct {
+type agentPoll struct {
 	wire.OrderPoll
-	at       time.Time
-	counted  int64 // of Arrived
-	ordersIn bool  // reports of this poll are being replicated
+	at              time.Time
+	countedArrivals int64 // of Arrived
+	reportsPending  bool  // reports of this poll are being replicated
 }
 
 const (
 	stepInterval = time.Second
-	stepPause    = 100 * time.Millisecond // at least this long between two plans
+	minStepPause = 100 * time.Millisecond // at least this long between two plans
 	// pollExpiry is the age from which a report counts for nothing. An idle
 	// agent reports every 10 s; one that died loses its lease much sooner.
-	pollExpiry   = 25 * time.Second
-	proposeLimit = 2 * time.Second
+	pollExpiry     = 25 * time.Second
+	proposeTimeout = 2 * time.Second
 )
 
 var (
@@ -76,7 +76,7 @@
 
 // New returns the service and adds its methods to the control role.
 func New(p Params) *Service {
-	s := &Service{log: p.Log, ring: p.Ring, control: p.Control, replica: p.Control.Replica(), start: time.Now(), poke: make(chan struct{}, 1)}
+	s := &Service{log: p.Log, ring: p.Ring, control: p.Control, replica: p.Control.Replica(), start: time.Now(), wakeup: make(chan struct{}, 1)}
 	s.reset(0)
 	peer.Handle(p.Control.Server(), wire.MethodOrders, s.poll)
 	peer.Handle(p.Control.Server(), wire.MethodDemand, s.demand)
@@ -86,7 +86,7 @@
 func (s *Service) reset(term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.term, s.polls, s.misses = term, map[wire.MemberID]*poll{}, map[string]int64{}
+	s.term, s.polls, s.misses = term, map[wire.MemberID]*agentPoll{}, map[string]int64{}
 	s.planner, s.lastStep = NewPlanner(), time.Time{}
 }
 
@@ -112,8 +112,8 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-s.poke:
-			time.Sleep(stepPause)
+		case <-s.wakeup:
+			time.Sleep(minStepPause)
 		}
 		status := s.replica.Status()
 		if !s.replica.IsLeader() {
@@ -128,7 +128,7 @@
 
 func (s *Service) wake() {
 	select {
-	case s.poke <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -140,25 +140,25 @@
 	if !s.replica.IsLeader() {
 		return nil, s.control.NotLeader()
 	}
-	if err := s.takeReports(ctx, req); err != nil {
+	if err := s.replicateReports(ctx, req); err != nil {
 		return nil, s.control.LeaderError(err)
 	}
-	s.store(req)
+	s.storePoll(req)
 	if err := s.replica.ReadBarrier(ctx); err != nil {
 		return nil, s.control.LeaderError(err)
 	}
-	return replyFor(s.replica.View(), req, time.Now()), nil
+	return buildReply(s.replica.View(), req, time.Now()), nil
 }
 
 // takeReports replicates the outcomes of orders. They are final before the
 // poll that brought them counts as a report of the engine.
-func (s *Service) takeReports(ctx context.Context, req *wire.OrderPoll) error {
+func (s *Service) replicateReports(ctx context.Context, req *wire.OrderPoll) error {
 	if len(req.Reports) == 0 {
 		return nil
 	}
 	s.mu.Lock()
 	if old := s.polls[req.Upstream]; old != nil {
-		old.ordersIn = true
+		old.reportsPending = true
 	}
 	s.mu.Unlock()
 	_, err := s.replica.Propose(ctx, state.Command{Orders: &state.OrderCommand{End: req.Reports}})
@@ -169,17 +169,17 @@
 	return err
 }
 
-func (s *Service) store(req *wire.OrderPoll) {
+func (s *Service) storePoll(req *wire.OrderPoll) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.polls[req.Upstream]
-	next := &poll{OrderPoll: *req, at: time.Now(), counted: req.Arrived}
+	next := &agentPoll{OrderPoll: *req, at: time.Now(), countedArrivals: req.Arrived}
 	if old != nil {
 		if old.Incarnation > req.Incarnation {
 			return // a late message of an earlier start
 		}
 		if old.Incarnation == req.Incarnation {
-			next.counted = min(old.counted, req.Arrived)
+			next.countedArrivals = min(old.countedArrivals, req.Arrived)
 		}
 	}
 	s.polls[req.Upstream] = next
@@ -188,7 +188,7 @@
 	}
 }
 
-func replyFor(v *state.View, req *wire.OrderPoll, now time.Time) *wire.OrderPollReply {
+func buildReply(v *state.View, req *wire.OrderPoll, now time.Time) *wire.OrderPollReply {
 	reply := &wire.OrderPollReply{Fence: v.Fences[req.Upstream]}
 	rec := v.Orders[req.Upstream]
 	if req.Established && rec.State == wire.OrderOpen && rec.Order.Token > req.Seen {
--- a/node/planner/step.go
+++ b/node/planner/step.go
@@ -27,15 +27,15 @@
 	if len(in.Specs) == 0 {
 		return
 	}
-	in.Engines, in.Misses = s.picture(view, now)
-	s.count(in, now)
+	in.Engines, in.Misses = s.engineSnapshot(view, now)
+	s.countHeldTime(in, now)
 	plan := s.planner.Plan(in)
 	for service, n := range plan.Targets {
 		setInt(targetVar, service, int64(n))
 	}
 	s.propose(ctx, term, cfg.WeightStore, plan, now)
 	if plan.Rollback != nil {
-		s.rollBack(ctx, view, plan.Rollback)
+		s.proposeRollback(ctx, view, plan.Rollback)
 	}
 }
 
@@ -55,7 +55,7 @@
 }
 
 // picture joins the members' reports with the replicated orders.
-func (s *Service) picture(view *state.View, now time.Time) ([]Engine, map[string]int64) {
+func (s *Service) engineSnapshot(view *state.View, now time.Time) ([]Engine, map[string]int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	misses := s.misses
@@ -66,15 +66,15 @@
 			continue
 		}
 		engines = append(engines, Engine{ID: id, Service: p.Service, State: p.Engine, Running: p.Running, Seen: p.Seen,
-			Settled: p.Established && !p.ordersIn, Fence: view.Fences[id], Last: view.Orders[id],
-			InFlight: p.InFlight, Queued: p.Queued, Limit: p.Limit, Arrivals: p.Arrived - p.counted})
-		p.counted = p.Arrived
+			Settled: p.Established && !p.reportsPending, Fence: view.Fences[id], Last: view.Orders[id],
+			InFlight: p.InFlight, Queued: p.Queued, Limit: p.Limit, Arrivals: p.Arrived - p.countedArrivals})
+		p.countedArrivals = p.Arrived
 	}
 	sort.Slice(engines, func(i, j int) bool { return engines[i].ID < engines[j].ID })
 	return engines, misses
 }
 
-func (s *Service) count(in Input, now time.Time) {
+func (s *Service) countHeldTime(in Input, now time.Time) {
 	if !s.lastStep.IsZero() {
 		passed := now.Sub(s.lastStep).Seconds()
 		for _, e := range in.Engines {
@@ -99,7 +99,7 @@
 	if len(cmd.End)+len(cmd.Issue)+len(cmd.Forecast) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, proposeLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	res, err := s.replica.Propose(ctx, state.Command{Orders: cmd})
 	if err != nil {
@@ -107,11 +107,11 @@
 		return // the next plan starts from what was committed
 	}
 	for i, r := range res.Orders {
-		s.issued(cmd, cmd.Issue[i].Order, r, now)
+		s.recordIssue(cmd, cmd.Issue[i].Order, r, now)
 	}
 }
 
-func (s *Service) issued(cmd *state.OrderCommand, o wire.Order, r state.IssueResult, now time.Time) {
+func (s *Service) recordIssue(cmd *state.OrderCommand, o wire.Order, r state.IssueResult, now time.Time) {
 	if r.Refused == "" {
 		issuedVar.Add(1)
 		what := string(o.Kind) + " " + o.Artifact.String() + o.Role
@@ -129,7 +129,7 @@
 // rollBack puts the old version back into the text by an ordinary numbered
 // change. Its change id follows from the version it corrects, so a leader
 // that repeats it has no second effect.
-func (s *Service) rollBack(ctx context.Context, view *state.View, r *Rollback) {
+func (s *Service) proposeRollback(ctx context.Context, view *state.View, r *Rollback) {
 	text, err := replaceArtifact(view.Config.Text, r)
 	if err != nil {
 		s.log.Error(err, "no way back", "service", r.Service)
@@ -137,7 +137,7 @@
 	}
 	change := &wire.ChangeRequest{Number: view.Config.Version + 1, Text: text, Author: "planner",
 		ChangeID: "rollback-" + r.Service + "-" + r.From.String() + "-" + view.Winner}
-	ctx, cancel := context.WithTimeout(ctx, proposeLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	res, err := s.replica.Propose(ctx, state.Command{Change: change})
 	if err != nil || res.Change == nil {
--- a/node/quarantine/answers.go
+++ b/node/quarantine/answered_calls.go
@@ -6,7 +6,7 @@
 )
 
 // answersKept bounds how many answered calls a process remembers.
-const answersKept = 4096
+const maxAnsweredCalls = 4096
 
 // Answers remembers the calls that upstreams have answered lately: one that is sent all the time is on every
 // upstream that ends, and yet ends none.
@@ -14,14 +14,14 @@
 	seed maphash.Seed
 
 	mu     sync.Mutex
-	known  map[uint64]bool
+	hashes map[uint64]bool
 	oldest int
-	order  [answersKept]uint64
+	ring   [maxAnsweredCalls]uint64
 }
 
 // NewAnswers returns answers of a process that has just started.
 func NewAnswers() *Answers {
-	return &Answers{seed: maphash.MakeSeed(), known: map[uint64]bool{}}
+	return &Answers{seed: maphash.MakeSeed(), hashes: map[uint64]bool{}}
 }
 
 // Add notes that an upstream has answered the call.
@@ -29,12 +29,12 @@
 	h := a.hash(c)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.known[h] {
+	if a.hashes[h] {
 		return
 	}
-	delete(a.known, a.order[a.oldest])
-	a.order[a.oldest], a.known[h] = h, true
-	a.oldest = (a.oldest + 1) % answersKept
+	delete(a.hashes, a.ring[a.oldest])
+	a.ring[a.oldest], a.hashes[h] = h, true
+	a.oldest = (a.oldest + 1) % maxAnsweredCalls
 }
 
 // Take reports whether a copy of the call was answered since it was asked last.
@@ -42,8 +42,8 @@
 	h := a.hash(c)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	had := a.known[h]
-	delete(a.known, h)
+	had := a.hashes[h]
+	delete(a.hashes, h)
 	return had
 }
 
--- a/node/quarantine/inquiry_test.go
+++ b/node/quarantine/crash_detector_test.go
@@ -59,13 +59,13 @@
 		"it is a member still":       {errSilent, func(q *Inquiries) { q.Follow(memberset.Of(m)) }, 0},
 		"another call is refused":    {errSilent, func(q *Inquiries) { q.Ended(m.Start()) }, 2},
 		"another call, much later": {errSilent, func(q *Inquiries) {
-			time.Sleep(undecided + time.Second)
+			time.Sleep(checkTTL + time.Second)
 			q.Broke(Broken{Request: "third", Upstream: m})
 			synctest.Wait()
 			q.Ended(m.Start())
 		}, 1},
 		"noticed late": {errRefused, func(q *Inquiries) {
-			time.Sleep(remembered - time.Second)
+			time.Sleep(crashTTL - time.Second)
 			q.Broke(Broken{Request: "third", Upstream: m})
 		}, 3},
 	}
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -38,8 +38,8 @@
 // control is out of reach it goes by what this process has seen itself besides, where that needs no
 // other process's word to tell the calls on an upstream apart.
 type Guard struct {
-	known atomic.Pointer[index]
-	own   atomic.Pointer[index]
+	replicated atomic.Pointer[index]
+	local      atomic.Pointer[index]
 
 	mu     sync.Mutex
 	ledger Ledger // of this process's own reports
@@ -49,16 +49,16 @@
 type index struct {
 	revision uint64
 	shapes   map[uint64]bool
-	standing map[wire.Fingerprint]Standing
+	statuses map[wire.Fingerprint]Standing
 }
 
 func newIndex(s wire.Suspects) *index {
-	x := &index{revision: s.Revision, shapes: map[uint64]bool{}, standing: map[wire.Fingerprint]Standing{}}
+	x := &index{revision: s.Revision, shapes: map[uint64]bool{}, statuses: map[wire.Fingerprint]Standing{}}
 	for _, suspect := range s.List {
 		x.shapes[suspect.Shape] = true
-		x.standing[suspect.Fingerprint] = Suspected
+		x.statuses[suspect.Fingerprint] = Suspected
 		if suspect.Barred {
-			x.standing[suspect.Fingerprint] = Barred
+			x.statuses[suspect.Fingerprint] = Barred
 		}
 	}
 	return x
@@ -67,17 +67,17 @@
 // NewGuard returns a guard that suspects nobody.
 func NewGuard() *Guard {
 	g := &Guard{}
-	g.known.Store(newIndex(wire.Suspects{}))
-	g.own.Store(newIndex(wire.Suspects{}))
+	g.replicated.Store(newIndex(wire.Suspects{}))
+	g.local.Store(newIndex(wire.Suspects{}))
 	return g
 }
 
 // Follow takes over what a quorum holds, and reports whether it is new.
 func (g *Guard) Follow(s wire.Suspects) (changed bool) {
-	if s.Revision == g.known.Load().revision {
+	if s.Revision == g.replicated.Load().revision {
 		return false
 	}
-	g.known.Store(newIndex(s))
+	g.replicated.Store(newIndex(s))
 	return true
 }
 
@@ -87,18 +87,18 @@
 	defer g.mu.Unlock()
 	g.ledger.Expire(now.UnixMilli())
 	g.ledger.Take(r, now.UnixMilli())
-	g.own.Store(newIndex(g.ledger.certain()))
+	g.local.Store(newIndex(g.ledger.unambiguousSuspects()))
 }
 
 // Quiet reports whether nobody is suspected, as on most days.
 func (g *Guard) Quiet() bool {
-	return len(g.known.Load().shapes) == 0 && len(g.own.Load().shapes) == 0
+	return len(g.replicated.Load().shapes) == 0 && len(g.local.Load().shapes) == 0
 }
 
 // Check returns what is known of the call, and its fingerprint where it is listed. With withOwn, what
 // this process has seen counts besides what a quorum holds.
 func (g *Guard) Check(c Call, withOwn bool) (Standing, wire.Fingerprint) {
-	known, own := g.known.Load(), g.own.Load()
+	known, own := g.replicated.Load(), g.local.Load()
 	if len(known.shapes) == 0 && (!withOwn || len(own.shapes) == 0) {
 		return Unsuspected, ""
 	}
@@ -106,9 +106,9 @@
 		return Unsuspected, ""
 	}
 	f := c.Fingerprint()
-	standing := known.standing[f]
+	standing := known.statuses[f]
 	if withOwn {
-		standing = max(standing, own.standing[f])
+		standing = max(standing, own.statuses[f])
 	}
 	return standing, f
 }
--- a/node/quarantine/ledger.go
+++ b/node/quarantine/ledger.go
@@ -15,15 +15,15 @@
 	barAfter = 3
 	// barDespite is the same where other barred calls were on these upstreams too, or the call
 	// was answered before.
-	barDespite = 5
+	barAfterAmbiguous = 5
 	// tellFrom is how many ends make a call known to all processes: they report when it is answered.
-	tellFrom = 2
+	suspectAfter = 2
 	// keepTime is how long a call is remembered after the last upstream ended under it. One
 	// that was barred may then run once more: upstreams may have been mended.
-	keepTime = 24 * time.Hour
+	recordTTL = 24 * time.Hour
 	// maxRecords and maxStarts bound what a caller can make the replicas hold.
-	maxRecords = 512
-	maxStarts  = 16
+	maxRecords         = 512
+	maxStartsPerRecord = 16
 )
 
 // Record is what is known of one call. Its slices are replaced, never changed.
@@ -56,7 +56,7 @@
 // Take takes over a report. now is in milliseconds since the Unix epoch.
 func (l *Ledger) Take(r *wire.CrashReport, now int64) wire.QuarantineChange {
 	var change wire.QuarantineChange
-	before := l.known()
+	before := l.suspectList()
 	for _, call := range r.Answered {
 		if l.clear(call, now) {
 			change.Cleared = append(change.Cleared, call.Fingerprint)
@@ -64,11 +64,11 @@
 	}
 	for _, crash := range r.Crashes {
 		for _, call := range crash.Calls {
-			l.accuse(call, crash.Upstream, now)
+			l.addCrash(call, crash.Upstream, now)
 		}
 	}
-	l.judge(now, &change)
-	l.published(before)
+	l.updateBars(now, &change)
+	l.updateRevision(before)
 	return change
 }
 
@@ -77,9 +77,9 @@
 	if _, known := l.Records[f]; !known {
 		return false
 	}
-	before := l.known()
+	before := l.suspectList()
 	delete(l.Records, f)
-	l.published(before)
+	l.updateRevision(before)
 	return true
 }
 
@@ -87,7 +87,7 @@
 func (l *Ledger) Due() int64 {
 	due := int64(math.MaxInt64)
 	for _, r := range l.Records {
-		due = min(due, r.At+keepTime.Milliseconds()+1)
+		due = min(due, r.At+recordTTL.Milliseconds()+1)
 	}
 	return due
 }
@@ -96,18 +96,18 @@
 func (l *Ledger) Expire(now int64) {
 	var old []Record
 	for _, r := range l.Records {
-		if now-r.At > keepTime.Milliseconds() {
+		if now-r.At > recordTTL.Milliseconds() {
 			old = append(old, r)
 		}
 	}
 	if len(old) == 0 {
 		return
 	}
-	before := l.known()
+	before := l.suspectList()
 	for _, r := range old {
 		l.expire(r, now)
 	}
-	l.published(before)
+	l.updateRevision(before)
 }
 
 func (l *Ledger) expire(r Record, now int64) {
@@ -116,19 +116,19 @@
 		return
 	}
 	r.Barred, r.Since, r.At = false, now, now
-	r.Starts = slices.Clone(r.Starts[max(0, len(r.Starts)-tellFrom):])
+	r.Starts = slices.Clone(r.Starts[max(0, len(r.Starts)-suspectAfter):])
 	l.Records[r.Call.Fingerprint] = r
 }
 
 // accuse notes that an upstream ended under the call.
-func (l *Ledger) accuse(call wire.CallSketch, start wire.Start, now int64) {
+func (l *Ledger) addCrash(call wire.CallSketch, start wire.Start, now int64) {
 	r := l.record(call, now)
 	if slices.Contains(r.Starts, start) {
 		return
 	}
 	r.At = now
 	r.Starts = append(slices.Clone(r.Starts), start)
-	r.Starts = r.Starts[max(0, len(r.Starts)-maxStarts):]
+	r.Starts = r.Starts[max(0, len(r.Starts)-maxStartsPerRecord):]
 	l.Records[call.Fingerprint] = r
 }
 
@@ -140,23 +140,23 @@
 	if l.Records == nil {
 		l.Records = map[wire.Fingerprint]Record{}
 	}
-	l.makeRoom()
+	l.evict()
 	return Record{Call: call, Since: now}
 }
 
 // judge bars the calls under which enough upstreams have ended that no other call explains. Reports come
 // one after the other, so a late one may show that a barred call was merely beside another one.
-func (l *Ledger) judge(now int64, change *wire.QuarantineChange) {
-	suspects, on := l.suspects()
+func (l *Ledger) updateBars(now int64, change *wire.QuarantineChange) {
+	suspects, on := l.barCandidates()
 	for _, r := range suspects {
-		if r.Barred && len(r.Starts) < barDespite && l.covered(r, on) {
+		if r.Barred && len(r.Starts) < barAfterAmbiguous && l.ambiguous(r, on) {
 			r.Barred, r.Since = false, now
 			l.Records[r.Call.Fingerprint] = r
 			change.Lifted = append(change.Lifted, r.Call.Fingerprint)
 		}
 	}
 	for _, r := range suspects {
-		if l.Records[r.Call.Fingerprint].Barred || !l.ends(r, on) {
+		if l.Records[r.Call.Fingerprint].Barred || !l.shouldBar(r, on) {
 			continue
 		}
 		r.Barred, r.Since = true, now
@@ -166,13 +166,13 @@
 }
 
 // onStart lists the calls that were on an upstream when it ended.
-type onStart map[wire.Start][]wire.Fingerprint
+type callsByStart map[wire.Start][]wire.Fingerprint
 
 // suspects returns the calls that may be barred, those that were on most upstreams first: they explain
 // the ends that accuse the others.
-func (l *Ledger) suspects() ([]Record, onStart) {
+func (l *Ledger) barCandidates() ([]Record, callsByStart) {
 	var out []Record
-	on := onStart{}
+	on := callsByStart{}
 	for f, r := range l.Records {
 		if len(r.Starts) < barAfter {
 			continue
@@ -189,24 +189,24 @@
 }
 
 // ends reports whether the call is taken for one that ends upstreams.
-func (l *Ledger) ends(r Record, on onStart) bool {
-	if len(r.Starts) >= barDespite {
+func (l *Ledger) shouldBar(r Record, on callsByStart) bool {
+	if len(r.Starts) >= barAfterAmbiguous {
 		return true
 	}
-	if r.Cleared || l.covered(r, on) {
+	if r.Cleared || l.ambiguous(r, on) {
 		return false // another was on all of these upstreams too: the next end tells the two apart
 	}
-	own := 0
+	unexplained := 0
 	for _, start := range r.Starts {
-		if !l.explained(r, on[start]) {
-			own++
+		if !l.hasBarredCall(r, on[start]) {
+			unexplained++
 		}
 	}
-	return own >= barAfter
+	return unexplained >= barAfter
 }
 
 // explained reports whether one of the other calls on an upstream is barred.
-func (l *Ledger) explained(r Record, calls []wire.Fingerprint) bool {
+func (l *Ledger) hasBarredCall(r Record, calls []wire.Fingerprint) bool {
 	for _, f := range calls {
 		if f != r.Call.Fingerprint && l.Records[f].Barred {
 			return true
@@ -216,17 +216,17 @@
 }
 
 // covered reports whether another suspect was on all upstreams that r was on.
-func (l *Ledger) covered(r Record, on onStart) bool {
+func (l *Ledger) ambiguous(r Record, on callsByStart) bool {
 	for _, f := range on[r.Starts[0]] {
 		other := l.Records[f]
-		if f != r.Call.Fingerprint && !other.Cleared && within(r.Starts, other.Starts) {
+		if f != r.Call.Fingerprint && !other.Cleared && isSubset(r.Starts, other.Starts) {
 			return true
 		}
 	}
 	return false
 }
 
-func within(part, whole []wire.Start) bool {
+func isSubset(part, whole []wire.Start) bool {
 	for _, start := range part {
 		if !slices.Contains(whole, start) {
 			return false
@@ -249,7 +249,7 @@
 
 // makeRoom forgets the record that tells least when there are too many: of the calls that are
 // not barred the one with the fewest ends, and of barred ones one of the customer who has most.
-func (l *Ledger) makeRoom() {
+func (l *Ledger) evict() {
 	if len(l.Records) < maxRecords {
 		return
 	}
@@ -275,10 +275,10 @@
 }
 
 // known returns what processes are told.
-func (l *Ledger) known() []wire.Suspect {
+func (l *Ledger) suspectList() []wire.Suspect {
 	var out []wire.Suspect
 	for f, r := range l.Records {
-		if r.Barred || len(r.Starts) >= tellFrom {
+		if r.Barred || len(r.Starts) >= suspectAfter {
 			out = append(out, wire.Suspect{Fingerprint: f, Shape: r.Call.Shape, Barred: r.Barred})
 		}
 	}
@@ -287,17 +287,17 @@
 }
 
 // published counts the revision on when what processes are told has changed.
-func (l *Ledger) published(before []wire.Suspect) {
-	if !slices.Equal(before, l.known()) {
+func (l *Ledger) updateRevision(before []wire.Suspect) {
+	if !slices.Equal(before, l.suspectList()) {
 		l.Revision++
 	}
 }
 
 // certain returns the calls that are barred whatever else was on their upstreams.
-func (l *Ledger) certain() wire.Suspects {
+func (l *Ledger) unambiguousSuspects() wire.Suspects {
 	out := wire.Suspects{Revision: l.Revision}
-	for _, s := range l.known() {
-		s.Barred = len(l.Records[s.Fingerprint].Starts) >= barDespite
+	for _, s := range l.suspectList() {
+		s.Barred = len(l.Records[s.Fingerprint].Starts) >= barAfterAmbiguous
 		out.List = append(out.List, s)
 	}
 	return out
@@ -305,7 +305,7 @@
 
 // Suspects returns what processes are told.
 func (l *Ledger) Suspects() wire.Suspects {
-	return wire.Suspects{Revision: l.Revision, List: l.known()}
+	return wire.Suspects{Revision: l.Revision, List: l.suspectList()}
 }
 
 // Entries returns all calls for operators, sorted by fingerprint.
--- a/node/quarantine/ledger_test.go
+++ b/node/quarantine/ledger_test.go
@@ -99,7 +99,7 @@
 
 // TestBarsEnd lets time pass, and an operator lift a bar.
 func TestBarsEnd(t *testing.T) {
-	keep := keepTime.Milliseconds()
+	keep := recordTTL.Milliseconds()
 	var l Ledger
 	barF := wire.CrashReport{Crashes: []wire.Crash{crashOf(1, "f", "g"), crashOf(2, "f"), crashOf(3, "f")}}
 	l.Take(&barF, 0)
@@ -109,7 +109,7 @@
 	}
 	l.Expire(keep + 1)
 	if s := states(&l); s["f"] != wire.QuarantineSuspected || len(s) != 1 {
-		t.Fatalf("after %v: %v", keepTime, s)
+		t.Fatalf("after %v: %v", recordTTL, s)
 	}
 	l.Take(&wire.CrashReport{Crashes: []wire.Crash{crashOf(4, "f")}}, keep+2)
 	if got := states(&l)["f"]; got != wire.QuarantineBarred {
@@ -179,12 +179,12 @@
 				t.Fatalf("revision %d and then %d, the same suspects: %v", before, l.Revision, same)
 			}
 			for f, s := range states(&l) {
-				if s == wire.QuarantineBarred && (len(since[f]) < barAfter || cleared[f] && len(since[f]) < barDespite) {
+				if s == wire.QuarantineBarred && (len(since[f]) < barAfter || cleared[f] && len(since[f]) < barAfterAmbiguous) {
 					t.Fatalf("%s is barred: cleared %v, %d ends", f, cleared[f], len(since[f]))
 				}
 			}
 			for f := range ends {
-				if alone(f, ends) >= barAfter && !cleared[f] && states(&l)[f] != wire.QuarantineBarred {
+				if exclusiveCrashes(f, ends) >= barAfter && !cleared[f] && states(&l)[f] != wire.QuarantineBarred {
 					t.Fatalf("%s is %q after ends %v", f, states(&l)[f], ends)
 				}
 			}
@@ -193,7 +193,7 @@
 }
 
 // alone counts the ends under the call that no other was on.
-func alone(f wire.Fingerprint, ends map[wire.Fingerprint]map[int]bool) int {
+func exclusiveCrashes(f wire.Fingerprint, ends map[wire.Fingerprint]map[int]bool) int {
 	n := 0
 	for upstream := range ends[f] {
 		shared := false
@@ -229,8 +229,8 @@
 	expect(sameShape, false, Unsuspected)
 	g.Follow(wire.Suspects{Revision: 5})
 	expect(call, false, Unsuspected)
-	for i := range barDespite {
-		expect(call, true, min(Standing(i/tellFrom), Suspected))
+	for i := range barAfterAmbiguous {
+		expect(call, true, min(Standing(i/suspectAfter), Suspected))
 		g.Seen(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: start(i), Calls: []wire.CallSketch{sketch}}}}, time.Unix(1000, 0))
 	}
 	expect(call, false, Unsuspected)
--- a/node/quarantine/reporter.go
+++ b/node/quarantine/reporter.go
@@ -11,68 +11,68 @@
 const (
 	// gather is how long reports are collected for one call: an upstream that ends cuts all of its
 	// calls at once.
-	gather = 10 * time.Millisecond
+	batchDelay = 10 * time.Millisecond
 	// againAfter is the pause before a report is sent again, while nobody leads.
-	againAfter = 150 * time.Millisecond
-	sendTime   = time.Second
+	retryDelay  = 150 * time.Millisecond
+	sendTimeout = time.Second
 	// maxCalls bounds a report that waits, in calls. What comes above it is dropped: others have
 	// seen the same upstreams end.
-	maxCalls = 2048
+	maxPendingCalls = 2048
 )
 
 // Reporter sends what this process has seen to the leader, again until it is acknowledged.
 type Reporter struct {
 	send func(context.Context, *wire.CrashReport) error
 
-	mu    sync.Mutex
-	next  *pending
-	awake chan struct{}
+	mu      sync.Mutex
+	pending *pendingReport
+	wake    chan struct{}
 }
 
 // pending is a report that is being collected.
-type pending struct {
+type pendingReport struct {
 	crashes  map[wire.Start]map[wire.Fingerprint]wire.CallSketch
 	answered map[wire.Fingerprint]wire.CallSketch
 	calls    int
 }
 
-func newPending() *pending {
-	return &pending{crashes: map[wire.Start]map[wire.Fingerprint]wire.CallSketch{}, answered: map[wire.Fingerprint]wire.CallSketch{}}
+func newPending() *pendingReport {
+	return &pendingReport{crashes: map[wire.Start]map[wire.Fingerprint]wire.CallSketch{}, answered: map[wire.Fingerprint]wire.CallSketch{}}
 }
 
 // NewReporter returns a reporter; Run sends.
 func NewReporter(send func(context.Context, *wire.CrashReport) error) *Reporter {
-	return &Reporter{send: send, next: newPending(), awake: make(chan struct{}, 1)}
+	return &Reporter{send: send, pending: newPending(), wake: make(chan struct{}, 1)}
 }
 
 // Add adds to the next report.
 func (r *Reporter) Add(report *wire.CrashReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.next.add(report)
+	r.pending.add(report)
 	select {
-	case r.awake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (p *pending) add(report *wire.CrashReport) {
+func (p *pendingReport) add(report *wire.CrashReport) {
 	for _, crash := range report.Crashes {
 		for _, call := range crash.Calls {
-			if p.calls < maxCalls {
+			if p.calls < maxPendingCalls {
 				p.addCall(crash.Upstream, call)
 			}
 		}
 	}
 	for _, call := range report.Answered {
-		if _, known := p.answered[call.Fingerprint]; !known && p.calls < maxCalls {
+		if _, known := p.answered[call.Fingerprint]; !known && p.calls < maxPendingCalls {
 			p.answered[call.Fingerprint] = call
 			p.calls++
 		}
 	}
 }
 
-func (p *pending) addCall(start wire.Start, call wire.CallSketch) {
+func (p *pendingReport) addCall(start wire.Start, call wire.CallSketch) {
 	if p.crashes[start] == nil {
 		p.crashes[start] = map[wire.Fingerprint]wire.CallSketch{}
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-func (p *pending) report() *wire.CrashReport {
+func (p *pendingReport) report() *wire.CrashReport {
 	out := &wire.CrashReport{}
 	for start, calls := range p.crashes {
 		crash := wire.Crash{Upstream: start}
@@ -101,21 +101,21 @@
 func (r *Reporter) take() *wire.CrashReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.next.calls == 0 {
+	if r.pending.calls == 0 {
 		return nil
 	}
-	report := r.next.report()
-	r.next = newPending()
+	report := r.pending.report()
+	r.pending = newPending()
 	return report
 }
 
 // Run sends reports until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
-	for wait := gather; ; wait = gather {
+	for wait := batchDelay; ; wait = batchDelay {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.awake:
+		case <-r.wake:
 		}
 		for {
 			if !sleep(ctx, wait) {
@@ -129,13 +129,13 @@
 				break
 			}
 			r.Add(report)
-			wait = againAfter
+			wait = retryDelay
 		}
 	}
 }
 
 func (r *Reporter) sendOnce(ctx context.Context, report *wire.CrashReport) error {
-	ctx, cancel := context.WithTimeout(ctx, sendTime)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	return r.send(ctx, report)
 }
--- a/node/quarantine/reporter_test.go
+++ b/node/quarantine/reporter_test.go
@@ -41,13 +41,13 @@
 		}
 		failures = 1
 		mu.Unlock()
-		for i := range 3 * maxCalls {
+		for i := range 3 * maxPendingCalls {
 			r.Add(&wire.CrashReport{Crashes: []wire.Crash{crashOf(i, wire.Fingerprint(fmt.Sprint(i)))}})
 		}
 		time.Sleep(time.Minute)
 		mu.Lock()
 		defer mu.Unlock()
-		if len(sent) != 2 || len(sent[1].Crashes) != maxCalls {
+		if len(sent) != 2 || len(sent[1].Crashes) != maxPendingCalls {
 			t.Fatalf("%d reports, the last with %d crashes", len(sent), len(sent[len(sent)-1].Crashes))
 		}
 		cancel()
--- a/node/rollout/judge.go
+++ b/node/rollout/analyzer.go
@@ -13,56 +13,56 @@
 const (
 	// window is for how long answers of the other versions count: a fault that all versions
 	// have at the same time is no fault of the target.
-	window = 6 * time.Second
+	baselineWindow = 6 * time.Second
 	// latest is the end of the window in which a fault of all versions shows at once.
-	latest = time.Second
+	shortWindow = time.Second
 	// leastOthers is how many answers of other versions a comparison of durations needs.
-	leastOthers = 20
+	minBaselineAnswers = 20
 	// slowFactor is how much longer than nine in ten answers of the other versions on the same route
 	// an answer takes that counts as slow.
 	slowFactor = 1.5
 	// Prior answers of the other versions, of which priorBad are bad: few answers do not say that
 	// they never fail.
-	prior    = 20
-	priorBad = 0.4
+	priorAnswers = 20
+	priorBad     = 0.4
 	// tolerance is how much more often than the others' the target's answers may be bad.
-	tolerance = 1.5
+	toleranceFactor = 1.5
 	// leastBad is the part of bad answers that is tolerated of any version.
-	leastBad = 0.02
+	minTolerated = 0.02
 	// alarm is the logarithm of the likelihood ratio from which on the target counts as bad.
-	alarm = 7
+	badThreshold = 7
 	// suspicion is that from which on the target is not given all calls.
-	suspicion = 5
+	suspectThreshold = 5
 )
 
 // excesses are how much more often than tolerated the answers of a bad version may be bad. A test
 // for a great excess is the quicker, one for a small excess finds what the others miss.
-var excesses = [...]float64{0.06, 0.2, 0.5}
+var excessRates = [...]float64{0.06, 0.2, 0.5}
 
 // cusum is a sequential test (Page, 1954) for each of the excesses. It forgets good answers of
 // before, so that a version that turns bad late is found as quickly.
-type cusum [len(excesses)]float64
+type cusum [len(excessRates)]float64
 
 // add takes in n answers, bad of them bad, where p is the part that is tolerated.
 func (c *cusum) add(bad, n, p float64) {
-	for i, excess := range excesses {
-		worse := min(p+excess, 0.99)
-		if worse <= p {
+	for i, excess := range excessRates {
+		badRate := min(p+excess, 0.99)
+		if badRate <= p {
 			continue
 		}
-		c[i] = max(0, c[i]+bad*math.Log(worse/p)+(n-bad)*math.Log((1-worse)/(1-p)))
+		c[i] = max(0, c[i]+bad*math.Log(badRate/p)+(n-bad)*math.Log((1-badRate)/(1-p)))
 	}
 }
 
-func (c *cusum) most() float64 { return slices.Max(c[:]) }
+func (c *cusum) maxScore() float64 { return slices.Max(c[:]) }
 
 // Judge compares the target version of one roll-out with the others. It reads no clock.
 type Judge struct {
-	target         string
-	last           map[wire.Start]map[countKey]wire.VersionCounts // of each process
-	others         map[string]*recent                             // by route
-	tests          map[testKey]*cusum
-	Target, Others tally
+	target          string
+	lastCounts      map[wire.Start]map[countKey]wire.VersionCounts // of each process
+	baselineAnswers map[string]*recentAnswers                      // by route
+	tests           map[testKey]*cusum
+	Target, Others  tally
 }
 
 // tally counts answers.
@@ -77,7 +77,7 @@
 const allRoutes = "\x00"
 
 // recent are the answers of other versions within the window.
-type recent struct{ deltas []delta }
+type recentAnswers struct{ deltas []delta }
 
 type delta struct {
 	at     time.Time
@@ -87,44 +87,44 @@
 
 // NewJudge returns a judge of the target version.
 func NewJudge(target string) *Judge {
-	return &Judge{target: target, last: map[wire.Start]map[countKey]wire.VersionCounts{}, others: map[string]*recent{}, tests: map[testKey]*cusum{}}
+	return &Judge{target: target, lastCounts: map[wire.Start]map[countKey]wire.VersionCounts{}, baselineAnswers: map[string]*recentAnswers{}, tests: map[testKey]*cusum{}}
 }
 
 // Take takes in what a process has counted since the roll-out started.
-func (j *Judge) Take(now time.Time, from wire.Start, counts []wire.VersionCounts) {
-	last := j.last[from]
+func (a *Judge) Take(now time.Time, from wire.Start, counts []wire.VersionCounts) {
+	last := a.lastCounts[from]
 	if last == nil {
 		last = map[countKey]wire.VersionCounts{}
-		j.last[from] = last
+		a.lastCounts[from] = last
 	}
 	var target []wire.VersionCounts
 	for _, n := range counts {
 		key := countKey{n.Version, n.Route}
-		d := since(last[key], n)
+		d := countsSince(last[key], n)
 		if d.Failed == 0 && len(d.Took) == 0 {
 			continue
 		}
 		last[key] = n
-		if n.Version == j.target {
+		if n.Version == a.target {
 			target = append(target, d)
 			continue
 		}
-		j.Others.add(d)
-		j.takeOther(now, d)
+		a.Others.add(d)
+		a.addBaseline(now, d)
 	}
 	for _, d := range target {
-		j.Target.add(d)
-		j.takeTarget(now, d)
+		a.Target.add(d)
+		a.addTarget(now, d)
 	}
 }
 
 func (t *tally) add(d wire.VersionCounts) {
 	t.Bad += d.Failed
-	t.Answers += answers(d)
+	t.Answers += answerCount(d)
 }
 
 // since returns what n counts more than before. A report that was overtaken counts nothing.
-func since(before, n wire.VersionCounts) wire.VersionCounts {
+func countsSince(before, n wire.VersionCounts) wire.VersionCounts {
 	d := wire.VersionCounts{Version: n.Version, Route: n.Route, Took: map[int]uint64{}}
 	if n.Failed > before.Failed {
 		d.Failed = n.Failed - before.Failed
@@ -137,7 +137,7 @@
 	return d
 }
 
-func answers(d wire.VersionCounts) uint64 {
+func answerCount(d wire.VersionCounts) uint64 {
 	n := d.Failed
 	for _, count := range d.Took {
 		n += count
@@ -145,20 +145,20 @@
 	return n
 }
 
-func (j *Judge) takeOther(now time.Time, d wire.VersionCounts) {
-	r := j.others[d.Route]
+func (a *Judge) addBaseline(now time.Time, d wire.VersionCounts) {
+	r := a.baselineAnswers[d.Route]
 	if r == nil {
-		r = &recent{}
-		j.others[d.Route] = r
+		r = &recentAnswers{}
+		a.baselineAnswers[d.Route] = r
 	}
-	r.deltas = slices.DeleteFunc(r.deltas, func(old delta) bool { return now.Sub(old.at) > window })
+	r.deltas = slices.DeleteFunc(r.deltas, func(old delta) bool { return now.Sub(old.at) > baselineWindow })
 	r.deltas = append(r.deltas, delta{now, d.Failed, d.Took})
 }
 
 // sum adds up the answers of other versions on a route, or on all, since a while ago.
-func (j *Judge) sum(now time.Time, route string, since time.Duration) (failed uint64, took map[int]uint64) {
+func (a *Judge) sumBaseline(now time.Time, route string, since time.Duration) (failed uint64, took map[int]uint64) {
 	took = map[int]uint64{}
-	for name, r := range j.others {
+	for name, r := range a.baselineAnswers {
 		if route != allRoutes && name != route {
 			continue
 		}
@@ -175,47 +175,47 @@
 	return failed, took
 }
 
-func (j *Judge) takeTarget(now time.Time, d wire.VersionCounts) {
-	n, bad := float64(answers(d)), float64(d.Failed)
+func (a *Judge) addTarget(now time.Time, d wire.VersionCounts) {
+	n, bad := float64(answerCount(d)), float64(d.Failed)
 	for _, route := range []string{d.Route, allRoutes} {
-		j.test(testKey{false, route}).add(bad, n, max(j.failures(now, route, window), j.failures(now, route, latest)))
+		a.test(testKey{false, route}).add(bad, n, max(a.toleratedFailures(now, route, baselineWindow), a.toleratedFailures(now, route, shortWindow)))
 	}
-	_, others := j.sum(now, d.Route, window)
-	limit, ok := slowFrom(others)
+	_, others := a.sumBaseline(now, d.Route, baselineWindow)
+	limit, ok := slowBucket(others)
 	if !ok {
 		return
 	}
-	slow, timed := above(d.Took, limit), warm(d.Took)
-	j.Target.Bad += slow
-	_, lately := j.sum(now, d.Route, latest)
-	p := max(tolerated(float64(above(others, limit)), float64(warm(others))), tolerated(float64(above(lately, limit)), float64(warm(lately))))
-	j.test(testKey{true, d.Route}).add(float64(slow), float64(timed), p)
+	slow, timed := countFrom(d.Took, limit), warmAnswers(d.Took)
+	a.Target.Bad += slow
+	_, lately := a.sumBaseline(now, d.Route, shortWindow)
+	p := max(toleratedRatio(float64(countFrom(others, limit)), float64(warmAnswers(others))), toleratedRatio(float64(countFrom(lately, limit)), float64(warmAnswers(lately))))
+	a.test(testKey{true, d.Route}).add(float64(slow), float64(timed), p)
 }
 
 // failures is the part of the target's answers that may be failures, by the others' since a while ago.
-func (j *Judge) failures(now time.Time, route string, since time.Duration) float64 {
-	failed, took := j.sum(now, route, since)
-	return tolerated(float64(failed), float64(failed)+float64(total(took)))
+func (a *Judge) toleratedFailures(now time.Time, route string, since time.Duration) float64 {
+	failed, took := a.sumBaseline(now, route, since)
+	return toleratedRatio(float64(failed), float64(failed)+float64(allAnswers(took)))
 }
 
-func (j *Judge) test(key testKey) *cusum {
-	c := j.tests[key]
+func (a *Judge) test(key testKey) *cusum {
+	c := a.tests[key]
 	if c == nil {
 		c = &cusum{}
-		j.tests[key] = c
+		a.tests[key] = c
 	}
 	return c
 }
 
 // tolerated is the part of the target's answers that may be bad where so many of the others' are.
-func tolerated(bad, n float64) float64 {
-	return min(max(leastBad, tolerance*(bad+priorBad)/(n+prior)), 0.95)
+func toleratedRatio(bad, n float64) float64 {
+	return min(max(minTolerated, toleranceFactor*(bad+priorBad)/(n+priorAnswers)), 0.95)
 }
 
 // slowFrom returns the first bucket of slow answers, if there are enough to tell.
-func slowFrom(others map[int]uint64) (bucket int, ok bool) {
-	n := warm(others)
-	if n < leastOthers {
+func slowBucket(others map[int]uint64) (bucket int, ok bool) {
+	n := warmAnswers(others)
+	if n < minBaselineAnswers {
 		return 0, false
 	}
 	var seen uint64
@@ -230,7 +230,7 @@
 	return 0, false
 }
 
-func above(took map[int]uint64, limit int) uint64 {
+func countFrom(took map[int]uint64, limit int) uint64 {
 	var n uint64
 	for bucket, count := range took {
 		if bucket >= limit {
@@ -240,10 +240,10 @@
 	return n
 }
 
-func total(took map[int]uint64) uint64 { return warm(took) + took[coldBucket] }
+func allAnswers(took map[int]uint64) uint64 { return warmAnswers(took) + took[coldBucket] }
 
 // warm counts the answers whose duration says something.
-func warm(took map[int]uint64) uint64 {
+func warmAnswers(took map[int]uint64) uint64 {
 	var n uint64
 	for bucket, count := range took {
 		if bucket != coldBucket {
@@ -261,15 +261,15 @@
 }
 
 // Verdict returns the judge's opinion.
-func (j *Judge) Verdict() Verdict {
+func (a *Judge) Verdict() Verdict {
 	var worst testKey
 	most := 0.0
-	for key, test := range j.tests {
-		if m := test.most(); m > most {
+	for key, test := range a.tests {
+		if m := test.maxScore(); m > most {
 			worst, most = key, m
 		}
 	}
-	v := Verdict{Bad: most >= alarm, Suspected: most >= suspicion}
+	v := Verdict{Bad: most >= badThreshold, Suspected: most >= suspectThreshold}
 	if v.Suspected {
 		what, where := "fails", "all routes"
 		if worst.slow {
@@ -278,7 +278,7 @@
 		if worst.route != allRoutes {
 			where = "route " + worst.route
 		}
-		v.Reason = fmt.Sprintf("%s %s more often than the others on %s (%d of %d answers bad, likelihood %.1f)", j.target, what, where, j.Target.Bad, j.Target.Answers, most)
+		v.Reason = fmt.Sprintf("%s %s more often than the others on %s (%d of %d answers bad, likelihood %.1f)", a.target, what, where, a.Target.Bad, a.Target.Answers, most)
 	}
 	return v
 }
--- a/node/rollout/counter.go
+++ b/node/rollout/counter.go
@@ -31,31 +31,31 @@
 
 // Counter counts the answers that a process has got since each running roll-out started.
 type Counter struct {
-	mu   sync.Mutex
-	by   map[string]*serviceCounts
-	news bool // since the last report
+	mu       sync.Mutex
+	services map[string]*serviceCounts
+	changed  bool // since the last report
 }
 
 type serviceCounts struct {
-	order uint64
-	by    map[countKey]*wire.VersionCounts
+	order    uint64
+	versions map[countKey]*wire.VersionCounts
 }
 
 type countKey struct{ version, route string }
 
 // NewCounter returns a Counter that counts nothing until it follows a running roll-out.
-func NewCounter() *Counter { return &Counter{by: map[string]*serviceCounts{}} }
+func NewCounter() *Counter { return &Counter{services: map[string]*serviceCounts{}} }
 
 // Follow takes over the roll-outs of a view: counts begin with the order and end with the roll-out.
 func (c *Counter) Follow(r wire.Rollouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, x := range r.List {
-		switch known := c.by[x.Service]; {
+		switch known := c.services[x.Service]; {
 		case !x.Running():
-			delete(c.by, x.Service)
+			delete(c.services, x.Service)
 		case known == nil || known.order != x.Order:
-			c.by[x.Service] = &serviceCounts{order: x.Order, by: map[countKey]*wire.VersionCounts{}}
+			c.services[x.Service] = &serviceCounts{order: x.Order, versions: map[countKey]*wire.VersionCounts{}}
 		}
 	}
 }
@@ -64,17 +64,17 @@
 func (c *Counter) Add(m wire.Member, route string, how Outcome, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.by[m.Service]
+	s := c.services[m.Service]
 	if s == nil {
 		return
 	}
 	key := countKey{m.Version, route}
-	n := s.by[key]
+	n := s.versions[key]
 	if n == nil {
 		n = &wire.VersionCounts{Version: m.Version, Route: route, Took: map[int]uint64{}}
-		s.by[key] = n
+		s.versions[key] = n
 	}
-	c.news = true
+	c.changed = true
 	switch {
 	case how == Failed:
 		n.Failed++
@@ -92,14 +92,14 @@
 func (c *Counter) Report() []wire.RolloutCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.news {
+	if !c.changed {
 		return nil
 	}
-	c.news = false
+	c.changed = false
 	var out []wire.RolloutCounts
-	for service, s := range c.by {
+	for service, s := range c.services {
 		counts := wire.RolloutCounts{Service: service, Order: s.order}
-		for _, n := range s.by {
+		for _, n := range s.versions {
 			copied := *n
 			copied.Took = make(map[int]uint64, len(n.Took))
 			for bucket, count := range n.Took {
@@ -116,5 +116,5 @@
 func (c *Counter) Again() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.news = len(c.by) > 0
+	c.changed = len(c.services) > 0
 }
--- a/node/rollout/plan_test.go
+++ b/node/rollout/decision_test.go
@@ -12,7 +12,7 @@
 func TestNewLeaderHearsAllProcesses(t *testing.T) {
 	for _, span := range []time.Duration{30 * time.Second, 10 * time.Minute} {
 		for _, processes := range []int{1, 90, 360, 720, 1440} {
-			if listens := Left(span, span, processes) - ending(span); listens < Interval(processes)+reportTime {
+			if listens := Left(span, span, processes) - leadTime(span); listens < Interval(processes)+sendTimeout {
 				t.Errorf("%d processes, a span of %s: it decides after %s", processes, span, listens)
 			}
 		}
@@ -31,15 +31,15 @@
 	}{
 		"nothing was lost":                {500 * time.Millisecond, Heard{Others: 45}, wire.RolloutCompleted},
 		"late, nothing of the target":     {500 * time.Millisecond, Heard{Others: 45, Late: true}, ""},
-		"late, two answers":               {0, Heard{Target: leastAnswers - 1, Others: 45, Late: true}, ""},
-		"late, answers enough":            {0, Heard{Target: leastAnswers, Others: 45, Late: true}, wire.RolloutCompleted},
-		"late, bad answers":               {-time.Second, Heard{Verdict: bad, Target: leastAnswers, Others: 45, Late: true}, wire.RolloutRolledBack},
-		"late, none of many for a while":  {-time.Second, Heard{Others: leastCalls, Late: true}, ""},
-		"late, one of many":               {-time.Second, Heard{Target: 1, Others: 2 * leastCalls, Late: true}, ""},
-		"late, none of many in the end":   {-lateWait, Heard{Others: leastCalls, Late: true}, wire.RolloutRolledBack},
+		"late, two answers":               {0, Heard{Target: minTargetAnswers - 1, Others: 45, Late: true}, ""},
+		"late, answers enough":            {0, Heard{Target: minTargetAnswers, Others: 45, Late: true}, wire.RolloutCompleted},
+		"late, bad answers":               {-time.Second, Heard{Verdict: bad, Target: minTargetAnswers, Others: 45, Late: true}, wire.RolloutRolledBack},
+		"late, none of many for a while":  {-time.Second, Heard{Others: minBaselineCalls, Late: true}, ""},
+		"late, one of many":               {-time.Second, Heard{Target: 1, Others: 2 * minBaselineCalls, Late: true}, ""},
+		"late, none of many in the end":   {-maxLateWait, Heard{Others: minBaselineCalls, Late: true}, wire.RolloutRolledBack},
 		"late, nobody calls":              {0, Heard{Late: true}, wire.RolloutCompleted},
-		"late, calls are few for long":    {-lateWait, Heard{Target: 1, Others: 9, Late: true}, wire.RolloutCompleted},
-		"late, calls are few for a while": {time.Millisecond - lateWait, Heard{Target: 1, Others: 9, Late: true}, ""},
+		"late, calls are few for long":    {-maxLateWait, Heard{Target: 1, Others: 9, Late: true}, wire.RolloutCompleted},
+		"late, calls are few for a while": {time.Millisecond - maxLateWait, Heard{Target: 1, Others: 9, Late: true}, ""},
 	} {
 		step := Next(r, c.left, c.h, Upstreams{Target: 2, Others: 2}, Limits{Share: 0.1})
 		switch {
--- a/node/rollout/reporter.go
+++ b/node/rollout/reporter.go
@@ -12,9 +12,9 @@
 const (
 	// leastInterval and intervalPerProcess say how often a process reports: all together at most 200
 	// times a second, however many there are.
-	leastInterval      = 250 * time.Millisecond
+	minInterval        = 250 * time.Millisecond
 	intervalPerProcess = 5 * time.Millisecond
-	reportTime         = 800 * time.Millisecond
+	sendTimeout        = 800 * time.Millisecond
 )
 
 // Reporter sends the leader what a process counts while a roll-out runs.
@@ -29,7 +29,7 @@
 
 // Interval is the time between two reports of one of so many processes.
 func Interval(processes int) time.Duration {
-	return max(leastInterval, time.Duration(processes)*intervalPerProcess)
+	return max(minInterval, time.Duration(processes)*intervalPerProcess)
 }
 
 // Run reports until ctx ends.
@@ -49,7 +49,7 @@
 	if counts == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if err := r.Send(ctx, &wire.RolloutReport{From: r.Self().Start(), Counts: counts}); err != nil {
 		r.Counter.Again()
--- a/node/rollout/model_test.go
+++ b/node/rollout/simulation_test.go
@@ -13,22 +13,22 @@
 // The model plays roll-outs on a virtual clock: many processes that hear late of the leader's decisions and
 // report their counts, and upstreams of two versions.
 const (
-	modelStep   = 10 * time.Millisecond
-	modelCommit = 30 * time.Millisecond // of a decision, by a quorum
-	modelSpread = 300 * time.Millisecond
-	modelShare  = 0.1 // that a bad version may get, and modelSlack calls besides
-	modelSlack  = 50
+	simStep        = 10 * time.Millisecond
+	simCommitTime  = 30 * time.Millisecond // of a decision, by a quorum
+	simMaxLag      = 300 * time.Millisecond
+	maxTargetShare = 0.1 // that a bad version may get, and modelSlack calls besides
+	maxTargetSlack = 50
 	// modelBad is the number of bad answers, and modelRollback the time after them, after which a bad
 	// version must get no calls.
-	modelSeeds    = 2
-	modelBad      = 50
-	modelRollback = 5 * time.Second
+	simSeeds        = 2
+	maxBadAnswers   = 50
+	maxRollbackTime = 5 * time.Second
 )
 
 // behaviour is how the upstreams of a version answer a call, at a time since the order.
 type behaviour func(r *rand.Rand, at time.Duration, route string, load float64) (failed bool, slower float64)
 
-func sound(r *rand.Rand, _ time.Duration, _ string, _ float64) (bool, float64) {
+func healthy(r *rand.Rand, _ time.Duration, _ string, _ float64) (bool, float64) {
 	return r.Float64() < 0.003, 1
 }
 
@@ -38,7 +38,7 @@
 		if when(at, route, load) && r.Float64() < part {
 			return true, 1
 		}
-		return sound(r, at, route, load)
+		return healthy(r, at, route, load)
 	}
 }
 
@@ -47,7 +47,7 @@
 // slow answers some calls several times slower.
 func slow(part, factor float64) behaviour {
 	return func(r *rand.Rand, at time.Duration, route string, load float64) (bool, float64) {
-		failed, _ := sound(r, at, route, load)
+		failed, _ := healthy(r, at, route, load)
 		if r.Float64() < part {
 			return failed, factor
 		}
@@ -56,18 +56,18 @@
 }
 
 // modelled is a roll-out on the model.
-type modelled struct {
-	seed      uint64
-	processes int
-	rate      float64 // calls a second, over all processes
-	span      time.Duration
-	perSide   int // upstreams of each version
-	old, new  behaviour
-	leaderAt  time.Duration // at which the leader is lost and another one begins; zero: never
-	cut       int           // processes that hear of nothing from a third of the span on
+type simulation struct {
+	seed         uint64
+	processes    int
+	rate         float64 // calls a second, over all processes
+	span         time.Duration
+	perSide      int // upstreams of each version
+	old, new     behaviour
+	leaderAt     time.Duration // at which the leader is lost and another one begins; zero: never
+	disconnected int           // processes that hear of nothing from a third of the span on
 }
 
-type modelCall struct {
+type simCall struct {
 	ends    time.Duration
 	from    int
 	to      wire.Member
@@ -78,17 +78,17 @@
 }
 
 // played is what came of it, counted as the users do.
-type played struct {
-	all, target int           // calls that reached the service, and the target version
-	bad         int           // answers of the target that were bad
-	fiftieth    time.Duration // when the fiftieth of them came; zero: it did not
-	late        int           // calls at the target that were sent too long after it
-	state       wire.RolloutState
-	ended       time.Duration
-	reason      string
+type simResult struct {
+	all, target  int           // calls that reached the service, and the target version
+	bad          int           // answers of the target that were bad
+	limitReached time.Duration // when the fiftieth of them came; zero: it did not
+	late         int           // calls at the target that were sent too long after it
+	state        wire.RolloutState
+	ended        time.Duration
+	reason       string
 }
 
-func (m modelled) play() played {
+func (m simulation) run() simResult {
 	rnd := rand.New(rand.NewPCG(m.seed, 1))
 	start := time.Unix(1_000_000, 0)
 	var members []wire.Member
@@ -113,24 +113,24 @@
 	}{{0, current}}
 	var ps []*process
 	for range m.processes {
-		p := &process{split: NewSplit(rnd), counter: NewCounter(), lag: time.Duration(rnd.Int64N(int64(modelSpread)))}
+		p := &process{split: NewSplit(rnd), counter: NewCounter(), lag: time.Duration(rnd.Int64N(int64(simMaxLag)))}
 		p.reports = time.Duration(rnd.Int64N(int64(Interval(m.processes))))
 		ps = append(ps, p)
 	}
 	judge, ends, late := NewJudge("v2"), m.span, false
-	var calls []modelCall
+	var calls []simCall
 	running := map[wire.MemberID]int{}
-	var out played
+	var out simResult
 	var pending *wire.RolloutStep
 	var commitAt time.Duration
-	for at := time.Duration(0); at < m.span+time.Second; at += modelStep {
+	for at := time.Duration(0); at < m.span+time.Second; at += simStep {
 		now := start.Add(at)
 		if m.leaderAt > 0 && at == m.leaderAt {
 			judge, ends, pending = NewJudge("v2"), at+Left(m.span, at, m.processes), nil
 			late = ends > m.span
 		}
 		for i, p := range ps {
-			if i < m.cut && at > m.span/3 {
+			if i < m.disconnected && at > m.span/3 {
 				continue
 			}
 			for _, h := range history {
@@ -150,7 +150,7 @@
 				}
 			}
 		}
-		due := m.rate * modelStep.Seconds()
+		due := m.rate * simStep.Seconds()
 		n := int(due)
 		if rnd.Float64() < due-float64(n) {
 			n++
@@ -178,7 +178,7 @@
 			if to.Version == "v2" {
 				b = m.new
 				out.target++
-				if k >= m.cut && out.fiftieth > 0 && at > out.fiftieth+modelRollback {
+				if k >= m.disconnected && out.limitReached > 0 && at > out.limitReached+maxRollbackTime {
 					out.late++
 				}
 			}
@@ -187,11 +187,11 @@
 			failed, slower := b(rnd, at, route, float64(running[to.ID])/max(usual*0.06, 1e-9))
 			took := time.Duration(slower * float64(40*time.Millisecond) * math.Exp(0.4*rnd.NormFloat64()))
 			running[to.ID]++
-			calls = append(calls, modelCall{ends: at + took, from: k, to: to, route: route, failed: failed, took: took, started: at})
-			if to.Version == "v2" && (failed && slower == 1 || slower > 1) && !(m.isSound()) {
+			calls = append(calls, simCall{ends: at + took, from: k, to: to, route: route, failed: failed, took: took, started: at})
+			if to.Version == "v2" && (failed && slower == 1 || slower > 1) && !(m.sameBehaviour()) {
 				out.bad++
-				if out.bad == modelBad {
-					out.fiftieth = at + took
+				if out.bad == maxBadAnswers {
+					out.limitReached = at + took
 				}
 			}
 		}
@@ -223,8 +223,8 @@
 		}
 		if pending == nil && current.Running() && at%(100*time.Millisecond) == 0 {
 			up := Upstreams{Target: m.perSide, Others: m.perSide}
-			if pending = Next(current, ends-at, Heard{Verdict: judge.Verdict(), Target: judge.Target.Answers, Others: judge.Others.Answers, Late: late}, up, Limits{Share: modelShare}); pending != nil {
-				commitAt = at + modelCommit
+			if pending = Next(current, ends-at, Heard{Verdict: judge.Verdict(), Target: judge.Target.Answers, Others: judge.Others.Answers, Late: late}, up, Limits{Share: maxTargetShare}); pending != nil {
+				commitAt = at + simCommitTime
 			}
 		}
 	}
@@ -233,21 +233,21 @@
 }
 
 // isSound reports whether the new version is no worse than the old one.
-func (m modelled) isSound() bool { return fmt.Sprintf("%p", m.old) == fmt.Sprintf("%p", m.new) }
+func (m simulation) sameBehaviour() bool { return fmt.Sprintf("%p", m.old) == fmt.Sprintf("%p", m.new) }
 
 // check holds what came of a roll-out of a bad version against the users' rules.
-func (p played) check(t *testing.T, name string) {
+func (p simResult) check(t *testing.T, name string) {
 	t.Helper()
-	if float64(p.target) > modelShare*float64(p.all)+modelSlack {
+	if float64(p.target) > maxTargetShare*float64(p.all)+maxTargetSlack {
 		t.Errorf("%s: %d of %d calls reached the target (%s after %s: %s)", name, p.target, p.all, p.state, p.ended, p.reason)
 	}
 	if p.late > 0 {
-		t.Errorf("%s: %d calls reached the target later than %s after its %dth bad answer", name, p.late, modelRollback, modelBad)
+		t.Errorf("%s: %d calls reached the target later than %s after its %dth bad answer", name, p.late, maxRollbackTime, maxBadAnswers)
 	}
 }
 
 // sizes are processes and calls a second: few calls a process are the hard case.
-var sizes = []struct {
+var deploymentSizes = []struct {
 	processes int
 	rate      float64
 	perSide   int
@@ -264,17 +264,17 @@
 		"slow":             slow(0.5, 4),
 		"a little bad":     failing(0.12, always),
 	}
-	for _, size := range sizes {
+	for _, size := range deploymentSizes {
 		for name, b := range bad {
-			for seed := range uint64(modelSeeds) {
-				m := modelled{seed: seed, processes: size.processes, rate: size.rate, perSide: size.perSide, span: 20 * time.Second, old: sound, new: b}
-				p := m.play()
+			for seed := range uint64(simSeeds) {
+				m := simulation{seed: seed, processes: size.processes, rate: size.rate, perSide: size.perSide, span: 20 * time.Second, old: healthy, new: b}
+				p := m.run()
 				what := fmt.Sprintf("%s, %d processes, %.0f calls a second, seed %d", name, size.processes, size.rate, seed)
 				p.check(t, what)
 				// A few upstreams cannot be given their usual load within the bound: a version that fails
 				// under it only is found out too late there.
 				usual := name != "bad under load" || size.perSide >= 24
-				if usual && p.bad >= modelBad && p.state != wire.RolloutRolledBack {
+				if usual && p.bad >= maxBadAnswers && p.state != wire.RolloutRolledBack {
 					t.Errorf("%s: %s with %d bad answers of %d: %s", what, p.state, p.bad, p.target, p.reason)
 				}
 			}
@@ -286,15 +286,15 @@
 // while calls are few.
 func TestModelGoodVersions(t *testing.T) {
 	both := failing(0.25, func(at time.Duration, _ string, _ float64) bool { return at > 4*time.Second })
-	for _, size := range append(sizes, struct {
+	for _, size := range append(deploymentSizes, struct {
 		processes int
 		rate      float64
 		perSide   int
 	}{32, 0.5, 3}) {
-		for name, b := range map[string]behaviour{"good": sound, "a fault of both": both} {
-			for seed := range uint64(modelSeeds) {
-				m := modelled{seed: seed, processes: size.processes, rate: size.rate, perSide: size.perSide, span: 12 * time.Second, old: b, new: b}
-				p := m.play()
+		for name, b := range map[string]behaviour{"good": healthy, "a fault of both": both} {
+			for seed := range uint64(simSeeds) {
+				m := simulation{seed: seed, processes: size.processes, rate: size.rate, perSide: size.perSide, span: 12 * time.Second, old: b, new: b}
+				p := m.run()
 				if p.state != wire.RolloutCompleted || p.ended >= m.span {
 					t.Errorf("%s, %d processes, %.1f calls a second, seed %d: %s after %s: %s", name, size.processes, size.rate, seed, p.state, p.ended, p.reason)
 				}
@@ -306,15 +306,15 @@
 // TestModelLeaderLost loses the leader in the middle: the next one hears of all that was counted.
 func TestModelLeaderLost(t *testing.T) {
 	for _, at := range []time.Duration{3 * time.Second, 9 * time.Second, 15 * time.Second} {
-		for seed := range uint64(modelSeeds) {
-			m := modelled{seed: seed, processes: 32, rate: 200, perSide: 12, span: 20 * time.Second, old: sound, new: failing(0.3, always), leaderAt: at}
-			p := m.play()
+		for seed := range uint64(simSeeds) {
+			m := simulation{seed: seed, processes: 32, rate: 200, perSide: 12, span: 20 * time.Second, old: healthy, new: failing(0.3, always), leaderAt: at}
+			p := m.run()
 			p.check(t, fmt.Sprintf("lost at %s, seed %d", at, seed))
 			if p.state != wire.RolloutRolledBack {
 				t.Errorf("lost at %s, seed %d: %s: %s", at, seed, p.state, p.reason)
 			}
-			m.new = sound
-			if p := m.play(); p.state != wire.RolloutCompleted {
+			m.new = healthy
+			if p := m.run(); p.state != wire.RolloutCompleted {
 				t.Errorf("lost at %s, seed %d, a good version: %s: %s", at, seed, p.state, p.reason)
 			}
 		}
@@ -324,8 +324,8 @@
 // TestModelProcessesCutOff cuts some processes off: they go on with the share that they know, and the bound
 // holds with theirs too.
 func TestModelProcessesCutOff(t *testing.T) {
-	for seed := range uint64(modelSeeds) {
-		m := modelled{seed: seed, processes: 32, rate: 200, perSide: 12, span: 20 * time.Second, old: sound, new: failing(0.3, always), cut: 8}
-		m.play().check(t, fmt.Sprint("seed ", seed))
+	for seed := range uint64(simSeeds) {
+		m := simulation{seed: seed, processes: 32, rate: 200, perSide: 12, span: 20 * time.Second, old: healthy, new: failing(0.3, always), disconnected: 8}
+		m.run().check(t, fmt.Sprint("seed ", seed))
 	}
 }
--- a/node/rollout/split.go
+++ b/node/rollout/splitter.go
@@ -14,7 +14,7 @@
 
 // mostCredit bounds the calls that a process may send to the target in a row after it could
 // send none there.
-const mostCredit = 2
+const maxCredit = 2
 
 // Split shares out the calls of one process. It is not safe for concurrent use.
 //
@@ -72,7 +72,7 @@
 		return
 	}
 	c := s.creditOf(r)
-	c.calls = min(c.calls+r.Share, mostCredit)
+	c.calls = min(c.calls+r.Share, maxCredit)
 	if version == r.Target {
 		c.calls--
 	}
@@ -115,13 +115,13 @@
 		}
 	}
 	if t.target {
-		out = out[:min(len(out), loaded(t.rollout.Share, others))]
+		out = out[:min(len(out), targetUpstreams(t.rollout.Share, others))]
 	}
 	return out
 }
 
 // loaded is how many upstreams bear share of all calls when others bear the rest.
-func loaded(share float64, others int) int {
+func targetUpstreams(share float64, others int) int {
 	if share >= 1 {
 		return math.MaxInt
 	}
