--- a/node/quarantine/answered_calls.go
+++ b/node/quarantine/answered_calls.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// answersKept bounds how many answered calls a process remembers.
+// maxAnsweredCalls is how many answered calls a process remembers.
 const maxAnsweredCalls = 4096
 
-// Answers remembers the calls that upstreams have answered lately: one that is sent all the time is on every
-// upstream that ends, and yet ends none.
+// Answers remembers the calls that upstreams have answered lately. A call that is sent very often is in
+// flight at almost every upstream that crashes, without causing any of the crashes.
 type Answers struct {
 	seed maphash.Seed
 
@@ -19,12 +19,12 @@
 	ring   [maxAnsweredCalls]uint64
 }
 
-// NewAnswers returns answers of a process that has just started.
+// NewAnswers returns an empty set.
 func NewAnswers() *Answers {
 	return &Answers{seed: maphash.MakeSeed(), hashes: map[uint64]bool{}}
 }
 
-// Add notes that an upstream has answered the call.
+// Add records that an upstream has answered the call. The oldest call is evicted when the set is full.
 func (a *Answers) Add(c Call) {
 	h := a.hash(c)
 	a.mu.Lock()
@@ -37,7 +37,7 @@
 	a.oldest = (a.oldest + 1) % maxAnsweredCalls
 }
 
-// Take reports whether a copy of the call was answered since it was asked last.
+// Take reports whether the call, or a copy of it, is in the set, and removes it.
 func (a *Answers) Take(c Call) bool {
 	h := a.hash(c)
 	a.mu.Lock()
@@ -47,8 +47,8 @@
 	return had
 }
 
-// hash is another one in each process, so that nobody can find a call which passes for an
-// answered one, and a cheaper one than a fingerprint.
+// hash uses a random seed per process, so that nobody can craft a call that collides with an answered one. It
+// is cheaper than a fingerprint.
 func (a *Answers) hash(c Call) uint64 {
 	var h maphash.Hash
 	h.SetSeed(a.seed)
--- a/node/quarantine/crash_detector.go
+++ b/node/quarantine/crash_detector.go
@@ -13,27 +13,26 @@
 )
 
 const (
-	// undecided is how long an upstream may be out of reach until nothing is concluded from
-	// the calls that broke off there: it is over the lease of an upstream that falls silent.
+	// checkTTL is how long an unreachable upstream is waited for. After it, its interrupted calls are dropped
+	// without a verdict. It exceeds the lease of an upstream that stops sending heartbeats.
 	checkTTL = 10 * time.Second
-	// remembered is how long the end of an upstream is known here, for calls of which it is
-	// noticed late that they broke off.
+	// crashTTL is how long a crash is remembered, for calls whose interruption is noticed late.
 	crashTTL = 10 * time.Second
 )
 
-// Broken is a call that broke off while an upstream had it.
+// Broken is a call whose connection to an upstream broke before the answer was complete.
 type Broken struct {
 	Call     Call
-	Request  string // id of the try, for logs
+	Request  string // ID of the attempt, for logs
 	Route    string
 	Upstream wire.Member
 }
 
-// Inquiries find out why calls broke off: whether their upstream's process has ended, or only
-// the answer was cut. Nobody listens any more at the address of a process that has ended.
+// Inquiries find out whether an interrupted call lost its upstream's process or only its connection. If the
+// process has crashed, new connections to its address are refused.
 type Inquiries struct {
-	probe   func(address string) error // nil when somebody does
-	onCrash func(Broken)               // is told of every call under which an upstream ended
+	probe   func(address string) error // dials the address; nil if a process listens there
+	onCrash func(Broken)               // called for each call that was in flight at a crashed upstream
 	clock   clockwork.Clock
 
 	mu     sync.Mutex
@@ -45,15 +44,15 @@
 	updatedAt time.Time
 	crashed   bool
 	probing   bool
-	calls     []Broken // that wait for the answer
+	calls     []Broken // waiting for the result
 }
 
-// NewInquiries returns inquiries that report to ended, which must not block.
+// NewInquiries returns Inquiries that report crashes to ended, which must not block.
 func NewInquiries(listens func(address string) error, ended func(Broken), clock clockwork.Clock) *Inquiries {
 	return &Inquiries{probe: listens, onCrash: ended, clock: clock, checks: map[wire.Start]*upstreamCheck{}}
 }
 
-// Broke asks why the call broke off.
+// Broke starts a check of the call's upstream, or joins the one that is running.
 func (d *Inquiries) Broke(b Broken) {
 	start := b.Upstream.Start()
 	d.mu.Lock()
@@ -78,14 +77,14 @@
 	}
 }
 
-// ask looks whether somebody listens at the upstream's address.
+// runProbe checks whether a process listens at the upstream's address.
 func (d *Inquiries) runProbe(start wire.Start, address string) {
 	switch err := d.probe(address); {
 	case err == nil:
 		d.markAlive(start)
 	case Refused(err):
 		d.Ended(start)
-	default: // out of reach: the members will tell
+	default: // unreachable: decided by Follow once the membership changes
 		d.mu.Lock()
 		if check := d.checks[start]; check != nil {
 			check.probing = false
@@ -94,7 +93,7 @@
 	}
 }
 
-// Refused reports whether a connection was refused since nobody listens at the address.
+// Refused reports whether err is a refused connection: no process listens at the address.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 func (d *Inquiries) markAlive(start wire.Start) {
@@ -105,8 +104,7 @@
 	}
 }
 
-// Ended tells that a start of an upstream has ended. Without calls that broke off there it
-// means nothing here.
+// Ended records that this start of an upstream has crashed. It does nothing if no call was interrupted there.
 func (d *Inquiries) Ended(start wire.Start) {
 	d.mu.Lock()
 	check := d.checks[start]
@@ -120,7 +118,7 @@
 	}
 }
 
-// Follow takes over the members: a start whose address is another's now has ended.
+// Follow takes the new membership. A start whose address now belongs to another start has ended.
 func (d *Inquiries) Follow(members memberset.Set) {
 	d.mu.Lock()
 	if len(d.checks) == 0 {
@@ -143,7 +141,7 @@
 	}
 }
 
-// forget drops what is too old to be concluded from.
+// expire drops outdated checks. The caller holds mu.
 func (d *Inquiries) expire() {
 	for start, check := range d.checks {
 		if age := d.clock.Since(check.updatedAt); check.crashed && age > crashTTL || !check.crashed && age > checkTTL {
--- a/node/quarantine/crash_detector_test.go
+++ b/node/quarantine/crash_detector_test.go
@@ -42,7 +42,7 @@
 	errSilent  = errors.New("no answer")
 )
 
-// TestInquiries lets calls break off at upstreams that have ended, that live, and that are out of reach.
+// TestInquiries interrupts calls at upstreams that have crashed, that are alive, and that are unreachable.
 func TestInquiries(t *testing.T) {
 	m := wire.Member{ID: "i-1", Incarnation: 1, Service: "desk", Direct: "10.0.0.1:80"}
 	next := wire.Member{ID: "i-2", Incarnation: 1, Service: "desk", Direct: m.Direct}
@@ -51,20 +51,20 @@
 		then    func(q *Inquiries)
 		want    int
 	}{
-		"nobody listens":             {errRefused, func(*Inquiries) {}, 2},
-		"it lives":                   {nil, func(q *Inquiries) { q.Ended(m.Start()) }, 0},
-		"out of reach":               {errSilent, func(*Inquiries) {}, 0},
-		"its address is another's":   {errSilent, func(q *Inquiries) { q.Follow(memberset.Of(next)) }, 2},
-		"it is no member, nobody is": {errSilent, func(q *Inquiries) { q.Follow(memberset.Set{}) }, 0},
-		"it is a member still":       {errSilent, func(q *Inquiries) { q.Follow(memberset.Of(m)) }, 0},
-		"another call is refused":    {errSilent, func(q *Inquiries) { q.Ended(m.Start()) }, 2},
-		"another call, much later": {errSilent, func(q *Inquiries) {
+		"connection refused":                 {errRefused, func(*Inquiries) {}, 2},
+		"alive":                              {nil, func(q *Inquiries) { q.Ended(m.Start()) }, 0},
+		"unreachable":                        {errSilent, func(*Inquiries) {}, 0},
+		"address belongs to another member":  {errSilent, func(q *Inquiries) { q.Follow(memberset.Of(next)) }, 2},
+		"no longer a member, address unused": {errSilent, func(q *Inquiries) { q.Follow(memberset.Set{}) }, 0},
+		"still a member":                     {errSilent, func(q *Inquiries) { q.Follow(memberset.Of(m)) }, 0},
+		"crash found by another call":        {errSilent, func(q *Inquiries) { q.Ended(m.Start()) }, 2},
+		"crash found by another call after the timeout": {errSilent, func(q *Inquiries) {
 			time.Sleep(checkTTL + time.Second)
 			q.Broke(Broken{Request: "third", Upstream: m})
 			synctest.Wait()
 			q.Ended(m.Start())
 		}, 1},
-		"noticed late": {errRefused, func(q *Inquiries) {
+		"interruption noticed late": {errRefused, func(q *Inquiries) {
 			time.Sleep(crashTTL - time.Second)
 			q.Broke(Broken{Request: "third", Upstream: m})
 		}, 3},
@@ -85,7 +85,7 @@
 				c.then(q)
 				synctest.Wait()
 				if len(ended) != c.want {
-					t.Fatalf("%v ended, want %d", ended, c.want)
+					t.Fatalf("calls reported: %v, want %d", ended, c.want)
 				}
 			})
 		})
--- a/node/quarantine/fingerprint.go
+++ b/node/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine keeps calls that end every upstream which runs them away from the
-// upstreams. A call is known by its fingerprint, since each of its tries has another id and may
-// come to any process.
+// Package quarantine detects calls that crash every upstream which runs them ("queries of death") and bars
+// them from the upstreams. A call is identified by a fingerprint of its content, since each attempt has an ID
+// of its own and may arrive at any process.
 package quarantine
 
 import (
@@ -12,20 +12,19 @@
 	"caperdrum.org/api/wire"
 )
 
-// Call is what makes a call the copy of another one.
+// Call holds the fields by which two calls count as copies of each other.
 type Call struct {
-	Customer string // one customer's call says nothing about another's
+	Customer string // calls of different customers never count as copies
 	Method   string
 	Host     string
 	Target   string // path and query
 	Body     []byte
 }
 
-// fingerprintBytes of the hash are kept: enough that nobody finds another call with the
-// fingerprint of a given one.
+// fingerprintBytes is how much of the hash is kept: 128 bits resist second preimages.
 const fingerprintBytes = 16
 
-// Fingerprint returns the call's fingerprint, the same in every process and start.
+// Fingerprint returns a hash of the call that is the same in all processes and across restarts.
 func (c Call) Fingerprint() wire.Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{c.Customer, c.Method, c.Host, c.Target} {
@@ -35,8 +34,8 @@
 	return wire.Fingerprint(base64.RawURLEncoding.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
 
-// writeField writes the length too, so that no two calls share the bytes that are hashed. A
-// hash returns no error.
+// writeField writes the field prefixed by its length, so that different calls never hash the same bytes.
+// Write on a hash never returns an error.
 func writeField(h io.Writer, field string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -10,17 +10,18 @@
 	"caperdrum.org/api/wire"
 )
 
-// Standing is what is known of a call.
+// Standing says whether a call is suspected or barred.
 type Standing int
 
-// Standings of calls, the graver last.
+// Values of Standing, in order of increasing severity.
 const (
 	Unsuspected Standing = iota
-	Suspected            // several upstreams ended under it
+	Suspected            // in flight at several upstreams when they crashed
 	Barred
 )
 
-// Shape returns the call's shape, which costs nothing for a large body.
+// Shape returns a cheap hash of the call that covers only the length of its body. It is a prefilter: equal
+// calls have equal shapes.
 func (c Call) Shape() uint64 {
 	d := xxhash.New()
 	for _, field := range []string{c.Customer, c.Method, c.Host, c.Target} {
@@ -29,23 +30,23 @@
 	return d.Sum64() ^ uint64(len(c.Body))
 }
 
-// Sketch returns what is told of the call.
+// Sketch returns the summary of the call that is sent in reports.
 func (c Call) Sketch(route string) wire.CallSketch {
 	return wire.CallSketch{Fingerprint: c.Fingerprint(), Shape: c.Shape(), Customer: c.Customer, Route: route, Bytes: len(c.Body)}
 }
 
-// Guard says of each call whether it may reach an upstream. It follows what a quorum holds. While
-// control is out of reach it goes by what this process has seen itself besides, where that needs no
-// other process's word to tell the calls on an upstream apart.
+// Guard decides whether a call may reach an upstream. It follows the replicated list of suspects. While the
+// control role is unreachable it also uses the reports of this process, as far as they bar a call without
+// knowing which other calls were in flight at the same upstreams.
 type Guard struct {
 	replicated atomic.Pointer[index]
 	local      atomic.Pointer[index]
 
 	mu     sync.Mutex
-	ledger Ledger // of this process's own reports
+	ledger Ledger // built from this process's own reports
 }
 
-// index finds suspects. A body is hashed only where the shape of its call is listed.
+// index looks up suspects. A call's body is hashed only if the call's shape is listed.
 type index struct {
 	revision uint64
 	shapes   map[uint64]bool
@@ -64,7 +65,7 @@
 	return x
 }
 
-// NewGuard returns a guard that suspects nobody.
+// NewGuard returns a Guard without suspects.
 func NewGuard() *Guard {
 	g := &Guard{}
 	g.replicated.Store(newIndex(wire.Suspects{}))
@@ -72,7 +73,7 @@
 	return g
 }
 
-// Follow takes over what a quorum holds, and reports whether it is new.
+// Follow replaces the replicated suspects, and reports whether their revision is new.
 func (g *Guard) Follow(s wire.Suspects) (changed bool) {
 	if s.Revision == g.replicated.Load().revision {
 		return false
@@ -81,7 +82,7 @@
 	return true
 }
 
-// Seen takes over what this process reports.
+// Seen adds a report of this process to the local suspects.
 func (g *Guard) Seen(r *wire.CrashReport, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -90,13 +91,13 @@
 	g.local.Store(newIndex(g.ledger.unambiguousSuspects()))
 }
 
-// Quiet reports whether nobody is suspected, as on most days.
+// Quiet reports whether there are no suspects at all, which is the usual case.
 func (g *Guard) Quiet() bool {
 	return len(g.replicated.Load().shapes) == 0 && len(g.local.Load().shapes) == 0
 }
 
-// Check returns what is known of the call, and its fingerprint where it is listed. With withOwn, what
-// this process has seen counts besides what a quorum holds.
+// Check returns the standing of the call, and its fingerprint if its shape is listed. With withOwn, the local
+// suspects count as well as the replicated ones.
 func (g *Guard) Check(c Call, withOwn bool) (Standing, wire.Fingerprint) {
 	known, own := g.replicated.Load(), g.local.Load()
 	if len(known.shapes) == 0 && (!withOwn || len(own.shapes) == 0) {
--- a/node/quarantine/ledger.go
+++ b/node/quarantine/ledger.go
@@ -11,49 +11,52 @@
 )
 
 const (
-	// barAfter is how many upstreams end under a call until it is barred.
+	// barAfter is how many upstreams must crash under a call before it is barred.
 	barAfter = 3
-	// barDespite is the same where other barred calls were on these upstreams too, or the call
-	// was answered before.
+	// barAfterAmbiguous is the same for a call that was answered before, or whose crashes another call may
+	// explain.
 	barAfterAmbiguous = 5
-	// tellFrom is how many ends make a call known to all processes: they report when it is answered.
+	// suspectAfter is how many crashes make a call a suspect. Suspects are published to all processes, which
+	// then report it when such a call is answered.
 	suspectAfter = 2
-	// keepTime is how long a call is remembered after the last upstream ended under it. One
-	// that was barred may then run once more: upstreams may have been mended.
+	// recordTTL is how long a call is remembered after its last crash. A barred call may then run once more,
+	// as the upstreams may have been fixed.
 	recordTTL = 24 * time.Hour
-	// maxRecords and maxStarts bound what a caller can make the replicas hold.
+	// maxRecords and maxStartsPerRecord bound the memory that callers can make the replicas use.
 	maxRecords         = 512
 	maxStartsPerRecord = 16
 )
 
-// Record is what is known of one call. Its slices are replaced, never changed.
+// Record holds the crashes and the state of one call. Its slices are replaced, never modified.
 type Record struct {
 	Call    wire.CallSketch `cbor:"1,keyasint"`
-	Starts  []wire.Start    `cbor:"2,keyasint"` // of upstreams that ended under it, the latest last
+	Starts  []wire.Start    `cbor:"2,keyasint"` // upstreams that crashed with the call in flight, oldest first
 	Barred  bool            `cbor:"3,keyasint,omitempty"`
-	Cleared bool            `cbor:"4,keyasint,omitempty"` // it was answered once; Starts are those since the last time
-	Since   int64           `cbor:"5,keyasint"`           // Barred or Cleared changed; milliseconds since the Unix epoch
-	At      int64           `cbor:"6,keyasint"`           // last accused
+	Cleared bool            `cbor:"4,keyasint,omitempty"` // it was answered at least once; Starts are the crashes since the last answer
+	Since   int64           `cbor:"5,keyasint"`           // when Barred or Cleared last changed, in milliseconds since the Unix epoch
+	At      int64           `cbor:"6,keyasint"`           // last change of the record, in milliseconds since the Unix epoch
 }
 
-// Ledger weighs which calls end upstreams. An end accuses all calls that the upstream had. The
-// call that causes it is on each upstream that ends; those beside it are on some, and are answered elsewhere. An
-// answer counts for what was before: a later version of the upstream may end under the same call.
+// Ledger decides which calls crash upstreams. A crash is recorded for all calls that were in
+// flight at the upstream. The call that causes it is in flight at every upstream that crashes;
+// unrelated calls are in flight at some of them and are answered elsewhere. An answer clears only
+// the crashes before it: a later version of the upstream may crash under the same call.
 //
-// It is deterministic, reads no clock, and can be encoded. One goroutine owns it; Suspects are
-// immutable.
+// A Ledger is deterministic, reads no clock, and can be encoded. It is not safe for concurrent
+// use; the Suspects that it returns are immutable.
 type Ledger struct {
 	Revision uint64                      `cbor:"1,keyasint"`
 	Records  map[wire.Fingerprint]Record `cbor:"2,keyasint,omitempty"`
 }
 
-// Clone returns a ledger that stays as it is.
+// Clone returns a copy that later changes of l do not affect.
 func (l Ledger) Clone() Ledger {
 	l.Records = maps.Clone(l.Records)
 	return l
 }
 
-// Take takes over a report. now is in milliseconds since the Unix epoch.
+// Take applies a report and returns which calls it cleared and barred, and whose bar it lifted. now is in
+// milliseconds since the Unix epoch.
 func (l *Ledger) Take(r *wire.CrashReport, now int64) wire.QuarantineChange {
 	var change wire.QuarantineChange
 	before := l.suspectList()
@@ -72,7 +75,7 @@
 	return change
 }
 
-// Lift forgets a call, and reports whether it was known.
+// Lift removes a call's record, and reports whether there was one.
 func (l *Ledger) Lift(f wire.Fingerprint) bool {
 	if _, known := l.Records[f]; !known {
 		return false
@@ -83,7 +86,7 @@
 	return true
 }
 
-// Due returns when Expire has something to do, in milliseconds since the Unix epoch.
+// Due returns when the next record expires, in milliseconds since the Unix epoch.
 func (l *Ledger) Due() int64 {
 	due := int64(math.MaxInt64)
 	for _, r := range l.Records {
@@ -92,7 +95,8 @@
 	return due
 }
 
-// Expire forgets calls under which no upstream has ended lately. One that was barred stays a suspect.
+// Expire drops records that are older than recordTTL. A barred call becomes a suspect instead. now is in
+// milliseconds since the Unix epoch.
 func (l *Ledger) Expire(now int64) {
 	var old []Record
 	for _, r := range l.Records {
@@ -120,7 +124,7 @@
 	l.Records[r.Call.Fingerprint] = r
 }
 
-// accuse notes that an upstream ended under the call.
+// addCrash records that an upstream crashed with the call in flight.
 func (l *Ledger) addCrash(call wire.CallSketch, start wire.Start, now int64) {
 	r := l.record(call, now)
 	if slices.Contains(r.Starts, start) {
@@ -132,7 +136,7 @@
 	l.Records[call.Fingerprint] = r
 }
 
-// record returns the record of the call, a new one where there is none.
+// record returns the record of the call, or a new one that is not stored yet.
 func (l *Ledger) record(call wire.CallSketch, now int64) Record {
 	if r, known := l.Records[call.Fingerprint]; known {
 		return r
@@ -144,8 +148,8 @@
 	return Record{Call: call, Since: now}
 }
 
-// judge bars the calls under which enough upstreams have ended that no other call explains. Reports come
-// one after the other, so a late one may show that a barred call was merely beside another one.
+// updateBars bars the calls with enough crashes that no other call explains. It also lifts bars: reports
+// arrive one after the other, so a late one may show that a barred call merely ran beside another one.
 func (l *Ledger) updateBars(now int64, change *wire.QuarantineChange) {
 	suspects, on := l.barCandidates()
 	for _, r := range suspects {
@@ -165,11 +169,11 @@
 	}
 }
 
-// onStart lists the calls that were on an upstream when it ended.
+// callsByStart lists the calls that were in flight at an upstream when it crashed.
 type callsByStart map[wire.Start][]wire.Fingerprint
 
-// suspects returns the calls that may be barred, those that were on most upstreams first: they explain
-// the ends that accuse the others.
+// barCandidates returns the records with enough crashes for a bar, most crashes first: once these are barred,
+// they explain the crashes of the others.
 func (l *Ledger) barCandidates() ([]Record, callsByStart) {
 	var out []Record
 	on := callsByStart{}
@@ -188,13 +192,13 @@
 	return out, on
 }
 
-// ends reports whether the call is taken for one that ends upstreams.
+// shouldBar reports whether the call is considered the cause of crashes.
 func (l *Ledger) shouldBar(r Record, on callsByStart) bool {
 	if len(r.Starts) >= barAfterAmbiguous {
 		return true
 	}
 	if r.Cleared || l.ambiguous(r, on) {
-		return false // another was on all of these upstreams too: the next end tells the two apart
+		return false // another call was in flight at all of these upstreams; the next crash tells them apart
 	}
 	unexplained := 0
 	for _, start := range r.Starts {
@@ -205,7 +209,7 @@
 	return unexplained >= barAfter
 }
 
-// explained reports whether one of the other calls on an upstream is barred.
+// hasBarredCall reports whether one of the calls, other than that of r, is barred.
 func (l *Ledger) hasBarredCall(r Record, calls []wire.Fingerprint) bool {
 	for _, f := range calls {
 		if f != r.Call.Fingerprint && l.Records[f].Barred {
@@ -215,7 +219,8 @@
 	return false
 }
 
-// covered reports whether another suspect was on all upstreams that r was on.
+// ambiguous reports whether another candidate, which no answer has cleared, was in flight at all crashes of
+// r.
 func (l *Ledger) ambiguous(r Record, on callsByStart) bool {
 	for _, f := range on[r.Starts[0]] {
 		other := l.Records[f]
@@ -235,8 +240,8 @@
 	return true
 }
 
-// clear takes an upstream's answer as proof that the call did not end those before, and reports whether
-// that is new.
+// clear records that an upstream answered the call, which shows that the call did not cause the earlier
+// crashes. It reports whether that changes the record.
 func (l *Ledger) clear(call wire.CallSketch, now int64) bool {
 	r := l.record(call, now)
 	if r.Cleared && len(r.Starts) == 0 {
@@ -247,8 +252,9 @@
 	return true
 }
 
-// makeRoom forgets the record that tells least when there are too many: of the calls that are
-// not barred the one with the fewest ends, and of barred ones one of the customer who has most.
+// evict drops one record if the ledger is full: of the calls that are not barred one with the fewest crashes,
+// or, if all are barred, one of the customer with the most records. So one customer cannot displace the
+// others' records.
 func (l *Ledger) evict() {
 	if len(l.Records) < maxRecords {
 		return
@@ -274,7 +280,7 @@
 	delete(l.Records, least.Call.Fingerprint)
 }
 
-// known returns what processes are told.
+// suspectList returns the suspects that are published to all processes, sorted by fingerprint.
 func (l *Ledger) suspectList() []wire.Suspect {
 	var out []wire.Suspect
 	for f, r := range l.Records {
@@ -286,14 +292,15 @@
 	return out
 }
 
-// published counts the revision on when what processes are told has changed.
+// updateRevision increments the revision if the published list differs from before.
 func (l *Ledger) updateRevision(before []wire.Suspect) {
 	if !slices.Equal(before, l.suspectList()) {
 		l.Revision++
 	}
 }
 
-// certain returns the calls that are barred whatever else was on their upstreams.
+// unambiguousSuspects returns the suspects, of which only those are barred that have enough crashes
+// regardless of what else was in flight.
 func (l *Ledger) unambiguousSuspects() wire.Suspects {
 	out := wire.Suspects{Revision: l.Revision}
 	for _, s := range l.suspectList() {
@@ -303,12 +310,12 @@
 	return out
 }
 
-// Suspects returns what processes are told.
+// Suspects returns the list that is published to all processes.
 func (l *Ledger) Suspects() wire.Suspects {
 	return wire.Suspects{Revision: l.Revision, List: l.suspectList()}
 }
 
-// Entries returns all calls for operators, sorted by fingerprint.
+// Entries returns all records for the admin API, sorted by fingerprint.
 func (l *Ledger) Entries() []wire.QuarantineEntry {
 	out := make([]wire.QuarantineEntry, 0, len(l.Records))
 	for _, f := range slices.Sorted(maps.Keys(l.Records)) {
--- a/node/quarantine/ledger_test.go
+++ b/node/quarantine/ledger_test.go
@@ -18,7 +18,7 @@
 	return wire.Start{ID: wire.MemberID(fmt.Sprint("i-", n)), Incarnation: 1}
 }
 
-// crashOf is the end of an upstream with the calls that it had.
+// crashOf is the crash of upstream n with the given calls in flight.
 func crashOf(n int, calls ...wire.Fingerprint) wire.Crash {
 	c := wire.Crash{Upstream: start(n)}
 	for _, f := range calls {
@@ -39,7 +39,7 @@
 	return out
 }
 
-// TestWhoIsBarred tells reports one after the other and looks at what the ledger holds then.
+// TestWhoIsBarred applies a sequence of reports and checks which calls are barred after it.
 func TestWhoIsBarred(t *testing.T) {
 	report := func(crashes ...wire.Crash) wire.CrashReport { return wire.CrashReport{Crashes: crashes} }
 	answered := func(f ...wire.Fingerprint) wire.CrashReport { return wire.CrashReport{Answered: answeredCalls(f...)} }
@@ -47,31 +47,31 @@
 		reports []wire.CrashReport
 		barred  []wire.Fingerprint
 	}{
-		"two ends":                          {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f"))}, nil},
-		"three":                             {[]wire.CrashReport{report(crashOf(1, "f")), report(crashOf(2, "f")), report(crashOf(3, "f"))}, []wire.Fingerprint{"f"}},
-		"one end that is reported by three": {[]wire.CrashReport{report(crashOf(1, "f")), report(crashOf(1, "f")), report(crashOf(1, "f"))}, nil},
-		"calls that were beside it": {[]wire.CrashReport{report(crashOf(1, "f", "g")), report(crashOf(2, "f", "g", "h")), report(crashOf(3, "f", "g"), crashOf(4, "f", "h"))},
+		"two crashes":                    {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f"))}, nil},
+		"three crashes":                  {[]wire.CrashReport{report(crashOf(1, "f")), report(crashOf(2, "f")), report(crashOf(3, "f"))}, []wire.Fingerprint{"f"}},
+		"one crash reported three times": {[]wire.CrashReport{report(crashOf(1, "f")), report(crashOf(1, "f")), report(crashOf(1, "f"))}, nil},
+		"unrelated calls in flight": {[]wire.CrashReport{report(crashOf(1, "f", "g")), report(crashOf(2, "f", "g", "h")), report(crashOf(3, "f", "g"), crashOf(4, "f", "h"))},
 			[]wire.Fingerprint{"f"}},
-		"two that were on the same three": {[]wire.CrashReport{report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g"))}, nil},
-		"then one of them is answered":    {[]wire.CrashReport{report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g")), answered("g")}, []wire.Fingerprint{"f"}},
-		"then one ends another":           {[]wire.CrashReport{report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g")), report(crashOf(4, "f"))}, []wire.Fingerprint{"f"}},
-		"two that always come together":   {[]wire.CrashReport{report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g"), crashOf(4, "f", "g"), crashOf(5, "f", "g"))}, []wire.Fingerprint{"f", "g"}},
-		"a late report covers a bar":      {[]wire.CrashReport{report(crashOf(1, "g"), crashOf(2, "g"), crashOf(3, "g")), report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f"))}, nil},
-		"one that was beside it, and on another end": {[]wire.CrashReport{report(crashOf(1, "f", "h"), crashOf(2, "f", "h"), crashOf(3, "f")), report(crashOf(9, "h"))},
+		"two calls with the same three crashes":  {[]wire.CrashReport{report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g"))}, nil},
+		"same crashes, then one is answered":     {[]wire.CrashReport{report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g")), answered("g")}, []wire.Fingerprint{"f"}},
+		"same crashes, then one crashes another": {[]wire.CrashReport{report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g")), report(crashOf(4, "f"))}, []wire.Fingerprint{"f"}},
+		"two calls that always occur together":   {[]wire.CrashReport{report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g"), crashOf(4, "f", "g"), crashOf(5, "f", "g"))}, []wire.Fingerprint{"f", "g"}},
+		"a late report makes a bar ambiguous":    {[]wire.CrashReport{report(crashOf(1, "g"), crashOf(2, "g"), crashOf(3, "g")), report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f"))}, nil},
+		"unrelated call, also at another crash": {[]wire.CrashReport{report(crashOf(1, "f", "h"), crashOf(2, "f", "h"), crashOf(3, "f")), report(crashOf(9, "h"))},
 			[]wire.Fingerprint{"f"}},
-		"one that was beside it, reported first": {[]wire.CrashReport{report(crashOf(1, "g")), report(crashOf(2, "g")), report(crashOf(3, "g")),
+		"unrelated call, reported first": {[]wire.CrashReport{report(crashOf(1, "g")), report(crashOf(2, "g")), report(crashOf(3, "g")),
 			report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f"), crashOf(4, "f"))}, []wire.Fingerprint{"f"}},
-		"two that end upstreams, on some together": {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f", "g")),
+		"two poison calls, once at the same upstream": {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f", "g")),
 			report(crashOf(4, "g"), crashOf(5, "g")), report(crashOf(6, "g"))}, []wire.Fingerprint{"f", "g"}},
-		"one that was on others' ends five times": {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f")),
+		"five crashes, three of them explained by another call": {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f")),
 			report(crashOf(1, "h"), crashOf(2, "h"), crashOf(3, "h"), crashOf(4, "h"), crashOf(5, "h"))}, []wire.Fingerprint{"h"}},
-		"answered between ends": {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f")), answered("f"), report(crashOf(3, "f"), crashOf(4, "f"), crashOf(5, "f"))}, nil},
-		"answered, and five ends after it": {[]wire.CrashReport{answered("f"), report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f"), crashOf(4, "f")), report(crashOf(5, "f"))},
+		"answered between crashes": {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f")), answered("f"), report(crashOf(3, "f"), crashOf(4, "f"), crashOf(5, "f"))}, nil},
+		"answered, then five crashes": {[]wire.CrashReport{answered("f"), report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f"), crashOf(4, "f")), report(crashOf(5, "f"))},
 			[]wire.Fingerprint{"f"}},
-		"answered on and on":          {[]wire.CrashReport{answered("f"), report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f"), crashOf(4, "f")), answered("f"), report(crashOf(5, "f"))}, nil},
-		"beside one that is answered": {[]wire.CrashReport{answered("g"), report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g"))}, []wire.Fingerprint{"f"}},
-		"answered once it is barred":  {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f")), answered("f")}, nil},
-		"another was answered":        {[]wire.CrashReport{answered("g"), report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f"))}, []wire.Fingerprint{"f"}},
+		"answered repeatedly":                       {[]wire.CrashReport{answered("f"), report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f"), crashOf(4, "f")), answered("f"), report(crashOf(5, "f"))}, nil},
+		"in flight beside a call that was answered": {[]wire.CrashReport{answered("g"), report(crashOf(1, "f", "g"), crashOf(2, "f", "g"), crashOf(3, "f", "g"))}, []wire.Fingerprint{"f"}},
+		"answered after it was barred":              {[]wire.CrashReport{report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f")), answered("f")}, nil},
+		"an unrelated call was answered":            {[]wire.CrashReport{answered("g"), report(crashOf(1, "f"), crashOf(2, "f"), crashOf(3, "f"))}, []wire.Fingerprint{"f"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 				l.Take(&r, int64(i))
 				after := l.Suspects()
 				if slices.Equal(before.List, after.List) != (before.Revision == after.Revision) {
-					t.Fatalf("revision %d with %v, then %d with %v", before.Revision, before.List, after.Revision, after.List)
+					t.Fatalf("revision %d with suspects %v, then revision %d with %v", before.Revision, before.List, after.Revision, after.List)
 				}
 			}
 			var barred []wire.Fingerprint
@@ -91,13 +91,13 @@
 				}
 			}
 			if !slices.Equal(barred, c.barred) {
-				t.Fatalf("barred are %v, want %v; %v", barred, c.barred, states(&l))
+				t.Fatalf("barred: %v, want %v; states: %v", barred, c.barred, states(&l))
 			}
 		})
 	}
 }
 
-// TestBarsEnd lets time pass, and an operator lift a bar.
+// TestBarsEnd checks that a bar expires, comes back after one more crash, and can be lifted.
 func TestBarsEnd(t *testing.T) {
 	keep := recordTTL.Milliseconds()
 	var l Ledger
@@ -105,23 +105,23 @@
 	l.Take(&barF, 0)
 	l.Expire(keep)
 	if got := states(&l)["f"]; got != wire.QuarantineBarred {
-		t.Fatalf("f is %q", got)
+		t.Fatalf("state of f is %q, want barred", got)
 	}
 	l.Expire(keep + 1)
 	if s := states(&l); s["f"] != wire.QuarantineSuspected || len(s) != 1 {
-		t.Fatalf("after %v: %v", recordTTL, s)
+		t.Fatalf("states after %v: %v", recordTTL, s)
 	}
 	l.Take(&wire.CrashReport{Crashes: []wire.Crash{crashOf(4, "f")}}, keep+2)
 	if got := states(&l)["f"]; got != wire.QuarantineBarred {
-		t.Fatalf("f has ended one more and is %q", got)
+		t.Fatalf("state of f after another crash is %q, want barred", got)
 	}
 	if l.Lift("g") || !l.Lift("f") || l.Lift("f") || len(l.Suspects().List) != 0 {
-		t.Fatalf("lifted: %v", states(&l))
+		t.Fatalf("states after the bar was lifted: %v", states(&l))
 	}
 }
 
-// TestOneCustomerFillsTheLedger sends ever new calls that end upstreams. What another customer's call is
-// accused of, and its bar, stay.
+// TestOneCustomerFillsTheLedger reports crashes for more calls of one customer than the ledger holds. The
+// record and the bar of another customer's call must not be evicted.
 func TestOneCustomerFillsTheLedger(t *testing.T) {
 	var l Ledger
 	l.Take(&wire.CrashReport{Crashes: []wire.Crash{crashOf(-1, "f"), crashOf(-2, "f"), crashOf(-3, "f")}}, 0)
@@ -130,8 +130,8 @@
 		var r wire.CrashReport
 		for range calls / 16 {
 			f := wire.Fingerprint(fmt.Sprint("g", i))
-			for end := range barAfter {
-				c := crashOf(barAfter*i+end, f)
+			for crash := range barAfter {
+				c := crashOf(barAfter*i+crash, f)
 				c.Calls[0].Customer = "harbour"
 				r.Crashes = append(r.Crashes, c)
 			}
@@ -140,18 +140,18 @@
 		l.Take(&r, int64(i))
 	}
 	if len(l.Records) > maxRecords || states(&l)["f"] != wire.QuarantineBarred {
-		t.Fatalf("%d records, f is %q", len(l.Records), states(&l)["f"])
+		t.Fatalf("%d records, state of f is %q, want barred", len(l.Records), states(&l)["f"])
 	}
 }
 
-// TestLedgerKeepsItsBounds draws reports. No order of them bars a call under which fewer than three upstreams
-// ended, or fewer than five since it was answered; every call with three ends that no other call shares is barred, unless it
-// was answered.
+// TestLedgerKeepsItsBounds applies random reports in any order. A call is never barred with fewer than three
+// crashes, or fewer than five since it was answered. A call with three crashes that no other call shares is
+// always barred, unless it was answered.
 func TestLedgerKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Ledger
-		ends := map[wire.Fingerprint]map[int]bool{}
-		since := map[wire.Fingerprint]map[int]bool{} // the last answer
+		crashes := map[wire.Fingerprint]map[int]bool{}
+		since := map[wire.Fingerprint]map[int]bool{} // crashes since the last answer
 		cleared := map[wire.Fingerprint]bool{}
 		calls := []wire.Fingerprint{"a", "b", "c", "d"}
 		for i := range rapid.IntRange(1, 40).Draw(t, "reports") {
@@ -164,10 +164,10 @@
 			on := rapid.SliceOfNDistinct(rapid.SampledFrom(calls), 0, 3, rapid.ID).Draw(t, "calls")
 			r.Crashes = append(r.Crashes, crashOf(n, on...))
 			for _, f := range on {
-				if ends[f] == nil {
-					ends[f] = map[int]bool{}
+				if crashes[f] == nil {
+					crashes[f] = map[int]bool{}
 				}
-				ends[f][n] = true
+				crashes[f][n] = true
 				if since[f] == nil {
 					since[f] = map[int]bool{}
 				}
@@ -176,28 +176,28 @@
 			before, known := l.Revision, l.Suspects().List
 			l.Take(&r, int64(i))
 			if same := slices.Equal(known, l.Suspects().List); same != (before == l.Revision) {
-				t.Fatalf("revision %d and then %d, the same suspects: %v", before, l.Revision, same)
+				t.Fatalf("revision %d, then %d, but same suspects: %v", before, l.Revision, same)
 			}
 			for f, s := range states(&l) {
 				if s == wire.QuarantineBarred && (len(since[f]) < barAfter || cleared[f] && len(since[f]) < barAfterAmbiguous) {
-					t.Fatalf("%s is barred: cleared %v, %d ends", f, cleared[f], len(since[f]))
+					t.Fatalf("%s is barred: cleared %v, %d crashes", f, cleared[f], len(since[f]))
 				}
 			}
-			for f := range ends {
-				if exclusiveCrashes(f, ends) >= barAfter && !cleared[f] && states(&l)[f] != wire.QuarantineBarred {
-					t.Fatalf("%s is %q after ends %v", f, states(&l)[f], ends)
+			for f := range crashes {
+				if exclusiveCrashes(f, crashes) >= barAfter && !cleared[f] && states(&l)[f] != wire.QuarantineBarred {
+					t.Fatalf("state of %s is %q after crashes %v, want barred", f, states(&l)[f], crashes)
 				}
 			}
 		}
 	})
 }
 
-// alone counts the ends under the call that no other was on.
-func exclusiveCrashes(f wire.Fingerprint, ends map[wire.Fingerprint]map[int]bool) int {
+// exclusiveCrashes counts the crashes at which no other call was in flight.
+func exclusiveCrashes(f wire.Fingerprint, crashes map[wire.Fingerprint]map[int]bool) int {
 	n := 0
-	for upstream := range ends[f] {
+	for upstream := range crashes[f] {
 		shared := false
-		for g, other := range ends {
+		for g, other := range crashes {
 			shared = shared || g != f && other[upstream]
 		}
 		if !shared {
@@ -207,7 +207,8 @@
 	return n
 }
 
-// TestGuard follows what a quorum holds, and what a process that does not reach it has seen itself.
+// TestGuard checks calls against the replicated suspects, and against the process's own reports while it has
+// no contact with control.
 func TestGuard(t *testing.T) {
 	call := Call{Customer: "foundry", Method: "POST", Host: "h", Target: "/x", Body: []byte("body")}
 	sameShape := call
@@ -217,7 +218,7 @@
 	expect := func(c Call, withOwn bool, want Standing) {
 		t.Helper()
 		if got, _ := g.Check(c, withOwn); got != want {
-			t.Fatalf("%q stands as %d, want %d", c.Body, got, want)
+			t.Fatalf("standing of %q is %d, want %d", c.Body, got, want)
 		}
 	}
 	expect(call, true, Unsuspected)
@@ -240,8 +241,8 @@
 	expect(call, true, Unsuspected)
 }
 
-// TestWaveOfEnds has more calls on upstreams that end than the ledger holds. A suspect of a customer with many of
-// them stays; of the others the oldest go.
+// TestWaveOfEnds reports crashes for more calls than the ledger holds. A suspect must not be evicted, though
+// its customer has the most records; calls with a single crash are, oldest first.
 func TestWaveOfEnds(t *testing.T) {
 	var l Ledger
 	l.Take(&wire.CrashReport{Crashes: []wire.Crash{crashOf(-1, "f"), crashOf(-2, "f")}}, 0)
@@ -252,6 +253,6 @@
 	l.Take(&wave, 1)
 	l.Take(&wire.CrashReport{Crashes: []wire.Crash{crashOf(-3, "f")}}, 2)
 	if len(l.Records) > maxRecords || states(&l)["f"] != wire.QuarantineBarred {
-		t.Fatalf("%d records, f is %q", len(l.Records), states(&l)["f"])
+		t.Fatalf("%d records, state of f is %q, want barred", len(l.Records), states(&l)["f"])
 	}
 }
--- a/node/quarantine/reporter.go
+++ b/node/quarantine/reporter.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// gather is how long reports are collected for one call: an upstream that ends cuts all of its
-	// calls at once.
+	// batchDelay is how long crashes are collected for one report: a crash interrupts all calls of the
+	// upstream at once.
 	batchDelay = 10 * time.Millisecond
-	// againAfter is the pause before a report is sent again, while nobody leads.
+	// retryDelay is the pause before a report is sent again, for example while there is no leader.
 	retryDelay  = 150 * time.Millisecond
 	sendTimeout = time.Second
-	// maxCalls bounds a report that waits, in calls. What comes above it is dropped: others have
-	// seen the same upstreams end.
+	// maxPendingCalls bounds the calls in a pending report. Calls beyond it are dropped: other processes
+	// report the same crashes.
 	maxPendingCalls = 2048
 )
 
-// Reporter sends what this process has seen to the leader, again until it is acknowledged.
+// Reporter sends the crashes that this process has seen to the leader, until they are acknowledged.
 type Reporter struct {
 	send func(context.Context, *wire.CrashReport) error
 
@@ -29,7 +29,7 @@
 	wake    chan struct{}
 }
 
-// pending is a report that is being collected.
+// pendingReport collects the next report, without duplicates.
 type pendingReport struct {
 	crashes  map[wire.Start]map[wire.Fingerprint]wire.CallSketch
 	answered map[wire.Fingerprint]wire.CallSketch
@@ -40,12 +40,12 @@
 	return &pendingReport{crashes: map[wire.Start]map[wire.Fingerprint]wire.CallSketch{}, answered: map[wire.Fingerprint]wire.CallSketch{}}
 }
 
-// NewReporter returns a reporter; Run sends.
+// NewReporter returns a Reporter. Run must be called to send reports.
 func NewReporter(send func(context.Context, *wire.CrashReport) error) *Reporter {
 	return &Reporter{send: send, pending: newPending(), wake: make(chan struct{}, 1)}
 }
 
-// Add adds to the next report.
+// Add adds the report to the pending one.
 func (r *Reporter) Add(report *wire.CrashReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +97,7 @@
 	return out
 }
 
-// take returns what is to be sent, or nil.
+// take returns and resets the pending report, or returns nil if it is empty.
 func (r *Reporter) take() *wire.CrashReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +109,7 @@
 	return report
 }
 
-// Run sends reports until ctx ends.
+// Run sends reports until ctx is cancelled.
 func (r *Reporter) Run(ctx context.Context) {
 	for wait := batchDelay; ; wait = batchDelay {
 		select {
@@ -140,7 +140,7 @@
 	return r.send(ctx, report)
 }
 
-// sleep reports whether ctx went on for d.
+// sleep waits for d and reports whether ctx was still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/node/quarantine/reporter_test.go
+++ b/node/quarantine/reporter_test.go
@@ -13,7 +13,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestReportsArrive has a leader that is not there at first. Everything arrives, an upstream's calls together, in
+// TestReportsArrive starts without a leader. All calls must arrive, those of one upstream together, in
 // reports of bounded size.
 func TestReportsArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -23,7 +23,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if failures--; failures >= 0 {
-				return errors.New("nobody leads")
+				return errors.New("no leader")
 			}
 			sent = append(sent, report)
 			return nil
--- a/node/quarantine/simulation_test.go
+++ b/node/quarantine/simulation_test.go
@@ -14,22 +14,22 @@
 const (
 	simProcesses = 8
 	simUpstreams = 18
-	// runTime is how long an upstream that a call ends runs it, and newsTime is within which a report
-	// has reached the ledger and its news all processes.
+	// crashDelay is how long an upstream runs a poison call before it crashes. propagationTime bounds the
+	// time from a crash until all processes know of it.
 	crashDelay      = 70 * time.Millisecond
 	propagationTime = 135 * time.Millisecond
-	// contact is within which all processes must know that three upstreams ended.
+	// maxDetectionTime bounds the time from the third crash until all processes must know of it.
 	maxDetectionTime = 3 * time.Second
-	// mostEnded is how many upstreams one call may end, and mostArrive how many copies of it may
-	// reach one later than contact after the third end.
+	// maxCrashes is how many upstreams one call may crash, and maxLateArrivals how many copies of it may
+	// reach an upstream later than maxDetectionTime after the third crash.
 	maxCrashes      = 5
 	maxLateArrivals = 3
-	// deniedOneIn is the part of innocent calls that may be refused.
+	// falsePositiveOneIn bounds the refused innocent calls: one in this many.
 	falsePositiveOneIn = 500
 )
 
-// model is a system on a virtual clock: processes that each know what has reached them, a ledger that a
-// quorum holds, and upstreams that end under some calls.
+// simulation runs on a virtual clock: processes with their own view of the suspects, a replicated ledger, and
+// upstreams that crash under poison calls.
 type simulation struct {
 	random    *rand.Rand
 	now       time.Duration
@@ -41,13 +41,13 @@
 
 	poisonCalls map[string]*poisonCall // by body
 	served      int
-	refused     int // innocent calls that were barred at a process
+	refused     int // innocent calls that a process barred
 }
 
-// guilty is what a call that ends upstreams has done.
+// poisonCall records the effects of a call that crashes upstreams.
 type poisonCall struct {
 	crashes []time.Duration
-	arrived []time.Duration // at upstreams, from processes in touch
+	arrived []time.Duration // at upstreams, from processes that are connected to control
 }
 
 type simProcess struct {
@@ -61,14 +61,14 @@
 type simUpstream struct {
 	serial int
 	up     bool
-	calls  []*simCall // in the order in which they came
+	calls  []*simCall // in order of arrival
 }
 
 type simCall struct {
 	body    string
 	process *simProcess
-	tries   int // of its caller, that are left
-	repeats int // of the process, that are left
+	tries   int // retries left to the caller
+	repeats int // repeats left to the process
 }
 
 type event struct {
@@ -77,7 +77,7 @@
 	run    func()
 }
 
-// events is a heap of what is to happen.
+// events is a heap of future events.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -119,7 +119,7 @@
 	m.now = until
 }
 
-// between draws a duration, in milliseconds.
+// randomDuration draws a duration between two numbers of milliseconds.
 func (m *simulation) randomDuration(least, most int) time.Duration {
 	return time.Duration(least+m.random.IntN(most-least)) * time.Millisecond
 }
@@ -133,14 +133,14 @@
 	return Call{Customer: "foundry", Method: "POST", Host: "h", Target: "/x", Body: []byte(c.body)}
 }
 
-// callers sends calls with the bodies that body returns, perSecond of them, for d.
+// startCallers sends perSecond calls with bodies from body, for the duration d.
 func (m *simulation) startCallers(perSecond int, d time.Duration, tries int, body func() string) {
 	for at := time.Duration(0); at < d; at += time.Second / time.Duration(perSecond) {
 		m.schedule(at, func() { m.send(body(), tries) })
 	}
 }
 
-// send hands a call in at some process.
+// send sends a call to a random process.
 func (m *simulation) send(body string, tries int) {
 	c := &simCall{body: body, process: m.processes[m.random.IntN(len(m.processes))], tries: tries, repeats: 1}
 	if !c.process.up {
@@ -148,7 +148,7 @@
 		return
 	}
 	if m.check(c) {
-		m.schedule(m.randomDuration(0, 800), func() { m.dispatch(c) }) // its stages
+		m.schedule(m.randomDuration(0, 800), func() { m.dispatch(c) }) // time spent in earlier stages
 	}
 }
 
@@ -167,7 +167,7 @@
 	return standing != Barred
 }
 
-// offer sends the call to an upstream.
+// dispatch sends the call to a random upstream.
 func (m *simulation) dispatch(c *simCall) {
 	u := m.upstreams[m.random.IntN(len(m.upstreams))]
 	if !c.process.up || !m.check(c) {
@@ -184,7 +184,7 @@
 	serial := u.serial
 	u.calls = append(u.calls, c)
 	if g != nil {
-		m.schedule(m.randomDuration(0, 340), func() { // it waits for its turn, unless its process ends it
+		m.schedule(m.randomDuration(0, 340), func() { // it is queued, and its process may cancel it there
 			if c.process.up && !m.check(c) {
 				return
 			}
@@ -213,7 +213,7 @@
 	}
 }
 
-// end ends an upstream: its calls break off, and it is back some time later.
+// crash interrupts all calls of an upstream and restarts it some time later.
 func (m *simulation) crash(u *simUpstream) {
 	calls, start := u.calls, wire.Start{ID: wire.MemberID(fmt.Sprint("i-", u.serial)), Incarnation: 1}
 	u.up, u.calls = false, nil
@@ -244,7 +244,8 @@
 	m.retry(c)
 }
 
-// report reaches the ledger, and its news the processes, unless a cut holds them up.
+// report sends a report to the ledger and publishes the suspects to all processes. Messages to and from
+// disconnected processes are held back.
 func (m *simulation) report(p *simProcess, r *wire.CrashReport) {
 	p.guard.Seen(r, time.Unix(1000, 0).Add(m.now))
 	m.deliver(p, func() {
@@ -255,7 +256,7 @@
 	})
 }
 
-// reach runs f once a message has passed between the process and control.
+// deliver runs f after the latency of a message between the process and control.
 func (m *simulation) deliver(p *simProcess, f func()) {
 	m.schedule(m.randomDuration(10, 60), func() {
 		if p.disconnected {
@@ -275,7 +276,7 @@
 	p.guard.Follow(m.ledger.Suspects())
 }
 
-// kill ends all processes; they are back with what a quorum holds, and nothing else.
+// restartProcesses stops all processes; they restart with only the replicated suspects.
 func (m *simulation) restartProcesses() {
 	for _, p := range m.processes {
 		p.up = false
@@ -286,7 +287,7 @@
 	}
 }
 
-// arrivedAfter counts the copies that reached an upstream later than d after three had ended.
+// arrivedAfter counts the copies that reached an upstream later than d after the third crash.
 func (g *poisonCall) arrivedAfter(d time.Duration) int {
 	n := 0
 	for _, at := range g.arrived {
@@ -302,23 +303,23 @@
 	return func() string { return body }
 }
 
-// TestCallsThatEndUpstreams plays calls that end upstreams among innocent ones: many that come once, and one body that
-// comes all the time. Some processes are cut off from control for a while, and all are killed once.
+// TestCallsThatEndUpstreams sends poison calls among innocent ones: many different calls, and one body that
+// is sent all the time. Some processes are cut off from control for a while, and all are restarted once.
 func TestCallsThatEndUpstreams(t *testing.T) {
 	cases := map[string]struct {
-		guilty    []string
-		perSecond int // copies of each
-		cuts      bool
+		poisonCalls []string
+		perSecond   int // copies of each poison call
+		cuts        bool
 	}{
-		"copies one after the other": {[]string{"f"}, 1, false},
-		"many copies at once":        {[]string{"f"}, 8, false},
-		"two calls at once":          {[]string{"f", "g"}, 8, false},
-		"some processes are cut off": {[]string{"f"}, 8, true},
+		"sequential copies":      {[]string{"f"}, 1, false},
+		"concurrent copies":      {[]string{"f"}, 8, false},
+		"two poison calls":       {[]string{"f", "g"}, 8, false},
+		"disconnected processes": {[]string{"f"}, 8, true},
 	}
 	for name, c := range cases {
 		seeds := uint64(30)
 		if testing.Short() {
-			seeds = 4 // the race detector makes each tenfold slower
+			seeds = 4 // the race detector makes each about ten times slower
 		}
 		for seed := uint64(1); seed <= seeds; seed++ {
 			t.Run(fmt.Sprint(name, "/", seed), func(t *testing.T) {
@@ -326,7 +327,7 @@
 				serial := 0
 				m.startCallers(60, 40*time.Second, 2, func() string { serial++; return fmt.Sprint("call ", serial) })
 				m.startCallers(30, 40*time.Second, 2, func() string { return "popular" })
-				for _, body := range c.guilty {
+				for _, body := range c.poisonCalls {
 					name := m.addPoisonCall(body)
 					m.schedule(4*time.Second, func() { m.startCallers(c.perSecond, 12*time.Second, 0, name) })
 					m.schedule(25*time.Second, func() { m.startCallers(c.perSecond, 12*time.Second, 0, name) })
@@ -341,17 +342,17 @@
 				m.run(45 * time.Second)
 				for body, g := range m.poisonCalls {
 					if late := g.arrivedAfter(maxDetectionTime); late > maxLateArrivals {
-						t.Errorf("%s ended %d upstreams, at %v; %d copies reached one after all should know", body, len(g.crashes), g.crashes, late)
+						t.Errorf("%s crashed %d upstreams, at %v; %d copies reached an upstream after the detection time", body, len(g.crashes), g.crashes, late)
 					}
 					if late := g.arrivedAfter(propagationTime); !c.cuts && len(m.poisonCalls) == 1 && late > 0 {
-						t.Errorf("%s ended %d upstreams, at %v; %d copies reached one after all knew", body, len(g.crashes), g.crashes, late)
+						t.Errorf("%s crashed %d upstreams, at %v; %d copies reached an upstream after all processes knew", body, len(g.crashes), g.crashes, late)
 					}
 					if c.perSecond == 1 && len(g.crashes) > maxCrashes {
-						t.Errorf("%s ended %d upstreams, at %v", body, len(g.crashes), g.crashes)
+						t.Errorf("%s crashed %d upstreams, at %v", body, len(g.crashes), g.crashes)
 					}
 				}
 				allowed := 0
-				if c.cuts { // calls of processes that cannot say what was on an upstream accuse others
+				if c.cuts { // disconnected processes do not know which other calls were in flight
 					allowed = m.served / falsePositiveOneIn
 				}
 				if m.refused > allowed || m.served < 3000 {
