--- a/node/rollout/analyzer.go
+++ b/node/rollout/analyzer.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// window is for how long answers of the other versions count: a fault that all versions
-	// have at the same time is no fault of the target.
+	// baselineWindow is how far back answers of the baseline count: a fault that all versions have at the
+	// same time is not caused by the target.
 	baselineWindow = 6 * time.Second
-	// latest is the end of the window in which a fault of all versions shows at once.
+	// shortWindow is the most recent part of baselineWindow. A fault that has just begun in all versions
+	// shows there at once.
 	shortWindow = time.Second
-	// leastOthers is how many answers of other versions a comparison of durations needs.
+	// minBaselineAnswers is how many baseline answers a comparison of durations needs.
 	minBaselineAnswers = 20
-	// slowFactor is how much longer than nine in ten answers of the other versions on the same route
-	// an answer takes that counts as slow.
+	// slowFactor times the 90th percentile of the baseline's durations on the same route is the duration from
+	// which an answer counts as slow.
 	slowFactor = 1.5
-	// Prior answers of the other versions, of which priorBad are bad: few answers do not say that
-	// they never fail.
+	// priorAnswers are added to the baseline's answers, priorBad of them as bad: a few good answers do not
+	// prove that the baseline never fails.
 	priorAnswers = 20
 	priorBad     = 0.4
-	// tolerance is how much more often than the others' the target's answers may be bad.
+	// toleranceFactor is how many times the baseline's rate of bad answers the target may have.
 	toleranceFactor = 1.5
-	// leastBad is the part of bad answers that is tolerated of any version.
+	// minTolerated is the rate of bad answers that is tolerated from any version.
 	minTolerated = 0.02
-	// alarm is the logarithm of the likelihood ratio from which on the target counts as bad.
+	// badThreshold is the log-likelihood ratio from which the target counts as bad.
 	badThreshold = 7
-	// suspicion is that from which on the target is not given all calls.
+	// suspectThreshold is the log-likelihood ratio from which the target does not get all calls.
 	suspectThreshold = 5
 )
 
-// excesses are how much more often than tolerated the answers of a bad version may be bad. A test
-// for a great excess is the quicker, one for a small excess finds what the others miss.
+// excessRates are the rates of bad answers above the tolerated one that are tested for. A test for a large
+// excess is faster, a test for a small one finds what the others miss.
 var excessRates = [...]float64{0.06, 0.2, 0.5}
 
-// cusum is a sequential test (Page, 1954) for each of the excesses. It forgets good answers of
-// before, so that a version that turns bad late is found as quickly.
+// cusum holds the scores of a sequential test (CUSUM, Page 1954) for each of excessRates. Scores do not fall
+// below zero, so good answers of the past do not delay the detection of a version that turns bad later.
 type cusum [len(excessRates)]float64
 
-// add takes in n answers, bad of them bad, where p is the part that is tolerated.
+// add adds n answers, bad of which are bad. p is the tolerated rate of bad answers.
 func (c *cusum) add(bad, n, p float64) {
 	for i, excess := range excessRates {
 		badRate := min(p+excess, 0.99)
@@ -56,10 +57,11 @@
 
 func (c *cusum) maxScore() float64 { return slices.Max(c[:]) }
 
-// Judge compares the target version of one roll-out with the others. It reads no clock.
+// Judge compares the answers of a roll-out's target version with those of the other versions, the baseline.
+// It reads no clock.
 type Judge struct {
 	target          string
-	lastCounts      map[wire.Start]map[countKey]wire.VersionCounts // of each process
+	lastCounts      map[wire.Start]map[countKey]wire.VersionCounts // last counts of each process
 	baselineAnswers map[string]*recentAnswers                      // by route
 	tests           map[testKey]*cusum
 	Target, Others  tally
@@ -68,15 +70,15 @@
 // tally counts answers.
 type tally struct{ Answers, Bad uint64 }
 
-// testKey names a test: of failures or of durations, of one route or of all.
+// testKey identifies a test: of failures or of durations, on one route or on all.
 type testKey struct {
 	slow  bool
-	route string // allRoutes: of all
+	route string // or allRoutes
 }
 
 const allRoutes = "\x00"
 
-// recent are the answers of other versions within the window.
+// recentAnswers are the baseline's answers within baselineWindow.
 type recentAnswers struct{ deltas []delta }
 
 type delta struct {
@@ -85,12 +87,12 @@
 	took   map[int]uint64
 }
 
-// NewJudge returns a judge of the target version.
+// NewJudge returns a Judge of the target version.
 func NewJudge(target string) *Judge {
 	return &Judge{target: target, lastCounts: map[wire.Start]map[countKey]wire.VersionCounts{}, baselineAnswers: map[string]*recentAnswers{}, tests: map[testKey]*cusum{}}
 }
 
-// Take takes in what a process has counted since the roll-out started.
+// Take adds the cumulative counts of a process since the start of the roll-out.
 func (a *Judge) Take(now time.Time, from wire.Start, counts []wire.VersionCounts) {
 	last := a.lastCounts[from]
 	if last == nil {
@@ -123,7 +125,8 @@
 	t.Answers += answerCount(d)
 }
 
-// since returns what n counts more than before. A report that was overtaken counts nothing.
+// countsSince returns the difference between two cumulative counts of a process. It is empty for a report
+// that arrives out of order.
 func countsSince(before, n wire.VersionCounts) wire.VersionCounts {
 	d := wire.VersionCounts{Version: n.Version, Route: n.Route, Took: map[int]uint64{}}
 	if n.Failed > before.Failed {
@@ -155,7 +158,7 @@
 	r.deltas = append(r.deltas, delta{now, d.Failed, d.Took})
 }
 
-// sum adds up the answers of other versions on a route, or on all, since a while ago.
+// sumBaseline adds up the baseline's answers on a route, or on all, that are not older than since.
 func (a *Judge) sumBaseline(now time.Time, route string, since time.Duration) (failed uint64, took map[int]uint64) {
 	took = map[int]uint64{}
 	for name, r := range a.baselineAnswers {
@@ -192,7 +195,8 @@
 	a.test(testKey{true, d.Route}).add(float64(slow), float64(timed), p)
 }
 
-// failures is the part of the target's answers that may be failures, by the others' since a while ago.
+// toleratedFailures returns the tolerated rate of failures, by the baseline's failures that are not older
+// than since.
 func (a *Judge) toleratedFailures(now time.Time, route string, since time.Duration) float64 {
 	failed, took := a.sumBaseline(now, route, since)
 	return toleratedRatio(float64(failed), float64(failed)+float64(allAnswers(took)))
@@ -207,12 +211,13 @@
 	return c
 }
 
-// tolerated is the part of the target's answers that may be bad where so many of the others' are.
+// toleratedRatio returns the tolerated rate of bad answers of the target if bad of n baseline answers are
+// bad.
 func toleratedRatio(bad, n float64) float64 {
 	return min(max(minTolerated, toleranceFactor*(bad+priorBad)/(n+priorAnswers)), 0.95)
 }
 
-// slowFrom returns the first bucket of slow answers, if there are enough to tell.
+// slowBucket returns the first bucket of slow answers, if there are enough baseline answers.
 func slowBucket(others map[int]uint64) (bucket int, ok bool) {
 	n := warmAnswers(others)
 	if n < minBaselineAnswers {
@@ -242,7 +247,7 @@
 
 func allAnswers(took map[int]uint64) uint64 { return warmAnswers(took) + took[coldBucket] }
 
-// warm counts the answers whose duration says something.
+// warmAnswers counts the answers of warm upstreams, whose durations are comparable.
 func warmAnswers(took map[int]uint64) uint64 {
 	var n uint64
 	for bucket, count := range took {
@@ -253,14 +258,14 @@
 	return n
 }
 
-// Verdict is what the answers so far say of the target.
+// Verdict is the result of the comparison so far.
 type Verdict struct {
-	Bad       bool // it answers worse than the others
-	Suspected bool // it may
+	Bad       bool // the target is worse than the baseline
+	Suspected bool // the target may be worse
 	Reason    string
 }
 
-// Verdict returns the judge's opinion.
+// Verdict returns the verdict on the answers so far. Its reason names the test with the highest score.
 func (a *Judge) Verdict() Verdict {
 	var worst testKey
 	most := 0.0
@@ -278,7 +283,7 @@
 		if worst.route != allRoutes {
 			where = "route " + worst.route
 		}
-		v.Reason = fmt.Sprintf("%s %s more often than the others on %s (%d of %d answers bad, likelihood %.1f)", a.target, what, where, a.Target.Bad, a.Target.Answers, most)
+		v.Reason = fmt.Sprintf("%s %s more often than the other versions on %s (%d of %d answers bad, log-likelihood ratio %.1f)", a.target, what, where, a.Target.Bad, a.Target.Answers, most)
 	}
 	return v
 }
--- a/node/rollout/counter.go
+++ b/node/rollout/counter.go
@@ -8,19 +8,19 @@
 	"caperdrum.org/api/wire"
 )
 
-// Outcome is what became of a call at an upstream.
+// Outcome is the result of a call to an upstream.
 type Outcome int
 
-// Outcomes.
+// Values of Outcome.
 const (
 	Answered Outcome = iota
-	Failed           // it answered that it failed, broke off, or did not answer in the time that it had
+	Failed           // an error answer, a broken connection, or no answer within the call's deadline
 )
 
-// bucketRatio is the ratio of the durations at the two ends of a bucket.
+// bucketRatio is the ratio of the upper to the lower bound of a histogram bucket.
 const bucketRatio = 1.25
 
-// bucketOf returns the bucket of a duration. Bucket 0 begins at a millisecond.
+// bucketOf returns the histogram bucket of a duration. Bucket 0 starts at 1 ms.
 func bucketOf(d time.Duration) int {
 	ms := float64(d) / float64(time.Millisecond)
 	if ms <= 1 {
@@ -29,7 +29,8 @@
 	return int(math.Log(ms) / math.Log(bucketRatio))
 }
 
-// Counter counts the answers that a process has got since each running roll-out started.
+// Counter counts the answers that this process has received since the start of each running roll-out. It is
+// safe for concurrent use.
 type Counter struct {
 	mu       sync.Mutex
 	services map[string]*serviceCounts
@@ -43,10 +44,11 @@
 
 type countKey struct{ version, route string }
 
-// NewCounter returns a Counter that counts nothing until it follows a running roll-out.
+// NewCounter returns a Counter. It counts nothing until Follow adds a running roll-out.
 func NewCounter() *Counter { return &Counter{services: map[string]*serviceCounts{}} }
 
-// Follow takes over the roll-outs of a view: counts begin with the order and end with the roll-out.
+// Follow takes the roll-outs of a view. Counts start at zero with each order and are dropped when the
+// roll-out ends.
 func (c *Counter) Follow(r wire.Rollouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +62,7 @@
 	}
 }
 
-// Add counts an outcome. route tells calls apart that take differently long.
+// Add counts an outcome. Durations are compared only within a route.
 func (c *Counter) Add(m wire.Member, route string, how Outcome, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,10 +87,10 @@
 	}
 }
 
-// coldBucket counts answers of upstreams that are cold: how long they took says nothing.
+// coldBucket counts the answers of cold upstreams, whose durations are not comparable.
 const coldBucket = -1
 
-// Report returns what was counted, or nil when nothing was since the last report.
+// Report returns the cumulative counts, or nil if they have not changed since the last report.
 func (c *Counter) Report() []wire.RolloutCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +114,7 @@
 	return out
 }
 
-// Again makes the next report say everything once more: the last one was not acknowledged.
+// Again makes the next Report return all counts again, since the last one was not acknowledged.
 func (c *Counter) Again() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/rollout/reporter.go
+++ b/node/rollout/reporter.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// leastInterval and intervalPerProcess say how often a process reports: all together at most 200
-	// times a second, however many there are.
+	// minInterval and intervalPerProcess set how often a process reports: all processes together send at most
+	// 200 reports a second.
 	minInterval        = 250 * time.Millisecond
 	intervalPerProcess = 5 * time.Millisecond
 	sendTimeout        = 800 * time.Millisecond
 )
 
-// Reporter sends the leader what a process counts while a roll-out runs.
+// Reporter sends this process's counts to the leader while a roll-out runs.
 type Reporter struct {
 	Counter   *Counter
 	Clock     clockwork.Clock
 	Self      func() wire.Member
-	Processes func() int // that report
+	Processes func() int // number of processes that send reports
 	Send      func(context.Context, *wire.RolloutReport) error
-	Lost      func(error) // told of reports that were not acknowledged
+	Lost      func(error) // called for each report that was not acknowledged
 }
 
-// Interval is the time between two reports of one of so many processes.
+// Interval returns the time between two reports of a process if there are so many processes.
 func Interval(processes int) time.Duration {
 	return max(minInterval, time.Duration(processes)*intervalPerProcess)
 }
 
-// Run reports until ctx ends.
+// Run sends reports until ctx is cancelled.
 func (r *Reporter) Run(ctx context.Context) {
 	for {
 		select {
--- a/node/rollout/simulation_test.go
+++ b/node/rollout/simulation_test.go
@@ -10,29 +10,30 @@
 	"caperdrum.org/api/wire"
 )
 
-// The model plays roll-outs on a virtual clock: many processes that hear late of the leader's decisions and
-// report their counts, and upstreams of two versions.
+// The simulation runs roll-outs on a virtual clock, with upstreams of two versions and many processes that
+// learn of the leader's decisions late and report their counts.
 const (
 	simStep        = 10 * time.Millisecond
-	simCommitTime  = 30 * time.Millisecond // of a decision, by a quorum
+	simCommitTime  = 30 * time.Millisecond // latency of committing a decision
 	simMaxLag      = 300 * time.Millisecond
-	maxTargetShare = 0.1 // that a bad version may get, and modelSlack calls besides
+	maxTargetShare = 0.1 // share of all calls that a bad version may get, plus maxTargetSlack calls
 	maxTargetSlack = 50
-	// modelBad is the number of bad answers, and modelRollback the time after them, after which a bad
-	// version must get no calls.
+	// simSeeds is the number of runs per case. A bad version must get no calls later than maxRollbackTime
+	// after its bad answer number maxBadAnswers.
 	simSeeds        = 2
 	maxBadAnswers   = 50
 	maxRollbackTime = 5 * time.Second
 )
 
-// behaviour is how the upstreams of a version answer a call, at a time since the order.
+// behaviour decides how an upstream answers a call: whether it fails, and how many times slower than usual it
+// is. at is the time since the order.
 type behaviour func(r *rand.Rand, at time.Duration, route string, load float64) (failed bool, slower float64)
 
 func healthy(r *rand.Rand, _ time.Duration, _ string, _ float64) (bool, float64) {
 	return r.Float64() < 0.003, 1
 }
 
-// failing fails some of the calls that meet the condition, besides what a sound version does.
+// failing fails a part of the calls that meet the condition, in addition to healthy's failures.
 func failing(part float64, when func(at time.Duration, route string, load float64) bool) behaviour {
 	return func(r *rand.Rand, at time.Duration, route string, load float64) (bool, float64) {
 		if when(at, route, load) && r.Float64() < part {
@@ -44,7 +45,7 @@
 
 func always(time.Duration, string, float64) bool { return true }
 
-// slow answers some calls several times slower.
+// slow answers a part of the calls slower by factor.
 func slow(part, factor float64) behaviour {
 	return func(r *rand.Rand, at time.Duration, route string, load float64) (bool, float64) {
 		failed, _ := healthy(r, at, route, load)
@@ -55,16 +56,16 @@
 	}
 }
 
-// modelled is a roll-out on the model.
+// simulation describes a simulated roll-out.
 type simulation struct {
 	seed         uint64
 	processes    int
-	rate         float64 // calls a second, over all processes
+	rate         float64 // calls per second over all processes
 	span         time.Duration
 	perSide      int // upstreams of each version
 	old, new     behaviour
-	leaderAt     time.Duration // at which the leader is lost and another one begins; zero: never
-	disconnected int           // processes that hear of nothing from a third of the span on
+	leaderAt     time.Duration // when the leader is replaced; zero: never
+	disconnected int           // number of processes that are cut off after a third of the span
 }
 
 type simCall struct {
@@ -77,12 +78,12 @@
 	started time.Duration
 }
 
-// played is what came of it, counted as the users do.
+// simResult is the outcome of a simulated roll-out.
 type simResult struct {
-	all, target  int           // calls that reached the service, and the target version
-	bad          int           // answers of the target that were bad
-	limitReached time.Duration // when the fiftieth of them came; zero: it did not
-	late         int           // calls at the target that were sent too long after it
+	all, target  int           // calls to the service, and to the target version
+	bad          int           // bad answers of the target
+	limitReached time.Duration // time of bad answer number maxBadAnswers; zero: there were fewer
+	late         int           // calls sent to the target later than maxRollbackTime after limitReached
 	state        wire.RolloutState
 	ended        time.Duration
 	reason       string
@@ -159,7 +160,7 @@
 			k := rnd.IntN(len(ps))
 			p := ps[k]
 			if p.known == 0 {
-				continue // it knows nothing, so it serves nothing
+				continue // without a view it serves no calls
 			}
 			track := p.split.Next("desk", p.split.HasTarget("desk", members))
 			list := track.Choose(members)
@@ -232,21 +233,22 @@
 	return out
 }
 
-// isSound reports whether the new version is no worse than the old one.
+// sameBehaviour reports whether the new version behaves like the old one.
 func (m simulation) sameBehaviour() bool { return fmt.Sprintf("%p", m.old) == fmt.Sprintf("%p", m.new) }
 
-// check holds what came of a roll-out of a bad version against the users' rules.
+// check checks the bounds on the traffic of a bad version.
 func (p simResult) check(t *testing.T, name string) {
 	t.Helper()
 	if float64(p.target) > maxTargetShare*float64(p.all)+maxTargetSlack {
 		t.Errorf("%s: %d of %d calls reached the target (%s after %s: %s)", name, p.target, p.all, p.state, p.ended, p.reason)
 	}
 	if p.late > 0 {
-		t.Errorf("%s: %d calls reached the target later than %s after its %dth bad answer", name, p.late, maxRollbackTime, maxBadAnswers)
+		t.Errorf("%s: %d calls were sent to the target more than %s after its bad answer number %d", name, p.late, maxRollbackTime, maxBadAnswers)
 	}
 }
 
-// sizes are processes and calls a second: few calls a process are the hard case.
+// deploymentSizes vary the number of processes and the rate of calls. Few calls per process are the hard
+// case.
 var deploymentSizes = []struct {
 	processes int
 	rate      float64
@@ -271,8 +273,8 @@
 				p := m.run()
 				what := fmt.Sprintf("%s, %d processes, %.0f calls a second, seed %d", name, size.processes, size.rate, seed)
 				p.check(t, what)
-				// A few upstreams cannot be given their usual load within the bound: a version that fails
-				// under it only is found out too late there.
+				// With few upstreams the target cannot get the usual load per upstream within the bound, so a
+				// version that fails only under load is detected too late.
 				usual := name != "bad under load" || size.perSide >= 24
 				if usual && p.bad >= maxBadAnswers && p.state != wire.RolloutRolledBack {
 					t.Errorf("%s: %s with %d bad answers of %d: %s", what, p.state, p.bad, p.target, p.reason)
@@ -282,8 +284,8 @@
 	}
 }
 
-// TestModelGoodVersions rolls out versions that are as good as the others, also while both fail, and
-// while calls are few.
+// TestModelGoodVersions rolls out versions that are as good as the old one, also while both fail and while
+// calls are rare. They must complete in time.
 func TestModelGoodVersions(t *testing.T) {
 	both := failing(0.25, func(at time.Duration, _ string, _ float64) bool { return at > 4*time.Second })
 	for _, size := range append(deploymentSizes, struct {
@@ -291,7 +293,7 @@
 		rate      float64
 		perSide   int
 	}{32, 0.5, 3}) {
-		for name, b := range map[string]behaviour{"good": healthy, "a fault of both": both} {
+		for name, b := range map[string]behaviour{"good": healthy, "both fail": both} {
 			for seed := range uint64(simSeeds) {
 				m := simulation{seed: seed, processes: size.processes, rate: size.rate, perSide: size.perSide, span: 12 * time.Second, old: b, new: b}
 				p := m.run()
@@ -303,7 +305,8 @@
 	}
 }
 
-// TestModelLeaderLost loses the leader in the middle: the next one hears of all that was counted.
+// TestModelLeaderLost replaces the leader during a roll-out. The next one gets the cumulative counts of all
+// processes.
 func TestModelLeaderLost(t *testing.T) {
 	for _, at := range []time.Duration{3 * time.Second, 9 * time.Second, 15 * time.Second} {
 		for seed := range uint64(simSeeds) {
@@ -321,8 +324,8 @@
 	}
 }
 
-// TestModelProcessesCutOff cuts some processes off: they go on with the share that they know, and the bound
-// holds with theirs too.
+// TestModelProcessesCutOff cuts some processes off from the leader. They keep the last share that they know,
+// and the bound must hold with their calls included.
 func TestModelProcessesCutOff(t *testing.T) {
 	for seed := range uint64(simSeeds) {
 		m := simulation{seed: seed, processes: 32, rate: 200, perSide: 12, span: 20 * time.Second, old: healthy, new: failing(0.3, always), disconnected: 8}
--- a/node/rollout/splitter.go
+++ b/node/rollout/splitter.go
@@ -1,8 +1,9 @@
-// Package rollout moves a service's calls to upstreams of another version, step by step.
+// Package rollout shifts a service's calls step by step to upstreams of a new version, the target.
 //
 // Each process, and the owner of the stage queues, sends a share of its own calls to the target
-// version (Split) and counts the answers of all versions (Counter). The leader adds the counts up,
-// compares the versions at the same time (Judge) and decides (Plan).
+// (Split) and counts the answers of all versions (Counter). The leader adds up the counts, compares
+// the target with the other versions, the baseline, over the same period (Judge) and decides on the
+// next step (Next).
 package rollout
 
 import (
@@ -12,43 +13,43 @@
 	"caperdrum.org/api/wire"
 )
 
-// mostCredit bounds the calls that a process may send to the target in a row after it could
-// send none there.
+// maxCredit bounds the calls that a process may send to the target in a row after a time in which no upstream
+// of the target was available.
 const maxCredit = 2
 
-// Split shares out the calls of one process. It is not safe for concurrent use.
+// Split divides the calls of one process between the versions. It is not safe for concurrent use.
 //
-// A call of the service earns Share of a call at the target. The first credit is drawn between
-// zero and one, so that the calls at the target add up to the share also over many processes of
-// which each has a few calls.
+// Each call of a service adds the roll-out's share to the service's credit; a call to the target
+// costs 1. The initial credit is random between 0 and 1, so that the share also holds over many
+// processes with a few calls each.
 type Split struct {
 	rand     *rand.Rand
 	rollouts wire.Rollouts
 	credits  map[string]*credit // by service
 }
 
-// credit is what the calls of a service have earned in a roll-out.
+// credit is the calls that a service may send to the target, in fractions of a call.
 type credit struct {
-	order uint64 // of the roll-out
+	order uint64 // of the roll-out, to reset the credit for a new one
 	calls float64
 }
 
-// NewSplit returns a Split that draws its first credits from r.
+// NewSplit returns a Split that draws initial credits from r.
 func NewSplit(r *rand.Rand) *Split {
 	return &Split{rand: r, credits: map[string]*credit{}}
 }
 
-// Follow takes over the roll-outs of a view.
+// Follow takes the roll-outs of a view.
 func (s *Split) Follow(r wire.Rollouts) { s.rollouts = r }
 
-// Track are the upstreams of a service among which a call may choose.
+// Track is the set of upstreams of a service to which a call may go.
 type Track struct {
 	rollout wire.Rollout
 	target  bool
 }
 
-// Next returns the track of the service's next call. hasTarget says whether an upstream of the
-// target version could take it.
+// Next returns the track of the service's next call. hasTarget says whether an upstream of the target version
+// is available.
 func (s *Split) Next(service string, hasTarget bool) Track {
 	r := s.rollouts.Of(service)
 	if !r.Running() {
@@ -57,7 +58,7 @@
 	return Track{rollout: r, target: hasTarget && s.creditOf(r).calls >= 1}
 }
 
-// Stable returns the track of the versions that serve already.
+// Stable returns the track of all versions except the target.
 func (s *Split) Stable(service string) Track {
 	if r := s.rollouts.Of(service); r.Running() {
 		return Track{rollout: r}
@@ -65,7 +66,7 @@
 	return Track{}
 }
 
-// Sent notes that a call of the service goes to an upstream of the version.
+// Sent updates the service's credit for a call that is sent to an upstream of the version.
 func (s *Split) Sent(service, version string) {
 	r := s.rollouts.Of(service)
 	if !r.Running() {
@@ -87,20 +88,20 @@
 	return c
 }
 
-// Whole reports whether the track admits all upstreams.
+// Whole reports whether the track allows all upstreams.
 func (t Track) Whole() bool { return !t.rollout.Running() || len(t.rollout.Replaced) == 0 }
 
-// Target reports whether the track is that of the target version.
+// Target reports whether this is the track of the target version.
 func (t Track) Target() bool { return t.target }
 
-// Admits reports whether a call on the track may go to an upstream of the version.
+// Admits reports whether the track allows upstreams of the version.
 func (t Track) Admits(version string) bool {
 	return t.Whole() || (version == t.rollout.Target) == t.target
 }
 
-// Choose returns the upstreams of the list, which is sorted by ID, that the track admits. Of those of
-// the target it returns as many as bear the load that the others bear: a version that fails under
-// load only must show it while few calls go there.
+// Choose returns the upstreams that the track allows. The list must be sorted by ID. On the track of the
+// target, it returns only as many upstreams as give each the same load as the others have: a version that
+// fails under load must do so while it gets few calls.
 func (t Track) Choose(list []wire.Member) []wire.Member {
 	if t.Whole() {
 		return list
@@ -120,7 +121,8 @@
 	return out
 }
 
-// loaded is how many upstreams bear share of all calls when others bear the rest.
+// targetUpstreams returns how many upstreams of the target carry the given share of all calls at the same
+// load as the others, which carry the rest.
 func targetUpstreams(share float64, others int) int {
 	if share >= 1 {
 		return math.MaxInt
@@ -128,8 +130,8 @@
 	return max(1, int(math.Round(share/(1-share)*float64(others))))
 }
 
-// HasTarget reports whether an upstream in the list is of the version to which the service is
-// being rolled out.
+// HasTarget reports whether the list contains an upstream of the version to which the service is being rolled
+// out.
 func (s *Split) HasTarget(service string, list []wire.Member) bool {
 	r := s.rollouts.Of(service)
 	if !r.Running() {
