--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -1,6 +1,5 @@
-// Package admission decides at once whether an entry takes a request: within
-// the customer's rate and share, the entry's own limits, and the operators'
-// order of what to shed first when there is too much work.
+// Package admission decides at once whether an entry accepts a request: within the customer's rate and share,
+// the entry's own limits, and, under overload, the operators' shed order.
 package admission
 
 import (
@@ -17,7 +16,7 @@
 	"caperdrum.org/node/settings"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the Service.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
@@ -26,17 +25,17 @@
 
 // Limits bound one entry.
 type Limits struct {
-	InFlight int   // requests at a time
-	Bytes    int64 // of their bodies, together
+	InFlight int   // concurrent requests
+	Bytes    int64 // total size of the bodies of all requests in flight; zero means no limit
 }
 
-// Service is the admission of one entry.
+// Service is the admission control of one entry. It is safe for concurrent use.
 type Service struct {
 	limits Limits
 	shed   *shedder
 
 	mu        sync.Mutex
-	entries   int // live entries, which share every customer's rate
+	entries   int // live entries, which divide each customer's rate equally
 	inFlight  int
 	bytes     int64
 	customers map[string]*customerState
@@ -44,29 +43,29 @@
 
 type customerState struct {
 	limiter     limiter
-	rate        float64 // of this entry
+	rate        float64 // of this entry, in requests per second; zero means no limit
 	inFlight    int
 	share       float64
 	lastRequest time.Time
 }
 
 const (
-	fairShareThreshold = 0.5             // of the entry's places: above, no customer may exceed its share of them
-	activeWindow       = 5 * time.Second // a customer counts for the shares this long after a request
+	fairShareThreshold = 0.5             // of Limits.InFlight in use, from which customers are held to their shares
+	activeWindow       = 5 * time.Second // how long after a request a customer counts in the division of shares
 	retryAfter         = time.Second
-	bodyBytesFactor    = 64 // default limit of all bodies, in bodies of the greatest size
+	bodyBytesFactor    = 64 // Limits.Bytes as a multiple of the maximum body size
 )
 
 var refusedVar = expvar.NewMap("admission_refused") // by cause
 
-// New returns the service, which follows the number of entries.
+// New returns the Service of this entry. It follows the number of live entries.
 func New(p Params) *Service {
 	s := NewWith(Limits{InFlight: p.Settings.Entry.MaxInFlight, Bytes: bodyBytesFactor * p.Settings.Entry.MaxBody})
 	p.Sync.OnChange(func(v *configsync.View) { s.SetEntries(countEntries(v)) })
 	return s
 }
 
-// NewWith returns a service with the given limits for a single entry.
+// NewWith returns a Service with the given limits that assumes a single entry.
 func NewWith(l Limits) *Service {
 	return &Service{limits: l, entries: 1, shed: newShedder(), customers: map[string]*customerState{}}
 }
@@ -81,26 +80,25 @@
 	return n
 }
 
-// SetEntries sets how many live entries share the customers' rates.
+// SetEntries sets how many live entries divide the customers' rates. Less than one counts as one.
 func (s *Service) SetEntries(n int) {
 	s.mu.Lock()
 	s.entries = max(n, 1)
 	s.mu.Unlock()
 }
 
-// Report tells that an attempt is sent to a service, or, with refused set, that
-// one was refused for lack of capacity.
+// Report records that an attempt was sent to a service or, if refused is set, that a gate refused one for
+// lack of capacity.
 func (s *Service) Report(service string, refused bool) {
 	s.shed.report(service, refused, time.Now())
 }
 
-// Admit takes a request of a customer with a body of the given size, or
-// refuses it as not run. Release must be called when an admitted request has
-// ended.
+// Admit admits a customer's request with a body of size bytes, or refuses it with the verdict not run. The
+// caller must call release when an admitted request has ended; further calls of it do nothing.
 func (s *Service) Admit(c *optext.Customer, w Work, size int) (release func(), refusal *verdict.Error) {
 	now := time.Now()
 	if overloaded := s.shed.admit(c, w, now); overloaded != "" {
-		return nil, refuse("brownout", verdict.CodeOverloaded, retryAfter, "service %s is overloaded and customer %s exceeds its part", overloaded, c.Name)
+		return nil, refuse("brownout", verdict.CodeOverloaded, retryAfter, "service %s is overloaded and customer %s exceeds its share", overloaded, c.Name)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +108,7 @@
 	}
 	if cu.rate > 0 {
 		if ok, wait := cu.limiter.take(now); !ok {
-			return nil, refuse("rate", verdict.CodeCustomerLimit, wait, "customer %s exceeds its %g requests a second", c.Name, c.Rate)
+			return nil, refuse("rate", verdict.CodeCustomerLimit, wait, "customer %s exceeds its rate of %g requests per second", c.Name, c.Rate)
 		}
 	}
 	s.inFlight++
@@ -133,8 +131,8 @@
 	cu.inFlight--
 }
 
-// customer returns the customer's state, with its rate for this entry: an
-// equal part for every live entry.
+// stateOf returns the customer's state with its rate for this entry, an equal part for each live entry. The
+// caller holds mu.
 func (s *Service) stateOf(c *optext.Customer, now time.Time) *customerState {
 	cu := s.customers[c.Name]
 	if cu == nil {
@@ -151,18 +149,18 @@
 	return cu
 }
 
-// full checks the entry's own limits. While many places are taken, a customer
-// may hold no more than its share among the active ones.
+// checkLimits checks the entry's own limits. Above fairShareThreshold, a customer may hold no more than its
+// share among the active customers. The caller holds mu.
 func (s *Service) checkLimits(c *optext.Customer, cu *customerState, size int, now time.Time) *verdict.Error {
 	switch {
 	case s.inFlight >= s.limits.InFlight:
-		return refuse("entry-full", verdict.CodeOverloaded, retryAfter, "this entry serves %d requests already", s.inFlight)
+		return refuse("entry-full", verdict.CodeOverloaded, retryAfter, "this entry already has %d requests in flight", s.inFlight)
 	case s.limits.Bytes > 0 && s.bytes+int64(size) > s.limits.Bytes:
-		return refuse("entry-bytes", verdict.CodeOverloaded, retryAfter, "this entry holds %d bytes of requests already", s.bytes)
+		return refuse("entry-bytes", verdict.CodeOverloaded, retryAfter, "this entry already holds %d bytes of requests", s.bytes)
 	case float64(s.inFlight) < fairShareThreshold*float64(s.limits.InFlight):
 		return nil
 	case float64(cu.inFlight) >= s.fairShare(cu, now)*float64(s.limits.InFlight):
-		return refuse("share", verdict.CodeCustomerLimit, retryAfter, "customer %s holds its share of this entry, which is busy", c.Name)
+		return refuse("share", verdict.CodeCustomerLimit, retryAfter, "this entry is busy and customer %s already holds its share of it", c.Name)
 	}
 	return nil
 }
--- a/node/admission/admission_test.go
+++ b/node/admission/admission_test.go
@@ -14,10 +14,9 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "seed=1") }
 
-// TestRateHoldsInAnyWindow: over all entries never more than rate*window and
-// the bursts are admitted, whatever the pattern, the number of entries and the
-// entry that each request reaches; and a request that waited as long as it was
-// told is admitted.
+// TestRateHoldsInAnyWindow checks that all entries together never admit more than rate*window plus the
+// bursts, for random patterns, numbers of entries and distributions of requests, and that a request is
+// admitted after the time that it was told to wait.
 func TestRateHoldsInAnyWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(rapidtest.Bubbled{TB: t}, func(t *rapid.T) {
@@ -52,7 +51,7 @@
 						}
 						time.Sleep(refusal.RetryAfter)
 						if _, refusal = e.Admit(c, Work{}, 0); refusal != nil {
-							t.Fatalf("refused after the time that it was told to wait: %v", refusal)
+							t.Fatalf("refused after the retry-after time: %v", refusal)
 						}
 					}
 					admitted = append(admitted, time.Now())
@@ -70,8 +69,8 @@
 	})
 }
 
-// TestShares: while the entry is half empty a customer may take what it wants;
-// then none exceeds its share of the places, and nothing is lost on release.
+// TestShares checks that a customer is not limited while the entry is less than half full, that none exceeds
+// its share of the places above that, and that released places can be used again.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const places = 40
@@ -99,10 +98,10 @@
 				case refusal.RetryAfter <= 0 || refusal.Verdict != verdict.NotRun:
 					t.Fatalf("refusal %+v", refusal)
 				case total < places/2 && bytes+size <= 1000:
-					t.Fatalf("refused with %d of %d places taken: %v", total, places, refusal)
+					t.Fatalf("refused with %d of %d places in use: %v", total, places, refusal)
 				}
 				if total > places || bytes > 1000 {
-					t.Fatalf("%d places and %d bytes are taken", total, bytes)
+					t.Fatalf("%d places and %d bytes are in use", total, bytes)
 				}
 				if refusal == nil && total > places/2 && float64(len(held[i])-1) >= places*shares[i]/sum {
 					t.Fatalf("%s holds %d places of a busy entry", names[i], len(held[i]))
@@ -120,8 +119,8 @@
 	})
 }
 
-// TestFlood: one large customer takes all it can get; a small one still gets
-// the places of its share.
+// TestFlood checks that a small customer still gets the places of its share when a large one takes all that
+// it can get.
 func TestFlood(t *testing.T) {
 	s := NewWith(Limits{InFlight: 100})
 	small := &optext.Customer{Name: "small", Share: 1}
--- a/node/admission/shed.go
+++ b/node/admission/shed.go
@@ -8,25 +8,23 @@
 	"caperdrum.org/api/optext"
 )
 
-// shedder decides how much work is shed at the entry, before any stage runs.
-// For every service it follows what the entry's callers demand and what the
-// gates take. While gates refuse for lack of capacity, the entry admits little
-// more than they took, so that earlier stages and claims are not spent on
-// requests that a later stage refuses. What is admitted is divided among the
-// customers by weighted max-min fairness, as by routers that keep no queue per
-// flow (Stoica, Shenker and Zhang, "Core-Stateless Fair Queueing", 1998);
-// within a customer's part the pipelines of a lower shed order go first.
+// shedder decides which requests are shed at the entry, before any stage runs. For each service it tracks the
+// demand of this entry's callers and the attempts that gates accept. While gates refuse attempts for lack of
+// capacity, the entry admits only slightly more than they accept, so that no work of earlier stages and no
+// idempotency claims are wasted on requests that a later stage refuses. Admissions are divided between
+// customers by weighted max-min fairness, as in core routers without per-flow queues (Stoica, Shenker and
+// Zhang, "Core-Stateless Fair Queueing", 1998). Within a customer's part, pipelines with a lower shed order
+// are shed first.
 type shedder struct {
 	mu       sync.Mutex
 	services map[string]*serviceLoad
 }
 
-// serviceLoad is one service's load as this entry sees it. Rates are in
-// requests per period.
+// serviceLoad is the load of one service as this entry sees it. Rates are in requests per period.
 type serviceLoad struct {
 	since         time.Time
-	sent, refused float64 // attempts of the current period
-	budget        float64 // requests to admit per period; zero admits all
+	sent, refused float64 // attempts in the current period
+	budget        float64 // requests to admit per period; zero means no limit
 	demand        map[demandKey]*demand
 }
 
@@ -35,29 +33,29 @@
 	order    int
 }
 
-// demand is what one customer asks of a service in one shed order.
+// demand is one customer's demand for a service in one shed order.
 type demand struct {
 	share      float64
-	requests   float64 // requests of the current period
-	rate       float64 // moving average over periods
-	admitRatio float64 // admitted part
-	credit     float64 // admits the part evenly: a request passes when it reaches one
-	grant      float64 // requests per period that the customer may have admitted
-	savedGrant float64 // what it left of earlier grants: lets a burst pass
+	requests   float64 // in the current period
+	rate       float64 // exponential moving average of requests per period
+	admitRatio float64 // part of the requests to admit, 0 to 1
+	credit     float64 // sum of admitRatio over requests: a request is admitted for each whole unit
+	grant      float64 // requests per period that may be admitted
+	savedGrant float64 // unused grant of earlier periods, admits bursts
 }
 
 const (
 	period        = 200 * time.Millisecond
-	idlePeriods   = 50   // after as many periods without a report nothing is known
-	overloadRatio = 0.03 // of attempts refused: above, the gates have too much work
+	idlePeriods   = 50   // periods without a report after which the load is unknown
+	overloadRatio = 0.03 // of attempts refused, above which a service is overloaded
 	minAttempts   = 4
-	headroom      = 1.05 // admitted over what was taken: gates must not run dry
-	budgetGrowth  = 1.05 // of the budget in a period without overload
-	minBudget     = 0.5  // requests a period, so that an end of the overload is seen
-	demandWeight  = 0.5  // of the last period in a demand's rate
-	budgetWeight  = 0.5  // of the last overloaded period in the budget
+	headroom      = 1.05 // admitted per accepted attempt under overload, so that gates never idle
+	budgetGrowth  = 1.05 // of the budget per period without overload
+	minBudget     = 0.5  // requests per period, so that the end of an overload is noticed
+	demandWeight  = 0.5  // of the last period in a demand's moving average
+	budgetWeight  = 0.5  // of the last overloaded period in the budget's moving average
 	maxSavedGrant = 4    // requests
-	minRate       = 0.01 // a demand below is forgotten
+	minRate       = 0.01 // requests per period, below which a demand is dropped
 )
 
 func newShedder() *shedder { return &shedder{services: map[string]*serviceLoad{}} }
@@ -72,8 +70,8 @@
 	return l
 }
 
-// report takes in that an attempt is sent, or that one was refused. What was
-// sent and not refused counts as taken at once: an answer may take long.
+// report records that an attempt was sent or, if overloaded is set, that one was refused. An attempt counts
+// as accepted unless it is refused, as its answer may take long.
 func (s *shedder) report(service string, overloaded bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +83,8 @@
 	l.sent++
 }
 
-// admit notes a request, and returns the name of a service for whose sake it is
-// shed, or nothing.
+// admit counts a request and admits it, or returns the name of the overloaded service because of which it is
+// shed.
 func (s *shedder) admit(c *optext.Customer, w Work, now time.Time) (overloaded string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +111,7 @@
 	return ""
 }
 
-// want counts one request. A demand not known yet is admitted whole until the
-// period ends.
+// addRequest counts one request. A new demand is fully admitted until the period ends.
 func (l *serviceLoad) addRequest(key demandKey, share float64) *demand {
 	d := l.demand[key]
 	if d == nil {
@@ -126,7 +123,7 @@
 	return d
 }
 
-// roll ends the period when it is over.
+// rollPeriod starts a new period if the current one is over.
 func (l *serviceLoad) rollPeriod(now time.Time) {
 	periods := float64(int(now.Sub(l.since) / period))
 	if periods < 1 {
@@ -160,8 +157,8 @@
 	}
 }
 
-// adjust sets the budget by what the gates took when they refused, and lets it
-// grow when they did not.
+// adjustBudget sets the budget from the attempts that gates accepted while they refused others, and lets it
+// grow when they did not refuse.
 func (l *serviceLoad) adjustBudget(periods float64) {
 	if l.sent >= minAttempts && l.refused > overloadRatio*l.sent {
 		took := max((l.sent-l.refused)/periods*headroom, minBudget)
@@ -174,8 +171,8 @@
 	l.budget *= budgetGrowth
 }
 
-// divide sets the admitted part of every demand. Without overload, or when the
-// budget exceeds the demand, all is admitted.
+// allocateBudget divides the budget between the demands. Everything is admitted without overload, or if the
+// budget covers the demand.
 func (l *serviceLoad) allocateBudget() {
 	sum, exempt := 0.0, 0.0
 	customers := map[string]*customerDemand{}
@@ -206,7 +203,7 @@
 	}
 }
 
-// customerDemand is what one customer asks of a service.
+// customerDemand is one customer's total demand for a service.
 type customerDemand struct {
 	share, rate float64
 	demands     []orderedDemand
@@ -217,7 +214,7 @@
 	*demand
 }
 
-// spend admits the customer's demands, those that are shed last first.
+// allocate divides the customer's budget between its demands, highest shed order first.
 func (c *customerDemand) allocate(budget float64) {
 	sort.Slice(c.demands, func(i, j int) bool { return c.demands[i].order > c.demands[j].order })
 	for _, d := range c.demands {
@@ -226,8 +223,8 @@
 	}
 }
 
-// fillLevel returns the rate per share at which the customers' rates, each cut
-// at the level times its share, make up the budget.
+// waterLevel returns the level at which the budget is used up if each customer gets its rate, but at most the
+// level times its share (max-min fairness by water-filling).
 func waterLevel(customers map[string]*customerDemand, budget float64) float64 {
 	list := make([]*customerDemand, 0, len(customers))
 	shares := 0.0
--- a/node/admission/shed_test.go
+++ b/node/admission/shed_test.go
@@ -7,14 +7,14 @@
 	"caperdrum.org/api/optext"
 )
 
-// overloadModel is a service behind gates that take so much a period and
-// refuse the rest at once, under a clock of its own.
+// overloadModel simulates a service whose gates accept a fixed number of attempts per period and refuse the
+// rest at once. It has a clock of its own.
 type overloadModel struct {
 	shed     *shedder
 	now      time.Time
 	capacity int
-	offered  map[string]int // per period
-	taken    map[string]int // of what counts
+	offered  map[string]int // requests by caller name, as are taken and sent
+	taken    map[string]int // accepted by the gates
 	sent     map[string]int
 	refused  int
 }
@@ -30,7 +30,7 @@
 	m.offered, m.taken, m.sent, m.refused = map[string]int{}, map[string]int{}, map[string]int{}, 0
 	for range periods {
 		left := m.capacity
-		for i := range 1000 { // callers interleave
+		for i := range 1000 { // interleave the callers
 			for _, c := range callers {
 				if i%max(1000/max(c.rate, 1), 1) != 0 || i >= c.rate*max(1000/max(c.rate, 1), 1) || c.rate == 0 {
 					continue
@@ -71,9 +71,9 @@
 	return OfPipeline(p, map[string]*optext.Service{"llm": {Name: "llm", Shed: true}})
 }
 
-// TestBrownoutOrder: under lasting overload drafts are shed before chat, a
-// pipeline's own order goes before its class, and confirmations are never shed;
-// when the overload is over everything is taken again.
+// TestBrownoutOrder checks under lasting overload that drafts are shed before chat, that a pipeline's own
+// shed order overrides that of its class, and that confirmations are never shed. After the overload
+// everything is admitted again.
 func TestBrownoutOrder(t *testing.T) {
 	callers := []caller{
 		{"c draft", 1, workOf(optext.Deferrable, 0), 100}, {"c chat", 1, workOf(optext.Interactive, 0), 100},
@@ -84,28 +84,27 @@
 		when     string
 		capacity int
 		settle   int
-		want     [4][2]float64 // least and most share shed
+		want     [4][2]float64 // minimum and maximum ratio of shed requests
 	}{
-		{"well", 400, 1, [4][2]float64{}},
-		{"little too much", 250, 20, [4][2]float64{{0.3, 0.6}}},
+		{"no overload", 400, 1, [4][2]float64{}},
+		{"slight overload", 250, 20, [4][2]float64{{0.3, 0.6}}},
 		{"half the demand", 150, 20, [4][2]float64{{0.97, 1}, {0.3, 0.6}}},
-		{"little is left", 100, 40, [4][2]float64{{1, 1}, {0.8, 1}}},
-		{"over", 400, 80, [4][2]float64{}},
+		{"severe overload", 100, 40, [4][2]float64{{1, 1}, {0.8, 1}}},
+		{"after the overload", 400, 80, [4][2]float64{}},
 	} {
 		m.capacity = step.capacity
 		m.run(step.settle, callers)
 		m.run(50, callers)
 		for i, c := range callers {
 			if got := m.shedRatio(c.name); got < step.want[i][0] || got > step.want[i][1] {
-				t.Errorf("%s: of %s %.3f is shed, want %v", step.when, c.name, got, step.want[i])
+				t.Errorf("%s: %s is shed at a ratio of %.3f, want %v", step.when, c.name, got, step.want[i])
 			}
 		}
 	}
 }
 
-// TestShedsWhatExceedsTheShares: at three times the capacity the gates are kept
-// full and refuse little, small customers lose nothing and large ones divide
-// the rest by their shares.
+// TestShedsWhatExceedsTheShares offers three times the capacity. The gates must stay busy and refuse little,
+// small customers must lose nothing, and large ones must divide the rest by their shares.
 func TestShedsWhatExceedsTheShares(t *testing.T) {
 	chat, draft := workOf(optext.Interactive, 0), workOf(optext.Deferrable, 0)
 	callers := []caller{
@@ -123,24 +122,24 @@
 		t.Errorf("goodput %.3f of capacity", goodput)
 	}
 	if share := float64(m.refused) / float64(taken); share > 0.1 {
-		t.Errorf("the gates refuse %.3f of what they take", share)
+		t.Errorf("the gates refuse %.3f attempts per accepted one", share)
 	}
 	for _, name := range []string{"s chat", "s draft", "t chat"} {
 		if m.shedRatio(name) > 0 {
-			t.Errorf("of %s %.3f is shed", name, m.shedRatio(name))
+			t.Errorf("%s is shed at a ratio of %.3f, want none", name, m.shedRatio(name))
 		}
 	}
 	large, small := m.sent["l chat"]+m.sent["l draft"], m.sent["L chat"]+m.sent["L draft"]
 	if ratio := float64(large) / float64(small); ratio < 1.8 || ratio > 2.2 {
-		t.Errorf("shares 4 and 2 get work at %.2f to 1", ratio)
+		t.Errorf("shares 4 and 2 are served at a ratio of %.2f to 1", ratio)
 	}
 	if m.sent["L draft"] > m.offered["L draft"]/50 {
-		t.Errorf("%d drafts pass while chat of the same customer is shed", m.sent["L draft"])
+		t.Errorf("%d drafts are admitted while chat of the same customer is shed", m.sent["L draft"])
 	}
 }
 
-// TestShedLetsASmallBurstPass: a customer that uses a part of its share, but in
-// bursts of a few requests, loses none of them to a flood.
+// TestShedLetsASmallBurstPass checks that a customer below its share loses none of its requests to a flood,
+// even if they come in bursts of a few.
 func TestShedLetsASmallBurstPass(t *testing.T) {
 	chat := workOf(optext.Interactive, 0)
 	flood, small := caller{"l chat", 39, chat, 300}, caller{"s chat", 1, chat, 1}
@@ -155,6 +154,6 @@
 		m.run(21, []caller{flood})
 	}
 	if offered != 60 || sent < offered {
-		t.Errorf("%d of %d requests passed, which are half of the customer's share", sent, offered)
+		t.Errorf("%d of %d requests were admitted, though they are half of the customer's share", sent, offered)
 	}
 }
--- a/node/admission/work.go
+++ b/node/admission/work.go
@@ -2,13 +2,13 @@
 
 import "caperdrum.org/api/optext"
 
-// Work is what a request needs.
+// Work describes a request for the decision whether to shed it.
 type Work struct {
-	Order    int      // of what is shed first under overload, lowest first; negative for never
-	Services []string // that take part in shedding, each once
+	Order    int      // shed order under overload: the lowest is shed first, a negative one never
+	Services []string // services with load shedding that the request uses, without duplicates
 }
 
-// Orders of work whose text names none.
+// Default shed orders.
 const (
 	neverShed             = -1
 	shedOrderDeferrable   = 1
@@ -16,7 +16,7 @@
 	shedOrderConfirmation = 3
 )
 
-// OfPipeline returns what a request to a pipeline needs.
+// OfPipeline returns the Work of a request to a pipeline.
 func OfPipeline(p *optext.Pipeline, services map[string]*optext.Service) Work {
 	w := Work{Order: shedOrder(p)}
 	for _, st := range p.Stages {
@@ -25,8 +25,8 @@
 	return w
 }
 
-// OfCall returns what a single call needs. A confirmation is refused here only
-// when its own service has too much work: its key is then not claimed in vain.
+// OfCall returns the Work of a direct call to a service. A confirmation is shed only for an overload of its
+// own service, before its idempotency key is claimed.
 func OfCall(sv *optext.Service) Work {
 	w := Work{Order: shedOrderInteractive}
 	if !sv.Repeatable {
