--- a/node/planner/day_test.go
+++ b/node/planner/day_test.go
@@ -13,15 +13,15 @@
 	"caperdrum.org/node/state"
 )
 
-// deployment is a day's demand on pools of engines. A request passes the
-// stages one after the other within its deadline.
+// deployment describes a day's demand on pools of engines. A request passes the stages one after the other
+// within its deadline.
 type deployment struct {
 	name      string
 	deadline  time.Duration
 	stages    []stage
-	perSecond func(hour float64) float64 // arrivals
+	perSecond func(hour float64) float64 // mean arrivals per second
 	quiet     func(hour float64) bool
-	surge     [2]int // seconds of the last day in which demand that nobody saw before comes in
+	surge     [2]int // start and end, in seconds of the measured day, of a demand that the forecast has not learned
 	surgeRate float64
 }
 
@@ -30,7 +30,7 @@
 	engines int
 	limit   int
 	service time.Duration
-	load    time.Duration // of a model
+	load    time.Duration // time to load the model
 	bytes   int64
 }
 
@@ -73,36 +73,36 @@
 	planEvery             = 2 // seconds
 	storeRate             = 2_000_000_000
 	storeBurst            = 28_000_000_000
-	thresholdInterval     = 15 // seconds between two looks of the threshold baseline
+	thresholdInterval     = 15 // seconds between two evaluations of the threshold baseline
 	thresholdHigh         = 0.8
 	thresholdLow          = 0.3
 	thresholdTarget       = 0.6
-	thresholdDownInterval = 60 // seconds between two steps down
+	thresholdDownInterval = 60 // seconds between two unloads
 )
 
-// pool is the engines of one stage. Attempts wait in one queue, as entries
-// that know every gate's load make it.
+// pool is the engines of one stage. Attempts wait in one queue, as they do in effect when entries know the
+// load of every gate.
 type pool struct {
 	stage
 	engines  []*dayEngine
-	free     []int64 // milliseconds at which the slots in use become free, a heap
-	peak     int     // attempts at hand since the last plan
+	free     []int64 // times in milliseconds at which the slots in use become free
+	peak     int     // maximum of attempts in flight or waiting since the last plan
 	arrived  int64
 	misses   int64
-	held     [2]float64 // engine-seconds in the day and in its quiet hours
+	held     [2]float64 // engine-seconds in the whole day and in its quiet hours
 	lastFall int
 }
 
 type dayEngine struct {
 	id      wire.MemberID
 	warm    bool
-	readyAt int // second at which a load ends; 0: none
+	readyAt int // second at which a load ends; zero means none
 	order   *wire.Order
 	seen    uint64
-	needed  bool // demand called for it since it was loaded
+	needed  bool // demand has required it since it was loaded
 }
 
-// run is one policy on one deployment.
+// run simulates one policy on one deployment.
 type run struct {
 	d                            deployment
 	policy                       string
@@ -113,7 +113,7 @@
 	sent, inTime                 int
 	orders, wasted               int
 	quietSent, quietMissed       int
-	firstDaySent, firstDayMissed int // on the first day, when nothing was learned yet
+	firstDaySent, firstDayMissed int // on the first day, before the forecast has learned anything
 }
 
 func newRun(d deployment, policy string) *run {
@@ -148,7 +148,7 @@
 	p.free = p.free[:k]
 }
 
-// serve returns when an attempt that comes at ms ends, or false when it is
+// serve returns the time in milliseconds at which an attempt that arrives at ms ends, or false if it is
 // refused because it cannot end before the deadline.
 func (p *pool) serve(ms, deadline int64) (int64, bool) {
 	p.arrived++
@@ -248,7 +248,7 @@
 	}
 }
 
-// settle ends loads that are due.
+// finishLoads completes the loads that are due.
 func (r *run) finishLoads(t *testing.T, second int) {
 	for _, p := range r.pools {
 		for _, e := range p.engines {
@@ -300,8 +300,8 @@
 	}
 }
 
-// report gives every engine an equal share of its pool's attempts, and marks
-// the engines that demand calls for.
+// report gives every warm engine an equal share of its pool's attempts, and marks the engines that the demand
+// requires.
 func (r *run) report(p *pool, v *state.View) []planner.Engine {
 	var out []planner.Engine
 	warm := max(p.warm(), 1)
@@ -349,8 +349,8 @@
 	}
 }
 
-// threshold is the plain baseline: it looks at the load of now, and its loads
-// ask no budget.
+// threshold is the baseline policy: it compares the current load with thresholds, and its loads need no
+// budget.
 func (r *run) threshold(second int) {
 	for _, p := range r.pools {
 		held := 0
@@ -391,8 +391,8 @@
 	return sum
 }
 
-// TestCompressedDay compares the planner with two baselines on the same
-// arrivals. Run it with -v for the table.
+// TestCompressedDay compares the planner with two baseline policies on the same arrivals. Run it with -v for
+// the table.
 func TestCompressedDay(t *testing.T) {
 	if testing.Short() {
 		t.Skip("simulates 12 days")
--- a/node/planner/forecast.go
+++ b/node/planner/forecast.go
@@ -7,13 +7,13 @@
 	"caperdrum.org/node/state"
 )
 
-// serviceMemory is what the planner remembers of a service.
+// serviceHistory holds the planner's state of one service.
 type serviceHistory struct {
 	recentNeed   slidingMax
-	slot         int // of the day; valid when started
+	slot         int // slot of the day to which peak belongs; valid if started
 	peak         float64
 	started      bool
-	smoothedLoad float64 // load, averaged over about smoothTime
+	smoothedLoad float64 // exponential moving average of the load with time constant smoothingTime
 	smoothedAt   time.Time
 }
 
@@ -21,14 +21,14 @@
 	day                     = 24 * time.Hour
 	slotLength              = day / state.ForecastSlots
 	smoothingTime           = 30 * time.Second
-	peakDecayWeight         = 0.3 // of a lower peak in the learned value; a higher one counts whole
+	peakDecayWeight         = 0.3 // of the new peak when it is below the learned one; a higher peak replaces it
 	forecastUnitsPerAttempt = 1000
 )
 
 func slotOf(t time.Time) int { return int(t.Sub(t.Truncate(day)) / slotLength) }
 
-// average smooths the load, so that a queue that builds up while engines load,
-// or a short peak, is not taken for demand.
+// smoothLoad updates the moving average of the load, so that neither a queue that builds up while engines
+// load nor a short peak counts as demand.
 func (m *serviceHistory) smoothLoad(now time.Time, load float64) {
 	if m.smoothedAt.IsZero() {
 		m.smoothedLoad = load
@@ -38,9 +38,9 @@
 	m.smoothedAt = now
 }
 
-// learn tracks the peak of the smoothed load in the current slot of the day and, when the slot
-// ends, returns its new value: a rise is taken over at once, a fall by an
-// exponentially weighted average.
+// updateForecast tracks the peak of the smoothed load in the current slot of the day. When the slot ends, it
+// returns the slot's new value: a higher peak is taken over at once, a lower one by an exponentially weighted
+// average.
 func (m *serviceHistory) updateForecast(now time.Time, service string, learned []uint32) []state.ForecastSlot {
 	load := m.smoothedLoad
 	slot := slotOf(now)
@@ -67,8 +67,7 @@
 	return []state.ForecastSlot{{Service: service, Slot: ended, Peak: value}}
 }
 
-// forecastPeak returns the largest learned load of the slots that touch the
-// time from now until lead has passed.
+// forecastPeak returns the largest learned load of the slots between now and now plus lead.
 func forecastPeak(learned []uint32, now time.Time, lead time.Duration) float64 {
 	if len(learned) < state.ForecastSlots {
 		return 0
@@ -80,9 +79,9 @@
 	return float64(max(peak, learned[slotOf(now.Add(lead))])) / forecastUnitsPerAttempt
 }
 
-// slidingMax holds the maximum of a series over a trailing time span.
+// slidingMax tracks the maximum of a series over a sliding time window.
 type slidingMax struct {
-	points []point // falling values
+	points []point // in order of time, with strictly decreasing values
 }
 
 type point struct {
@@ -90,7 +89,7 @@
 	value int
 }
 
-// push adds a value and returns the maximum over the span.
+// push adds a value and returns the maximum over the last span.
 func (s *slidingMax) push(now time.Time, value int, span time.Duration) int {
 	for len(s.points) > 0 && s.points[len(s.points)-1].value <= value {
 		s.points = s.points[:len(s.points)-1]
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -1,6 +1,5 @@
-// Package planner decides which engines hold which models. The Planner is
-// pure: time and everything seen come in, decisions go out. The Service of the
-// same package runs it at the control leader.
+// Package planner decides which engines hold which models. The Planner is deterministic: its input contains
+// the time and everything observed, its output the decisions. The Service runs it at the control leader.
 package planner
 
 import (
@@ -13,79 +12,79 @@
 	"caperdrum.org/node/state"
 )
 
-// Spec is what the operators' text asks of one service.
+// Spec is what the configuration requires of one service.
 type Spec struct {
 	Service     string
-	Artifacts   []wire.Artifact // that a warm engine holds, in loading order
-	Role        string          // empty: any
-	Scale       bool            // false: every engine stays warm
+	Artifacts   []wire.Artifact // artifacts that a warm engine holds, in loading order
+	Role        string          // required engine role; empty means any
+	Scale       bool            // false keeps every engine warm
 	Forecast    bool
 	MinWarm     int
 	IdleAfter   time.Duration
 	WakeLead    time.Duration
 	LoadTimeout time.Duration
 	WeightBytes int64
-	Deadline    time.Duration // smallest deadline of the pipelines that use the service
+	Deadline    time.Duration // shortest deadline of the pipelines that use the service
 }
 
-// Engine is one engine as its agent last reported it.
+// Engine is the state of one engine by its agent's last report.
 type Engine struct {
 	ID       wire.MemberID
 	Service  string
 	State    wire.EngineState
-	Running  uint64 // token of the order that its agent carries out
+	Running  uint64 // token of the order that its agent is executing; zero means none
 	Seen     uint64 // highest token that its agent has seen
-	Settled  bool   // the agent has read the fence since its start
+	Settled  bool   // the agent has read the fence since its start, and its order reports are replicated
 	Fence    uint64
 	Last     state.OrderRecord
 	InFlight int
 	Queued   int
 	Limit    int
-	Arrivals int64 // since the plan before
+	Arrivals int64 // since the previous plan
 }
 
-// Input is everything that one plan depends on.
+// Input holds everything on which a plan depends.
 type Input struct {
 	Now      time.Time
 	Specs    []Spec // sorted by service
 	Engines  []Engine
-	Misses   map[string]int64    // attempts since the plan before that found no engine
-	Forecast map[string][]uint32 // replicated, see state.ForecastSlot
+	Misses   map[string]int64    // by service: attempts since the previous plan that found no engine
+	Forecast map[string][]uint32 // by service: replicated values, see state.ForecastSlot
 }
 
-// Plan is what should happen now.
+// Plan holds the decisions to replicate.
 type Plan struct {
 	Issue    []state.OrderIssue // most urgent first
-	End      []wire.OrderReport // orders that will get no report
+	End      []wire.OrderReport // outcomes of orders that no agent will report
 	Forecast []state.ForecastSlot
-	Targets  map[string]int // engines to keep warm
+	Targets  map[string]int // by service: number of engines to keep warm
 	Rollback *Rollback
 }
 
-// Rollback says that a version cannot be brought into service.
+// Rollback proposes to restore an artifact because its new version cannot be loaded.
 type Rollback struct {
 	Service  string
 	From, To wire.Artifact
 }
 
 const (
-	targetUtilization     = 0.7  // share of an engine's limit that the working set plans with
-	overloadUtilization   = 1.0  // share of the warm engines' limits above which a peak counts whole
-	forecastUtilization   = 0.85 // the same for loading ahead of demand; what is seen then adds the rest
+	targetUtilization     = 0.7  // of the engines' limits at which the number of engines is planned
+	overloadUtilization   = 1.0  // of the warm engines' limits, above which a peak may add more than one engine
+	forecastUtilization   = 0.85 // of the limits of engines loaded ahead of demand; observed demand adds the rest
 	defaultLimit          = 8
-	failureBackoff        = time.Minute // after a failed load an engine is passed over this long, times the failures
+	failureBackoff        = time.Minute // time per failure for which an engine is skipped after failed loads
 	maxFailureBackoff     = 10 * time.Minute
-	reportGrace           = 10 * time.Second // beyond an order's timeout
-	rollbackAfterFailures = 2                // engines on which a new version failed before the old one is restored
+	reportGrace           = 10 * time.Second // time after an order's timeout until it counts as failed
+	rollbackAfterFailures = 2                // engines on which a new version must fail before the old one is restored
 )
 
-// Planner remembers what hysteresis and retries need. It may be lost: a new
-// one starts with the engines that are warm.
+// Planner keeps the state for hysteresis and retries. The state need not survive a change of leader: a new
+// Planner starts from the engines that are warm.
 type Planner struct {
 	services        map[string]*serviceHistory
 	failures        map[failureKey]*loadFailures
-	countedOutcomes map[wire.MemberID]uint64    // last token whose outcome was counted
-	openOrders      map[wire.MemberID]openOrder // open orders and since when they are known
+	countedOutcomes map[wire.MemberID]uint64    // token of the last order whose outcome was recorded
+	openOrders      map[wire.MemberID]openOrder // open orders, with the time when this planner first saw them
 }
 
 type failureKey struct {
@@ -103,13 +102,13 @@
 	since time.Time
 }
 
-// NewPlanner returns a Planner without memory.
+// NewPlanner returns a Planner without history.
 func NewPlanner() *Planner {
 	return &Planner{services: map[string]*serviceHistory{}, failures: map[failureKey]*loadFailures{},
 		countedOutcomes: map[wire.MemberID]uint64{}, openOrders: map[wire.MemberID]openOrder{}}
 }
 
-// Plan returns the decisions for the picture in.
+// Plan returns the decisions for one input. Times must not decrease between calls.
 func (p *Planner) Plan(in Input) Plan {
 	out := Plan{Targets: map[string]int{}}
 	p.recordOutcomes(in)
@@ -136,8 +135,8 @@
 	return out
 }
 
-// forgetFailures drops what failed of artifacts that are not wanted any more,
-// so that a version which is wanted again later starts afresh.
+// dropObsoleteFailures drops the failures of artifacts that are no longer wanted, so that a version which is
+// wanted again later is retried without backoff.
 func (p *Planner) dropObsoleteFailures(specs []Spec) {
 	for key := range p.failures {
 		wanted := slices.ContainsFunc(specs, func(s Spec) bool { return slices.Contains(s.Artifacts, key.artifact) })
@@ -158,15 +157,15 @@
 	return out
 }
 
-// want is an order with its urgency.
+// prioritizedOrder is an order with the data that decides its urgency.
 type prioritizedOrder struct {
 	issue    state.OrderIssue
-	waiting  bool // attempts wait for it
+	waiting  bool // attempts are waiting for it
 	deadline time.Duration
 }
 
-// compareWants puts orders that need no bytes first, since they cost the
-// budget nothing, then loads that attempts wait for, then by deadline.
+// compareUrgency sorts orders that transfer no bytes first, as they need no budget, then loads for which
+// attempts are waiting, then by deadline.
 func compareUrgency(a, b prioritizedOrder) int {
 	if free := cmp.Compare(min(a.issue.Order.Bytes, 1), min(b.issue.Order.Bytes, 1)); free != 0 {
 		return free
@@ -180,8 +179,8 @@
 	return cmp.Compare(a.deadline, b.deadline)
 }
 
-// target returns how many engines should be warm, and what was learned for
-// the forecast. It rises at once and falls only after IdleAfter.
+// targetEngines returns how many engines should be warm, and the changes to the forecast. The number rises at
+// once and falls only after IdleAfter.
 func (p *Planner) targetEngines(in Input, spec Spec, engines []Engine) (int, []state.ForecastSlot) {
 	if !spec.Scale {
 		return len(engines), nil
@@ -196,7 +195,7 @@
 	m.smoothLoad(in.Now, load)
 	need := enginesNeeded(load, limit, targetUtilization)
 	if warm := countWarm(engines); load <= overloadUtilization*float64(limit*warm) {
-		need = min(need, warm+1) // a short peak within what is warm calls for one more at most
+		need = min(need, warm+1) // a short peak within the warm engines' limits adds at most one engine
 	}
 	var slots []state.ForecastSlot
 	if spec.Forecast {
@@ -208,7 +207,7 @@
 	return min(m.recentNeed.push(in.Now, need, spec.IdleAfter), len(engines)), slots
 }
 
-// demand returns the attempts in flight or waiting, and an engine's limit.
+// currentLoad returns the attempts in flight or waiting, and the limit of one engine.
 func currentLoad(engines []Engine, misses int64) (float64, int) {
 	load, limit := float64(misses), 0
 	arrivals := misses
--- a/node/planner/planner_test.go
+++ b/node/planner/planner_test.go
@@ -24,8 +24,8 @@
 		LoadTimeout: time.Minute, WeightBytes: 100, Deadline: time.Second}
 }
 
-// fleet is a control leader over replicated state with engines that carry out
-// orders when told to go on. Agents report without delay.
+// fleet simulates a control leader with replicated state, and engines that carry out their orders when finish
+// is called. Agents report without delay.
 type fleet struct {
 	machine *state.Machine
 	planner *planner.Planner
@@ -48,9 +48,9 @@
 	seen          uint64
 	load          int
 	stuck         bool
-	forgot        bool              // lost its models since it last reported
+	forgot        bool              // lost its models since its last report
 	outcome       *wire.OrderReport // not reported yet
-	reported      planner.Engine    // what the leader last heard
+	reported      planner.Engine    // the last report to the leader
 }
 
 func newFleet(n int, sp planner.Spec) *fleet {
@@ -88,12 +88,12 @@
 	return in
 }
 
-// plan makes one plan on what the leader has heard, and replicates it.
+// plan makes one plan from the reported states, and replicates it.
 func (f *fleet) plan(t fataler, misses int64) planner.Plan {
 	p := f.planner.Plan(f.input(misses))
 	for _, i := range p.Issue {
 		if e := f.engines[i.Order.Upstream]; i.Order.Kind == wire.OrderLoad && !e.forgot && slices.Contains(e.holds, i.Order.Artifact) {
-			t.Fatalf("%s is told to load what it holds", i.Order.Upstream)
+			t.Fatalf("%s is ordered to load an artifact that it holds", i.Order.Upstream)
 		}
 	}
 	res := f.apply(t, &state.OrderCommand{Epoch: 1, Issue: p.Issue, End: p.End, Forecast: p.Forecast})
@@ -106,7 +106,7 @@
 	return p
 }
 
-// poll is one whole exchange between an agent and the leader.
+// poll is one complete exchange between an agent and the leader.
 func (f *fleet) poll(t fataler, id wire.MemberID) {
 	e := f.engines[id]
 	if e.outcome != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// finish lets the engines carry out what they were told.
+// finish lets the engines complete their orders.
 func (f *fleet) finish() {
 	for _, id := range f.ids {
 		e := f.engines[id]
@@ -178,7 +178,7 @@
 	return n
 }
 
-// settle runs rounds without faults until the planner wants nothing more.
+// settle runs rounds without faults until the planner issues no more orders.
 func (f *fleet) settle(t fataler) {
 	quiet := 0
 	for range 2000 {
@@ -187,15 +187,15 @@
 		if quiet++; f.issued != before {
 			quiet = 0
 		}
-		if quiet > 700 { // longer than IdleAfter and the pauses after failures
+		if quiet > 700 { // longer than IdleAfter and the backoff after failures
 			return
 		}
 	}
-	t.Fatalf("the planner never comes to rest")
+	t.Fatalf("the planner keeps issuing orders")
 }
 
-// needFor says how many engines of limit 10 a load calls for: one for every 7
-// attempts, but only one more than are warm while those are not full.
+// needFor returns how many engines with a limit of 10 a load requires: one per 7 attempts, but at most one
+// more than are warm while those are not full.
 func needFor(f *fleet, load int) int {
 	need, warm := (load+6)/7, f.warm(model1)
 	if load <= 10*warm {
@@ -204,8 +204,8 @@
 	return max(need, 1)
 }
 
-// TestHysteresis compares the target with the maximum over the trailing window
-// and checks that no level is crossed upwards twice within IdleAfter.
+// TestHysteresis compares the target with the maximum over the trailing window, and checks that the target
+// does not rise to the same level twice within IdleAfter.
 func TestHysteresis(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(8, spec())
@@ -244,9 +244,9 @@
 	})
 }
 
-// TestReconcile mixes leader changes, engines that forget, loads that fail and
-// agents that lose an order, then checks that the fleet comes to what is
-// wanted and that a new leader changes nothing there.
+// TestReconcile mixes changes of leader, engines that lose their models, failed loads and agents that lose an
+// order. Afterwards the fleet must converge to the wanted state, and a new leader must not issue orders
+// there.
 func TestReconcile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 6).Draw(t, "engines"), spec())
@@ -282,12 +282,12 @@
 		f.planner = planner.NewPlanner()
 		f.settle(t)
 		if f.issued != before {
-			t.Fatalf("a new leader issued %d orders to a fleet at rest", f.issued-before)
+			t.Fatalf("a new leader issued %d orders to a converged fleet", f.issued-before)
 		}
 	})
 }
 
-// restart loses what the agent knows; it reads the fence before it goes on.
+// restart loses the agent's state; it reads the fence before it continues.
 func (f *fleet) restart(e *fakeEngine) {
 	e.open, e.outcome = nil, nil
 	for _, id := range f.ids {
@@ -297,8 +297,8 @@
 	}
 }
 
-// TestLostOrderIsRepeatedSoon: an order that a restarted agent does not know
-// ends at the next plan, not at its timeout.
+// TestLostOrderIsRepeatedSoon checks that an order which a restarted agent does not know ends at the next
+// plan, not at its timeout.
 func TestLostOrderIsRepeatedSoon(t *testing.T) {
 	f := newFleet(1, spec())
 	f.pollAll(t)
@@ -313,8 +313,8 @@
 	}
 }
 
-// TestStuckLoadIsRetriedElsewhere: the order ends after its timeout, and
-// another engine gets the load while the stuck one is told nothing.
+// TestStuckLoadIsRetriedElsewhere checks that an order ends after its timeout, and that another engine gets
+// the load while the stuck one gets no new orders.
 func TestStuckLoadIsRetriedElsewhere(t *testing.T) {
 	f := newFleet(2, spec())
 	f.engines["e00"].stuck = true
@@ -325,12 +325,12 @@
 		t.Fatal("the load was not retried at the other engine")
 	}
 	if tokens := f.machine.View().Fences["e00"]; tokens != 1 {
-		t.Fatalf("the stuck engine was told something else, token %d", tokens)
+		t.Fatalf("the stuck engine got another order, token %d", tokens)
 	}
 }
 
-// TestRollout: every engine comes to the new version, and at all times the
-// engines that serve without interruption are at least half.
+// TestRollout checks that every engine changes to the new version, and that no more than one engine of four
+// is interrupted at a time.
 func TestRollout(t *testing.T) {
 	sp := spec()
 	sp.Scale = false
@@ -358,8 +358,8 @@
 	}
 }
 
-// TestRollback: a version that cannot be loaded is given up after two engines
-// failed, while the old one keeps serving everywhere.
+// TestRollback checks that a version which cannot be loaded is given up after two engines failed, while the
+// old one keeps serving on all engines.
 func TestRollback(t *testing.T) {
 	sp := spec()
 	sp.Scale = false
@@ -378,11 +378,11 @@
 			return
 		}
 	}
-	t.Fatal("no way back was proposed")
+	t.Fatal("no rollback was proposed")
 }
 
-// retryRollout: after the way back and a repair of the version, it is rolled
-// out as if it had never failed.
+// retryRollout checks that, after a rollback and a repair of the version, it is rolled out without regard to
+// the old failures.
 func retryRollout(t *testing.T, f *fleet) {
 	f.spec.Artifacts = []wire.Artifact{model1}
 	f.round(t, 0)
@@ -398,8 +398,7 @@
 	}
 }
 
-// TestForecastWakesAhead: a burst seen on one day is met warm on the next, and
-// urgent loads come first.
+// TestForecastWakesAhead checks that engines are warm before a burst that was seen on the day before.
 func TestForecastWakesAhead(t *testing.T) {
 	sp := spec()
 	sp.Forecast, sp.WakeLead = true, 5*time.Minute
@@ -413,13 +412,13 @@
 			f.engines["e00"].load = 40
 		}
 		f.round(t, 0)
-		// 40 attempts at a limit of 10: 5 engines are loaded ahead, at 85 % of
-		// their limit, and a 6th once the burst is seen, at 70 %.
+		// 40 attempts at a limit of 10: 5 engines are loaded ahead, at 85 % of their limit, and a 6th once
+		// the burst is seen, at 70 %.
 		if got := f.warm(model1); minute == 24*60+burst-1 && got != 5 || minute == 24*60+burst+1 && got != 6 {
 			t.Fatalf("%d engines are warm at minute %d", got, minute)
 		}
 		if ofDay == burst-10 && f.warm(model1) != 1 {
-			t.Fatalf("%d engines are warm in the quiet", f.warm(model1))
+			t.Fatalf("%d engines are warm outside the burst", f.warm(model1))
 		}
 	}
 }
--- a/node/planner/reconcile.go
+++ b/node/planner/reconcile.go
@@ -9,12 +9,12 @@
 	"caperdrum.org/node/state"
 )
 
-// changeShare is the part of a service's serving engines, one in so many, that
-// a roll-out changes at a time.
+// rolloutFraction bounds how many of a service's wanted engines change their artifacts at the same time: one
+// in so many, but at least one.
 const rolloutFraction = 4
 
-// reconcile compares what the engines report with what they should hold and
-// returns at most one order per engine.
+// reconcile compares the reported state of the engines with the wanted one and returns at most one order per
+// engine.
 func (p *Planner) reconcile(in Input, spec Spec, engines []Engine, target int) []prioritizedOrder {
 	ranked := p.rank(in.Now, spec, engines)
 	warm := 0
@@ -27,7 +27,7 @@
 	for _, e := range engines {
 		waiting = waiting || e.Queued > 0
 	}
-	changing := 0 // wanted engines that serve and are told to change
+	changing := 0 // wanted engines that hold artifacts and have an order, open or new
 	for _, e := range ranked[:target] {
 		if e.Last.State == wire.OrderOpen && len(e.State.Holds) > 0 {
 			changing++
@@ -54,18 +54,17 @@
 	return out
 }
 
-// ready reports whether the engine can be told something: its report is newer
-// than the last order, and nothing is open in the state, at its agent or at
-// the engine itself.
+// acceptsOrder reports whether the engine can get a new order: its report is newer than the last order, and
+// no order is open in the replicated state, at its agent or at the engine itself.
 func acceptsOrder(e Engine) bool {
 	return e.Settled && e.Seen >= e.Fence && e.Last.State != wire.OrderOpen && e.Running == 0 && !e.State.Busy
 }
 
-// orderFor returns what the engine should do next, or nil.
+// orderFor returns the engine's next order, or nil.
 func (p *Planner) orderFor(now time.Time, spec Spec, e Engine, wanted, othersWarm bool) *wire.Order {
 	if !wanted {
 		if len(e.State.Holds) == 0 || !othersWarm {
-			return nil // it may be all that serves until the wanted ones are warm
+			return nil // until the wanted engines are warm, this may be the only one that serves
 		}
 		return &wire.Order{Kind: wire.OrderUnload, Artifact: nextToUnload(e.State.Holds)}
 	}
@@ -88,7 +87,7 @@
 	return nil
 }
 
-// missing returns the first artifact that a warm engine lacks.
+// firstMissing returns the first wanted artifact that the engine does not hold, or nil.
 func firstMissing(spec Spec, e Engine) *wire.Artifact {
 	for _, a := range spec.Artifacts {
 		if !slices.Contains(e.State.Holds, a) {
@@ -108,7 +107,7 @@
 	return out
 }
 
-// lastHeld returns an adapter before a model, since the model carries it.
+// nextToUnload returns an adapter before a model, as adapters depend on their model.
 func nextToUnload(held []wire.Artifact) wire.Artifact {
 	for _, a := range held {
 		if a.Adapter != "" {
@@ -118,10 +117,9 @@
 	return held[0]
 }
 
-// rank sorts engines by how soon and how cheaply they serve: warm ones, those
-// that are loading or hold a part, those with the weights at hand, the rest.
-// Engines that failed lately come last. Busy ones go before idle ones, so
-// that an unload cuts off the fewest attempts.
+// rankEngines sorts engines by how soon and how cheaply they can serve: warm ones, loading ones, those that
+// hold other artifacts, those with cached weights, the rest. Engines whose last load failed come last. At
+// equal cost busy engines come first, so that an unload interrupts as few attempts as possible.
 func (p *Planner) rank(now time.Time, spec Spec, engines []Engine) []Engine {
 	out := slices.Clone(engines)
 	slices.SortStableFunc(out, func(a, b Engine) int {
@@ -162,7 +160,7 @@
 	}
 }
 
-// learnOutcomes counts failed loads, once per order.
+// recordOutcomes counts failed loads, each order once.
 func (p *Planner) recordOutcomes(in Input) {
 	for _, e := range in.Engines {
 		last := e.Last
@@ -188,8 +186,8 @@
 	}
 }
 
-// overdue ends the orders that will get no report: the agent saw the token and
-// does not run it, or the timeout has passed.
+// endUnreported returns outcomes for the open orders that will get no report: the agent has seen the token
+// but is not executing the order, or the timeout has passed.
 func (p *Planner) endUnreported(in Input) []wire.OrderReport {
 	var out []wire.OrderReport
 	open := map[wire.MemberID]openOrder{}
@@ -206,9 +204,9 @@
 		report := wire.OrderReport{Upstream: e.ID, Token: token}
 		switch {
 		case e.Settled && e.Seen >= token && e.Running != token:
-			report.State, report.Detail = wire.OrderInterrupted, "the agent does not run it"
+			report.State, report.Detail = wire.OrderInterrupted, "the agent is not executing it"
 		case in.Now.Sub(first.since) > e.Last.Order.Timeout+reportGrace:
-			report.State, report.Detail = wire.OrderFailed, "no report in time"
+			report.State, report.Detail = wire.OrderFailed, "no report within the timeout"
 		default:
 			continue
 		}
@@ -218,8 +216,8 @@
 	return out
 }
 
-// rollback proposes the version that engines still hold when the wanted one
-// failed on several engines and runs on none.
+// rollback proposes to restore the version that engines still hold if the wanted one failed on several
+// engines and runs on none.
 func (p *Planner) rollback(spec Spec, engines []Engine) *Rollback {
 	for _, a := range spec.Artifacts {
 		failed := 0
--- a/node/planner/service.go
+++ b/node/planner/service.go
@@ -18,7 +18,7 @@
 	"caperdrum.org/node/state"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the Service.
 type Params struct {
 	dig.In
 	Log     logr.Logger
@@ -26,7 +26,7 @@
 	Control *control.Service `name:"control"`
 }
 
-// Service runs a Planner while this process leads.
+// Service runs a Planner while this process is the control leader.
 type Service struct {
 	log     logr.Logger
 	ring    *timeline.Ring
@@ -37,31 +37,31 @@
 	wakeup  chan struct{}
 
 	mu     sync.Mutex
-	term   uint64 // of the leadership that the fields below belong to
+	term   uint64 // leadership term to which the fields below belong
 	polls  map[wire.MemberID]*agentPoll
 	misses map[string]int64
 
 	// Owned by run.
 	planner    *Planner
-	storeRetry time.Time // no load is proposed before, since the budget lacked bytes
+	storeRetry time.Time // loads wait until then, as the weight store's budget was used up
 	lastStep   time.Time
-	cfg        *optext.Config // of cfgVersion
+	cfg        *optext.Config // version of cfg
 	cfgVersion uint64
 }
 
-// poll is the last report of one agent.
+// agentPoll is the last report of one agent.
 type agentPoll struct {
 	wire.OrderPoll
 	at              time.Time
-	countedArrivals int64 // of Arrived
-	reportsPending  bool  // reports of this poll are being replicated
+	countedArrivals int64 // part of Arrived that a plan has counted
+	reportsPending  bool  // its order reports are being replicated
 }
 
 const (
 	stepInterval = time.Second
-	minStepPause = 100 * time.Millisecond // at least this long between two plans
-	// pollExpiry is the age from which a report counts for nothing. An idle
-	// agent reports every 10 s; one that died loses its lease much sooner.
+	minStepPause = 100 * time.Millisecond // minimum time between two plans
+	// pollExpiry is the age from which a report is ignored. An idle agent reports every 10 s; one that has
+	// died loses its lease much sooner.
 	pollExpiry     = 25 * time.Second
 	proposeTimeout = 2 * time.Second
 )
@@ -69,12 +69,12 @@
 var (
 	issuedVar  = expvar.NewInt("orders_issued")
 	endedVar   = expvar.NewMap("orders_ended")        // by state
-	heldVar    = expvar.NewMap("engine_seconds_held") // by service: engines that hold a model, times seconds
+	heldVar    = expvar.NewMap("engine_seconds_held") // by service: engine-seconds in which an engine held a model
 	targetVar  = expvar.NewMap("engines_wanted")      // by service
 	refusedVar = expvar.NewMap("orders_refused")      // by reason
 )
 
-// New returns the service and adds its methods to the control role.
+// New returns the Service and registers its methods with the control role's server.
 func New(p Params) *Service {
 	s := &Service{log: p.Log, ring: p.Ring, control: p.Control, replica: p.Control.Replica(), start: time.Now(), wakeup: make(chan struct{}, 1)}
 	s.reset(0)
@@ -133,9 +133,8 @@
 	}
 }
 
-// poll takes in an agent's report and answers with its order, if there is
-// one. The answer is read after a barrier, so a leader that was cut off from
-// its quorum never gives one.
+// poll records an agent's report and returns its open order, if any. The reply is built after a read barrier,
+// so a leader that is cut off from its quorum never returns an order.
 func (s *Service) poll(ctx context.Context, req *wire.OrderPoll) (*wire.OrderPollReply, error) {
 	if !s.replica.IsLeader() {
 		return nil, s.control.NotLeader()
@@ -150,8 +149,8 @@
 	return buildReply(s.replica.View(), req, time.Now()), nil
 }
 
-// takeReports replicates the outcomes of orders. They are final before the
-// poll that brought them counts as a report of the engine.
+// replicateReports replicates the outcomes of orders. They must be committed before the poll that carried
+// them counts as a report of the engine.
 func (s *Service) replicateReports(ctx context.Context, req *wire.OrderPoll) error {
 	if len(req.Reports) == 0 {
 		return nil
@@ -176,7 +175,7 @@
 	next := &agentPoll{OrderPoll: *req, at: time.Now(), countedArrivals: req.Arrived}
 	if old != nil {
 		if old.Incarnation > req.Incarnation {
-			return // a late message of an earlier start
+			return // a delayed message of an earlier incarnation
 		}
 		if old.Incarnation == req.Incarnation {
 			next.countedArrivals = min(old.countedArrivals, req.Arrived)
--- a/node/planner/step.go
+++ b/node/planner/step.go
@@ -39,22 +39,22 @@
 	}
 }
 
-// config returns the parsed text. It is kept, since a plan is made every
-// second.
+// config returns the parsed configuration. It is cached, as a plan is made every second.
 func (s *Service) config(view *state.View) *optext.Config {
 	if s.cfg != nil && s.cfgVersion == view.Config.Version {
 		return s.cfg
 	}
 	cfg, err := s.cfg.Next("configuration", view.Config.Text)
 	if err != nil {
-		s.log.Error(err, "no plan is made", "version", view.Config.Version)
+		s.log.Error(err, "cannot parse the configuration, no plan made", "version", view.Config.Version)
 		return nil
 	}
 	s.cfg, s.cfgVersion = cfg, view.Config.Version
 	return cfg
 }
 
-// picture joins the members' reports with the replicated orders.
+// engineSnapshot joins the agents' reports with the replicated orders, and returns the misses since the last
+// snapshot by service.
 func (s *Service) engineSnapshot(view *state.View, now time.Time) ([]Engine, map[string]int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	res, err := s.replica.Propose(ctx, state.Command{Orders: cmd})
 	if err != nil {
 		s.log.V(logging.Detail).Info("orders not replicated", "error", err.Error())
-		return // the next plan starts from what was committed
+		return // the next plan starts from the committed state
 	}
 	for i, r := range res.Orders {
 		s.recordIssue(cmd, cmd.Issue[i].Order, r, now)
@@ -126,13 +126,12 @@
 	}
 }
 
-// rollBack puts the old version back into the text by an ordinary numbered
-// change. Its change id follows from the version it corrects, so a leader
-// that repeats it has no second effect.
+// proposeRollback restores the old version in the configuration by an ordinary numbered change. Its change ID
+// is derived from the configuration that it corrects, so that a repetition by another leader has no effect.
 func (s *Service) proposeRollback(ctx context.Context, view *state.View, r *Rollback) {
 	text, err := replaceArtifact(view.Config.Text, r)
 	if err != nil {
-		s.log.Error(err, "no way back", "service", r.Service)
+		s.log.Error(err, "cannot roll back the model", "service", r.Service)
 		return
 	}
 	change := &wire.ChangeRequest{Number: view.Config.Version + 1, Text: text, Author: "planner",
@@ -147,8 +146,8 @@
 	s.ring.Record(timeline.Event{Kind: "model-rolled-back", Detail: r.Service + " " + r.From.String() + " to " + r.To.String()})
 }
 
-// replaceArtifact changes one artifact in the key models of one service and
-// leaves every other byte of the text alone.
+// replaceArtifact replaces one artifact in the models key of one service and leaves every other byte of the
+// text unchanged.
 func replaceArtifact(text string, r *Rollback) (string, error) {
 	lines := strings.Split(text, "\n")
 	inside := false
@@ -181,7 +180,7 @@
 	return key + "=" + strings.Join(items, ",")
 }
 
-// Specs returns what the text asks of the services that have models.
+// Specs returns the specs of the services that have models, sorted by name.
 func Specs(cfg *optext.Config) []Spec {
 	var out []Spec
 	for _, sv := range cfg.Services {
@@ -200,7 +199,7 @@
 	return out
 }
 
-const noDeadline = time.Hour // a service that no pipeline uses
+const noDeadline = time.Hour // for a service that no pipeline uses
 
 func deadlineOf(cfg *optext.Config, service string) time.Duration {
 	least := noDeadline
