--- a/node/order/demand_reporter.go
+++ b/node/order/demand_reporter.go
@@ -14,7 +14,7 @@
 	"caperdrum.org/node/settings"
 )
 
-// DemandParams are what the Demand needs.
+// DemandParams are the dependencies of Demand.
 type DemandParams struct {
 	dig.In
 	Settings *settings.Settings
@@ -23,8 +23,8 @@
 	Routing  *routing.Service    `name:"routing"`
 }
 
-// Demand tells the control leader of requests that found no upstream, so that
-// parked ones are woken. While there are none it does nothing.
+// Demand reports requests that found no upstream to the control leader, so that it wakes parked upstreams. It
+// sends nothing while there are none.
 type Demand struct {
 	self    wire.MemberID
 	sync    *configsync.Service
@@ -37,11 +37,11 @@
 }
 
 const (
-	demandBatchDelay = 100 * time.Millisecond // gathers the misses of a burst
+	demandBatchDelay = 100 * time.Millisecond // collects the misses of a burst in one report
 	demandTimeout    = 3 * time.Second
 )
 
-// NewDemand returns the service.
+// NewDemand returns the service, which counts the misses of the routing service.
 func NewDemand(p DemandParams) *Demand {
 	d := &Demand{self: wire.MemberID(p.Settings.Node.Name), sync: p.Sync, wakeup: make(chan struct{}, 1),
 		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), misses: map[string]int64{}}
@@ -49,7 +49,7 @@
 	return d
 }
 
-// miss counts one request. Only services with models can be woken.
+// recordMiss counts one request. Only services with models can be woken.
 func (d *Demand) recordMiss(service string) {
 	v := d.sync.View()
 	if v == nil || v.Config.Services[service] == nil || len(v.Config.Services[service].Models) == 0 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// send reports once. A lost report is not repeated: callers come back, and a
-// count sent twice would wake too much.
+// send sends the pending counts once. A lost report is not repeated: callers retry, and counting a miss twice
+// would wake too many upstreams.
 func (d *Demand) send(ctx context.Context) {
 	d.mu.Lock()
 	report := wire.DemandReport{Entry: d.self, Misses: d.misses}
--- a/node/order/dispatcher.go
+++ b/node/order/dispatcher.go
@@ -1,6 +1,6 @@
-// Package order is the agent's part of the orders: it asks the control leader
-// for orders to the upstream beside it and passes them on, each at most once,
-// one at a time and never an older one after a newer one.
+// Package order is the agent's side of the orders that the control leader issues to engines: it polls the
+// leader for orders to the agent's upstream and executes them, each at most once, one at a time, and never
+// one with an older token after one with a newer token.
 package order
 
 import (
@@ -9,38 +9,37 @@
 	"caperdrum.org/api/wire"
 )
 
-// startWithin is how long after its issue an order may be passed on. It bounds
-// by how much loads that were permitted apart can bunch up at the store.
+// maxOrderAge is how long after its issue an order may be started. It bounds how many loads, permitted at
+// different times by the budget, can hit the weight store at the same time.
 const maxOrderAge = 5 * time.Second
 
-// Carrier decides which orders an agent passes on. It does no I/O.
+// Carrier decides which orders an agent executes. It does no I/O and is not safe for concurrent use.
 type Carrier struct {
 	upstream    wire.MemberID
 	established bool
 	seen        uint64 // highest token known for the upstream
 	running     uint64
-	reports     []wire.OrderReport // that no leader has confirmed yet
+	reports     []wire.OrderReport // not yet acknowledged by a leader
 }
 
-// NewCarrier returns the Carrier of an agent that has just started. It passes
-// nothing on until it has learned the fence.
+// NewCarrier returns the Carrier of an agent that has just started. It accepts no order until it has learned
+// the fence.
 func NewCarrier(upstream wire.MemberID) *Carrier { return &Carrier{upstream: upstream} }
 
-// Fill sets the Carrier's part of a poll.
+// Fill sets the poll's fields that the Carrier knows.
 func (d *Carrier) Fill(p *wire.OrderPoll) {
 	p.Upstream, p.Established, p.Seen, p.Running = d.upstream, d.established, d.seen, d.running
 	p.Reports = append([]wire.OrderReport(nil), d.reports...)
 }
 
-// Take reads the answer to poll p and returns the order to pass on now, or
-// nil. Waited is the time since the poll was sent; engineBusy says that the
-// engine still works on an order, which may be one of an earlier start of this
-// agent.
+// Take processes the reply to poll p and returns the order to execute now, or nil. waited is the time since
+// the poll was sent. engineBusy says that the engine is still executing an order, possibly one that it got
+// before this agent restarted.
 func (d *Carrier) Take(p *wire.OrderPoll, r *wire.OrderPollReply, waited time.Duration, engineBusy bool) *wire.Order {
 	d.dropConfirmed(p.Reports)
 	if !d.established {
-		// An order with the fence's own token may have been passed on by the
-		// agent's earlier start, so it is never passed on by this one.
+		// An order whose token equals the fence may have been executed before this agent restarted, so it is
+		// never executed again.
 		d.established, d.seen = true, max(d.seen, r.Fence)
 		return nil
 	}
@@ -61,7 +60,7 @@
 	return o
 }
 
-// Finish ends the order that is under way.
+// Finish records the outcome of the running order for the next poll. Other tokens are ignored.
 func (d *Carrier) Finish(token uint64, state wire.OrderState, detail string) {
 	if d.running != token {
 		return
@@ -74,7 +73,7 @@
 	d.reports = append(d.reports, wire.OrderReport{Upstream: d.upstream, Token: token, State: state, Detail: detail})
 }
 
-// confirm forgets the reports that a leader has replicated.
+// dropConfirmed removes the reports that a leader has replicated.
 func (d *Carrier) dropConfirmed(sent []wire.OrderReport) {
 	kept := d.reports[:0]
 	for _, r := range d.reports {
--- a/node/order/dispatcher_test.go
+++ b/node/order/dispatcher_test.go
@@ -11,23 +11,22 @@
 	"caperdrum.org/node/state"
 )
 
-const startLimit = 5 * time.Second // after which a permitted load may not begin
+const startLimit = 5 * time.Second // age from which an order may no longer be started
 
 const upstream = wire.MemberID("engine-1")
 
-// system is one engine that ignores fencing tokens, its agent, and control
-// leaders over one replicated log. Leaders propose on pictures of any age;
-// answers to polls are delayed, doubled and lost; agents restart; leaders
-// that are cut off answer nothing, since their read barrier fails.
+// simulation is an engine that ignores fencing tokens, its agent, and control leaders over one replicated
+// log. Leaders decide on observations of any age; replies to polls are delayed, duplicated and lost; agents
+// restart. Leaders without a quorum do not reply, as their read barrier fails.
 type simulation struct {
 	machine    *state.Machine
 	dispatcher *order.Carrier
 	polls      []*wire.OrderPoll
 	replies    []exchange
 
-	observations      []observation // that some leader may still act on
-	started           []uint64      // tokens in the order in which the engine saw them
-	running           uint64        // order under way at the engine
+	observations      []observation // on which some leader may still decide
+	started           []uint64      // tokens in the order in which the engine got them
+	running           uint64        // token of the order that the engine is executing; zero means none
 	runningDispatcher *order.Carrier
 }
 
@@ -54,7 +53,7 @@
 	return res.Orders
 }
 
-// fewBack chooses how old a message of n is; most are new.
+// fewBack draws how many of n messages to go back; mostly the newest is used.
 func fewBack(t *rapid.T, n int) int {
 	return min(n-1, rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 5}).Draw(t, "back"))
 }
@@ -63,11 +62,11 @@
 	s.observations = append(s.observations, observation{s.machine.View().Fences[upstream]})
 }
 
-// decide lets a leader act on a picture that may be old; the same decision
-// may be replicated more than once.
+// decide lets a leader issue an order by an observation that may be old. The same decision may be replicated
+// more than once.
 func (s *simulation) decide(t *rapid.T) {
 	if len(s.observations) == 0 {
-		t.Skip("nobody has looked")
+		t.Skip("no observation")
 	}
 	p := s.observations[len(s.observations)-1-fewBack(t, len(s.observations))]
 	open := s.machine.View().Orders[upstream].State == wire.OrderOpen
@@ -75,18 +74,17 @@
 	kind := rapid.SampledFrom([]wire.OrderKind{wire.OrderLoad, wire.OrderUnload}).Draw(t, "kind")
 	res := s.apply(t, &state.OrderCommand{Epoch: 1, Issue: []state.OrderIssue{{After: p.fence, Order: wire.Order{Upstream: upstream, Kind: kind}}}})
 	if res[0].Refused == "" && open {
-		t.Fatal("an order was issued while another one is open")
+		t.Fatal("an order was issued while another one was open")
 	}
 	if res[0].Refused == "" && p.fence != now {
-		t.Fatalf("a decision on fence %d was accepted after %d", p.fence, now)
+		t.Fatalf("an order for fence %d was accepted at fence %d", p.fence, now)
 	}
 	if res[0].Refused == "" && res[0].Token <= now {
-		t.Fatalf("token %d after fence %d", res[0].Token, now)
+		t.Fatalf("token %d was issued at fence %d", res[0].Token, now)
 	}
 }
 
-// giveUp ends the open order without a report, as a leader does after its
-// timeout.
+// giveUp ends the open order without a report, as a leader does after its timeout.
 func (s *simulation) giveUp(t *rapid.T) {
 	rec := s.machine.View().Orders[upstream]
 	s.apply(t, &state.OrderCommand{Epoch: 1, End: []wire.OrderReport{{Upstream: upstream, Token: rec.Order.Token, State: wire.OrderFailed}}})
@@ -98,8 +96,8 @@
 	s.polls = append(s.polls, p)
 }
 
-// answer is the leader's part after its barrier: it replicates the reports and
-// reads the newest state.
+// answer replies to a poll as a leader does after its read barrier: it replicates the reports and reads the
+// latest state.
 func (s *simulation) answer(t *rapid.T) {
 	if len(s.polls) == 0 {
 		t.Skip("no poll")
@@ -114,10 +112,10 @@
 	s.replies = append(s.replies, exchange{p, reply})
 }
 
-// deliver hands an answer to the agent, perhaps late and perhaps again.
+// deliver delivers a reply to the agent, possibly late and more than once.
 func (s *simulation) deliver(t *rapid.T) {
 	if len(s.replies) == 0 {
-		t.Skip("no answer")
+		t.Skip("no reply")
 	}
 	x := s.replies[len(s.replies)-1-fewBack(t, len(s.replies))]
 	late := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 1, 8}).Draw(t, "seconds")) * time.Second
@@ -126,13 +124,13 @@
 		return
 	}
 	if late > startLimit {
-		t.Fatalf("order %d was passed on %s after it was issued", o.Token, late)
+		t.Fatalf("order %d was started %s after it was issued", o.Token, late)
 	}
 	if s.running != 0 {
-		t.Fatalf("order %d was passed on while %d is under way", o.Token, s.running)
+		t.Fatalf("order %d was started while order %d was running", o.Token, s.running)
 	}
 	if n := len(s.started); n > 0 && o.Token <= s.started[n-1] {
-		t.Fatalf("order %d was passed on after %d", o.Token, s.started[n-1])
+		t.Fatalf("order %d was started after order %d", o.Token, s.started[n-1])
 	}
 	s.started = append(s.started, o.Token)
 	s.running, s.runningDispatcher = o.Token, s.dispatcher
@@ -146,26 +144,25 @@
 	s.running = 0
 }
 
-// restart loses the agent's memory, and with its connections every answer to
-// it. The engine goes on with what it was told.
+// restart loses the agent's state and all replies in flight to it. The engine continues with its order.
 func (s *simulation) restart(*rapid.T) {
 	s.dispatcher, s.polls, s.replies = order.NewCarrier(upstream), nil, nil
 }
 
-// TestOrdersNeverGoBackwards drives an engine that checks nothing itself.
+// TestOrdersNeverGoBackwards checks that an agent alone protects an engine that ignores fencing tokens.
 func TestOrdersNeverGoBackwards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSystem()
 		t.Repeat(map[string]func(*rapid.T){
 			"look": s.observe, "decide": s.decide, "give up": s.giveUp, "ask": s.sendPoll, "answer": s.answer,
 			"deliver": s.deliver, "finish": s.finish, "restart": s.restart,
-			"": func(t *rapid.T) { s.observe(t); s.sendPoll(t) }, // keeps the others fed
+			"": func(t *rapid.T) { s.observe(t); s.sendPoll(t) }, // gives the other actions something to act on
 		})
 	})
 }
 
-// TestOrdersArrive guards the test above against an agent that passes nothing
-// on: without faults every order is carried out and reported.
+// TestOrdersArrive guards TestOrdersNeverGoBackwards against an agent that executes nothing: without faults
+// every order must be executed and reported.
 func TestOrdersArrive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSystem()
@@ -174,17 +171,17 @@
 			if rapid.Bool().Draw(t, "restart") {
 				s.restart(t)
 			}
-			s.roundTrip(t) // establishes the fence after a start
+			s.roundTrip(t) // learns the fence after a restart
 			s.apply(t, &state.OrderCommand{Epoch: 1, Issue: []state.OrderIssue{{After: s.machine.View().Fences[upstream], Order: wire.Order{Upstream: upstream, Kind: wire.OrderLoad}}}})
 			s.roundTrip(t)
 			s.finish(t)
 			s.roundTrip(t)
 		}
 		if len(s.started) != rounds {
-			t.Fatalf("%d of %d orders were carried out", len(s.started), rounds)
+			t.Fatalf("%d of %d orders were executed", len(s.started), rounds)
 		}
 		if st := s.machine.View().Orders[upstream].State; st != wire.OrderDone {
-			t.Fatalf("the last order is %s", st)
+			t.Fatalf("state of the last order is %s, want done", st)
 		}
 	})
 }
--- a/node/order/engine.go
+++ b/node/order/engine.go
@@ -14,7 +14,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// Paths and header of an engine's order interface.
+// Paths and header of the HTTP interface through which engines take orders.
 const (
 	PathState   = "/v1/engine"
 	PathOrders  = "/v1/engine/orders"
@@ -23,27 +23,27 @@
 
 const (
 	stateTimeout     = 2 * time.Second
-	stateIdleTimeout = 4 * time.Second // shorter than the usual keep-alive of model servers
-	maxDetailBytes   = 256             // bytes of an engine's message that a report keeps
+	stateIdleTimeout = 4 * time.Second // shorter than the usual keep-alive timeout of model servers
+	maxDetailBytes   = 256             // bytes of an engine's error message that are kept in a report
 	maxStateBytes    = 1 << 20
 )
 
-// engine is the client of the upstream's order interface.
+// engine is the client of an upstream's order interface.
 type engine struct {
 	base        string
-	orderClient *http.Client // of orders
-	stateClient *http.Client // of the engine's state
+	orderClient *http.Client // for orders
+	stateClient *http.Client // for the engine's state
 }
 
-// newEngine sends every order on a fresh connection, on which the transport
-// never repeats a request by itself.
+// newEngine returns a client that sends every order on a new connection, as the transport may retry a request
+// on a reused one.
 func newEngine(address string) *engine {
 	return &engine{base: "http://" + address, orderClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 		stateClient: &http.Client{Transport: &http.Transport{IdleConnTimeout: stateIdleTimeout}}}
 }
 
-// state asks the engine what it holds. An upstream without the interface takes
-// no orders.
+// state reads which artifacts the engine holds. An upstream without the interface is reported as taking no
+// orders, without an error.
 func (e *engine) state(ctx context.Context) (wire.EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -56,18 +56,18 @@
 		return wire.EngineState{}, errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	defer io.Copy(io.Discard, io.LimitReader(resp.Body, maxDetailBytes)) // an unread body costs the connection
+	defer io.Copy(io.Discard, io.LimitReader(resp.Body, maxDetailBytes)) // a connection with an unread body is not reused
 	var st wire.EngineState
 	if resp.StatusCode != http.StatusOK {
 		return st, nil
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStateBytes)).Decode(&st); err != nil {
-		return wire.EngineState{}, nil // a plain service that answers any path
+		return wire.EngineState{}, nil // not an engine, but a service that answers any path
 	}
 	return st, nil
 }
 
-// pass hands an order on and waits until the engine has carried it out.
+// execute sends an order and waits until the engine has completed it, at most for the order's timeout.
 func (e *engine) execute(ctx context.Context, o *wire.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
--- a/node/order/meter.go
+++ b/node/order/meter.go
@@ -7,21 +7,20 @@
 	"caperdrum.org/api/wire"
 )
 
-// Cost of the upstream beside this agent, in seconds since the agent's start.
+// Cost of this agent's upstream in seconds since the agent's start.
 var (
-	heldVar = expvar.NewFloat("upstream_held_seconds") // loaded, or under an order
-	wakeVar = expvar.NewFloat("upstream_wake_seconds") // of these under an order
+	heldVar = expvar.NewFloat("upstream_held_seconds") // a model is loaded or an order is being executed
+	wakeVar = expvar.NewFloat("upstream_wake_seconds") // the part of it in which an order is being executed
 )
 
-// meter adds up for how long the upstream was held. An upstream that takes no
-// orders is always held.
+// usageMeter measures how long the upstream is held. An upstream that takes no orders is always held.
 type usageMeter struct {
 	last         time.Time
 	held, waking bool
 }
 
-// advance counts the time since the last call under the state of that call,
-// and returns what it counted, in seconds.
+// advance returns the seconds since the last call that count as held and as waking, by the engine state
+// passed to that call.
 func (m *usageMeter) advance(now time.Time, st wire.EngineState) (held, waking float64) {
 	if !m.last.IsZero() {
 		passed := now.Sub(m.last).Seconds()
--- a/node/order/meter_test.go
+++ b/node/order/meter_test.go
@@ -18,7 +18,7 @@
 		{"parked", wire.EngineState{TakesOrders: true}, 0, 0},
 		{"loading", wire.EngineState{TakesOrders: true, Busy: true}, 2, 2},
 		{"loaded", wire.EngineState{TakesOrders: true, Holds: loaded}, 2, 0},
-		{"loading another", wire.EngineState{TakesOrders: true, Holds: loaded, Busy: true}, 2, 2},
+		{"loading another model", wire.EngineState{TakesOrders: true, Holds: loaded, Busy: true}, 2, 2},
 	}
 	var m usageMeter
 	now := time.Unix(0, 0)
--- a/node/order/service.go
+++ b/node/order/service.go
@@ -20,7 +20,7 @@
 	"caperdrum.org/node/settings"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the Service.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
@@ -31,7 +31,7 @@
 	Gate     *gate.Service       `name:"gate"`
 }
 
-// Service carries out orders at one upstream.
+// Service executes the control leader's orders at one upstream.
 type Service struct {
 	settings settings.AgentRole
 	log      logr.Logger
@@ -42,16 +42,16 @@
 	engine   *engine
 	cancel   context.CancelFunc
 	done     chan struct{}
-	wakeup   chan struct{} // an order ended, the text changed or a hint came: poll at once
+	wakeup   chan struct{} // requests a poll at once: an order ended, the configuration changed or a hint arrived
 
 	// Owned by run.
 	meter       usageMeter
 	takesOrders bool            // the upstream takes orders
-	lastRefresh time.Time       // when the engine was asked last
-	lastPoll    *wire.OrderPoll // the last one that a leader answered, or nil
+	lastRefresh time.Time       // when the engine's state was last read
+	lastPoll    *wire.OrderPoll // the last poll that a leader answered, or nil
 	lastPollAt  time.Time       // when it was sent
 
-	refreshMu sync.Mutex // a picture of the engine is stored before a newer one is asked for
+	refreshMu sync.Mutex // serializes refresh: an older state must not overwrite a newer one
 
 	mu       sync.Mutex
 	carrier  *Carrier
@@ -60,9 +60,9 @@
 }
 
 const (
-	gateCheckInterval   = time.Second      // between two looks at the gate's load, which cost no message
-	engineCheckInterval = 2 * time.Second  // between two looks at the engine
-	maxPollInterval     = 10 * time.Second // between two polls that say the same
+	gateCheckInterval   = time.Second      // between two checks of the gate's load, which are local
+	engineCheckInterval = 2 * time.Second  // between two reads of the engine's state
+	maxPollInterval     = 10 * time.Second // between two polls without a change
 	pollTimeout         = 5 * time.Second
 	drainCheckInterval  = 20 * time.Millisecond
 )
@@ -72,7 +72,7 @@
 	failedVar = expvar.NewInt("orders_failed")
 )
 
-// New returns the service.
+// New returns the Service. It polls at once when the configuration changes or a hint arrives.
 func New(p Params) *Service {
 	s := &Service{settings: p.Settings.Agent, log: p.Log, ring: p.Ring, sync: p.Sync, gate: p.Gate,
 		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), engine: newEngine(p.Settings.Agent.Upstream),
@@ -129,7 +129,7 @@
 	}
 }
 
-// turn asks the leader when there is something to say or to fetch.
+// tick polls the leader if there is something to report or to fetch.
 func (s *Service) tick(ctx context.Context, woken bool) {
 	if now := time.Now(); woken || now.Sub(s.lastRefresh) >= engineCheckInterval {
 		s.lastRefresh, s.takesOrders = now, s.refresh(ctx)
@@ -143,19 +143,19 @@
 	}
 	if err := s.sendPoll(ctx, p); err != nil {
 		s.lastPoll = nil
-		s.log.V(logging.Detail).Info("no orders read", "error", err.Error())
+		s.log.V(logging.Detail).Info("cannot poll for orders", "error", err.Error())
 	}
 }
 
-// due reports whether p differs from what the leader knows, there is an order
-// to fetch, or the leader has not heard from here for long.
+// pollDue reports whether p differs from what the leader knows, an order is ready to fetch, or the last poll
+// is long ago.
 func (s *Service) pollDue(p *wire.OrderPoll) bool {
 	return s.lastPoll == nil || time.Since(s.lastPollAt) >= maxPollInterval || s.sync.Hint().Fence > p.Seen || !reflect.DeepEqual(p, s.lastPoll)
 }
 
-// refresh reads what the engine holds and announces it. It reports whether the
-// upstream takes orders. An engine that cannot be asked counts as busy: its
-// health check decides on its traffic.
+// refresh reads the engine's state, announces the artifacts that it holds and parks or unparks the gate. It
+// reports whether the upstream takes orders. An unreachable engine keeps its last state but counts as busy:
+// its health check decides whether it gets traffic.
 func (s *Service) refresh(ctx context.Context) bool {
 	s.refreshMu.Lock()
 	defer s.refreshMu.Unlock()
@@ -176,7 +176,7 @@
 	return st.TakesOrders
 }
 
-// hasModels reports whether the operators' text names models for the service.
+// hasModels reports whether the configuration names models for the service.
 func (s *Service) hasModels() bool {
 	v := s.sync.View()
 	if v == nil {
@@ -197,7 +197,7 @@
 	return p
 }
 
-// ask sends p and begins the order that the answer brings.
+// sendPoll sends p and starts the order in the reply, if any.
 func (s *Service) sendPoll(ctx context.Context, p *wire.OrderPoll) error {
 	callCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -214,15 +214,15 @@
 		go s.executeOrder(ctx, o)
 	}
 	if !p.Established {
-		s.wake() // the fence is known now: an order may wait behind it
+		s.wake() // the reply has set the fence; an order may be waiting
 	}
 	return nil
 }
 
-// carryOut passes one order on and remembers its outcome. What takes something
-// away from the engine waits until the gate's attempts have ended.
+// executeOrder executes one order and records its outcome. An order other than a load, which may take a model
+// away, waits until the gate's attempts have ended.
 func (s *Service) executeOrder(ctx context.Context, o *wire.Order) {
-	s.log.Info("order passed on", "token", o.Token, "kind", o.Kind, "artifact", o.Artifact.String(), "role", o.Role)
+	s.log.Info("executing order", "token", o.Token, "kind", o.Kind, "artifact", o.Artifact.String(), "role", o.Role)
 	s.ring.Record(timeline.Event{Kind: "order-passed", Detail: string(o.Kind) + " " + o.Artifact.String() + o.Role})
 	passedVar.Add(1)
 	err := s.drain(ctx, o)
@@ -230,10 +230,10 @@
 		err = s.engine.execute(ctx, o)
 	}
 	if ctx.Err() != nil {
-		return // stopping: the next start learns the outcome from the engine
+		return // the agent is stopping: its next start reads the outcome from the engine
 	}
 	s.setDraining(false)
-	s.refresh(ctx) // before the report, so that no poll pairs it with an old picture
+	s.refresh(ctx) // before the outcome is recorded, so that no poll combines it with an older state
 	state, detail := wire.OrderDone, ""
 	if err != nil {
 		failedVar.Add(1)
@@ -267,7 +267,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("%d attempts did not end in time", t.Queued+t.InFlight)
+			return errors.Errorf("%d attempts did not end before the order's timeout", t.Queued+t.InFlight)
 		}
 		select {
 		case <-ctx.Done():
