--- a/node/admission/shed.go
+++ b/node/admission/shed.go
@@ -161,11 +161,11 @@
 // grow when they did not refuse.
 func (l *serviceLoad) adjustBudget(periods float64) {
 	if l.sent >= minAttempts && l.refused > overloadRatio*l.sent {
-		took := max((l.sent-l.refused)/periods*headroom, minBudget)
+		accepted := max((l.sent-l.refused)/periods*headroom, minBudget)
 		if l.budget == 0 {
-			l.budget = took
+			l.budget = accepted
 		}
-		l.budget += budgetWeight * (took - l.budget)
+		l.budget += budgetWeight * (accepted - l.budget)
 		return
 	}
 	l.budget *= budgetGrowth
--- a/node/order/dispatcher_test.go
+++ b/node/order/dispatcher_test.go
@@ -53,8 +53,8 @@
 	return res.Orders
 }
 
-// fewBack draws how many of n messages to go back; mostly the newest is used.
-func fewBack(t *rapid.T, n int) int {
+// drawAge draws how many of n messages to go back; mostly the newest is used.
+func drawAge(t *rapid.T, n int) int {
 	return min(n-1, rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 5}).Draw(t, "back"))
 }
 
@@ -68,7 +68,7 @@
 	if len(s.observations) == 0 {
 		t.Skip("no observation")
 	}
-	p := s.observations[len(s.observations)-1-fewBack(t, len(s.observations))]
+	p := s.observations[len(s.observations)-1-drawAge(t, len(s.observations))]
 	open := s.machine.View().Orders[upstream].State == wire.OrderOpen
 	now := s.machine.View().Fences[upstream]
 	kind := rapid.SampledFrom([]wire.OrderKind{wire.OrderLoad, wire.OrderUnload}).Draw(t, "kind")
@@ -102,7 +102,7 @@
 	if len(s.polls) == 0 {
 		t.Skip("no poll")
 	}
-	p := s.polls[len(s.polls)-1-fewBack(t, len(s.polls))]
+	p := s.polls[len(s.polls)-1-drawAge(t, len(s.polls))]
 	s.apply(t, &state.OrderCommand{Epoch: 1, End: p.Reports})
 	v := s.machine.View()
 	reply := wire.OrderPollReply{Fence: v.Fences[upstream]}
@@ -117,7 +117,7 @@
 	if len(s.replies) == 0 {
 		t.Skip("no reply")
 	}
-	x := s.replies[len(s.replies)-1-fewBack(t, len(s.replies))]
+	x := s.replies[len(s.replies)-1-drawAge(t, len(s.replies))]
 	late := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 1, 8}).Draw(t, "seconds")) * time.Second
 	o := s.dispatcher.Take(x.poll, &x.reply, late, s.running != 0)
 	if o == nil {
--- a/node/order/service.go
+++ b/node/order/service.go
@@ -53,10 +53,10 @@
 
 	refreshMu sync.Mutex // serializes refresh: an older state must not overwrite a newer one
 
-	mu       sync.Mutex
-	carrier  *Carrier
-	state    wire.EngineState
-	draining bool
+	mu         sync.Mutex
+	dispatcher *Carrier
+	state      wire.EngineState
+	draining   bool
 }
 
 const (
@@ -76,7 +76,7 @@
 func New(p Params) *Service {
 	s := &Service{settings: p.Settings.Agent, log: p.Log, ring: p.Ring, sync: p.Sync, gate: p.Gate,
 		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), engine: newEngine(p.Settings.Agent.Upstream),
-		done: make(chan struct{}), wakeup: make(chan struct{}, 1), carrier: NewCarrier(wire.MemberID(p.Settings.Node.Name))}
+		done: make(chan struct{}), wakeup: make(chan struct{}, 1), dispatcher: NewCarrier(wire.MemberID(p.Settings.Node.Name))}
 	version := uint64(0)
 	p.Sync.OnChange(func(v *configsync.View) {
 		if v.Version != version {
@@ -193,7 +193,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.Engine = s.state
-	s.carrier.Fill(p)
+	s.dispatcher.Fill(p)
 	return p
 }
 
@@ -208,7 +208,7 @@
 	}
 	s.lastPoll, s.lastPollAt = p, sent
 	s.mu.Lock()
-	o := s.carrier.Take(p, &reply, time.Since(sent), s.state.Busy)
+	o := s.dispatcher.Take(p, &reply, time.Since(sent), s.state.Busy)
 	s.mu.Unlock()
 	if o != nil {
 		go s.executeOrder(ctx, o)
@@ -241,7 +241,7 @@
 		s.log.Info("order failed", "token", o.Token, "error", detail)
 	}
 	s.mu.Lock()
-	s.carrier.Finish(o.Token, state, detail)
+	s.dispatcher.Finish(o.Token, state, detail)
 	s.mu.Unlock()
 	s.wake()
 }
--- a/node/planner/day_test.go
+++ b/node/planner/day_test.go
@@ -84,13 +84,13 @@
 // load of every gate.
 type pool struct {
 	stage
-	engines  []*dayEngine
-	free     []int64 // times in milliseconds at which the slots in use become free
-	peak     int     // maximum of attempts in flight or waiting since the last plan
-	arrived  int64
-	misses   int64
-	held     [2]float64 // engine-seconds in the whole day and in its quiet hours
-	lastFall int
+	engines    []*dayEngine
+	free       []int64 // times in milliseconds at which the slots in use become free
+	peak       int     // maximum of attempts in flight or waiting since the last plan
+	arrived    int64
+	misses     int64
+	held       [2]float64 // engine-seconds in the whole day and in its quiet hours
+	lastUnload int
 }
 
 type dayEngine struct {
@@ -370,8 +370,8 @@
 					held++
 				}
 			}
-		case used < thresholdLow && held > 1 && second-p.lastFall >= thresholdDownInterval:
-			p.lastFall = second
+		case used < thresholdLow && held > 1 && second-p.lastUnload >= thresholdDownInterval:
+			p.lastUnload = second
 			for i := len(p.engines) - 1; i >= 0; i-- {
 				if p.engines[i].warm {
 					p.engines[i].warm = false
--- a/node/quarantine/crash_detector.go
+++ b/node/quarantine/crash_detector.go
@@ -47,33 +47,33 @@
 	calls     []Broken // waiting for the result
 }
 
-// NewInquiries returns Inquiries that report crashes to ended, which must not block.
-func NewInquiries(listens func(address string) error, ended func(Broken), clock clockwork.Clock) *Inquiries {
-	return &Inquiries{probe: listens, onCrash: ended, clock: clock, checks: map[wire.Start]*upstreamCheck{}}
+// NewInquiries returns Inquiries that call onCrash, which must not block.
+func NewInquiries(probe func(address string) error, onCrash func(Broken), clock clockwork.Clock) *Inquiries {
+	return &Inquiries{probe: probe, onCrash: onCrash, clock: clock, checks: map[wire.Start]*upstreamCheck{}}
 }
 
 // Broke starts a check of the call's upstream, or joins the one that is running.
-func (d *Inquiries) Broke(b Broken) {
-	start := b.Upstream.Start()
+func (d *Inquiries) Broke(call Broken) {
+	start := call.Upstream.Start()
 	d.mu.Lock()
 	d.expire()
 	check := d.checks[start]
 	if check == nil {
-		check = &upstreamCheck{upstream: b.Upstream, updatedAt: d.clock.Now()}
+		check = &upstreamCheck{upstream: call.Upstream, updatedAt: d.clock.Now()}
 		d.checks[start] = check
 	}
 	crashed := check.crashed
 	if !crashed {
-		check.calls = append(check.calls, b)
+		check.calls = append(check.calls, call)
 	}
 	startProbe := !crashed && !check.probing
 	check.probing = check.probing || startProbe
 	d.mu.Unlock()
 	if crashed {
-		d.onCrash(b)
+		d.onCrash(call)
 	}
 	if startProbe {
-		go d.runProbe(start, b.Upstream.Direct)
+		go d.runProbe(start, call.Upstream.Direct)
 	}
 }
 
@@ -113,8 +113,8 @@
 		calls, check.calls, check.crashed, check.updatedAt = check.calls, nil, true, d.clock.Now()
 	}
 	d.mu.Unlock()
-	for _, b := range calls {
-		d.onCrash(b)
+	for _, call := range calls {
+		d.onCrash(call)
 	}
 }
 
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -96,20 +96,20 @@
 	return len(g.replicated.Load().shapes) == 0 && len(g.local.Load().shapes) == 0
 }
 
-// Check returns the standing of the call, and its fingerprint if its shape is listed. With withOwn, the local
+// Check returns the standing of the call, and its fingerprint if its shape is listed. With includeLocal, the local
 // suspects count as well as the replicated ones.
-func (g *Guard) Check(c Call, withOwn bool) (Standing, wire.Fingerprint) {
-	known, own := g.replicated.Load(), g.local.Load()
-	if len(known.shapes) == 0 && (!withOwn || len(own.shapes) == 0) {
+func (g *Guard) Check(c Call, includeLocal bool) (Standing, wire.Fingerprint) {
+	replicated, local := g.replicated.Load(), g.local.Load()
+	if len(replicated.shapes) == 0 && (!includeLocal || len(local.shapes) == 0) {
 		return Unsuspected, ""
 	}
-	if shape := c.Shape(); !known.shapes[shape] && (!withOwn || !own.shapes[shape]) {
+	if shape := c.Shape(); !replicated.shapes[shape] && (!includeLocal || !local.shapes[shape]) {
 		return Unsuspected, ""
 	}
 	f := c.Fingerprint()
-	standing := known.statuses[f]
-	if withOwn {
-		standing = max(standing, own.statuses[f])
+	status := replicated.statuses[f]
+	if includeLocal {
+		status = max(status, local.statuses[f])
 	}
-	return standing, f
+	return status, f
 }
--- a/node/quarantine/ledger.go
+++ b/node/quarantine/ledger.go
@@ -151,16 +151,16 @@
 // updateBars bars the calls with enough crashes that no other call explains. It also lifts bars: reports
 // arrive one after the other, so a late one may show that a barred call merely ran beside another one.
 func (l *Ledger) updateBars(now int64, change *wire.QuarantineChange) {
-	suspects, on := l.barCandidates()
+	suspects, byStart := l.barCandidates()
 	for _, r := range suspects {
-		if r.Barred && len(r.Starts) < barAfterAmbiguous && l.ambiguous(r, on) {
+		if r.Barred && len(r.Starts) < barAfterAmbiguous && l.ambiguous(r, byStart) {
 			r.Barred, r.Since = false, now
 			l.Records[r.Call.Fingerprint] = r
 			change.Lifted = append(change.Lifted, r.Call.Fingerprint)
 		}
 	}
 	for _, r := range suspects {
-		if l.Records[r.Call.Fingerprint].Barred || !l.shouldBar(r, on) {
+		if l.Records[r.Call.Fingerprint].Barred || !l.shouldBar(r, byStart) {
 			continue
 		}
 		r.Barred, r.Since = true, now
@@ -176,33 +176,33 @@
 // they explain the crashes of the others.
 func (l *Ledger) barCandidates() ([]Record, callsByStart) {
 	var out []Record
-	on := callsByStart{}
+	byStart := callsByStart{}
 	for f, r := range l.Records {
 		if len(r.Starts) < barAfter {
 			continue
 		}
 		out = append(out, r)
 		for _, start := range r.Starts {
-			on[start] = append(on[start], f)
+			byStart[start] = append(byStart[start], f)
 		}
 	}
 	slices.SortFunc(out, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(len(b.Starts), len(a.Starts)), cmp.Compare(a.Call.Fingerprint, b.Call.Fingerprint))
 	})
-	return out, on
+	return out, byStart
 }
 
 // shouldBar reports whether the call is considered the cause of crashes.
-func (l *Ledger) shouldBar(r Record, on callsByStart) bool {
+func (l *Ledger) shouldBar(r Record, byStart callsByStart) bool {
 	if len(r.Starts) >= barAfterAmbiguous {
 		return true
 	}
-	if r.Cleared || l.ambiguous(r, on) {
+	if r.Cleared || l.ambiguous(r, byStart) {
 		return false // another call was in flight at all of these upstreams; the next crash tells them apart
 	}
 	unexplained := 0
 	for _, start := range r.Starts {
-		if !l.hasBarredCall(r, on[start]) {
+		if !l.hasBarredCall(r, byStart[start]) {
 			unexplained++
 		}
 	}
@@ -221,8 +221,8 @@
 
 // ambiguous reports whether another candidate, which no answer has cleared, was in flight at all crashes of
 // r.
-func (l *Ledger) ambiguous(r Record, on callsByStart) bool {
-	for _, f := range on[r.Starts[0]] {
+func (l *Ledger) ambiguous(r Record, byStart callsByStart) bool {
+	for _, f := range byStart[r.Starts[0]] {
 		other := l.Records[f]
 		if f != r.Call.Fingerprint && !other.Cleared && isSubset(r.Starts, other.Starts) {
 			return true
@@ -259,13 +259,13 @@
 	if len(l.Records) < maxRecords {
 		return
 	}
-	of := map[string]int{}
+	perCustomer := map[string]int{}
 	for _, r := range l.Records {
-		of[r.Call.Customer]++
+		perCustomer[r.Call.Customer]++
 	}
 	records := slices.Collect(maps.Values(l.Records))
-	least := slices.MinFunc(records, func(a, b Record) int {
-		byCustomer := cmp.Compare(of[b.Call.Customer], of[a.Call.Customer])
+	victim := slices.MinFunc(records, func(a, b Record) int {
+		byCustomer := cmp.Compare(perCustomer[b.Call.Customer], perCustomer[a.Call.Customer])
 		byAge := cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Call.Fingerprint, b.Call.Fingerprint))
 		switch {
 		case a.Barred && b.Barred:
@@ -277,7 +277,7 @@
 		}
 		return cmp.Or(cmp.Compare(len(a.Starts), len(b.Starts)), byCustomer, byAge)
 	})
-	delete(l.Records, least.Call.Fingerprint)
+	delete(l.Records, victim.Call.Fingerprint)
 }
 
 // suspectList returns the suspects that are published to all processes, sorted by fingerprint.
--- a/node/quarantine/ledger_test.go
+++ b/node/quarantine/ledger_test.go
@@ -215,9 +215,9 @@
 	sameShape.Body = []byte("ydob")
 	sketch := call.Sketch("chat")
 	g := NewGuard()
-	expect := func(c Call, withOwn bool, want Standing) {
+	expect := func(c Call, includeLocal bool, want Standing) {
 		t.Helper()
-		if got, _ := g.Check(c, withOwn); got != want {
+		if got, _ := g.Check(c, includeLocal); got != want {
 			t.Fatalf("standing of %q is %d, want %d", c.Body, got, want)
 		}
 	}
--- a/node/quarantine/simulation_test.go
+++ b/node/quarantine/simulation_test.go
@@ -160,11 +160,11 @@
 
 // check reports whether the call may reach an upstream.
 func (m *simulation) check(c *simCall) bool {
-	standing, _ := c.process.guard.Check(c.call(), c.process.disconnected)
-	if standing == Barred && m.poisonCalls[c.body] == nil {
+	status, _ := c.process.guard.Check(c.call(), c.process.disconnected)
+	if status == Barred && m.poisonCalls[c.body] == nil {
 		m.refused++
 	}
-	return standing != Barred
+	return status != Barred
 }
 
 // dispatch sends the call to a random upstream.
@@ -208,7 +208,7 @@
 func (m *simulation) answered(c *simCall) {
 	m.served++
 	c.process.answers.Add(c.call())
-	if standing, _ := c.process.guard.Check(c.call(), true); standing != Unsuspected && c.process.up {
+	if status, _ := c.process.guard.Check(c.call(), true); status != Unsuspected && c.process.up {
 		m.report(c.process, &wire.CrashReport{Answered: []wire.CallSketch{c.call().Sketch("chat")}})
 	}
 }
@@ -236,7 +236,7 @@
 		r = &wire.CrashReport{Answered: []wire.CallSketch{sketch}}
 	}
 	m.report(c.process, r)
-	if standing, _ := c.process.guard.Check(c.call(), true); standing == Unsuspected && c.repeats > 0 {
+	if status, _ := c.process.guard.Check(c.call(), true); status == Unsuspected && c.repeats > 0 {
 		c.repeats--
 		m.dispatch(c)
 		return
--- a/node/rollout/counter.go
+++ b/node/rollout/counter.go
@@ -63,7 +63,7 @@
 }
 
 // Add counts an outcome. Durations are compared only within a route.
-func (c *Counter) Add(m wire.Member, route string, how Outcome, took time.Duration) {
+func (c *Counter) Add(m wire.Member, route string, outcome Outcome, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.services[m.Service]
@@ -78,7 +78,7 @@
 	}
 	c.changed = true
 	switch {
-	case how == Failed:
+	case outcome == Failed:
 		n.Failed++
 	case m.Cold:
 		n.Took[coldBucket]++
--- a/node/rollout/decision.go
+++ b/node/rollout/decision.go
@@ -21,7 +21,7 @@
 	// that the lead time would use up the whole share.
 	minShareDivisor = 4
 	// minLead and maxLead bound the lead time between the decision and the end of the span. It must cover a
-	// commit by a quorum and the time until whoever stops the replaced upstreams knows of it.
+	// commit by a quorum and the time until the operator who stops the replaced upstreams learns of it.
 	minLead = 700 * time.Millisecond
 	maxLead = 4 * time.Second
 	// leadDivisor sets the lead time within these bounds: the span divided by it.
@@ -60,36 +60,36 @@
 
 // needsAnswers reports whether the leader should wait for more answers before it gives the target all calls.
 // left is negative after the end of the span.
-func (h Heard) needsAnswers(left time.Duration) bool {
-	return h.Late && h.Target < minTargetAnswers && h.Others > 0 && left > -maxLateWait
+func (e Heard) needsAnswers(left time.Duration) bool {
+	return e.Late && e.Target < minTargetAnswers && e.Others > 0 && left > -maxLateWait
 }
 
 // Next returns the leader's next step for a running roll-out, or nil. left is the time until the end of the
 // span. The target gets only the bounded share until the decision: a version may turn bad late, and all calls
 // that it got until then count towards the bound.
-func Next(r wire.Rollout, left time.Duration, h Heard, up Upstreams, l Limits) *wire.RolloutStep {
+func Next(r wire.Rollout, left time.Duration, e Heard, up Upstreams, l Limits) *wire.RolloutStep {
 	step := func(state wire.RolloutState, share float64, format string, args ...any) *wire.RolloutStep {
 		return &wire.RolloutStep{Service: r.Service, Base: r.Revision, State: state, Share: share, Reason: fmt.Sprintf(format, args...)}
 	}
 	deciding := left <= leadTime(r.Span)
 	switch {
-	case h.Verdict.Bad, deciding && h.Verdict.Suspected:
-		return step(wire.RolloutRolledBack, 0, "%s", h.Verdict.Reason)
+	case e.Verdict.Bad, deciding && e.Verdict.Suspected:
+		return step(wire.RolloutRolledBack, 0, "%s", e.Verdict.Reason)
 	case deciding && up.Target == 0:
 		return step(wire.RolloutRolledBack, 0, "no upstream of version %s is in service", r.Target)
 	case deciding && 2*up.Target < up.Others:
 		return step(wire.RolloutRolledBack, 0, "%d upstreams of version %s cannot replace %d upstreams of other versions", up.Target, r.Target, up.Others)
-	case deciding && h.needsAnswers(left):
+	case deciding && e.needsAnswers(left):
 		if share := usableShare(r.Span, l); share > r.Share {
-			return step(wire.RolloutRunning, share, "catching up on missed steps: %d answers of version %s are known, %d of other versions", h.Target, r.Target, h.Others)
+			return step(wire.RolloutRunning, share, "catching up on missed steps: %d answers of version %s are known, %d of other versions", e.Target, r.Target, e.Others)
 		}
 		return nil
-	case deciding && h.Target == 0 && h.Others >= minBaselineCalls:
-		return step(wire.RolloutRolledBack, 0, "version %s has answered no calls, other versions have answered %d", r.Target, h.Others)
+	case deciding && e.Target == 0 && e.Others >= minBaselineCalls:
+		return step(wire.RolloutRolledBack, 0, "version %s has answered no calls, other versions have answered %d", r.Target, e.Others)
 	case deciding:
-		return step(wire.RolloutCompleted, 1, "%d answers of version %s were as good as %d of other versions", h.Target, r.Target, h.Others)
+		return step(wire.RolloutCompleted, 1, "%d answers of version %s were as good as %d of other versions", e.Target, r.Target, e.Others)
 	}
-	if share := shareAt(r.Span, left, l); share > r.Share && !h.Verdict.Suspected {
+	if share := shareAt(r.Span, left, l); share > r.Share && !e.Verdict.Suspected {
 		return step(wire.RolloutRunning, share, "step")
 	}
 	return nil
