--- a/node/admission/shed.go
+++ b/node/admission/shed.go
@@ -8,25 +8,23 @@
 	"caperdrum.org/api/optext"
 )
 
-// shedder decides how much work is shed at the entry, before any stage runs.
-// For every service it follows what the entry's callers demand and what the
-// gates take. While gates refuse for lack of capacity, the entry admits little
-// more than they took, so that earlier stages and claims are not spent on
-// requests that a later stage refuses. What is admitted is divided among the
-// customers by weighted max-min fairness, as by routers that keep no queue per
-// flow (Stoica, Shenker and Zhang, "Core-Stateless Fair Queueing", 1998);
-// within a customer's part the pipelines of a lower shed order go first.
+// shedder decides which requests are shed at the entry, before any stage runs. For each service it tracks the
+// demand of this entry's callers and the attempts that gates accept. While gates refuse attempts for lack of
+// capacity, the entry admits only slightly more than they accept, so that no work of earlier stages and no
+// idempotency claims are wasted on requests that a later stage refuses. Admissions are divided between
+// customers by weighted max-min fairness, as in core routers without per-flow queues (Stoica, Shenker and
+// Zhang, "Core-Stateless Fair Queueing", 1998). Within a customer's part, pipelines with a lower shed order
+// are shed first.
 type shedder struct {
 	mu       sync.Mutex
 	services map[string]*serviceLoad
 }
 
-// serviceLoad is one service's load as this entry sees it. Rates are in
-// requests per period.
+// serviceLoad is the load of one service as this entry sees it. Rates are in requests per period.
 type serviceLoad struct {
 	since         time.Time
-	sent, refused float64 // attempts of the current period
-	budget        float64 // requests to admit per period; zero admits all
+	sent, refused float64 // attempts in the current period
+	budget        float64 // requests to admit per period; zero means no limit
 	demand        map[demandKey]*demand
 }
 
@@ -35,49 +33,49 @@
 	order    int
 }
 
-// demand is what one customer asks of a service in one shed order.
+// demand is one customer's demand for a service in one shed order.
 type demand struct {
-	share  float64
-	now    float64 // requests of the current period
-	rate   float64 // moving average over periods
-	part   float64 // admitted part
-	credit float64 // admits the part evenly: a request passes when it reaches one
-	grant  float64 // requests per period that the customer may have admitted
-	bank   float64 // what it left of earlier grants: lets a burst pass
+	share      float64
+	requests   float64 // in the current period
+	rate       float64 // exponential moving average of requests per period
+	admitRatio float64 // part of the requests to admit, 0 to 1
+	credit     float64 // sum of admitRatio over requests: a request is admitted for each whole unit
+	grant      float64 // requests per period that may be admitted
+	savedGrant float64 // unused grant of earlier periods, admits bursts
 }
 
 const (
 	period        = 200 * time.Millisecond
-	idlePeriods   = 50   // after as many periods without a report nothing is known
-	overloadShare = 0.03 // of attempts refused: above, the gates have too much work
-	minReports    = 4
-	headroom      = 1.05 // admitted over what was taken: gates must not run dry
-	growth        = 1.05 // of the budget in a period without overload
-	leastBudget   = 0.5  // requests a period, so that an end of the overload is seen
-	demandWeight  = 0.5  // of the last period in a demand's rate
-	budgetWeight  = 0.5  // of the last overloaded period in the budget
-	mostBanked    = 4    // requests
-	leastRate     = 0.01 // a demand below is forgotten
+	idlePeriods   = 50   // periods without a report after which the load is unknown
+	overloadRatio = 0.03 // of attempts refused, above which a service is overloaded
+	minAttempts   = 4
+	headroom      = 1.05 // admitted per accepted attempt under overload, so that gates never idle
+	budgetGrowth  = 1.05 // of the budget per period without overload
+	minBudget     = 0.5  // requests per period, so that the end of an overload is noticed
+	demandWeight  = 0.5  // of the last period in a demand's moving average
+	budgetWeight  = 0.5  // of the last overloaded period in the budget's moving average
+	maxSavedGrant = 4    // requests
+	minRate       = 0.01 // requests per period, below which a demand is dropped
 )
 
 func newShedder() *shedder { return &shedder{services: map[string]*serviceLoad{}} }
 
-func (s *shedder) load(service string, now time.Time) *serviceLoad {
+func (s *shedder) loadOf(service string, now time.Time) *serviceLoad {
 	l := s.services[service]
 	if l == nil {
 		l = &serviceLoad{since: now, demand: map[demandKey]*demand{}}
 		s.services[service] = l
 	}
-	l.roll(now)
+	l.rollPeriod(now)
 	return l
 }
 
-// report takes in that an attempt is sent, or that one was refused. What was
-// sent and not refused counts as taken at once: an answer may take long.
+// report records that an attempt was sent or, if overloaded is set, that one was refused. An attempt counts
+// as accepted unless it is refused, as its answer may take long.
 func (s *shedder) report(service string, overloaded bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.load(service, now)
+	l := s.loadOf(service, now)
 	if overloaded {
 		l.refused++
 		return
@@ -85,102 +83,101 @@
 	l.sent++
 }
 
-// admit notes a request, and returns the name of a service for whose sake it is
-// shed, or nothing.
-func (s *shedder) admit(c *optext.Customer, w Work, now time.Time) (scarce string) {
+// admit counts a request and admits it, or returns the name of the overloaded service because of which it is
+// shed.
+func (s *shedder) admit(c *optext.Customer, w Work, now time.Time) (overloaded string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := demandKey{c.Name, w.Order}
-	var worst *demand
+	var tightest *demand
 	for _, name := range w.Services {
-		d := s.load(name, now).want(key, c.Share)
-		if d.part < 1 && (worst == nil || d.part < worst.part) {
-			worst, scarce = d, name
+		d := s.loadOf(name, now).addRequest(key, c.Share)
+		if d.admitRatio < 1 && (tightest == nil || d.admitRatio < tightest.admitRatio) {
+			tightest, overloaded = d, name
 		}
 	}
-	if worst == nil {
+	if tightest == nil {
 		return ""
 	}
-	worst.credit += worst.part
+	tightest.credit += tightest.admitRatio
 	switch {
-	case worst.credit >= 1:
-		worst.credit--
-	case worst.bank >= 1:
-		worst.bank--
+	case tightest.credit >= 1:
+		tightest.credit--
+	case tightest.savedGrant >= 1:
+		tightest.savedGrant--
 	default:
-		return scarce
+		return overloaded
 	}
 	return ""
 }
 
-// want counts one request. A demand not known yet is admitted whole until the
-// period ends.
-func (l *serviceLoad) want(key demandKey, share float64) *demand {
+// addRequest counts one request. A new demand is fully admitted until the period ends.
+func (l *serviceLoad) addRequest(key demandKey, share float64) *demand {
 	d := l.demand[key]
 	if d == nil {
-		d = &demand{part: 1, bank: mostBanked}
+		d = &demand{admitRatio: 1, savedGrant: maxSavedGrant}
 		l.demand[key] = d
 	}
-	d.share = max(share, leastRate)
-	d.now++
+	d.share = max(share, minRate)
+	d.requests++
 	return d
 }
 
-// roll ends the period when it is over.
-func (l *serviceLoad) roll(now time.Time) {
-	passed := float64(int(now.Sub(l.since) / period))
-	if passed < 1 {
+// rollPeriod starts a new period if the current one is over.
+func (l *serviceLoad) rollPeriod(now time.Time) {
+	periods := float64(int(now.Sub(l.since) / period))
+	if periods < 1 {
 		return
 	}
 	l.since = now
-	l.ageDemand(passed)
-	if passed > idlePeriods {
+	l.updateDemand(periods)
+	if periods > idlePeriods {
 		l.budget = 0
 	} else {
-		l.adjust(passed)
+		l.adjustBudget(periods)
 	}
 	l.sent, l.refused = 0, 0
-	l.divide()
+	l.allocateBudget()
 }
 
-func (l *serviceLoad) ageDemand(passed float64) {
+func (l *serviceLoad) updateDemand(periods float64) {
 	for key, d := range l.demand {
 		if d.rate == 0 {
-			d.rate = d.now / passed
+			d.rate = d.requests / periods
 		}
-		d.rate += demandWeight * (d.now/passed - d.rate)
-		if passed > idlePeriods {
+		d.rate += demandWeight * (d.requests/periods - d.rate)
+		if periods > idlePeriods {
 			d.rate = 0
 		}
-		d.bank = min(d.bank+max(d.grant*passed-d.now, 0), mostBanked)
-		d.now = 0
-		if d.rate < leastRate {
+		d.savedGrant = min(d.savedGrant+max(d.grant*periods-d.requests, 0), maxSavedGrant)
+		d.requests = 0
+		if d.rate < minRate {
 			delete(l.demand, key)
 		}
 	}
 }
 
-// adjust sets the budget by what the gates took when they refused, and lets it
-// grow when they did not.
-func (l *serviceLoad) adjust(passed float64) {
-	if l.sent >= minReports && l.refused > overloadShare*l.sent {
-		took := max((l.sent-l.refused)/passed*headroom, leastBudget)
+// adjustBudget sets the budget from the attempts that gates accepted while they refused others, and lets it
+// grow when they did not refuse.
+func (l *serviceLoad) adjustBudget(periods float64) {
+	if l.sent >= minAttempts && l.refused > overloadRatio*l.sent {
+		accepted := max((l.sent-l.refused)/periods*headroom, minBudget)
 		if l.budget == 0 {
-			l.budget = took
+			l.budget = accepted
 		}
-		l.budget += budgetWeight * (took - l.budget)
+		l.budget += budgetWeight * (accepted - l.budget)
 		return
 	}
-	l.budget *= growth
+	l.budget *= budgetGrowth
 }
 
-// divide sets the admitted part of every demand. Without overload, or when the
-// budget exceeds the demand, all is admitted.
-func (l *serviceLoad) divide() {
+// allocateBudget divides the budget between the demands. Everything is admitted without overload, or if the
+// budget covers the demand.
+func (l *serviceLoad) allocateBudget() {
 	sum, exempt := 0.0, 0.0
 	customers := map[string]*customerDemand{}
 	for key, d := range l.demand {
-		d.part, d.grant = 1, mostBanked
+		d.admitRatio, d.grant = 1, maxSavedGrant
 		sum += d.rate
 		if key.order == neverShed {
 			exempt += d.rate
@@ -192,7 +189,7 @@
 			customers[key.customer] = c
 		}
 		c.rate += d.rate
-		c.list = append(c.list, orderedDemand{key.order, d})
+		c.demands = append(c.demands, orderedDemand{key.order, d})
 	}
 	if l.budget > 2*sum {
 		l.budget = 0
@@ -200,16 +197,16 @@
 	if l.budget == 0 || l.budget >= sum {
 		return
 	}
-	level := fillLevel(customers, max(l.budget-exempt, 0))
+	level := waterLevel(customers, max(l.budget-exempt, 0))
 	for _, c := range customers {
-		c.spend(level * c.share)
+		c.allocate(level * c.share)
 	}
 }
 
-// customerDemand is what one customer asks of a service.
+// customerDemand is one customer's total demand for a service.
 type customerDemand struct {
 	share, rate float64
-	list        []orderedDemand
+	demands     []orderedDemand
 }
 
 type orderedDemand struct {
@@ -217,18 +214,18 @@
 	*demand
 }
 
-// spend admits the customer's demands, those that are shed last first.
-func (c *customerDemand) spend(budget float64) {
-	sort.Slice(c.list, func(i, j int) bool { return c.list[i].order > c.list[j].order })
-	for _, d := range c.list {
-		d.part, d.grant = min(budget/d.rate, 1), budget
+// allocate divides the customer's budget between its demands, highest shed order first.
+func (c *customerDemand) allocate(budget float64) {
+	sort.Slice(c.demands, func(i, j int) bool { return c.demands[i].order > c.demands[j].order })
+	for _, d := range c.demands {
+		d.admitRatio, d.grant = min(budget/d.rate, 1), budget
 		budget = max(budget-d.rate, 0)
 	}
 }
 
-// fillLevel returns the rate per share at which the customers' rates, each cut
-// at the level times its share, make up the budget.
-func fillLevel(customers map[string]*customerDemand, budget float64) float64 {
+// waterLevel returns the level at which the budget is used up if each customer gets its rate, but at most the
+// level times its share (max-min fairness by water-filling).
+func waterLevel(customers map[string]*customerDemand, budget float64) float64 {
 	list := make([]*customerDemand, 0, len(customers))
 	shares := 0.0
 	for _, c := range customers {
--- a/node/planner/day_test.go
+++ b/node/planner/day_test.go
@@ -13,15 +13,15 @@
 	"caperdrum.org/node/state"
 )
 
-// deployment is a day's demand on pools of engines. A request passes the
-// stages one after the other within its deadline.
+// deployment describes a day's demand on pools of engines. A request passes the stages one after the other
+// within its deadline.
 type deployment struct {
 	name      string
 	deadline  time.Duration
 	stages    []stage
-	perSecond func(hour float64) float64 // arrivals
+	perSecond func(hour float64) float64 // mean arrivals per second
 	quiet     func(hour float64) bool
-	surge     [2]int // seconds of the last day in which demand that nobody saw before comes in
+	surge     [2]int // start and end, in seconds of the measured day, of a demand that the forecast has not learned
 	surgeRate float64
 }
 
@@ -30,7 +30,7 @@
 	engines int
 	limit   int
 	service time.Duration
-	load    time.Duration // of a model
+	load    time.Duration // time to load the model
 	bytes   int64
 }
 
@@ -68,52 +68,52 @@
 }
 
 const (
-	daySeconds  = 24 * 3600
-	learnDays   = 1
-	planEvery   = 2 // seconds
-	storeRate   = 2_000_000_000
-	storeBurst  = 28_000_000_000
-	baseEvery   = 15 // seconds between two looks of the threshold baseline
-	baseHigh    = 0.8
-	baseLow     = 0.3
-	baseAim     = 0.6
-	baseFallGap = 60 // seconds between two steps down
+	daySeconds            = 24 * 3600
+	learnDays             = 1
+	planEvery             = 2 // seconds
+	storeRate             = 2_000_000_000
+	storeBurst            = 28_000_000_000
+	thresholdInterval     = 15 // seconds between two evaluations of the threshold baseline
+	thresholdHigh         = 0.8
+	thresholdLow          = 0.3
+	thresholdTarget       = 0.6
+	thresholdDownInterval = 60 // seconds between two unloads
 )
 
-// pool is the engines of one stage. Attempts wait in one queue, as entries
-// that know every gate's load make it.
+// pool is the engines of one stage. Attempts wait in one queue, as they do in effect when entries know the
+// load of every gate.
 type pool struct {
 	stage
-	engines  []*dayEngine
-	free     []int64 // milliseconds at which the slots in use become free, a heap
-	peak     int     // attempts at hand since the last plan
-	arrived  int64
-	misses   int64
-	held     [2]float64 // engine-seconds in the day and in its quiet hours
-	lastFall int
+	engines    []*dayEngine
+	free       []int64 // times in milliseconds at which the slots in use become free
+	peak       int     // maximum of attempts in flight or waiting since the last plan
+	arrived    int64
+	misses     int64
+	held       [2]float64 // engine-seconds in the whole day and in its quiet hours
+	lastUnload int
 }
 
 type dayEngine struct {
 	id      wire.MemberID
 	warm    bool
-	readyAt int // second at which a load ends; 0: none
+	readyAt int // second at which a load ends; zero means none
 	order   *wire.Order
 	seen    uint64
-	needed  bool // demand called for it since it was loaded
+	needed  bool // demand has required it since it was loaded
 }
 
-// run is one policy on one deployment.
+// run simulates one policy on one deployment.
 type run struct {
-	d               deployment
-	policy          string
-	pools           []*pool
-	rng             *rand.Rand
-	machine         *state.Machine
-	planner         *planner.Planner
-	sent, whole     int
-	orders, wasted  int
-	quietSent, lost int
-	newSent, newBad int // on the first day, when nothing was learned yet
+	d                            deployment
+	policy                       string
+	pools                        []*pool
+	rng                          *rand.Rand
+	machine                      *state.Machine
+	planner                      *planner.Planner
+	sent, inTime                 int
+	orders, wasted               int
+	quietSent, quietMissed       int
+	firstDaySent, firstDayMissed int // on the first day, before the forecast has learned anything
 }
 
 func newRun(d deployment, policy string) *run {
@@ -137,7 +137,7 @@
 	return n
 }
 
-func (p *pool) drop(ms int64) {
+func (p *pool) releaseSlots(ms int64) {
 	k := 0
 	for _, at := range p.free {
 		if at > ms {
@@ -148,7 +148,7 @@
 	p.free = p.free[:k]
 }
 
-// serve returns when an attempt that comes at ms ends, or false when it is
+// serve returns the time in milliseconds at which an attempt that arrives at ms ends, or false if it is
 // refused because it cannot end before the deadline.
 func (p *pool) serve(ms, deadline int64) (int64, bool) {
 	p.arrived++
@@ -157,7 +157,7 @@
 		p.misses++
 		return 0, false
 	}
-	p.drop(ms)
+	p.releaseSlots(ms)
 	start := ms
 	if over := len(p.free) - slots; over >= 0 {
 		slices.Sort(p.free)
@@ -199,12 +199,12 @@
 		switch {
 		case r.policy == "forecast" && second%planEvery == 0:
 			r.plan(t, second, measured)
-		case r.policy == "threshold" && second%baseEvery == 0:
+		case r.policy == "threshold" && second%thresholdInterval == 0:
 			r.threshold(second)
 		}
-		r.settle(t, second)
+		r.finishLoads(t, second)
 		if measured {
-			r.hold(quiet)
+			r.addHeldTime(quiet)
 		}
 	}
 }
@@ -217,25 +217,25 @@
 		}
 	}
 	if !measured {
-		r.newSent++
+		r.firstDaySent++
 		if !ok {
-			r.newBad++
+			r.firstDayMissed++
 		}
 		return
 	}
 	r.sent++
 	if ok {
-		r.whole++
+		r.inTime++
 	}
 	if quiet {
 		r.quietSent++
 		if !ok {
-			r.lost++
+			r.quietMissed++
 		}
 	}
 }
 
-func (r *run) hold(quiet bool) {
+func (r *run) addHeldTime(quiet bool) {
 	for _, p := range r.pools {
 		for _, e := range p.engines {
 			if e.warm || e.readyAt > 0 {
@@ -248,8 +248,8 @@
 	}
 }
 
-// settle ends loads that are due.
-func (r *run) settle(t *testing.T, second int) {
+// finishLoads completes the loads that are due.
+func (r *run) finishLoads(t *testing.T, second int) {
 	for _, p := range r.pools {
 		for _, e := range p.engines {
 			if e.readyAt == 0 || e.readyAt > second {
@@ -300,8 +300,8 @@
 	}
 }
 
-// report gives every engine an equal share of its pool's attempts, and marks
-// the engines that demand calls for.
+// report gives every warm engine an equal share of its pool's attempts, and marks the engines that the demand
+// requires.
 func (r *run) report(p *pool, v *state.View) []planner.Engine {
 	var out []planner.Engine
 	warm := max(p.warm(), 1)
@@ -349,8 +349,8 @@
 	}
 }
 
-// threshold is the plain baseline: it looks at the load of now, and its loads
-// ask no budget.
+// threshold is the baseline policy: it compares the current load with thresholds, and its loads need no
+// budget.
 func (r *run) threshold(second int) {
 	for _, p := range r.pools {
 		held := 0
@@ -362,16 +362,16 @@
 		load := float64(p.peak)
 		p.peak = 0
 		switch used := load / float64(held*p.limit); {
-		case used > baseHigh:
-			want := int(math.Ceil(load / (baseAim * float64(p.limit))))
+		case used > thresholdHigh:
+			want := int(math.Ceil(load / (thresholdTarget * float64(p.limit))))
 			for _, e := range p.engines {
 				if held < want && !e.warm && e.readyAt == 0 {
 					e.readyAt = second + int(p.load.Seconds())
 					held++
 				}
 			}
-		case used < baseLow && held > 1 && second-p.lastFall >= baseFallGap:
-			p.lastFall = second
+		case used < thresholdLow && held > 1 && second-p.lastUnload >= thresholdDownInterval:
+			p.lastUnload = second
 			for i := len(p.engines) - 1; i >= 0; i-- {
 				if p.engines[i].warm {
 					p.engines[i].warm = false
@@ -382,7 +382,7 @@
 	}
 }
 
-func (r *run) attainment() float64 { return 100 * float64(r.whole) / float64(r.sent) }
+func (r *run) attainment() float64 { return 100 * float64(r.inTime) / float64(r.sent) }
 
 func (r *run) cost(i int) (sum float64) {
 	for _, p := range r.pools {
@@ -391,8 +391,8 @@
 	return sum
 }
 
-// TestCompressedDay compares the planner with two baselines on the same
-// arrivals. Run it with -v for the table.
+// TestCompressedDay compares the planner with two baseline policies on the same arrivals. Run it with -v for
+// the table.
 func TestCompressedDay(t *testing.T) {
 	if testing.Short() {
 		t.Skip("simulates 12 days")
@@ -409,8 +409,8 @@
 			always := runs["always on"]
 			for _, policy := range []string{"always on", "threshold", "forecast"} {
 				r := runs[policy]
-				line := fmt.Sprintf("%-10s attainment %.3f%% of %d (first day %.3f%%; quiet: %d of %d missed), cost day %.1f%% quiet %.1f%%, orders %d wasted %d;", policy, r.attainment(), r.sent, 100-100*float64(r.newBad)/float64(r.newSent),
-					r.lost, r.quietSent, 100*r.cost(0)/always.cost(0), 100*r.cost(1)/always.cost(1), r.orders, r.wasted)
+				line := fmt.Sprintf("%-10s attainment %.3f%% of %d (first day %.3f%%; quiet: %d of %d missed), cost day %.1f%% quiet %.1f%%, orders %d wasted %d;", policy, r.attainment(), r.sent, 100-100*float64(r.firstDayMissed)/float64(r.firstDaySent),
+					r.quietMissed, r.quietSent, 100*r.cost(0)/always.cost(0), 100*r.cost(1)/always.cost(1), r.orders, r.wasted)
 				for i, p := range r.pools {
 					line += fmt.Sprintf(" %s %.0f/%.0f engine-hours", p.name, p.held[0]/3600, always.pools[i].held[0]/3600)
 				}
--- a/node/planner/step.go
+++ b/node/planner/step.go
@@ -27,35 +27,35 @@
 	if len(in.Specs) == 0 {
 		return
 	}
-	in.Engines, in.Misses = s.picture(view, now)
-	s.count(in, now)
+	in.Engines, in.Misses = s.engineSnapshot(view, now)
+	s.countHeldTime(in, now)
 	plan := s.planner.Plan(in)
 	for service, n := range plan.Targets {
 		setInt(targetVar, service, int64(n))
 	}
 	s.propose(ctx, term, cfg.WeightStore, plan, now)
 	if plan.Rollback != nil {
-		s.rollBack(ctx, view, plan.Rollback)
+		s.proposeRollback(ctx, view, plan.Rollback)
 	}
 }
 
-// config returns the parsed text. It is kept, since a plan is made every
-// second.
+// config returns the parsed configuration. It is cached, as a plan is made every second.
 func (s *Service) config(view *state.View) *optext.Config {
 	if s.cfg != nil && s.cfgVersion == view.Config.Version {
 		return s.cfg
 	}
 	cfg, err := s.cfg.Next("configuration", view.Config.Text)
 	if err != nil {
-		s.log.Error(err, "no plan is made", "version", view.Config.Version)
+		s.log.Error(err, "cannot parse the configuration, no plan made", "version", view.Config.Version)
 		return nil
 	}
 	s.cfg, s.cfgVersion = cfg, view.Config.Version
 	return cfg
 }
 
-// picture joins the members' reports with the replicated orders.
-func (s *Service) picture(view *state.View, now time.Time) ([]Engine, map[string]int64) {
+// engineSnapshot joins the agents' reports with the replicated orders, and returns the misses since the last
+// snapshot by service.
+func (s *Service) engineSnapshot(view *state.View, now time.Time) ([]Engine, map[string]int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	misses := s.misses
@@ -66,15 +66,15 @@
 			continue
 		}
 		engines = append(engines, Engine{ID: id, Service: p.Service, State: p.Engine, Running: p.Running, Seen: p.Seen,
-			Settled: p.Established && !p.ordersIn, Fence: view.Fences[id], Last: view.Orders[id],
-			InFlight: p.InFlight, Queued: p.Queued, Limit: p.Limit, Arrivals: p.Arrived - p.counted})
-		p.counted = p.Arrived
+			Settled: p.Established && !p.reportsPending, Fence: view.Fences[id], Last: view.Orders[id],
+			InFlight: p.InFlight, Queued: p.Queued, Limit: p.Limit, Arrivals: p.Arrived - p.countedArrivals})
+		p.countedArrivals = p.Arrived
 	}
 	sort.Slice(engines, func(i, j int) bool { return engines[i].ID < engines[j].ID })
 	return engines, misses
 }
 
-func (s *Service) count(in Input, now time.Time) {
+func (s *Service) countHeldTime(in Input, now time.Time) {
 	if !s.lastStep.IsZero() {
 		passed := now.Sub(s.lastStep).Seconds()
 		for _, e := range in.Engines {
@@ -99,19 +99,19 @@
 	if len(cmd.End)+len(cmd.Issue)+len(cmd.Forecast) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, proposeLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	res, err := s.replica.Propose(ctx, state.Command{Orders: cmd})
 	if err != nil {
 		s.log.V(logging.Detail).Info("orders not replicated", "error", err.Error())
-		return // the next plan starts from what was committed
+		return // the next plan starts from the committed state
 	}
 	for i, r := range res.Orders {
-		s.issued(cmd, cmd.Issue[i].Order, r, now)
+		s.recordIssue(cmd, cmd.Issue[i].Order, r, now)
 	}
 }
 
-func (s *Service) issued(cmd *state.OrderCommand, o wire.Order, r state.IssueResult, now time.Time) {
+func (s *Service) recordIssue(cmd *state.OrderCommand, o wire.Order, r state.IssueResult, now time.Time) {
 	if r.Refused == "" {
 		issuedVar.Add(1)
 		what := string(o.Kind) + " " + o.Artifact.String() + o.Role
@@ -126,18 +126,17 @@
 	}
 }
 
-// rollBack puts the old version back into the text by an ordinary numbered
-// change. Its change id follows from the version it corrects, so a leader
-// that repeats it has no second effect.
-func (s *Service) rollBack(ctx context.Context, view *state.View, r *Rollback) {
+// proposeRollback restores the old version in the configuration by an ordinary numbered change. Its change ID
+// is derived from the configuration that it corrects, so that a repetition by another leader has no effect.
+func (s *Service) proposeRollback(ctx context.Context, view *state.View, r *Rollback) {
 	text, err := replaceArtifact(view.Config.Text, r)
 	if err != nil {
-		s.log.Error(err, "no way back", "service", r.Service)
+		s.log.Error(err, "cannot roll back the model", "service", r.Service)
 		return
 	}
 	change := &wire.ChangeRequest{Number: view.Config.Version + 1, Text: text, Author: "planner",
 		ChangeID: "rollback-" + r.Service + "-" + r.From.String() + "-" + view.Winner}
-	ctx, cancel := context.WithTimeout(ctx, proposeLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	res, err := s.replica.Propose(ctx, state.Command{Change: change})
 	if err != nil || res.Change == nil {
@@ -147,8 +146,8 @@
 	s.ring.Record(timeline.Event{Kind: "model-rolled-back", Detail: r.Service + " " + r.From.String() + " to " + r.To.String()})
 }
 
-// replaceArtifact changes one artifact in the key models of one service and
-// leaves every other byte of the text alone.
+// replaceArtifact replaces one artifact in the models key of one service and leaves every other byte of the
+// text unchanged.
 func replaceArtifact(text string, r *Rollback) (string, error) {
 	lines := strings.Split(text, "\n")
 	inside := false
@@ -181,7 +180,7 @@
 	return key + "=" + strings.Join(items, ",")
 }
 
-// Specs returns what the text asks of the services that have models.
+// Specs returns the specs of the services that have models, sorted by name.
 func Specs(cfg *optext.Config) []Spec {
 	var out []Spec
 	for _, sv := range cfg.Services {
@@ -200,7 +199,7 @@
 	return out
 }
 
-const noDeadline = time.Hour // a service that no pipeline uses
+const noDeadline = time.Hour // for a service that no pipeline uses
 
 func deadlineOf(cfg *optext.Config, service string) time.Duration {
 	least := noDeadline
--- a/node/quarantine/ledger.go
+++ b/node/quarantine/ledger.go
@@ -11,52 +11,55 @@
 )
 
 const (
-	// barAfter is how many upstreams end under a call until it is barred.
+	// barAfter is how many upstreams must crash under a call before it is barred.
 	barAfter = 3
-	// barDespite is the same where other barred calls were on these upstreams too, or the call
-	// was answered before.
-	barDespite = 5
-	// tellFrom is how many ends make a call known to all processes: they report when it is answered.
-	tellFrom = 2
-	// keepTime is how long a call is remembered after the last upstream ended under it. One
-	// that was barred may then run once more: upstreams may have been mended.
-	keepTime = 24 * time.Hour
-	// maxRecords and maxStarts bound what a caller can make the replicas hold.
-	maxRecords = 512
-	maxStarts  = 16
+	// barAfterAmbiguous is the same for a call that was answered before, or whose crashes another call may
+	// explain.
+	barAfterAmbiguous = 5
+	// suspectAfter is how many crashes make a call a suspect. Suspects are published to all processes, which
+	// then report it when such a call is answered.
+	suspectAfter = 2
+	// recordTTL is how long a call is remembered after its last crash. A barred call may then run once more,
+	// as the upstreams may have been fixed.
+	recordTTL = 24 * time.Hour
+	// maxRecords and maxStartsPerRecord bound the memory that callers can make the replicas use.
+	maxRecords         = 512
+	maxStartsPerRecord = 16
 )
 
-// Record is what is known of one call. Its slices are replaced, never changed.
+// Record holds the crashes and the state of one call. Its slices are replaced, never modified.
 type Record struct {
 	Call    wire.CallSketch `cbor:"1,keyasint"`
-	Starts  []wire.Start    `cbor:"2,keyasint"` // of upstreams that ended under it, the latest last
+	Starts  []wire.Start    `cbor:"2,keyasint"` // upstreams that crashed with the call in flight, oldest first
 	Barred  bool            `cbor:"3,keyasint,omitempty"`
-	Cleared bool            `cbor:"4,keyasint,omitempty"` // it was answered once; Starts are those since the last time
-	Since   int64           `cbor:"5,keyasint"`           // Barred or Cleared changed; milliseconds since the Unix epoch
-	At      int64           `cbor:"6,keyasint"`           // last accused
+	Cleared bool            `cbor:"4,keyasint,omitempty"` // it was answered at least once; Starts are the crashes since the last answer
+	Since   int64           `cbor:"5,keyasint"`           // when Barred or Cleared last changed, in milliseconds since the Unix epoch
+	At      int64           `cbor:"6,keyasint"`           // last change of the record, in milliseconds since the Unix epoch
 }
 
-// Ledger weighs which calls end upstreams. An end accuses all calls that the upstream had. The
-// call that causes it is on each upstream that ends; those beside it are on some, and are answered elsewhere. An
-// answer counts for what was before: a later version of the upstream may end under the same call.
+// Ledger decides which calls crash upstreams. A crash is recorded for all calls that were in
+// flight at the upstream. The call that causes it is in flight at every upstream that crashes;
+// unrelated calls are in flight at some of them and are answered elsewhere. An answer clears only
+// the crashes before it: a later version of the upstream may crash under the same call.
 //
-// It is deterministic, reads no clock, and can be encoded. One goroutine owns it; Suspects are
-// immutable.
+// A Ledger is deterministic, reads no clock, and can be encoded. It is not safe for concurrent
+// use; the Suspects that it returns are immutable.
 type Ledger struct {
 	Revision uint64                      `cbor:"1,keyasint"`
 	Records  map[wire.Fingerprint]Record `cbor:"2,keyasint,omitempty"`
 }
 
-// Clone returns a ledger that stays as it is.
+// Clone returns a copy that later changes of l do not affect.
 func (l Ledger) Clone() Ledger {
 	l.Records = maps.Clone(l.Records)
 	return l
 }
 
-// Take takes over a report. now is in milliseconds since the Unix epoch.
+// Take applies a report and returns which calls it cleared and barred, and whose bar it lifted. now is in
+// milliseconds since the Unix epoch.
 func (l *Ledger) Take(r *wire.CrashReport, now int64) wire.QuarantineChange {
 	var change wire.QuarantineChange
-	before := l.known()
+	before := l.suspectList()
 	for _, call := range r.Answered {
 		if l.clear(call, now) {
 			change.Cleared = append(change.Cleared, call.Fingerprint)
@@ -64,50 +67,51 @@
 	}
 	for _, crash := range r.Crashes {
 		for _, call := range crash.Calls {
-			l.accuse(call, crash.Upstream, now)
+			l.addCrash(call, crash.Upstream, now)
 		}
 	}
-	l.judge(now, &change)
-	l.published(before)
+	l.updateBars(now, &change)
+	l.updateRevision(before)
 	return change
 }
 
-// Lift forgets a call, and reports whether it was known.
+// Lift removes a call's record, and reports whether there was one.
 func (l *Ledger) Lift(f wire.Fingerprint) bool {
 	if _, known := l.Records[f]; !known {
 		return false
 	}
-	before := l.known()
+	before := l.suspectList()
 	delete(l.Records, f)
-	l.published(before)
+	l.updateRevision(before)
 	return true
 }
 
-// Due returns when Expire has something to do, in milliseconds since the Unix epoch.
+// Due returns when the next record expires, in milliseconds since the Unix epoch.
 func (l *Ledger) Due() int64 {
 	due := int64(math.MaxInt64)
 	for _, r := range l.Records {
-		due = min(due, r.At+keepTime.Milliseconds()+1)
+		due = min(due, r.At+recordTTL.Milliseconds()+1)
 	}
 	return due
 }
 
-// Expire forgets calls under which no upstream has ended lately. One that was barred stays a suspect.
+// Expire drops records that are older than recordTTL. A barred call becomes a suspect instead. now is in
+// milliseconds since the Unix epoch.
 func (l *Ledger) Expire(now int64) {
 	var old []Record
 	for _, r := range l.Records {
-		if now-r.At > keepTime.Milliseconds() {
+		if now-r.At > recordTTL.Milliseconds() {
 			old = append(old, r)
 		}
 	}
 	if len(old) == 0 {
 		return
 	}
-	before := l.known()
+	before := l.suspectList()
 	for _, r := range old {
 		l.expire(r, now)
 	}
-	l.published(before)
+	l.updateRevision(before)
 }
 
 func (l *Ledger) expire(r Record, now int64) {
@@ -116,23 +120,23 @@
 		return
 	}
 	r.Barred, r.Since, r.At = false, now, now
-	r.Starts = slices.Clone(r.Starts[max(0, len(r.Starts)-tellFrom):])
+	r.Starts = slices.Clone(r.Starts[max(0, len(r.Starts)-suspectAfter):])
 	l.Records[r.Call.Fingerprint] = r
 }
 
-// accuse notes that an upstream ended under the call.
-func (l *Ledger) accuse(call wire.CallSketch, start wire.Start, now int64) {
+// addCrash records that an upstream crashed with the call in flight.
+func (l *Ledger) addCrash(call wire.CallSketch, start wire.Start, now int64) {
 	r := l.record(call, now)
 	if slices.Contains(r.Starts, start) {
 		return
 	}
 	r.At = now
 	r.Starts = append(slices.Clone(r.Starts), start)
-	r.Starts = r.Starts[max(0, len(r.Starts)-maxStarts):]
+	r.Starts = r.Starts[max(0, len(r.Starts)-maxStartsPerRecord):]
 	l.Records[call.Fingerprint] = r
 }
 
-// record returns the record of the call, a new one where there is none.
+// record returns the record of the call, or a new one that is not stored yet.
 func (l *Ledger) record(call wire.CallSketch, now int64) Record {
 	if r, known := l.Records[call.Fingerprint]; known {
 		return r
@@ -140,23 +144,23 @@
 	if l.Records == nil {
 		l.Records = map[wire.Fingerprint]Record{}
 	}
-	l.makeRoom()
+	l.evict()
 	return Record{Call: call, Since: now}
 }
 
-// judge bars the calls under which enough upstreams have ended that no other call explains. Reports come
-// one after the other, so a late one may show that a barred call was merely beside another one.
-func (l *Ledger) judge(now int64, change *wire.QuarantineChange) {
-	suspects, on := l.suspects()
+// updateBars bars the calls with enough crashes that no other call explains. It also lifts bars: reports
+// arrive one after the other, so a late one may show that a barred call merely ran beside another one.
+func (l *Ledger) updateBars(now int64, change *wire.QuarantineChange) {
+	suspects, byStart := l.barCandidates()
 	for _, r := range suspects {
-		if r.Barred && len(r.Starts) < barDespite && l.covered(r, on) {
+		if r.Barred && len(r.Starts) < barAfterAmbiguous && l.ambiguous(r, byStart) {
 			r.Barred, r.Since = false, now
 			l.Records[r.Call.Fingerprint] = r
 			change.Lifted = append(change.Lifted, r.Call.Fingerprint)
 		}
 	}
 	for _, r := range suspects {
-		if l.Records[r.Call.Fingerprint].Barred || !l.ends(r, on) {
+		if l.Records[r.Call.Fingerprint].Barred || !l.shouldBar(r, byStart) {
 			continue
 		}
 		r.Barred, r.Since = true, now
@@ -165,48 +169,48 @@
 	}
 }
 
-// onStart lists the calls that were on an upstream when it ended.
-type onStart map[wire.Start][]wire.Fingerprint
+// callsByStart lists the calls that were in flight at an upstream when it crashed.
+type callsByStart map[wire.Start][]wire.Fingerprint
 
-// suspects returns the calls that may be barred, those that were on most upstreams first: they explain
-// the ends that accuse the others.
-func (l *Ledger) suspects() ([]Record, onStart) {
+// barCandidates returns the records with enough crashes for a bar, most crashes first: once these are barred,
+// they explain the crashes of the others.
+func (l *Ledger) barCandidates() ([]Record, callsByStart) {
 	var out []Record
-	on := onStart{}
+	byStart := callsByStart{}
 	for f, r := range l.Records {
 		if len(r.Starts) < barAfter {
 			continue
 		}
 		out = append(out, r)
 		for _, start := range r.Starts {
-			on[start] = append(on[start], f)
+			byStart[start] = append(byStart[start], f)
 		}
 	}
 	slices.SortFunc(out, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(len(b.Starts), len(a.Starts)), cmp.Compare(a.Call.Fingerprint, b.Call.Fingerprint))
 	})
-	return out, on
+	return out, byStart
 }
 
-// ends reports whether the call is taken for one that ends upstreams.
-func (l *Ledger) ends(r Record, on onStart) bool {
-	if len(r.Starts) >= barDespite {
+// shouldBar reports whether the call is considered the cause of crashes.
+func (l *Ledger) shouldBar(r Record, byStart callsByStart) bool {
+	if len(r.Starts) >= barAfterAmbiguous {
 		return true
 	}
-	if r.Cleared || l.covered(r, on) {
-		return false // another was on all of these upstreams too: the next end tells the two apart
+	if r.Cleared || l.ambiguous(r, byStart) {
+		return false // another call was in flight at all of these upstreams; the next crash tells them apart
 	}
-	own := 0
+	unexplained := 0
 	for _, start := range r.Starts {
-		if !l.explained(r, on[start]) {
-			own++
+		if !l.hasBarredCall(r, byStart[start]) {
+			unexplained++
 		}
 	}
-	return own >= barAfter
+	return unexplained >= barAfter
 }
 
-// explained reports whether one of the other calls on an upstream is barred.
-func (l *Ledger) explained(r Record, calls []wire.Fingerprint) bool {
+// hasBarredCall reports whether one of the calls, other than that of r, is barred.
+func (l *Ledger) hasBarredCall(r Record, calls []wire.Fingerprint) bool {
 	for _, f := range calls {
 		if f != r.Call.Fingerprint && l.Records[f].Barred {
 			return true
@@ -215,18 +219,19 @@
 	return false
 }
 
-// covered reports whether another suspect was on all upstreams that r was on.
-func (l *Ledger) covered(r Record, on onStart) bool {
-	for _, f := range on[r.Starts[0]] {
+// ambiguous reports whether another candidate, which no answer has cleared, was in flight at all crashes of
+// r.
+func (l *Ledger) ambiguous(r Record, byStart callsByStart) bool {
+	for _, f := range byStart[r.Starts[0]] {
 		other := l.Records[f]
-		if f != r.Call.Fingerprint && !other.Cleared && within(r.Starts, other.Starts) {
+		if f != r.Call.Fingerprint && !other.Cleared && isSubset(r.Starts, other.Starts) {
 			return true
 		}
 	}
 	return false
 }
 
-func within(part, whole []wire.Start) bool {
+func isSubset(part, whole []wire.Start) bool {
 	for _, start := range part {
 		if !slices.Contains(whole, start) {
 			return false
@@ -235,8 +240,8 @@
 	return true
 }
 
-// clear takes an upstream's answer as proof that the call did not end those before, and reports whether
-// that is new.
+// clear records that an upstream answered the call, which shows that the call did not cause the earlier
+// crashes. It reports whether that changes the record.
 func (l *Ledger) clear(call wire.CallSketch, now int64) bool {
 	r := l.record(call, now)
 	if r.Cleared && len(r.Starts) == 0 {
@@ -247,19 +252,20 @@
 	return true
 }
 
-// makeRoom forgets the record that tells least when there are too many: of the calls that are
-// not barred the one with the fewest ends, and of barred ones one of the customer who has most.
-func (l *Ledger) makeRoom() {
+// evict drops one record if the ledger is full: of the calls that are not barred one with the fewest crashes,
+// or, if all are barred, one of the customer with the most records. So one customer cannot displace the
+// others' records.
+func (l *Ledger) evict() {
 	if len(l.Records) < maxRecords {
 		return
 	}
-	of := map[string]int{}
+	perCustomer := map[string]int{}
 	for _, r := range l.Records {
-		of[r.Call.Customer]++
+		perCustomer[r.Call.Customer]++
 	}
 	records := slices.Collect(maps.Values(l.Records))
-	least := slices.MinFunc(records, func(a, b Record) int {
-		byCustomer := cmp.Compare(of[b.Call.Customer], of[a.Call.Customer])
+	victim := slices.MinFunc(records, func(a, b Record) int {
+		byCustomer := cmp.Compare(perCustomer[b.Call.Customer], perCustomer[a.Call.Customer])
 		byAge := cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Call.Fingerprint, b.Call.Fingerprint))
 		switch {
 		case a.Barred && b.Barred:
@@ -271,14 +277,14 @@
 		}
 		return cmp.Or(cmp.Compare(len(a.Starts), len(b.Starts)), byCustomer, byAge)
 	})
-	delete(l.Records, least.Call.Fingerprint)
+	delete(l.Records, victim.Call.Fingerprint)
 }
 
-// known returns what processes are told.
-func (l *Ledger) known() []wire.Suspect {
+// suspectList returns the suspects that are published to all processes, sorted by fingerprint.
+func (l *Ledger) suspectList() []wire.Suspect {
 	var out []wire.Suspect
 	for f, r := range l.Records {
-		if r.Barred || len(r.Starts) >= tellFrom {
+		if r.Barred || len(r.Starts) >= suspectAfter {
 			out = append(out, wire.Suspect{Fingerprint: f, Shape: r.Call.Shape, Barred: r.Barred})
 		}
 	}
@@ -286,29 +292,30 @@
 	return out
 }
 
-// published counts the revision on when what processes are told has changed.
-func (l *Ledger) published(before []wire.Suspect) {
-	if !slices.Equal(before, l.known()) {
+// updateRevision increments the revision if the published list differs from before.
+func (l *Ledger) updateRevision(before []wire.Suspect) {
+	if !slices.Equal(before, l.suspectList()) {
 		l.Revision++
 	}
 }
 
-// certain returns the calls that are barred whatever else was on their upstreams.
-func (l *Ledger) certain() wire.Suspects {
+// unambiguousSuspects returns the suspects, of which only those are barred that have enough crashes
+// regardless of what else was in flight.
+func (l *Ledger) unambiguousSuspects() wire.Suspects {
 	out := wire.Suspects{Revision: l.Revision}
-	for _, s := range l.known() {
-		s.Barred = len(l.Records[s.Fingerprint].Starts) >= barDespite
+	for _, s := range l.suspectList() {
+		s.Barred = len(l.Records[s.Fingerprint].Starts) >= barAfterAmbiguous
 		out.List = append(out.List, s)
 	}
 	return out
 }
 
-// Suspects returns what processes are told.
+// Suspects returns the list that is published to all processes.
 func (l *Ledger) Suspects() wire.Suspects {
-	return wire.Suspects{Revision: l.Revision, List: l.known()}
+	return wire.Suspects{Revision: l.Revision, List: l.suspectList()}
 }
 
-// Entries returns all calls for operators, sorted by fingerprint.
+// Entries returns all records for the admin API, sorted by fingerprint.
 func (l *Ledger) Entries() []wire.QuarantineEntry {
 	out := make([]wire.QuarantineEntry, 0, len(l.Records))
 	for _, f := range slices.Sorted(maps.Keys(l.Records)) {
--- a/node/quarantine/reporter_test.go
+++ b/node/quarantine/reporter_test.go
@@ -13,7 +13,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestReportsArrive has a leader that is not there at first. Everything arrives, an upstream's calls together, in
+// TestReportsArrive starts without a leader. All calls must arrive, those of one upstream together, in
 // reports of bounded size.
 func TestReportsArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -23,7 +23,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if failures--; failures >= 0 {
-				return errors.New("nobody leads")
+				return errors.New("no leader")
 			}
 			sent = append(sent, report)
 			return nil
@@ -41,13 +41,13 @@
 		}
 		failures = 1
 		mu.Unlock()
-		for i := range 3 * maxCalls {
+		for i := range 3 * maxPendingCalls {
 			r.Add(&wire.CrashReport{Crashes: []wire.Crash{crashOf(i, wire.Fingerprint(fmt.Sprint(i)))}})
 		}
 		time.Sleep(time.Minute)
 		mu.Lock()
 		defer mu.Unlock()
-		if len(sent) != 2 || len(sent[1].Crashes) != maxCalls {
+		if len(sent) != 2 || len(sent[1].Crashes) != maxPendingCalls {
 			t.Fatalf("%d reports, the last with %d crashes", len(sent), len(sent[len(sent)-1].Crashes))
 		}
 		cancel()
--- a/node/rollout/counter.go
+++ b/node/rollout/counter.go
@@ -8,19 +8,19 @@
 	"caperdrum.org/api/wire"
 )
 
-// Outcome is what became of a call at an upstream.
+// Outcome is the result of a call to an upstream.
 type Outcome int
 
-// Outcomes.
+// Values of Outcome.
 const (
 	Answered Outcome = iota
-	Failed           // it answered that it failed, broke off, or did not answer in the time that it had
+	Failed           // an error answer, a broken connection, or no answer within the call's deadline
 )
 
-// bucketRatio is the ratio of the durations at the two ends of a bucket.
+// bucketRatio is the ratio of the upper to the lower bound of a histogram bucket.
 const bucketRatio = 1.25
 
-// bucketOf returns the bucket of a duration. Bucket 0 begins at a millisecond.
+// bucketOf returns the histogram bucket of a duration. Bucket 0 starts at 1 ms.
 func bucketOf(d time.Duration) int {
 	ms := float64(d) / float64(time.Millisecond)
 	if ms <= 1 {
@@ -29,54 +29,56 @@
 	return int(math.Log(ms) / math.Log(bucketRatio))
 }
 
-// Counter counts the answers that a process has got since each running roll-out started.
+// Counter counts the answers that this process has received since the start of each running roll-out. It is
+// safe for concurrent use.
 type Counter struct {
-	mu   sync.Mutex
-	by   map[string]*serviceCounts
-	news bool // since the last report
+	mu       sync.Mutex
+	services map[string]*serviceCounts
+	changed  bool // since the last report
 }
 
 type serviceCounts struct {
-	order uint64
-	by    map[countKey]*wire.VersionCounts
+	order    uint64
+	versions map[countKey]*wire.VersionCounts
 }
 
 type countKey struct{ version, route string }
 
-// NewCounter returns a Counter that counts nothing until it follows a running roll-out.
-func NewCounter() *Counter { return &Counter{by: map[string]*serviceCounts{}} }
+// NewCounter returns a Counter. It counts nothing until Follow adds a running roll-out.
+func NewCounter() *Counter { return &Counter{services: map[string]*serviceCounts{}} }
 
-// Follow takes over the roll-outs of a view: counts begin with the order and end with the roll-out.
+// Follow takes the roll-outs of a view. Counts start at zero with each order and are dropped when the
+// roll-out ends.
 func (c *Counter) Follow(r wire.Rollouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, x := range r.List {
-		switch known := c.by[x.Service]; {
+		switch known := c.services[x.Service]; {
 		case !x.Running():
-			delete(c.by, x.Service)
+			delete(c.services, x.Service)
 		case known == nil || known.order != x.Order:
-			c.by[x.Service] = &serviceCounts{order: x.Order, by: map[countKey]*wire.VersionCounts{}}
+			c.services[x.Service] = &serviceCounts{order: x.Order, versions: map[countKey]*wire.VersionCounts{}}
 		}
 	}
 }
 
-// Add counts an outcome. route tells calls apart that take differently long.
-func (c *Counter) Add(m wire.Member, route string, how Outcome, took time.Duration) {
+// Add counts an outcome. Durations are compared only within a route.
+func (c *Counter) Add(m wire.Member, route string, outcome Outcome, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.by[m.Service]
+	s := c.services[m.Service]
 	if s == nil {
 		return
 	}
 	key := countKey{m.Version, route}
-	n := s.by[key]
+	n := s.versions[key]
 	if n == nil {
 		n = &wire.VersionCounts{Version: m.Version, Route: route, Took: map[int]uint64{}}
-		s.by[key] = n
+		s.versions[key] = n
 	}
-	c.news = true
+	c.changed = true
 	switch {
-	case how == Failed:
+	case outcome == Failed:
 		n.Failed++
 	case m.Cold:
 		n.Took[coldBucket]++
@@ -85,21 +87,21 @@
 	}
 }
 
-// coldBucket counts answers of upstreams that are cold: how long they took says nothing.
+// coldBucket counts the answers of cold upstreams, whose durations are not comparable.
 const coldBucket = -1
 
-// Report returns what was counted, or nil when nothing was since the last report.
+// Report returns the cumulative counts, or nil if they have not changed since the last report.
 func (c *Counter) Report() []wire.RolloutCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.news {
+	if !c.changed {
 		return nil
 	}
-	c.news = false
+	c.changed = false
 	var out []wire.RolloutCounts
-	for service, s := range c.by {
+	for service, s := range c.services {
 		counts := wire.RolloutCounts{Service: service, Order: s.order}
-		for _, n := range s.by {
+		for _, n := range s.versions {
 			copied := *n
 			copied.Took = make(map[int]uint64, len(n.Took))
 			for bucket, count := range n.Took {
@@ -112,9 +114,9 @@
 	return out
 }
 
-// Again makes the next report say everything once more: the last one was not acknowledged.
+// Again makes the next Report return all counts again, since the last one was not acknowledged.
 func (c *Counter) Again() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.news = len(c.by) > 0
+	c.changed = len(c.services) > 0
 }
