--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -113,10 +113,10 @@
 	stopRuns  context.CancelFunc
 	peers     *retry.Peers
 	repeats   *retry.Quota
-	inquiries *quarantine.Inquiries
+	inquiries *quarantine.CrashDetector
 	reporter  *quarantine.Reporter
 	guard     *quarantine.Guard
-	answers   *quarantine.Answers
+	answers   *quarantine.AnsweredCalls
 	running   *running
 	holdings  *holdings
 	counter   *rollout.Counter  // of answers, while a service is rolled out
@@ -141,8 +141,8 @@
 	s.share(boottime.System())
 	s.running, s.counter = newRunning(), rollout.NewCounter()
 	s.holdings = newHoldings(set.Node.Memory)
-	s.guard, s.answers, s.reporter = quarantine.NewGuard(), quarantine.NewAnswers(), quarantine.NewReporter(noReports)
-	s.inquiries = quarantine.NewInquiries(s.pool.Listens, s.endedUnder, boottime.System())
+	s.guard, s.answers, s.reporter = quarantine.NewGuard(), quarantine.NewAnsweredCalls(), quarantine.NewReporter(noReports)
+	s.inquiries = quarantine.NewCrashDetector(s.pool.Listens, s.endedUnder, boottime.System())
 	s.ending, s.end = context.WithCancel(context.Background())
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader}
 	s.ready = &http.Server{Handler: http.HandlerFunc(s.answerReady), ReadHeaderTimeout: headerTimeout}
@@ -165,8 +165,8 @@
 	self := s.sync.Self()
 	here, known := v.Members.Get(self.ID)
 	s.peers.Follow(retry.Standing{Members: t.proxies, Self: known && here.Start() == self.Start()})
-	s.inquiries.Follow(v.Members)
-	if s.guard.Follow(v.Suspects) {
+	s.inquiries.UpdateMembers(v.Members)
+	if s.guard.Update(v.Suspects) {
 		s.running.endBarred()
 	}
 	if v.Version > 0 {
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -35,12 +35,12 @@
 
 // broke has it found out why the call broke off at the upstream.
 func (x *exchange) broke(m wire.Member) {
-	x.s.inquiries.Broke(quarantine.Broken{Call: x.copied(), Request: x.call.ID, Route: x.route.Name, Upstream: m})
+	x.s.inquiries.Check(quarantine.InterruptedCall{Call: x.copied(), Request: x.call.ID, Route: x.route.Name, Upstream: m})
 }
 
 // endedUnder reports that an upstream's process ended while it had a call. One that had said that
 // it leaves may end with calls.
-func (s *Service) endedUnder(b quarantine.Broken) {
+func (s *Service) endedUnder(b quarantine.InterruptedCall) {
 	if s.table.Load().leaving(b.Upstream.Start()) {
 		return
 	}
@@ -56,13 +56,13 @@
 }
 
 func (s *Service) report(r *wire.CrashReport) {
-	s.guard.Seen(r, time.Now())
+	s.guard.RecordLocal(r, time.Now())
 	s.reporter.Add(r)
 }
 
 // barred returns why the call must not reach an upstream, or nil.
 func (x *exchange) barred() *verdict.Error {
-	if x.s.guard.Quiet() {
+	if x.s.guard.Empty() {
 		return nil
 	}
 	standing, f := x.s.guard.Check(x.copied(), x.s.stale())
--- a/node/proxy/quarantine_test.go
+++ b/node/proxy/quarantine_test.go
@@ -132,7 +132,7 @@
 	}
 	sketch := call.Sketch("quote")
 	barred := wire.Suspects{Revision: 1, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape, Barred: true}}}
-	b.stages.before = func() { b.service.guard.Follow(barred) }
+	b.stages.before = func() { b.service.guard.Update(barred) }
 	expect("/quote/1", http.StatusServiceUnavailable)
 	made := len(b.stages.jobs)
 	expect("/quote/1", http.StatusServiceUnavailable)
@@ -175,7 +175,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		call := quarantine.Call{Customer: "foundry", Method: http.MethodPost, Host: "desk.example", Target: "/quote/1", Body: []byte("body")}
-		b.service.guard.Follow(wire.Suspects{Revision: 1, List: []wire.Suspect{{Fingerprint: call.Fingerprint(), Shape: call.Shape(), Barred: true}}})
+		b.service.guard.Update(wire.Suspects{Revision: 1, List: []wire.Suspect{{Fingerprint: call.Fingerprint(), Shape: call.Shape(), Barred: true}}})
 		b.service.running.endBarred()
 		select {
 		case <-r.Context().Done():
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -57,7 +57,7 @@
 		a := x.sendTo(ctx, m, len(list), lastEvent)
 		if a.moved() {
 			x.drop(a, wasMoved)
-			x.s.inquiries.Ended(m.Start())
+			x.s.inquiries.MarkCrashed(m.Start())
 			x.report(m, stagework.EngineFailed)
 			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstream, "another upstream has the address of %s", m.ID).After(comeBack)}
 			if unsent < maxUnsent && ctx.Err() == nil && x.maySend(addressMoved) {
--- a/node/quarantine/answered_calls.go
+++ b/node/quarantine/answered_calls.go
@@ -8,9 +8,9 @@
 // maxAnsweredCalls is how many answered calls a process remembers.
 const maxAnsweredCalls = 4096
 
-// Answers remembers the calls that upstreams have answered lately. A call that is sent very often is in
+// AnsweredCalls remembers the calls that upstreams have answered lately. A call that is sent very often is in
 // flight at almost every upstream that crashes, without causing any of the crashes.
-type Answers struct {
+type AnsweredCalls struct {
 	seed maphash.Seed
 
 	mu     sync.Mutex
@@ -19,13 +19,13 @@
 	ring   [maxAnsweredCalls]uint64
 }
 
-// NewAnswers returns an empty set.
-func NewAnswers() *Answers {
-	return &Answers{seed: maphash.MakeSeed(), hashes: map[uint64]bool{}}
+// NewAnsweredCalls returns an empty set.
+func NewAnsweredCalls() *AnsweredCalls {
+	return &AnsweredCalls{seed: maphash.MakeSeed(), hashes: map[uint64]bool{}}
 }
 
 // Add records that an upstream has answered the call. The oldest call is evicted when the set is full.
-func (a *Answers) Add(c Call) {
+func (a *AnsweredCalls) Add(c Call) {
 	h := a.hash(c)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -38,7 +38,7 @@
 }
 
 // Take reports whether the call, or a copy of it, is in the set, and removes it.
-func (a *Answers) Take(c Call) bool {
+func (a *AnsweredCalls) Take(c Call) bool {
 	h := a.hash(c)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,7 +49,7 @@
 
 // hash uses a random seed per process, so that nobody can craft a call that collides with an answered one. It
 // is cheaper than a fingerprint.
-func (a *Answers) hash(c Call) uint64 {
+func (a *AnsweredCalls) hash(c Call) uint64 {
 	var h maphash.Hash
 	h.SetSeed(a.seed)
 	for _, field := range []string{c.Customer, c.Method, c.Host, c.Target} {
--- a/node/quarantine/crash_detector.go
+++ b/node/quarantine/crash_detector.go
@@ -20,19 +20,19 @@
 	crashTTL = 10 * time.Second
 )
 
-// Broken is a call whose connection to an upstream broke before the answer was complete.
-type Broken struct {
+// InterruptedCall is a call whose connection to an upstream broke before the answer was complete.
+type InterruptedCall struct {
 	Call     Call
 	Request  string // ID of the attempt, for logs
 	Route    string
 	Upstream wire.Member
 }
 
-// Inquiries find out whether an interrupted call lost its upstream's process or only its connection. If the
+// CrashDetector finds out whether an interrupted call lost its upstream's process or only its connection. If the
 // process has crashed, new connections to its address are refused.
-type Inquiries struct {
+type CrashDetector struct {
 	probe   func(address string) error // dials the address; nil if a process listens there
-	onCrash func(Broken)               // called for each call that was in flight at a crashed upstream
+	onCrash func(InterruptedCall)      // called for each call that was in flight at a crashed upstream
 	clock   clockwork.Clock
 
 	mu     sync.Mutex
@@ -44,16 +44,16 @@
 	updatedAt time.Time
 	crashed   bool
 	probing   bool
-	calls     []Broken // waiting for the result
+	calls     []InterruptedCall // waiting for the result
 }
 
-// NewInquiries returns Inquiries that call onCrash, which must not block.
-func NewInquiries(probe func(address string) error, onCrash func(Broken), clock clockwork.Clock) *Inquiries {
-	return &Inquiries{probe: probe, onCrash: onCrash, clock: clock, checks: map[wire.Start]*upstreamCheck{}}
+// NewCrashDetector returns a CrashDetector that calls onCrash, which must not block.
+func NewCrashDetector(probe func(address string) error, onCrash func(InterruptedCall), clock clockwork.Clock) *CrashDetector {
+	return &CrashDetector{probe: probe, onCrash: onCrash, clock: clock, checks: map[wire.Start]*upstreamCheck{}}
 }
 
-// Broke starts a check of the call's upstream, or joins the one that is running.
-func (d *Inquiries) Broke(call Broken) {
+// Check starts a check of the call's upstream, or joins the one that is running.
+func (d *CrashDetector) Check(call InterruptedCall) {
 	start := call.Upstream.Start()
 	d.mu.Lock()
 	d.expire()
@@ -78,13 +78,13 @@
 }
 
 // runProbe checks whether a process listens at the upstream's address.
-func (d *Inquiries) runProbe(start wire.Start, address string) {
+func (d *CrashDetector) runProbe(start wire.Start, address string) {
 	switch err := d.probe(address); {
 	case err == nil:
 		d.markAlive(start)
-	case Refused(err):
-		d.Ended(start)
-	default: // unreachable: decided by Follow once the membership changes
+	case IsConnRefused(err):
+		d.MarkCrashed(start)
+	default: // unreachable: decided by UpdateMembers once the membership changes
 		d.mu.Lock()
 		if check := d.checks[start]; check != nil {
 			check.probing = false
@@ -93,10 +93,10 @@
 	}
 }
 
-// Refused reports whether err is a refused connection: no process listens at the address.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsConnRefused reports whether err is a refused connection: no process listens at the address.
+func IsConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-func (d *Inquiries) markAlive(start wire.Start) {
+func (d *CrashDetector) markAlive(start wire.Start) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if check := d.checks[start]; check != nil && !check.crashed {
@@ -104,11 +104,11 @@
 	}
 }
 
-// Ended records that this start of an upstream has crashed. It does nothing if no call was interrupted there.
-func (d *Inquiries) Ended(start wire.Start) {
+// MarkCrashed records that this start of an upstream has crashed. It does nothing if no call was interrupted there.
+func (d *CrashDetector) MarkCrashed(start wire.Start) {
 	d.mu.Lock()
 	check := d.checks[start]
-	var calls []Broken
+	var calls []InterruptedCall
 	if check != nil {
 		calls, check.calls, check.crashed, check.updatedAt = check.calls, nil, true, d.clock.Now()
 	}
@@ -118,8 +118,8 @@
 	}
 }
 
-// Follow takes the new membership. A start whose address now belongs to another start has ended.
-func (d *Inquiries) Follow(members memberset.Set) {
+// UpdateMembers takes the new membership. A start whose address now belongs to another start has ended.
+func (d *CrashDetector) UpdateMembers(members memberset.Set) {
 	d.mu.Lock()
 	if len(d.checks) == 0 {
 		d.mu.Unlock()
@@ -137,12 +137,12 @@
 	}
 	d.mu.Unlock()
 	for _, start := range ended {
-		d.Ended(start)
+		d.MarkCrashed(start)
 	}
 }
 
 // expire drops outdated checks. The caller holds mu.
-func (d *Inquiries) expire() {
+func (d *CrashDetector) expire() {
 	for start, check := range d.checks {
 		if age := d.clock.Since(check.updatedAt); check.crashed && age > crashTTL || !check.crashed && age > checkTTL {
 			delete(d.checks, start)
--- a/node/quarantine/crash_detector_test.go
+++ b/node/quarantine/crash_detector_test.go
@@ -42,31 +42,31 @@
 	errSilent  = errors.New("no answer")
 )
 
-// TestInquiries interrupts calls at upstreams that have crashed, that are alive, and that are unreachable.
-func TestInquiries(t *testing.T) {
+// TestCrashDetector interrupts calls at upstreams that have crashed, that are alive, and that are unreachable.
+func TestCrashDetector(t *testing.T) {
 	m := wire.Member{ID: "i-1", Incarnation: 1, Service: "desk", Direct: "10.0.0.1:80"}
 	next := wire.Member{ID: "i-2", Incarnation: 1, Service: "desk", Direct: m.Direct}
 	cases := map[string]struct {
 		listens error
-		then    func(q *Inquiries)
+		then    func(q *CrashDetector)
 		want    int
 	}{
-		"connection refused":                 {errRefused, func(*Inquiries) {}, 2},
-		"alive":                              {nil, func(q *Inquiries) { q.Ended(m.Start()) }, 0},
-		"unreachable":                        {errSilent, func(*Inquiries) {}, 0},
-		"address belongs to another member":  {errSilent, func(q *Inquiries) { q.Follow(memberset.Of(next)) }, 2},
-		"no longer a member, address unused": {errSilent, func(q *Inquiries) { q.Follow(memberset.Set{}) }, 0},
-		"still a member":                     {errSilent, func(q *Inquiries) { q.Follow(memberset.Of(m)) }, 0},
-		"crash found by another call":        {errSilent, func(q *Inquiries) { q.Ended(m.Start()) }, 2},
-		"crash found by another call after the timeout": {errSilent, func(q *Inquiries) {
+		"connection refused":                 {errRefused, func(*CrashDetector) {}, 2},
+		"alive":                              {nil, func(q *CrashDetector) { q.MarkCrashed(m.Start()) }, 0},
+		"unreachable":                        {errSilent, func(*CrashDetector) {}, 0},
+		"address belongs to another member":  {errSilent, func(q *CrashDetector) { q.UpdateMembers(memberset.Of(next)) }, 2},
+		"no longer a member, address unused": {errSilent, func(q *CrashDetector) { q.UpdateMembers(memberset.Set{}) }, 0},
+		"still a member":                     {errSilent, func(q *CrashDetector) { q.UpdateMembers(memberset.Of(m)) }, 0},
+		"crash found by another call":        {errSilent, func(q *CrashDetector) { q.MarkCrashed(m.Start()) }, 2},
+		"crash found by another call after the timeout": {errSilent, func(q *CrashDetector) {
 			time.Sleep(checkTTL + time.Second)
-			q.Broke(Broken{Request: "third", Upstream: m})
+			q.Check(InterruptedCall{Request: "third", Upstream: m})
 			synctest.Wait()
-			q.Ended(m.Start())
+			q.MarkCrashed(m.Start())
 		}, 1},
-		"interruption noticed late": {errRefused, func(q *Inquiries) {
+		"interruption noticed late": {errRefused, func(q *CrashDetector) {
 			time.Sleep(crashTTL - time.Second)
-			q.Broke(Broken{Request: "third", Upstream: m})
+			q.Check(InterruptedCall{Request: "third", Upstream: m})
 		}, 3},
 	}
 	for name, c := range cases {
@@ -74,13 +74,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
 				ended := map[string]bool{}
-				q := NewInquiries(func(string) error { return c.listens }, func(b Broken) {
+				q := NewCrashDetector(func(string) error { return c.listens }, func(b InterruptedCall) {
 					mu.Lock()
 					defer mu.Unlock()
 					ended[b.Request] = true
 				}, clockwork.NewRealClock())
-				q.Broke(Broken{Request: "first", Upstream: m})
-				q.Broke(Broken{Request: "second", Upstream: m})
+				q.Check(InterruptedCall{Request: "first", Upstream: m})
+				q.Check(InterruptedCall{Request: "second", Upstream: m})
 				synctest.Wait()
 				c.then(q)
 				synctest.Wait()
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -10,13 +10,13 @@
 	"caperdrum.org/api/wire"
 )
 
-// Standing says whether a call is suspected or barred.
-type Standing int
+// Status says whether a call is suspected or barred.
+type Status int
 
-// Values of Standing, in order of increasing severity.
+// Values of Status, in order of increasing severity.
 const (
-	Unsuspected Standing = iota
-	Suspected            // in flight at several upstreams when they crashed
+	Unsuspected Status = iota
+	Suspected          // in flight at several upstreams when they crashed
 	Barred
 )
 
@@ -50,11 +50,11 @@
 type index struct {
 	revision uint64
 	shapes   map[uint64]bool
-	statuses map[wire.Fingerprint]Standing
+	statuses map[wire.Fingerprint]Status
 }
 
 func newIndex(s wire.Suspects) *index {
-	x := &index{revision: s.Revision, shapes: map[uint64]bool{}, statuses: map[wire.Fingerprint]Standing{}}
+	x := &index{revision: s.Revision, shapes: map[uint64]bool{}, statuses: map[wire.Fingerprint]Status{}}
 	for _, suspect := range s.List {
 		x.shapes[suspect.Shape] = true
 		x.statuses[suspect.Fingerprint] = Suspected
@@ -73,8 +73,8 @@
 	return g
 }
 
-// Follow replaces the replicated suspects, and reports whether their revision is new.
-func (g *Guard) Follow(s wire.Suspects) (changed bool) {
+// Update replaces the replicated suspects, and reports whether their revision is new.
+func (g *Guard) Update(s wire.Suspects) (changed bool) {
 	if s.Revision == g.replicated.Load().revision {
 		return false
 	}
@@ -82,23 +82,23 @@
 	return true
 }
 
-// Seen adds a report of this process to the local suspects.
-func (g *Guard) Seen(r *wire.CrashReport, now time.Time) {
+// RecordLocal adds a report of this process to the local suspects.
+func (g *Guard) RecordLocal(r *wire.CrashReport, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ledger.Expire(now.UnixMilli())
-	g.ledger.Take(r, now.UnixMilli())
+	g.ledger.Apply(r, now.UnixMilli())
 	g.local.Store(newIndex(g.ledger.unambiguousSuspects()))
 }
 
-// Quiet reports whether there are no suspects at all, which is the usual case.
-func (g *Guard) Quiet() bool {
+// Empty reports whether there are no suspects at all, which is the usual case.
+func (g *Guard) Empty() bool {
 	return len(g.replicated.Load().shapes) == 0 && len(g.local.Load().shapes) == 0
 }
 
-// Check returns the standing of the call, and its fingerprint if its shape is listed. With includeLocal, the local
+// Check returns the status of the call, and its fingerprint if its shape is listed. With includeLocal, the local
 // suspects count as well as the replicated ones.
-func (g *Guard) Check(c Call, includeLocal bool) (Standing, wire.Fingerprint) {
+func (g *Guard) Check(c Call, includeLocal bool) (Status, wire.Fingerprint) {
 	replicated, local := g.replicated.Load(), g.local.Load()
 	if len(replicated.shapes) == 0 && (!includeLocal || len(local.shapes) == 0) {
 		return Unsuspected, ""
--- a/node/quarantine/ledger.go
+++ b/node/quarantine/ledger.go
@@ -55,9 +55,9 @@
 	return l
 }
 
-// Take applies a report and returns which calls it cleared and barred, and whose bar it lifted. now is in
+// Apply applies a report and returns which calls it cleared and barred, and whose bar it lifted. now is in
 // milliseconds since the Unix epoch.
-func (l *Ledger) Take(r *wire.CrashReport, now int64) wire.QuarantineChange {
+func (l *Ledger) Apply(r *wire.CrashReport, now int64) wire.QuarantineChange {
 	var change wire.QuarantineChange
 	before := l.suspectList()
 	for _, call := range r.Answered {
@@ -86,8 +86,8 @@
 	return true
 }
 
-// Due returns when the next record expires, in milliseconds since the Unix epoch.
-func (l *Ledger) Due() int64 {
+// NextExpiry returns when the next record expires, in milliseconds since the Unix epoch.
+func (l *Ledger) NextExpiry() int64 {
 	due := int64(math.MaxInt64)
 	for _, r := range l.Records {
 		due = min(due, r.At+recordTTL.Milliseconds()+1)
--- a/node/quarantine/ledger_test.go
+++ b/node/quarantine/ledger_test.go
@@ -78,7 +78,7 @@
 			var l Ledger
 			for i, r := range c.reports {
 				before := l.Suspects()
-				l.Take(&r, int64(i))
+				l.Apply(&r, int64(i))
 				after := l.Suspects()
 				if slices.Equal(before.List, after.List) != (before.Revision == after.Revision) {
 					t.Fatalf("revision %d with suspects %v, then revision %d with %v", before.Revision, before.List, after.Revision, after.List)
@@ -102,7 +102,7 @@
 	keep := recordTTL.Milliseconds()
 	var l Ledger
 	barF := wire.CrashReport{Crashes: []wire.Crash{crashOf(1, "f", "g"), crashOf(2, "f"), crashOf(3, "f")}}
-	l.Take(&barF, 0)
+	l.Apply(&barF, 0)
 	l.Expire(keep)
 	if got := states(&l)["f"]; got != wire.QuarantineBarred {
 		t.Fatalf("state of f is %q, want barred", got)
@@ -111,7 +111,7 @@
 	if s := states(&l); s["f"] != wire.QuarantineSuspected || len(s) != 1 {
 		t.Fatalf("states after %v: %v", recordTTL, s)
 	}
-	l.Take(&wire.CrashReport{Crashes: []wire.Crash{crashOf(4, "f")}}, keep+2)
+	l.Apply(&wire.CrashReport{Crashes: []wire.Crash{crashOf(4, "f")}}, keep+2)
 	if got := states(&l)["f"]; got != wire.QuarantineBarred {
 		t.Fatalf("state of f after another crash is %q, want barred", got)
 	}
@@ -124,7 +124,7 @@
 // record and the bar of another customer's call must not be evicted.
 func TestOneCustomerFillsTheLedger(t *testing.T) {
 	var l Ledger
-	l.Take(&wire.CrashReport{Crashes: []wire.Crash{crashOf(-1, "f"), crashOf(-2, "f"), crashOf(-3, "f")}}, 0)
+	l.Apply(&wire.CrashReport{Crashes: []wire.Crash{crashOf(-1, "f"), crashOf(-2, "f"), crashOf(-3, "f")}}, 0)
 	const calls = 2 * maxRecords
 	for i := 0; i < calls; {
 		var r wire.CrashReport
@@ -137,7 +137,7 @@
 			}
 			i++
 		}
-		l.Take(&r, int64(i))
+		l.Apply(&r, int64(i))
 	}
 	if len(l.Records) > maxRecords || states(&l)["f"] != wire.QuarantineBarred {
 		t.Fatalf("%d records, state of f is %q, want barred", len(l.Records), states(&l)["f"])
@@ -174,7 +174,7 @@
 				since[f][n] = true
 			}
 			before, known := l.Revision, l.Suspects().List
-			l.Take(&r, int64(i))
+			l.Apply(&r, int64(i))
 			if same := slices.Equal(known, l.Suspects().List); same != (before == l.Revision) {
 				t.Fatalf("revision %d, then %d, but same suspects: %v", before, l.Revision, same)
 			}
@@ -215,43 +215,43 @@
 	sameShape.Body = []byte("ydob")
 	sketch := call.Sketch("chat")
 	g := NewGuard()
-	expect := func(c Call, includeLocal bool, want Standing) {
+	expect := func(c Call, includeLocal bool, want Status) {
 		t.Helper()
 		if got, _ := g.Check(c, includeLocal); got != want {
-			t.Fatalf("standing of %q is %d, want %d", c.Body, got, want)
+			t.Fatalf("status of %q is %d, want %d", c.Body, got, want)
 		}
 	}
 	expect(call, true, Unsuspected)
-	g.Follow(wire.Suspects{Revision: 3, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape}}})
+	g.Update(wire.Suspects{Revision: 3, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape}}})
 	expect(call, false, Suspected)
 	expect(sameShape, false, Unsuspected)
-	g.Follow(wire.Suspects{Revision: 4, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape, Barred: true}}})
+	g.Update(wire.Suspects{Revision: 4, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape, Barred: true}}})
 	expect(call, false, Barred)
 	expect(sameShape, false, Unsuspected)
-	g.Follow(wire.Suspects{Revision: 5})
+	g.Update(wire.Suspects{Revision: 5})
 	expect(call, false, Unsuspected)
 	for i := range barAfterAmbiguous {
-		expect(call, true, min(Standing(i/suspectAfter), Suspected))
-		g.Seen(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: start(i), Calls: []wire.CallSketch{sketch}}}}, time.Unix(1000, 0))
+		expect(call, true, min(Status(i/suspectAfter), Suspected))
+		g.RecordLocal(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: start(i), Calls: []wire.CallSketch{sketch}}}}, time.Unix(1000, 0))
 	}
 	expect(call, false, Unsuspected)
 	expect(call, true, Barred)
 	expect(sameShape, true, Unsuspected)
-	g.Seen(&wire.CrashReport{Answered: []wire.CallSketch{sketch}}, time.Unix(1001, 0))
+	g.RecordLocal(&wire.CrashReport{Answered: []wire.CallSketch{sketch}}, time.Unix(1001, 0))
 	expect(call, true, Unsuspected)
 }
 
-// TestWaveOfEnds reports crashes for more calls than the ledger holds. A suspect must not be evicted, though
+// TestEvictionOfManyCrashes reports crashes for more calls than the ledger holds. A suspect must not be evicted, though
 // its customer has the most records; calls with a single crash are, oldest first.
-func TestWaveOfEnds(t *testing.T) {
+func TestEvictionOfManyCrashes(t *testing.T) {
 	var l Ledger
-	l.Take(&wire.CrashReport{Crashes: []wire.Crash{crashOf(-1, "f"), crashOf(-2, "f")}}, 0)
+	l.Apply(&wire.CrashReport{Crashes: []wire.Crash{crashOf(-1, "f"), crashOf(-2, "f")}}, 0)
 	var wave wire.CrashReport
 	for i := range 2 * maxRecords {
 		wave.Crashes = append(wave.Crashes, crashOf(i, wire.Fingerprint(fmt.Sprint("g", i))))
 	}
-	l.Take(&wave, 1)
-	l.Take(&wire.CrashReport{Crashes: []wire.Crash{crashOf(-3, "f")}}, 2)
+	l.Apply(&wave, 1)
+	l.Apply(&wire.CrashReport{Crashes: []wire.Crash{crashOf(-3, "f")}}, 2)
 	if len(l.Records) > maxRecords || states(&l)["f"] != wire.QuarantineBarred {
 		t.Fatalf("%d records, state of f is %q, want barred", len(l.Records), states(&l)["f"])
 	}
--- a/node/quarantine/simulation_test.go
+++ b/node/quarantine/simulation_test.go
@@ -52,7 +52,7 @@
 
 type simProcess struct {
 	guard        *Guard
-	answers      *Answers
+	answers      *AnsweredCalls
 	up           bool
 	disconnected bool // from control
 	undelivered  []func()
@@ -95,7 +95,7 @@
 func newModel(seed uint64) *simulation {
 	m := &simulation{random: rand.New(rand.NewPCG(seed, 1)), poisonCalls: map[string]*poisonCall{}}
 	for range simProcesses {
-		m.processes = append(m.processes, &simProcess{guard: NewGuard(), answers: NewAnswers(), up: true})
+		m.processes = append(m.processes, &simProcess{guard: NewGuard(), answers: NewAnsweredCalls(), up: true})
 	}
 	for range simUpstreams {
 		u := &simUpstream{}
@@ -247,11 +247,11 @@
 // report sends a report to the ledger and publishes the suspects to all processes. Messages to and from
 // disconnected processes are held back.
 func (m *simulation) report(p *simProcess, r *wire.CrashReport) {
-	p.guard.Seen(r, time.Unix(1000, 0).Add(m.now))
+	p.guard.RecordLocal(r, time.Unix(1000, 0).Add(m.now))
 	m.deliver(p, func() {
-		m.ledger.Take(r, m.now.Milliseconds())
+		m.ledger.Apply(r, m.now.Milliseconds())
 		for _, other := range m.processes {
-			m.deliver(other, func() { other.guard.Follow(m.ledger.Suspects()) })
+			m.deliver(other, func() { other.guard.Update(m.ledger.Suspects()) })
 		}
 	})
 }
@@ -273,7 +273,7 @@
 		f()
 	}
 	p.undelivered = nil
-	p.guard.Follow(m.ledger.Suspects())
+	p.guard.Update(m.ledger.Suspects())
 }
 
 // restartProcesses stops all processes; they restart with only the replicated suspects.
@@ -281,8 +281,8 @@
 	for _, p := range m.processes {
 		p.up = false
 		m.schedule(m.randomDuration(500, 1500), func() {
-			p.up, p.guard, p.answers = true, NewGuard(), NewAnswers()
-			p.guard.Follow(m.ledger.Suspects())
+			p.up, p.guard, p.answers = true, NewGuard(), NewAnsweredCalls()
+			p.guard.Update(m.ledger.Suspects())
 		})
 	}
 }
@@ -303,9 +303,9 @@
 	return func() string { return body }
 }
 
-// TestCallsThatEndUpstreams sends poison calls among innocent ones: many different calls, and one body that
+// TestPoisonCalls sends poison calls among innocent ones: many different calls, and one body that
 // is sent all the time. Some processes are cut off from control for a while, and all are restarted once.
-func TestCallsThatEndUpstreams(t *testing.T) {
+func TestPoisonCalls(t *testing.T) {
 	cases := map[string]struct {
 		poisonCalls []string
 		perSecond   int // copies of each poison call
--- a/node/state/quarantine.go
+++ b/node/state/quarantine.go
@@ -9,7 +9,7 @@
 		m.s.Quarantine.Expire(m.s.Now)
 	}
 	if c.Crashes != nil {
-		change := m.s.Quarantine.Take(c.Crashes, m.s.Now)
+		change := m.s.Quarantine.Apply(c.Crashes, m.s.Now)
 		r.Quarantine = &change
 	}
 	if c.Lift != "" {
@@ -24,5 +24,5 @@
 }
 
 func (m *Machine) showQuarantine() {
-	m.suspects, m.quarantined, m.expireAt = m.s.Quarantine.Suspects(), m.s.Quarantine.Entries(), m.s.Quarantine.Due()
+	m.suspects, m.quarantined, m.expireAt = m.s.Quarantine.Suspects(), m.s.Quarantine.Entries(), m.s.Quarantine.NextExpiry()
 }
