--- a/node/control/metrics.go
+++ b/node/control/metrics.go
@@ -84,7 +84,7 @@
 	for _, x := range r.List {
 		f := rolloutFigures{Target: x.Target, State: x.State, Share: x.Share}
 		if j := l.judges[x.Service]; j != nil && j.order == x.Order {
-			f.Answers, f.Bad, f.Others = j.judge.Target.Answers, j.judge.Target.Bad, j.judge.Others.Answers
+			f.Answers, f.Bad, f.Others = j.judge.Target.Answers, j.judge.Target.Bad, j.judge.Baseline.Answers
 		}
 		out[x.Service] = f
 	}
--- a/node/control/rollout.go
+++ b/node/control/rollout.go
@@ -36,7 +36,7 @@
 
 type judged struct {
 	order uint64
-	judge *rollout.Judge
+	judge *rollout.Analyzer
 	ends  time.Time // by this process's clock
 	late  bool      // the span was over, or nearly so, when this process began to listen
 }
@@ -138,7 +138,7 @@
 	defer s.rollouts.mu.Unlock()
 	for _, c := range report.Counts {
 		if r := view.Rollouts.Of(c.Service); r.Running() && r.Order == c.Order {
-			s.rollouts.of(r, view, now).judge.Take(now, report.From, c.Counts)
+			s.rollouts.of(r, view, now).judge.Add(now, report.From, c.Counts)
 		}
 	}
 	return &Empty{}, nil
@@ -149,8 +149,8 @@
 	j := l.judges[r.Service]
 	if j == nil || j.order != r.Order {
 		passed := time.Duration(now.UnixMilli()-r.Started) * time.Millisecond
-		left := rollout.Left(r.Span, passed, reporters(v.Members))
-		j = &judged{order: r.Order, judge: rollout.NewJudge(r.Target), ends: now.Add(left), late: left > r.Span-passed}
+		left := rollout.RemainingTime(r.Span, passed, reporters(v.Members))
+		j = &judged{order: r.Order, judge: rollout.NewAnalyzer(r.Target), ends: now.Add(left), late: left > r.Span-passed}
 		if l.judges == nil {
 			l.judges = map[string]*judged{}
 		}
@@ -191,8 +191,8 @@
 	s.rollouts.mu.Lock()
 	defer s.rollouts.mu.Unlock()
 	j := s.rollouts.of(r, view, now)
-	heard := rollout.Heard{Verdict: j.judge.Verdict(), Target: j.judge.Target.Answers, Others: j.judge.Others.Answers, Late: j.late}
-	return rollout.Next(r, j.ends.Sub(now), heard,
+	heard := rollout.Evidence{Verdict: j.judge.Verdict(), Target: j.judge.Target.Answers, Baseline: j.judge.Baseline.Answers, LateLeader: j.late}
+	return rollout.NextStep(r, j.ends.Sub(now), heard,
 		upstreamsOf(r, view.Members), rollout.Limits{Share: s.set.Control.RolloutShare})
 }
 
@@ -216,7 +216,7 @@
 		case m.Version == r.Target:
 			up.Target++
 		default:
-			up.Others++
+			up.Baseline++
 		}
 	}
 	return up
--- a/node/proxy/endpoints.go
+++ b/node/proxy/endpoints.go
@@ -38,7 +38,7 @@
 	lists  map[string][]wire.Member // of the last view
 	by     map[wire.Start]*endpoint
 	direct coldstart.Direct
-	split  *rollout.Split
+	split  *rollout.Splitter
 	dark   map[string]time.Time // data centres whose upstreams are passed over, until then
 }
 
@@ -52,7 +52,7 @@
 }
 
 func newEndpoints(n *upstream.Notices) *endpoints {
-	return &endpoints{notices: n, by: map[wire.Start]*endpoint{}, split: rollout.NewSplit(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
+	return &endpoints{notices: n, by: map[wire.Start]*endpoint{}, split: rollout.NewSplitter(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
 }
 
 // keep forgets upstreams that are no members. It returns the addresses of those that
@@ -128,7 +128,7 @@
 		return m, false
 	}
 	if m.ID != c.wanted {
-		e.split.Sent(m.Service, m.Version)
+		e.split.RecordSent(m.Service, m.Version)
 	}
 	if m.Cold && m.ID != c.wanted {
 		e.direct.Count(now, string(m.ID))
@@ -148,19 +148,19 @@
 		return wire.Member{}, false
 	}
 	service := list[0].Service
-	stable := e.split.Stable(service)
-	if stable.Whole() {
+	stable := e.split.StableTrack(service)
+	if stable.Unrestricted() {
 		return e.best(list, c, now)
 	}
 	if wanted := slices.IndexFunc(list, func(m wire.Member) bool { return m.ID == c.wanted }); wanted >= 0 {
-		return e.best(append(stable.Choose(list), list[wanted]), c, now)
+		return e.best(append(stable.Filter(list), list[wanted]), c, now)
 	}
-	if track := e.split.Next(service, e.split.HasTarget(service, list)); track.Target() {
-		if m, ok := e.best(track.Choose(list), c, now); ok {
+	if track := e.split.NextTrack(service, e.split.HasTarget(service, list)); track.Target() {
+		if m, ok := e.best(track.Filter(list), c, now); ok {
 			return m, true
 		}
 	}
-	return e.best(stable.Choose(list), c, now)
+	return e.best(stable.Filter(list), c, now)
 }
 
 // hear takes over which data centres are dark, as the owner of the stages says.
@@ -180,7 +180,7 @@
 func (e *endpoints) follow(r wire.Rollouts) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.split.Follow(r)
+	e.split.Update(r)
 }
 
 // peek returns what take would pick.
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -129,7 +129,7 @@
 	s.reporter = quarantine.NewReporter(s.reportTo(p.Control.ReportCrashes))
 	s.counter = p.Counter
 	s.rollouts = &rollout.Reporter{Counter: p.Counter, Clock: clockwork.NewRealClock(), Self: p.ConfigSync.Self, Processes: s.processes, Send: p.Control.ReportRollouts,
-		Lost: func(err error) { s.log.Info("counts of a roll-out not acknowledged", "error", err.Error()) }}
+		OnError: func(err error) { s.log.Info("counts of a roll-out not acknowledged", "error", err.Error()) }}
 	s.secure = p.Security
 	p.ConfigSync.OnChange(s.follow)
 	return s
@@ -161,7 +161,7 @@
 	t := newTable(v, s.set.Node.RegionsOfDataCenters(), s.table.Load())
 	s.table.Store(t)
 	s.endpoints.follow(v.Rollouts)
-	s.counter.Follow(v.Rollouts)
+	s.counter.Update(v.Rollouts)
 	self := s.sync.Self()
 	here, known := v.Members.Get(self.ID)
 	s.peers.Follow(retry.Standing{Members: t.proxies, Self: known && here.Start() == self.Start()})
--- a/node/proxy/slow_test.go
+++ b/node/proxy/slow_test.go
@@ -185,7 +185,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		fmt.Fprint(w, "id: 1\ndata: one\n\n")
 	})
-	b.service.counter.Follow(wire.Rollouts{List: []wire.Rollout{{Service: "llm", Target: "v2", State: wire.RolloutRunning, Order: 1}}})
+	b.service.counter.Update(wire.Rollouts{List: []wire.Rollout{{Service: "llm", Target: "v2", State: wire.RolloutRunning, Order: 1}}})
 	r := httptest.NewRequest(http.MethodPost, "/quote/", strings.NewReader("body"))
 	r.Host = "desk.example"
 	r.Header.Set("Authorization", "Bearer secret")
--- a/node/rollout/analyzer.go
+++ b/node/rollout/analyzer.go
@@ -57,14 +57,14 @@
 
 func (c *cusum) maxScore() float64 { return slices.Max(c[:]) }
 
-// Judge compares the answers of a roll-out's target version with those of the other versions, the baseline.
+// Analyzer compares the answers of a roll-out's target version with those of the other versions, the baseline.
 // It reads no clock.
-type Judge struct {
-	target          string
-	lastCounts      map[wire.Start]map[countKey]wire.VersionCounts // last counts of each process
-	baselineAnswers map[string]*recentAnswers                      // by route
-	tests           map[testKey]*cusum
-	Target, Others  tally
+type Analyzer struct {
+	target           string
+	lastCounts       map[wire.Start]map[countKey]wire.VersionCounts // last counts of each process
+	baselineAnswers  map[string]*recentAnswers                      // by route
+	tests            map[testKey]*cusum
+	Target, Baseline tally
 }
 
 // tally counts answers.
@@ -87,13 +87,13 @@
 	took   map[int]uint64
 }
 
-// NewJudge returns a Judge of the target version.
-func NewJudge(target string) *Judge {
-	return &Judge{target: target, lastCounts: map[wire.Start]map[countKey]wire.VersionCounts{}, baselineAnswers: map[string]*recentAnswers{}, tests: map[testKey]*cusum{}}
+// NewAnalyzer returns an Analyzer of the target version.
+func NewAnalyzer(target string) *Analyzer {
+	return &Analyzer{target: target, lastCounts: map[wire.Start]map[countKey]wire.VersionCounts{}, baselineAnswers: map[string]*recentAnswers{}, tests: map[testKey]*cusum{}}
 }
 
-// Take adds the cumulative counts of a process since the start of the roll-out.
-func (a *Judge) Take(now time.Time, from wire.Start, counts []wire.VersionCounts) {
+// Add adds the cumulative counts of a process since the start of the roll-out.
+func (a *Analyzer) Add(now time.Time, from wire.Start, counts []wire.VersionCounts) {
 	last := a.lastCounts[from]
 	if last == nil {
 		last = map[countKey]wire.VersionCounts{}
@@ -111,7 +111,7 @@
 			target = append(target, d)
 			continue
 		}
-		a.Others.add(d)
+		a.Baseline.add(d)
 		a.addBaseline(now, d)
 	}
 	for _, d := range target {
@@ -148,7 +148,7 @@
 	return n
 }
 
-func (a *Judge) addBaseline(now time.Time, d wire.VersionCounts) {
+func (a *Analyzer) addBaseline(now time.Time, d wire.VersionCounts) {
 	r := a.baselineAnswers[d.Route]
 	if r == nil {
 		r = &recentAnswers{}
@@ -159,7 +159,7 @@
 }
 
 // sumBaseline adds up the baseline's answers on a route, or on all, that are not older than since.
-func (a *Judge) sumBaseline(now time.Time, route string, since time.Duration) (failed uint64, took map[int]uint64) {
+func (a *Analyzer) sumBaseline(now time.Time, route string, since time.Duration) (failed uint64, took map[int]uint64) {
 	took = map[int]uint64{}
 	for name, r := range a.baselineAnswers {
 		if route != allRoutes && name != route {
@@ -178,7 +178,7 @@
 	return failed, took
 }
 
-func (a *Judge) addTarget(now time.Time, d wire.VersionCounts) {
+func (a *Analyzer) addTarget(now time.Time, d wire.VersionCounts) {
 	n, bad := float64(answerCount(d)), float64(d.Failed)
 	for _, route := range []string{d.Route, allRoutes} {
 		a.test(testKey{false, route}).add(bad, n, max(a.toleratedFailures(now, route, baselineWindow), a.toleratedFailures(now, route, shortWindow)))
@@ -197,12 +197,12 @@
 
 // toleratedFailures returns the tolerated rate of failures, by the baseline's failures that are not older
 // than since.
-func (a *Judge) toleratedFailures(now time.Time, route string, since time.Duration) float64 {
+func (a *Analyzer) toleratedFailures(now time.Time, route string, since time.Duration) float64 {
 	failed, took := a.sumBaseline(now, route, since)
 	return toleratedRatio(float64(failed), float64(failed)+float64(allAnswers(took)))
 }
 
-func (a *Judge) test(key testKey) *cusum {
+func (a *Analyzer) test(key testKey) *cusum {
 	c := a.tests[key]
 	if c == nil {
 		c = &cusum{}
@@ -266,7 +266,7 @@
 }
 
 // Verdict returns the verdict on the answers so far. Its reason names the test with the highest score.
-func (a *Judge) Verdict() Verdict {
+func (a *Analyzer) Verdict() Verdict {
 	var worst testKey
 	most := 0.0
 	for key, test := range a.tests {
--- a/node/rollout/counter.go
+++ b/node/rollout/counter.go
@@ -44,12 +44,12 @@
 
 type countKey struct{ version, route string }
 
-// NewCounter returns a Counter. It counts nothing until Follow adds a running roll-out.
+// NewCounter returns a Counter. It counts nothing until Update adds a running roll-out.
 func NewCounter() *Counter { return &Counter{services: map[string]*serviceCounts{}} }
 
-// Follow takes the roll-outs of a view. Counts start at zero with each order and are dropped when the
+// Update takes the roll-outs of a view. Counts start at zero with each order and are dropped when the
 // roll-out ends.
-func (c *Counter) Follow(r wire.Rollouts) {
+func (c *Counter) Update(r wire.Rollouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, x := range r.List {
@@ -114,8 +114,8 @@
 	return out
 }
 
-// Again makes the next Report return all counts again, since the last one was not acknowledged.
-func (c *Counter) Again() {
+// RetryReport makes the next Report return all counts again, since the last one was not acknowledged.
+func (c *Counter) RetryReport() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.changed = len(c.services) > 0
--- a/node/rollout/decision.go
+++ b/node/rollout/decision.go
@@ -49,25 +49,25 @@
 var steps = [...]struct{ from, share float64 }{{0, 0.25}, {0.1, 0.5}, {0.2, 1}}
 
 // Upstreams counts the upstreams of a service that are members and not leaving.
-type Upstreams struct{ Target, Others int }
+type Upstreams struct{ Target, Baseline int }
 
-// Heard is what a leader knows of a roll-out from the processes' reports.
-type Heard struct {
-	Verdict        Verdict
-	Target, Others uint64 // answers counted
-	Late           bool   // the leader took over at the end of the span or close to it
+// Evidence is what a leader knows of a roll-out from the processes' reports.
+type Evidence struct {
+	Verdict          Verdict
+	Target, Baseline uint64 // answers counted
+	LateLeader       bool   // the leader took over at the end of the span or close to it
 }
 
 // needsAnswers reports whether the leader should wait for more answers before it gives the target all calls.
 // left is negative after the end of the span.
-func (e Heard) needsAnswers(left time.Duration) bool {
-	return e.Late && e.Target < minTargetAnswers && e.Others > 0 && left > -maxLateWait
+func (e Evidence) needsAnswers(left time.Duration) bool {
+	return e.LateLeader && e.Target < minTargetAnswers && e.Baseline > 0 && left > -maxLateWait
 }
 
-// Next returns the leader's next step for a running roll-out, or nil. left is the time until the end of the
+// NextStep returns the leader's next step for a running roll-out, or nil. left is the time until the end of the
 // span. The target gets only the bounded share until the decision: a version may turn bad late, and all calls
 // that it got until then count towards the bound.
-func Next(r wire.Rollout, left time.Duration, e Heard, up Upstreams, l Limits) *wire.RolloutStep {
+func NextStep(r wire.Rollout, left time.Duration, e Evidence, up Upstreams, l Limits) *wire.RolloutStep {
 	step := func(state wire.RolloutState, share float64, format string, args ...any) *wire.RolloutStep {
 		return &wire.RolloutStep{Service: r.Service, Base: r.Revision, State: state, Share: share, Reason: fmt.Sprintf(format, args...)}
 	}
@@ -77,17 +77,17 @@
 		return step(wire.RolloutRolledBack, 0, "%s", e.Verdict.Reason)
 	case deciding && up.Target == 0:
 		return step(wire.RolloutRolledBack, 0, "no upstream of version %s is in service", r.Target)
-	case deciding && 2*up.Target < up.Others:
-		return step(wire.RolloutRolledBack, 0, "%d upstreams of version %s cannot replace %d upstreams of other versions", up.Target, r.Target, up.Others)
+	case deciding && 2*up.Target < up.Baseline:
+		return step(wire.RolloutRolledBack, 0, "%d upstreams of version %s cannot replace %d upstreams of other versions", up.Target, r.Target, up.Baseline)
 	case deciding && e.needsAnswers(left):
 		if share := usableShare(r.Span, l); share > r.Share {
-			return step(wire.RolloutRunning, share, "catching up on missed steps: %d answers of version %s are known, %d of other versions", e.Target, r.Target, e.Others)
+			return step(wire.RolloutRunning, share, "catching up on missed steps: %d answers of version %s are known, %d of other versions", e.Target, r.Target, e.Baseline)
 		}
 		return nil
-	case deciding && e.Target == 0 && e.Others >= minBaselineCalls:
-		return step(wire.RolloutRolledBack, 0, "version %s has answered no calls, other versions have answered %d", r.Target, e.Others)
+	case deciding && e.Target == 0 && e.Baseline >= minBaselineCalls:
+		return step(wire.RolloutRolledBack, 0, "version %s has answered no calls, other versions have answered %d", r.Target, e.Baseline)
 	case deciding:
-		return step(wire.RolloutCompleted, 1, "%d answers of version %s were as good as %d of other versions", e.Target, r.Target, e.Others)
+		return step(wire.RolloutCompleted, 1, "%d answers of version %s were as good as %d of other versions", e.Target, r.Target, e.Baseline)
 	}
 	if share := shareAt(r.Span, left, l); share > r.Share && !e.Verdict.Suspected {
 		return step(wire.RolloutRunning, share, "step")
@@ -98,10 +98,10 @@
 // leadTime returns how long before the end of its span a roll-out is decided.
 func leadTime(span time.Duration) time.Duration { return min(max(span/leadDivisor, minLead), maxLead) }
 
-// Left returns the remaining time of the span for a leader that has just learned of the roll-out. passed is
+// RemainingTime returns the remaining time of the span for a leader that has just learned of the roll-out. passed is
 // the time since the order by the leader's wall clock, which may have been set in between. At least enough
 // time remains to collect reports of all processes before the decision.
-func Left(span, passed time.Duration, processes int) time.Duration {
+func RemainingTime(span, passed time.Duration, processes int) time.Duration {
 	left := span - min(max(passed, 0), span)
 	return max(left, min(span, leadTime(span)+listenTime(processes)))
 }
--- a/node/rollout/decision_test.go
+++ b/node/rollout/decision_test.go
@@ -12,7 +12,7 @@
 func TestNewLeaderHearsAllProcesses(t *testing.T) {
 	for _, span := range []time.Duration{30 * time.Second, 10 * time.Minute} {
 		for _, processes := range []int{1, 90, 360, 720, 1440} {
-			if listens := Left(span, span, processes) - leadTime(span); listens < Interval(processes)+sendTimeout {
+			if listens := RemainingTime(span, span, processes) - leadTime(span); listens < Interval(processes)+sendTimeout {
 				t.Errorf("%d processes, span %s: the new leader decides after %s", processes, span, listens)
 			}
 		}
@@ -26,22 +26,22 @@
 	bad := Verdict{Bad: true, Suspected: true, Reason: "fails"}
 	for name, c := range map[string]struct {
 		left time.Duration
-		h    Heard
+		h    Evidence
 		want wire.RolloutState // empty: no step
 	}{
-		"leader since the start":                  {500 * time.Millisecond, Heard{Others: 45}, wire.RolloutCompleted},
-		"late, no answers of the target":          {500 * time.Millisecond, Heard{Others: 45, Late: true}, ""},
-		"late, one answer too few":                {0, Heard{Target: minTargetAnswers - 1, Others: 45, Late: true}, ""},
-		"late, enough answers":                    {0, Heard{Target: minTargetAnswers, Others: 45, Late: true}, wire.RolloutCompleted},
-		"late, bad answers":                       {-time.Second, Heard{Verdict: bad, Target: minTargetAnswers, Others: 45, Late: true}, wire.RolloutRolledBack},
-		"late, none of many calls, still waiting": {-time.Second, Heard{Others: minBaselineCalls, Late: true}, ""},
-		"late, one of many calls":                 {-time.Second, Heard{Target: 1, Others: 2 * minBaselineCalls, Late: true}, ""},
-		"late, none of many calls, wait over":     {-maxLateWait, Heard{Others: minBaselineCalls, Late: true}, wire.RolloutRolledBack},
-		"late, no calls":                          {0, Heard{Late: true}, wire.RolloutCompleted},
-		"late, few calls, wait over":              {-maxLateWait, Heard{Target: 1, Others: 9, Late: true}, wire.RolloutCompleted},
-		"late, few calls, still waiting":          {time.Millisecond - maxLateWait, Heard{Target: 1, Others: 9, Late: true}, ""},
+		"leader since the start":                  {500 * time.Millisecond, Evidence{Baseline: 45}, wire.RolloutCompleted},
+		"late, no answers of the target":          {500 * time.Millisecond, Evidence{Baseline: 45, LateLeader: true}, ""},
+		"late, one answer too few":                {0, Evidence{Target: minTargetAnswers - 1, Baseline: 45, LateLeader: true}, ""},
+		"late, enough answers":                    {0, Evidence{Target: minTargetAnswers, Baseline: 45, LateLeader: true}, wire.RolloutCompleted},
+		"late, bad answers":                       {-time.Second, Evidence{Verdict: bad, Target: minTargetAnswers, Baseline: 45, LateLeader: true}, wire.RolloutRolledBack},
+		"late, none of many calls, still waiting": {-time.Second, Evidence{Baseline: minBaselineCalls, LateLeader: true}, ""},
+		"late, one of many calls":                 {-time.Second, Evidence{Target: 1, Baseline: 2 * minBaselineCalls, LateLeader: true}, ""},
+		"late, none of many calls, wait over":     {-maxLateWait, Evidence{Baseline: minBaselineCalls, LateLeader: true}, wire.RolloutRolledBack},
+		"late, no calls":                          {0, Evidence{LateLeader: true}, wire.RolloutCompleted},
+		"late, few calls, wait over":              {-maxLateWait, Evidence{Target: 1, Baseline: 9, LateLeader: true}, wire.RolloutCompleted},
+		"late, few calls, still waiting":          {time.Millisecond - maxLateWait, Evidence{Target: 1, Baseline: 9, LateLeader: true}, ""},
 	} {
-		step := Next(r, c.left, c.h, Upstreams{Target: 2, Others: 2}, Limits{Share: 0.1})
+		step := NextStep(r, c.left, c.h, Upstreams{Target: 2, Baseline: 2}, Limits{Share: 0.1})
 		switch {
 		case c.want == "" && step != nil:
 			t.Errorf("%s: %s", name, step.State)
@@ -57,7 +57,7 @@
 func TestLateLeaderMakesUpForSteps(t *testing.T) {
 	r := wire.Rollout{Service: "desk", Target: "v2", Span: 10 * time.Second, State: wire.RolloutRunning, Share: 0.02}
 	limits := Limits{Share: 0.1}
-	step := Next(r, 0, Heard{Target: 1, Others: 102, Late: true}, Upstreams{Target: 2, Others: 2}, limits)
+	step := NextStep(r, 0, Evidence{Target: 1, Baseline: 102, LateLeader: true}, Upstreams{Target: 2, Baseline: 2}, limits)
 	if step == nil || step.State != wire.RolloutRunning || step.Share != usableShare(r.Span, limits) || step.Share > limits.Share {
 		t.Fatalf("%+v", step)
 	}
--- a/node/rollout/reporter.go
+++ b/node/rollout/reporter.go
@@ -24,7 +24,7 @@
 	Self      func() wire.Member
 	Processes func() int // number of processes that send reports
 	Send      func(context.Context, *wire.RolloutReport) error
-	Lost      func(error) // called for each report that was not acknowledged
+	OnError   func(error) // called for each report that was not acknowledged
 }
 
 // Interval returns the time between two reports of a process if there are so many processes.
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if err := r.Send(ctx, &wire.RolloutReport{From: r.Self().Start(), Counts: counts}); err != nil {
-		r.Counter.Again()
-		r.Lost(err)
+		r.Counter.RetryReport()
+		r.OnError(err)
 	}
 }
--- a/node/rollout/simulation_test.go
+++ b/node/rollout/simulation_test.go
@@ -102,7 +102,7 @@
 	}
 	current := wire.Rollout{Service: "desk", Target: "v2", Span: m.span, State: wire.RolloutRunning, Replaced: []string{"v1"}, Revision: 1, Order: 1, Started: start.UnixMilli()}
 	type process struct {
-		split   *Split
+		split   *Splitter
 		counter *Counter
 		lag     time.Duration
 		known   uint64
@@ -114,11 +114,11 @@
 	}{{0, current}}
 	var ps []*process
 	for range m.processes {
-		p := &process{split: NewSplit(rnd), counter: NewCounter(), lag: time.Duration(rnd.Int64N(int64(simMaxLag)))}
+		p := &process{split: NewSplitter(rnd), counter: NewCounter(), lag: time.Duration(rnd.Int64N(int64(simMaxLag)))}
 		p.reports = time.Duration(rnd.Int64N(int64(Interval(m.processes))))
 		ps = append(ps, p)
 	}
-	judge, ends, late := NewJudge("v2"), m.span, false
+	judge, ends, late := NewAnalyzer("v2"), m.span, false
 	var calls []simCall
 	running := map[wire.MemberID]int{}
 	var out simResult
@@ -127,7 +127,7 @@
 	for at := time.Duration(0); at < m.span+time.Second; at += simStep {
 		now := start.Add(at)
 		if m.leaderAt > 0 && at == m.leaderAt {
-			judge, ends, pending = NewJudge("v2"), at+Left(m.span, at, m.processes), nil
+			judge, ends, pending = NewAnalyzer("v2"), at+RemainingTime(m.span, at, m.processes), nil
 			late = ends > m.span
 		}
 		for i, p := range ps {
@@ -138,15 +138,15 @@
 				if h.r.Revision > p.known && at >= h.at+p.lag {
 					p.known = h.r.Revision
 					view := wire.Rollouts{Revision: h.r.Revision, List: []wire.Rollout{h.r}}
-					p.split.Follow(view)
-					p.counter.Follow(view)
+					p.split.Update(view)
+					p.counter.Update(view)
 				}
 			}
 			if at >= p.reports {
 				p.reports = at + Interval(m.processes)
 				for _, c := range p.counter.Report() {
 					if c.Order == current.Order && current.Running() {
-						judge.Take(now, wire.Start{ID: wire.MemberID(fmt.Sprint("p", i)), Incarnation: 1}, c.Counts)
+						judge.Add(now, wire.Start{ID: wire.MemberID(fmt.Sprint("p", i)), Incarnation: 1}, c.Counts)
 					}
 				}
 			}
@@ -162,8 +162,8 @@
 			if p.known == 0 {
 				continue // without a view it serves no calls
 			}
-			track := p.split.Next("desk", p.split.HasTarget("desk", members))
-			list := track.Choose(members)
+			track := p.split.NextTrack("desk", p.split.HasTarget("desk", members))
+			list := track.Filter(members)
 			if r := p.split.rollouts.Of("desk"); !r.Running() {
 				list = nil
 				for _, x := range members {
@@ -173,7 +173,7 @@
 				}
 			}
 			to := list[rnd.IntN(len(list))]
-			p.split.Sent("desk", to.Version)
+			p.split.RecordSent("desk", to.Version)
 			route := []string{"book", "look"}[rnd.IntN(2)]
 			b := m.old
 			if to.Version == "v2" {
@@ -223,8 +223,8 @@
 			pending = nil
 		}
 		if pending == nil && current.Running() && at%(100*time.Millisecond) == 0 {
-			up := Upstreams{Target: m.perSide, Others: m.perSide}
-			if pending = Next(current, ends-at, Heard{Verdict: judge.Verdict(), Target: judge.Target.Answers, Others: judge.Others.Answers, Late: late}, up, Limits{Share: maxTargetShare}); pending != nil {
+			up := Upstreams{Target: m.perSide, Baseline: m.perSide}
+			if pending = NextStep(current, ends-at, Evidence{Verdict: judge.Verdict(), Target: judge.Target.Answers, Baseline: judge.Baseline.Answers, LateLeader: late}, up, Limits{Share: maxTargetShare}); pending != nil {
 				commitAt = at + simCommitTime
 			}
 		}
--- a/node/rollout/splitter.go
+++ b/node/rollout/splitter.go
@@ -1,9 +1,9 @@
 // Package rollout shifts a service's calls step by step to upstreams of a new version, the target.
 //
 // Each process, and the owner of the stage queues, sends a share of its own calls to the target
-// (Split) and counts the answers of all versions (Counter). The leader adds up the counts, compares
-// the target with the other versions, the baseline, over the same period (Judge) and decides on the
-// next step (Next).
+// (Splitter) and counts the answers of all versions (Counter). The leader adds up the counts, compares
+// the target with the other versions, the baseline, over the same period (Analyzer) and decides on the
+// next step (NextStep).
 package rollout
 
 import (
@@ -17,12 +17,12 @@
 // of the target was available.
 const maxCredit = 2
 
-// Split divides the calls of one process between the versions. It is not safe for concurrent use.
+// Splitter divides the calls of one process between the versions. It is not safe for concurrent use.
 //
 // Each call of a service adds the roll-out's share to the service's credit; a call to the target
 // costs 1. The initial credit is random between 0 and 1, so that the share also holds over many
 // processes with a few calls each.
-type Split struct {
+type Splitter struct {
 	rand     *rand.Rand
 	rollouts wire.Rollouts
 	credits  map[string]*credit // by service
@@ -34,13 +34,13 @@
 	calls float64
 }
 
-// NewSplit returns a Split that draws initial credits from r.
-func NewSplit(r *rand.Rand) *Split {
-	return &Split{rand: r, credits: map[string]*credit{}}
+// NewSplitter returns a Splitter that draws initial credits from r.
+func NewSplitter(r *rand.Rand) *Splitter {
+	return &Splitter{rand: r, credits: map[string]*credit{}}
 }
 
-// Follow takes the roll-outs of a view.
-func (s *Split) Follow(r wire.Rollouts) { s.rollouts = r }
+// Update takes the roll-outs of a view.
+func (s *Splitter) Update(r wire.Rollouts) { s.rollouts = r }
 
 // Track is the set of upstreams of a service to which a call may go.
 type Track struct {
@@ -48,9 +48,9 @@
 	target  bool
 }
 
-// Next returns the track of the service's next call. hasTarget says whether an upstream of the target version
+// NextTrack returns the track of the service's next call. hasTarget says whether an upstream of the target version
 // is available.
-func (s *Split) Next(service string, hasTarget bool) Track {
+func (s *Splitter) NextTrack(service string, hasTarget bool) Track {
 	r := s.rollouts.Of(service)
 	if !r.Running() {
 		return Track{}
@@ -58,16 +58,16 @@
 	return Track{rollout: r, target: hasTarget && s.creditOf(r).calls >= 1}
 }
 
-// Stable returns the track of all versions except the target.
-func (s *Split) Stable(service string) Track {
+// StableTrack returns the track of all versions except the target.
+func (s *Splitter) StableTrack(service string) Track {
 	if r := s.rollouts.Of(service); r.Running() {
 		return Track{rollout: r}
 	}
 	return Track{}
 }
 
-// Sent updates the service's credit for a call that is sent to an upstream of the version.
-func (s *Split) Sent(service, version string) {
+// RecordSent updates the service's credit for a call that is sent to an upstream of the version.
+func (s *Splitter) RecordSent(service, version string) {
 	r := s.rollouts.Of(service)
 	if !r.Running() {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-func (s *Split) creditOf(r wire.Rollout) *credit {
+func (s *Splitter) creditOf(r wire.Rollout) *credit {
 	c := s.credits[r.Service]
 	if c == nil || c.order != r.Order {
 		c = &credit{order: r.Order, calls: s.rand.Float64()}
@@ -88,28 +88,28 @@
 	return c
 }
 
-// Whole reports whether the track allows all upstreams.
-func (t Track) Whole() bool { return !t.rollout.Running() || len(t.rollout.Replaced) == 0 }
+// Unrestricted reports whether the track allows all upstreams.
+func (t Track) Unrestricted() bool { return !t.rollout.Running() || len(t.rollout.Replaced) == 0 }
 
 // Target reports whether this is the track of the target version.
 func (t Track) Target() bool { return t.target }
 
-// Admits reports whether the track allows upstreams of the version.
-func (t Track) Admits(version string) bool {
-	return t.Whole() || (version == t.rollout.Target) == t.target
+// Allows reports whether the track allows upstreams of the version.
+func (t Track) Allows(version string) bool {
+	return t.Unrestricted() || (version == t.rollout.Target) == t.target
 }
 
-// Choose returns the upstreams that the track allows. The list must be sorted by ID. On the track of the
+// Filter returns the upstreams that the track allows. The list must be sorted by ID. On the track of the
 // target, it returns only as many upstreams as give each the same load as the others have: a version that
 // fails under load must do so while it gets few calls.
-func (t Track) Choose(list []wire.Member) []wire.Member {
-	if t.Whole() {
+func (t Track) Filter(list []wire.Member) []wire.Member {
+	if t.Unrestricted() {
 		return list
 	}
 	var out []wire.Member
 	others := 0
 	for _, m := range list {
-		if t.Admits(m.Version) {
+		if t.Allows(m.Version) {
 			out = append(out, m)
 		} else {
 			others++
@@ -132,7 +132,7 @@
 
 // HasTarget reports whether the list contains an upstream of the version to which the service is being rolled
 // out.
-func (s *Split) HasTarget(service string, list []wire.Member) bool {
+func (s *Splitter) HasTarget(service string, list []wire.Member) bool {
 	r := s.rollouts.Of(service)
 	if !r.Running() {
 		return false
--- a/node/stagework/engines.go
+++ b/node/stagework/engines.go
@@ -62,10 +62,10 @@
 	services map[string]*optext.Service
 	by       map[wire.MemberID]*engineLoad
 	holders  holders
-	cold     coldstart.Limit // of what a cold engine gets
-	turn     int             // of candidates
-	split    *rollout.Split  // of the calls that this owner chooses engines for
-	pace     pace            // of all engines
+	cold     coldstart.Limit   // of what a cold engine gets
+	turn     int               // of candidates
+	split    *rollout.Splitter // of the calls that this owner chooses engines for
+	pace     pace              // of all engines
 	still    *standstill
 	reach    *reach // of data centres; shared with the stages
 }
@@ -141,12 +141,12 @@
 // the one that should begin soon at no great cost. bytes are where the results that it
 // fetches lie, by data centre.
 func (e *engines) choose(now, goal time.Time, p *Prompt, bytes map[string]int64) plan {
-	if track := e.split.Next(p.Service, e.split.HasTarget(p.Service, e.members[p.Service])); track.Target() {
+	if track := e.split.NextTrack(p.Service, e.split.HasTarget(p.Service, e.members[p.Service])); track.Target() {
 		if x := e.chooseOn(track, now, goal, p, bytes); x.engine.ID != "" {
 			return x
 		}
 	}
-	return e.chooseOn(e.split.Stable(p.Service), now, goal, p, bytes)
+	return e.chooseOn(e.split.StableTrack(p.Service), now, goal, p, bytes)
 }
 
 // chooseOn chooses among the engines of the versions that the track admits.
@@ -241,7 +241,7 @@
 // candidates are the engines of a prompt's service that are looked at: all of a few, else
 // those that keep its shared parts, or count as such, and some others, by turns.
 func (e *engines) candidates(p *Prompt, first wire.MemberID, track rollout.Track) []*engineLoad {
-	members := track.Choose(e.members[p.Service])
+	members := track.Filter(e.members[p.Service])
 	if p.Within.Bound {
 		members = slices.DeleteFunc(slices.Clone(members), func(m wire.Member) bool { return !p.Within.Has(m.DataCenter) })
 	}
@@ -249,7 +249,7 @@
 	out := make([]*engineLoad, 0, 2*n)
 	if n < len(members) {
 		for _, l := range e.holders.of(p) {
-			if l.member.Service == p.Service && track.Admits(l.member.Version) && p.Within.Has(l.member.DataCenter) {
+			if l.member.Service == p.Service && track.Allows(l.member.Version) && p.Within.Has(l.member.DataCenter) {
 				out = append(out, l)
 			}
 		}
@@ -272,7 +272,7 @@
 	l.waiting = l.waiting.plus(x.read)
 	l.chosen.Count(now)
 	e.reach.sent(now, x.engine.DataCenter)
-	e.split.Sent(p.Service, x.engine.Version)
+	e.split.RecordSent(p.Service, x.engine.Version)
 	e.sendParts(now, l, shared(p.Parts))
 	if x.fetch.source != nil {
 		x.fetch.begin(now)
--- a/node/stagework/queue.go
+++ b/node/stagework/queue.go
@@ -35,10 +35,10 @@
 	sums    pieceSums
 
 	name     string
-	split    *rollout.Split // of this owner's calls
-	reach    *reach         // of data centres; shared by all services
-	stranded []string       // dark data centres to which pieces that wait have to go
-	rollout  wire.Rollout   // the service's last one
+	split    *rollout.Splitter // of this owner's calls
+	reach    *reach            // of data centres; shared by all services
+	stranded []string          // dark data centres to which pieces that wait have to go
+	rollout  wire.Rollout      // the service's last one
 
 	efficiency float64 // the part of its nominal rate that it reaches while pieces wait
 }
@@ -258,7 +258,7 @@
 	w.running++
 	w.current = c
 	q.reached(c)
-	q.split.Sent(q.name, w.member.Version)
+	q.split.RecordSent(q.name, w.member.Version)
 	w.hold(c.bytes)
 	w.used = now
 	w.freeAt = now.Add(time.Duration(float64(c.expect) * max(1, w.ratio)))
--- a/node/stagework/scheduler.go
+++ b/node/stagework/scheduler.go
@@ -29,7 +29,7 @@
 	news     []news
 	lost     []*worker // that have started again, until takeLost
 	engines  *engines
-	split    *rollout.Split
+	split    *rollout.Splitter
 	counter  *rollout.Counter
 	sentAway sentAway
 	ended    rate    // of jobs whose stages were done
--- a/node/stagework/trial.go
+++ b/node/stagework/trial.go
@@ -10,13 +10,13 @@
 	"caperdrum.org/node/upstream"
 )
 
-func newSplit() *rollout.Split {
-	return rollout.NewSplit(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+func newSplit() *rollout.Splitter {
+	return rollout.NewSplitter(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
 // followRollouts takes over the roll-outs of a view.
 func (s *scheduler) followRollouts(r wire.Rollouts) {
-	s.split.Follow(r)
+	s.split.Update(r)
 	for name, q := range s.services {
 		if x := r.Of(name); x.Revision != q.rollout.Revision {
 			q.rollout = x
@@ -36,8 +36,8 @@
 // onTrack returns the upstreams, of those that are free, to which the service's next call may go: one
 // of the target version first, where it is its turn.
 func (q *serviceQueue) onTrack(free []*worker) []*worker {
-	stable := q.split.Stable(q.name)
-	if stable.Whole() {
+	stable := q.split.StableTrack(q.name)
+	if stable.Unrestricted() {
 		return free
 	}
 	var trials, others []*worker
@@ -48,7 +48,7 @@
 			others = append(others, w)
 		}
 	}
-	if q.split.Next(q.name, len(trials) > 0).Target() {
+	if q.split.NextTrack(q.name, len(trials) > 0).Target() {
 		return append(trials, others...)
 	}
 	return others
