--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -60,13 +60,13 @@
 
 // New returns the Service of this entry. It follows the number of live entries.
 func New(p Params) *Service {
-	s := NewWith(Limits{InFlight: p.Settings.Entry.MaxInFlight, Bytes: bodyBytesFactor * p.Settings.Entry.MaxBody})
+	s := NewWithLimits(Limits{InFlight: p.Settings.Entry.MaxInFlight, Bytes: bodyBytesFactor * p.Settings.Entry.MaxBody})
 	p.Sync.OnChange(func(v *configsync.View) { s.SetEntries(countEntries(v)) })
 	return s
 }
 
-// NewWith returns a Service with the given limits that assumes a single entry.
-func NewWith(l Limits) *Service {
+// NewWithLimits returns a Service with the given limits that assumes a single entry.
+func NewWithLimits(l Limits) *Service {
 	return &Service{limits: l, entries: 1, shed: newShedder(), customers: map[string]*customerState{}}
 }
 
--- a/node/admission/admission_test.go
+++ b/node/admission/admission_test.go
@@ -24,7 +24,7 @@
 			c := &optext.Customer{Name: "c", Share: 1, Rate: rapid.Float64Range(0.5, 50).Draw(t, "rate")}
 			entries := make([]*Service, n)
 			for i := range entries {
-				entries[i] = NewWith(Limits{InFlight: 1 << 20})
+				entries[i] = NewWithLimits(Limits{InFlight: 1 << 20})
 				entries[i].SetEntries(n)
 			}
 			burst := n * max(int(c.Rate/float64(n)), 1)
@@ -74,7 +74,7 @@
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const places = 40
-		s := NewWith(Limits{InFlight: places, Bytes: 1000})
+		s := NewWithLimits(Limits{InFlight: places, Bytes: 1000})
 		names := []string{"large", "small", "tiny"}
 		shares := []float64{6, 3, 1}
 		held := make([][]func(), len(names))
@@ -122,7 +122,7 @@
 // TestFlood checks that a small customer still gets the places of its share when a large one takes all that
 // it can get.
 func TestFlood(t *testing.T) {
-	s := NewWith(Limits{InFlight: 100})
+	s := NewWithLimits(Limits{InFlight: 100})
 	small := &optext.Customer{Name: "small", Share: 1}
 	large := &optext.Customer{Name: "large", Share: 3}
 	if release, refusal := s.Admit(small, Work{}, 0); refusal == nil {
--- a/node/admission/shed.go
+++ b/node/admission/shed.go
@@ -88,7 +88,7 @@
 func (s *shedder) admit(c *optext.Customer, w Work, now time.Time) (overloaded string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	key := demandKey{c.Name, w.Order}
+	key := demandKey{c.Name, w.ShedOrder}
 	var tightest *demand
 	for _, name := range w.Services {
 		d := s.loadOf(name, now).addRequest(key, c.Share)
--- a/node/admission/shed_test.go
+++ b/node/admission/shed_test.go
@@ -68,7 +68,7 @@
 
 func workOf(class optext.Class, order int) Work {
 	p := &optext.Pipeline{Class: string(class), ShedOrder: order, Stages: []*optext.Stage{{Service: "llm"}, {Service: "llm"}}}
-	return OfPipeline(p, map[string]*optext.Service{"llm": {Name: "llm", Shed: true}})
+	return PipelineWork(p, map[string]*optext.Service{"llm": {Name: "llm", Shed: true}})
 }
 
 // TestBrownoutOrder checks under lasting overload that drafts are shed before chat, that a pipeline's own
--- a/node/admission/work.go
+++ b/node/admission/work.go
@@ -4,8 +4,8 @@
 
 // Work describes a request for the decision whether to shed it.
 type Work struct {
-	Order    int      // shed order under overload: the lowest is shed first, a negative one never
-	Services []string // services with load shedding that the request uses, without duplicates
+	ShedOrder int      // shed order under overload: the lowest is shed first, a negative one never
+	Services  []string // services with load shedding that the request uses, without duplicates
 }
 
 // Default shed orders.
@@ -16,21 +16,21 @@
 	shedOrderConfirmation = 3
 )
 
-// OfPipeline returns the Work of a request to a pipeline.
-func OfPipeline(p *optext.Pipeline, services map[string]*optext.Service) Work {
-	w := Work{Order: shedOrder(p)}
+// PipelineWork returns the Work of a request to a pipeline.
+func PipelineWork(p *optext.Pipeline, services map[string]*optext.Service) Work {
+	w := Work{ShedOrder: shedOrder(p)}
 	for _, st := range p.Stages {
 		w.add(services[st.Service])
 	}
 	return w
 }
 
-// OfCall returns the Work of a direct call to a service. A confirmation is shed only for an overload of its
+// CallWork returns the Work of a direct call to a service. A confirmation is shed only for an overload of its
 // own service, before its idempotency key is claimed.
-func OfCall(sv *optext.Service) Work {
-	w := Work{Order: shedOrderInteractive}
+func CallWork(sv *optext.Service) Work {
+	w := Work{ShedOrder: shedOrderInteractive}
 	if !sv.Repeatable {
-		w.Order = shedOrderConfirmation
+		w.ShedOrder = shedOrderConfirmation
 	}
 	w.add(sv)
 	return w
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -42,9 +42,9 @@
 // work returns what the request needs of the services.
 func (c *call) work() admission.Work {
 	if c.pipeline != nil {
-		return admission.OfPipeline(c.pipeline, c.view.Config.Services)
+		return admission.PipelineWork(c.pipeline, c.view.Config.Services)
 	}
-	return admission.OfCall(c.view.Config.Services[c.service])
+	return admission.CallWork(c.view.Config.Services[c.service])
 }
 
 func (c *call) customerName() string {
