--- a/node/planner/day_test.go
+++ b/node/planner/day_test.go
@@ -308,7 +308,7 @@
 	need := int(math.Ceil(float64(p.peak) / (0.7 * float64(p.limit))))
 	rank := 0
 	for _, e := range p.engines {
-		pe := planner.Engine{ID: e.id, Service: p.name, Settled: true, Seen: e.seen, Fence: v.Fences[e.id], Last: v.Orders[e.id], Limit: p.limit,
+		pe := planner.Engine{ID: e.id, Service: p.name, Synced: true, Seen: e.seen, Fence: v.Fences[e.id], Last: v.Orders[e.id], Limit: p.limit,
 			State: wire.EngineState{TakesOrders: true}}
 		if e.order != nil {
 			pe.Running = e.order.Token
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -34,7 +34,7 @@
 	State    wire.EngineState
 	Running  uint64 // token of the order that its agent is executing; zero means none
 	Seen     uint64 // highest token that its agent has seen
-	Settled  bool   // the agent has read the fence since its start, and its order reports are replicated
+	Synced   bool   // the agent has read the fence since its start, and its order reports are replicated
 	Fence    uint64
 	Last     state.OrderRecord
 	InFlight int
--- a/node/planner/planner_test.go
+++ b/node/planner/planner_test.go
@@ -114,7 +114,7 @@
 		e.outcome = nil
 	}
 	e.forgot = false
-	e.reported = planner.Engine{ID: id, Service: "llm", Settled: true, Seen: e.seen, Limit: 10, InFlight: e.load,
+	e.reported = planner.Engine{ID: id, Service: "llm", Synced: true, Seen: e.seen, Limit: 10, InFlight: e.load,
 		State: wire.EngineState{TakesOrders: true, Holds: slices.Clone(e.holds), Cached: slices.Clone(e.cached)}}
 	if e.open != nil {
 		e.reported.Running = e.open.Token
@@ -429,7 +429,7 @@
 	quick.Service = "quotes"
 	in := planner.Input{Now: origin, Specs: []planner.Spec{slow, quick}}
 	for _, service := range []string{"drafts", "quotes"} {
-		in.Engines = append(in.Engines, planner.Engine{ID: wire.MemberID(service), Service: service, Settled: true, State: wire.EngineState{TakesOrders: true}})
+		in.Engines = append(in.Engines, planner.Engine{ID: wire.MemberID(service), Service: service, Synced: true, State: wire.EngineState{TakesOrders: true}})
 	}
 	p := planner.NewPlanner().Plan(in)
 	if len(p.Issue) != 2 || p.Issue[0].Order.Upstream != "quotes" {
--- a/node/planner/reconcile.go
+++ b/node/planner/reconcile.go
@@ -57,7 +57,7 @@
 // acceptsOrder reports whether the engine can get a new order: its report is newer than the last order, and
 // no order is open in the replicated state, at its agent or at the engine itself.
 func acceptsOrder(e Engine) bool {
-	return e.Settled && e.Seen >= e.Fence && e.Last.State != wire.OrderOpen && e.Running == 0 && !e.State.Busy
+	return e.Synced && e.Seen >= e.Fence && e.Last.State != wire.OrderOpen && e.Running == 0 && !e.State.Busy
 }
 
 // orderFor returns the engine's next order, or nil.
@@ -203,7 +203,7 @@
 		open[e.ID] = first
 		report := wire.OrderReport{Upstream: e.ID, Token: token}
 		switch {
-		case e.Settled && e.Seen >= token && e.Running != token:
+		case e.Synced && e.Seen >= token && e.Running != token:
 			report.State, report.Detail = wire.OrderInterrupted, "the agent is not executing it"
 		case in.Now.Sub(first.since) > e.Last.Order.Timeout+reportGrace:
 			report.State, report.Detail = wire.OrderFailed, "no report within the timeout"
--- a/node/planner/step.go
+++ b/node/planner/step.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		engines = append(engines, Engine{ID: id, Service: p.Service, State: p.Engine, Running: p.Running, Seen: p.Seen,
-			Settled: p.Established && !p.reportsPending, Fence: view.Fences[id], Last: view.Orders[id],
+			Synced: p.Established && !p.reportsPending, Fence: view.Fences[id], Last: view.Orders[id],
 			InFlight: p.InFlight, Queued: p.Queued, Limit: p.Limit, Arrivals: p.Arrived - p.countedArrivals})
 		p.countedArrivals = p.Arrived
 	}
