--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -144,7 +144,7 @@
 	if set.Has(settings.Entry) {
 		modules = append(modules,
 			kernel.Module{Name: "routing", New: routing.New},
-			kernel.Module{Name: "demand", New: order.NewDemand},
+			kernel.Module{Name: "demand", New: order.NewDemandReporter},
 			kernel.Module{Name: "dispatch", New: dispatch.New},
 			kernel.Module{Name: "admission", New: admission.New},
 			kernel.Module{Name: "pipeline", New: pipeline.New},
--- a/node/order/demand_reporter.go
+++ b/node/order/demand_reporter.go
@@ -14,8 +14,8 @@
 	"caperdrum.org/node/settings"
 )
 
-// DemandParams are the dependencies of Demand.
-type DemandParams struct {
+// DemandReporterParams are the dependencies of DemandReporter.
+type DemandReporterParams struct {
 	dig.In
 	Settings *settings.Settings
 	Dial     peer.Dialer
@@ -23,9 +23,9 @@
 	Routing  *routing.Service    `name:"routing"`
 }
 
-// Demand reports requests that found no upstream to the control leader, so that it wakes parked upstreams. It
+// DemandReporter reports requests that found no upstream to the control leader, so that it wakes parked upstreams. It
 // sends nothing while there are none.
-type Demand struct {
+type DemandReporter struct {
 	self    wire.MemberID
 	sync    *configsync.Service
 	control *peer.Control
@@ -41,16 +41,16 @@
 	demandTimeout    = 3 * time.Second
 )
 
-// NewDemand returns the service, which counts the misses of the routing service.
-func NewDemand(p DemandParams) *Demand {
-	d := &Demand{self: wire.MemberID(p.Settings.Node.Name), sync: p.Sync, wakeup: make(chan struct{}, 1),
+// NewDemandReporter returns the service, which counts the misses of the routing service.
+func NewDemandReporter(p DemandReporterParams) *DemandReporter {
+	d := &DemandReporter{self: wire.MemberID(p.Settings.Node.Name), sync: p.Sync, wakeup: make(chan struct{}, 1),
 		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), misses: map[string]int64{}}
 	p.Routing.OnEmpty(d.recordMiss)
 	return d
 }
 
 // recordMiss counts one request. Only services with models can be woken.
-func (d *Demand) recordMiss(service string) {
+func (d *DemandReporter) recordMiss(service string) {
 	v := d.sync.View()
 	if v == nil || v.Config.Services[service] == nil || len(v.Config.Services[service].Models) == 0 {
 		return
@@ -65,7 +65,7 @@
 }
 
 // Start implements kernel.Starter.
-func (d *Demand) Start(context.Context) error {
+func (d *DemandReporter) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
 	go d.run(ctx)
@@ -73,13 +73,13 @@
 }
 
 // Stop implements kernel.Stopper.
-func (d *Demand) Stop(context.Context) error {
+func (d *DemandReporter) Stop(context.Context) error {
 	d.cancel()
 	d.control.Close()
 	return nil
 }
 
-func (d *Demand) run(ctx context.Context) {
+func (d *DemandReporter) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -93,7 +93,7 @@
 
 // send sends the pending counts once. A lost report is not repeated: callers retry, and counting a miss twice
 // would wake too many upstreams.
-func (d *Demand) send(ctx context.Context) {
+func (d *DemandReporter) send(ctx context.Context) {
 	d.mu.Lock()
 	report := wire.DemandReport{Entry: d.self, Misses: d.misses}
 	d.misses = map[string]int64{}
--- a/node/order/dispatcher.go
+++ b/node/order/dispatcher.go
@@ -13,8 +13,8 @@
 // different times by the budget, can hit the weight store at the same time.
 const maxOrderAge = 5 * time.Second
 
-// Carrier decides which orders an agent executes. It does no I/O and is not safe for concurrent use.
-type Carrier struct {
+// Dispatcher decides which orders an agent executes. It does no I/O and is not safe for concurrent use.
+type Dispatcher struct {
 	upstream    wire.MemberID
 	established bool
 	seen        uint64 // highest token known for the upstream
@@ -22,20 +22,20 @@
 	reports     []wire.OrderReport // not yet acknowledged by a leader
 }
 
-// NewCarrier returns the Carrier of an agent that has just started. It accepts no order until it has learned
+// NewDispatcher returns the Dispatcher of an agent that has just started. It accepts no order until it has learned
 // the fence.
-func NewCarrier(upstream wire.MemberID) *Carrier { return &Carrier{upstream: upstream} }
+func NewDispatcher(upstream wire.MemberID) *Dispatcher { return &Dispatcher{upstream: upstream} }
 
-// Fill sets the poll's fields that the Carrier knows.
-func (d *Carrier) Fill(p *wire.OrderPoll) {
+// FillPoll sets the poll's fields that the Dispatcher knows.
+func (d *Dispatcher) FillPoll(p *wire.OrderPoll) {
 	p.Upstream, p.Established, p.Seen, p.Running = d.upstream, d.established, d.seen, d.running
 	p.Reports = append([]wire.OrderReport(nil), d.reports...)
 }
 
-// Take processes the reply to poll p and returns the order to execute now, or nil. waited is the time since
+// HandleReply processes the reply to poll p and returns the order to execute now, or nil. waited is the time since
 // the poll was sent. engineBusy says that the engine is still executing an order, possibly one that it got
 // before this agent restarted.
-func (d *Carrier) Take(p *wire.OrderPoll, r *wire.OrderPollReply, waited time.Duration, engineBusy bool) *wire.Order {
+func (d *Dispatcher) HandleReply(p *wire.OrderPoll, r *wire.OrderPollReply, waited time.Duration, engineBusy bool) *wire.Order {
 	d.dropConfirmed(p.Reports)
 	if !d.established {
 		// An order whose token equals the fence may have been executed before this agent restarted, so it is
@@ -61,7 +61,7 @@
 }
 
 // Finish records the outcome of the running order for the next poll. Other tokens are ignored.
-func (d *Carrier) Finish(token uint64, state wire.OrderState, detail string) {
+func (d *Dispatcher) Finish(token uint64, state wire.OrderState, detail string) {
 	if d.running != token {
 		return
 	}
@@ -69,12 +69,12 @@
 	d.addReport(token, state, detail)
 }
 
-func (d *Carrier) addReport(token uint64, state wire.OrderState, detail string) {
+func (d *Dispatcher) addReport(token uint64, state wire.OrderState, detail string) {
 	d.reports = append(d.reports, wire.OrderReport{Upstream: d.upstream, Token: token, State: state, Detail: detail})
 }
 
 // dropConfirmed removes the reports that a leader has replicated.
-func (d *Carrier) dropConfirmed(sent []wire.OrderReport) {
+func (d *Dispatcher) dropConfirmed(sent []wire.OrderReport) {
 	kept := d.reports[:0]
 	for _, r := range d.reports {
 		confirmed := false
--- a/node/order/dispatcher_test.go
+++ b/node/order/dispatcher_test.go
@@ -20,14 +20,14 @@
 // restart. Leaders without a quorum do not reply, as their read barrier fails.
 type simulation struct {
 	machine    *state.Machine
-	dispatcher *order.Carrier
+	dispatcher *order.Dispatcher
 	polls      []*wire.OrderPoll
 	replies    []exchange
 
 	observations      []observation // on which some leader may still decide
 	started           []uint64      // tokens in the order in which the engine got them
 	running           uint64        // token of the order that the engine is executing; zero means none
-	runningDispatcher *order.Carrier
+	runningDispatcher *order.Dispatcher
 }
 
 type exchange struct {
@@ -38,7 +38,7 @@
 type observation struct{ fence uint64 }
 
 func newSystem() *simulation {
-	return &simulation{machine: state.New(), dispatcher: order.NewCarrier(upstream)}
+	return &simulation{machine: state.New(), dispatcher: order.NewDispatcher(upstream)}
 }
 
 func (s *simulation) apply(t *rapid.T, c *state.OrderCommand) []state.IssueResult {
@@ -92,7 +92,7 @@
 
 func (s *simulation) sendPoll(*rapid.T) {
 	p := &wire.OrderPoll{}
-	s.dispatcher.Fill(p)
+	s.dispatcher.FillPoll(p)
 	s.polls = append(s.polls, p)
 }
 
@@ -119,7 +119,7 @@
 	}
 	x := s.replies[len(s.replies)-1-drawAge(t, len(s.replies))]
 	late := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 1, 8}).Draw(t, "seconds")) * time.Second
-	o := s.dispatcher.Take(x.poll, &x.reply, late, s.running != 0)
+	o := s.dispatcher.HandleReply(x.poll, &x.reply, late, s.running != 0)
 	if o == nil {
 		return
 	}
@@ -146,7 +146,7 @@
 
 // restart loses the agent's state and all replies in flight to it. The engine continues with its order.
 func (s *simulation) restart(*rapid.T) {
-	s.dispatcher, s.polls, s.replies = order.NewCarrier(upstream), nil, nil
+	s.dispatcher, s.polls, s.replies = order.NewDispatcher(upstream), nil, nil
 }
 
 // TestOrdersNeverGoBackwards checks that an agent alone protects an engine that ignores fencing tokens.
@@ -196,7 +196,7 @@
 	if rec := v.Orders[upstream]; p.Established && rec.State == wire.OrderOpen && rec.Order.Token > p.Seen {
 		reply.Order = &rec.Order
 	}
-	if o := s.dispatcher.Take(p, &reply, 0, s.running != 0); o != nil {
+	if o := s.dispatcher.HandleReply(p, &reply, 0, s.running != 0); o != nil {
 		s.started = append(s.started, o.Token)
 		s.running, s.runningDispatcher = o.Token, s.dispatcher
 	}
--- a/node/order/service.go
+++ b/node/order/service.go
@@ -54,7 +54,7 @@
 	refreshMu sync.Mutex // serializes refresh: an older state must not overwrite a newer one
 
 	mu         sync.Mutex
-	dispatcher *Carrier
+	dispatcher *Dispatcher
 	state      wire.EngineState
 	draining   bool
 }
@@ -76,7 +76,7 @@
 func New(p Params) *Service {
 	s := &Service{settings: p.Settings.Agent, log: p.Log, ring: p.Ring, sync: p.Sync, gate: p.Gate,
 		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), engine: newEngine(p.Settings.Agent.Upstream),
-		done: make(chan struct{}), wakeup: make(chan struct{}, 1), dispatcher: NewCarrier(wire.MemberID(p.Settings.Node.Name))}
+		done: make(chan struct{}), wakeup: make(chan struct{}, 1), dispatcher: NewDispatcher(wire.MemberID(p.Settings.Node.Name))}
 	version := uint64(0)
 	p.Sync.OnChange(func(v *configsync.View) {
 		if v.Version != version {
@@ -193,7 +193,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.Engine = s.state
-	s.dispatcher.Fill(p)
+	s.dispatcher.FillPoll(p)
 	return p
 }
 
@@ -208,7 +208,7 @@
 	}
 	s.lastPoll, s.lastPollAt = p, sent
 	s.mu.Lock()
-	o := s.dispatcher.Take(p, &reply, time.Since(sent), s.state.Busy)
+	o := s.dispatcher.HandleReply(p, &reply, time.Since(sent), s.state.Busy)
 	s.mu.Unlock()
 	if o != nil {
 		go s.executeOrder(ctx, o)
