--- a/node/proxy/endpoints.go
+++ b/node/proxy/endpoints.go
@@ -38,7 +38,7 @@
 	announced        map[string][]wire.Member // of the last view, by service
 	byStart          map[wire.Start]*endpoint
 	direct           coldstart.DirectLimiter
-	split            *rollout.Split
+	split            *rollout.Splitter
 	unreachableUntil map[string]time.Time // by data centre: its upstreams are avoided until then
 }
 
@@ -52,7 +52,7 @@
 }
 
 func newEndpoints(n *upstream.Notices) *endpoints {
-	return &endpoints{notices: n, byStart: map[wire.Start]*endpoint{}, split: rollout.NewSplit(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
+	return &endpoints{notices: n, byStart: map[wire.Start]*endpoint{}, split: rollout.NewSplitter(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
 }
 
 // update applies the announced upstreams of a view and deletes the state of removed ones. It returns the
@@ -128,7 +128,7 @@
 		return m, false
 	}
 	if m.ID != c.chosen {
-		e.split.Sent(m.Service, m.Version)
+		e.split.RecordSent(m.Service, m.Version)
 	}
 	if m.Cold && m.ID != c.chosen {
 		e.direct.Count(now, string(m.ID))
@@ -148,19 +148,19 @@
 		return wire.Member{}, false
 	}
 	service := list[0].Service
-	stable := e.split.Stable(service)
-	if stable.Whole() {
+	stable := e.split.StableTrack(service)
+	if stable.Unrestricted() {
 		return e.pickBest(list, c, now)
 	}
 	if chosen := slices.IndexFunc(list, func(m wire.Member) bool { return m.ID == c.chosen }); chosen >= 0 {
-		return e.pickBest(append(stable.Choose(list), list[chosen]), c, now)
+		return e.pickBest(append(stable.Filter(list), list[chosen]), c, now)
 	}
-	if track := e.split.Next(service, e.split.HasTarget(service, list)); track.Target() {
-		if m, ok := e.pickBest(track.Choose(list), c, now); ok {
+	if track := e.split.NextTrack(service, e.split.HasTarget(service, list)); track.Target() {
+		if m, ok := e.pickBest(track.Filter(list), c, now); ok {
 			return m, true
 		}
 	}
-	return e.pickBest(stable.Choose(list), c, now)
+	return e.pickBest(stable.Filter(list), c, now)
 }
 
 // setUnreachable sets the data centres that the stage owner reports as unreachable.
@@ -180,7 +180,7 @@
 func (e *endpoints) setRollouts(r wire.Rollouts) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.split.Follow(r)
+	e.split.Update(r)
 }
 
 // peek returns the best upstream without counting a call, whatever its version.
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -110,10 +110,10 @@
 	stopBackground context.CancelFunc
 	peers          *retry.Peers
 	repeats        *retry.Quota
-	inquiries      *quarantine.Inquiries
+	inquiries      *quarantine.CrashDetector
 	reporter       *quarantine.Reporter
 	guard          *quarantine.Guard
-	answers        *quarantine.Answers
+	answers        *quarantine.AnsweredCalls
 	running        *running
 	memory         *memoryBudget
 	counter        *rollout.Counter  // of answers per version during a rollout
@@ -126,7 +126,7 @@
 	s.reporter = quarantine.NewReporter(s.reportTo(p.Control.ReportCrashes))
 	s.counter = p.Counter
 	s.rollouts = &rollout.Reporter{Counter: p.Counter, Clock: clockwork.NewRealClock(), Self: p.ConfigSync.Self, Processes: s.processCount, Send: p.Control.ReportRollouts,
-		Lost: func(err error) { s.log.Info("rollout counts not acknowledged", "error", err.Error()) }}
+		OnError: func(err error) { s.log.Info("rollout counts not acknowledged", "error", err.Error()) }}
 	s.secure = p.Security
 	p.ConfigSync.OnChange(s.applyView)
 	return s
@@ -138,8 +138,8 @@
 	s.initQuota(boottime.System())
 	s.running, s.counter = newRunning(), rollout.NewCounter()
 	s.memory = newMemoryBudget(set.Node.Memory)
-	s.guard, s.answers, s.reporter = quarantine.NewGuard(), quarantine.NewAnswers(), quarantine.NewReporter(noReports)
-	s.inquiries = quarantine.NewInquiries(s.pool.Listens, s.upstreamCrashed, boottime.System())
+	s.guard, s.answers, s.reporter = quarantine.NewGuard(), quarantine.NewAnsweredCalls(), quarantine.NewReporter(noReports)
+	s.inquiries = quarantine.NewCrashDetector(s.pool.Listens, s.upstreamCrashed, boottime.System())
 	s.callsContext, s.cancelCalls = context.WithCancel(context.Background())
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	s.readyServer = &http.Server{Handler: http.HandlerFunc(s.serveReady), ReadHeaderTimeout: headerTimeout}
@@ -158,12 +158,12 @@
 	t := newTable(v, s.set.Node.RegionsOfDataCenters(), s.table.Load())
 	s.table.Store(t)
 	s.endpoints.setRollouts(v.Rollouts)
-	s.counter.Follow(v.Rollouts)
+	s.counter.Update(v.Rollouts)
 	self := s.views.Self()
 	here, known := v.Members.Get(self.ID)
 	s.peers.Update(retry.Membership{Members: t.proxyCount, IncludesSelf: known && here.Start() == self.Start()})
-	s.inquiries.Follow(v.Members)
-	if s.guard.Follow(v.Suspects) {
+	s.inquiries.UpdateMembers(v.Members)
+	if s.guard.Update(v.Suspects) {
 		s.running.cancelBarred()
 	}
 	if v.Version > 0 {
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -34,12 +34,12 @@
 
 // investigateBreak starts an inquiry into why the call's connection to the upstream broke.
 func (x *exchange) investigateBreak(m wire.Member) {
-	x.s.inquiries.Broke(quarantine.Broken{Call: x.quarantineCall(), Request: x.call.ID, Route: x.route.Name, Upstream: m})
+	x.s.inquiries.Check(quarantine.InterruptedCall{Call: x.quarantineCall(), Request: x.call.ID, Route: x.route.Name, Upstream: m})
 }
 
 // upstreamCrashed reports that an upstream's process ended while it had a call. An upstream that announced that it
 // leaves may end with calls in progress.
-func (s *Service) upstreamCrashed(b quarantine.Broken) {
+func (s *Service) upstreamCrashed(b quarantine.InterruptedCall) {
 	if s.table.Load().leaving(b.Upstream.Start()) {
 		return
 	}
@@ -55,13 +55,13 @@
 }
 
 func (s *Service) reportCrash(r *wire.CrashReport) {
-	s.guard.Seen(r, time.Now())
+	s.guard.RecordLocal(r, time.Now())
 	s.reporter.Add(r)
 }
 
 // checkBarred returns an error if the call is barred from upstreams, else nil.
 func (x *exchange) checkBarred() *verdict.Error {
-	if x.s.guard.Quiet() {
+	if x.s.guard.Empty() {
 		return nil
 	}
 	standing, fingerprint := x.s.guard.Check(x.quarantineCall(), x.s.stale())
