--- a/node/stagework/scheduler.go
+++ b/node/stagework/scheduler.go
@@ -10,75 +10,75 @@
 )
 
 const (
-	// starvedAfter is how long a job that is late may wait for a call of its pieces:
-	// what a burst takes to pass its peak.
+	// starvedAfter is how long a late job may go without a call of its pieces: about the
+	// time in which a burst passes its peak.
 	starvedAfter = 2 * time.Second
-	// starvedComeBack is when its caller should come back, if it still can.
-	starvedComeBack = time.Second
+	// starvedRetryAfter is when the caller of a starved job should retry.
+	starvedRetryAfter = time.Second
 )
 
-// scheduler decides which pieces go to which upstream. It reads no clock and
-// does no I/O; one goroutine owns it.
+// scheduler decides which pieces go to which upstream. It reads no clock and does no
+// I/O, and is used by one goroutine only.
 type scheduler struct {
-	services map[string]*serviceQueue
-	jobs     map[string]*job
-	serial   uint64
-	owner    bool // this process starts calls
-	asks     asks
-	due      bool // something happened by which calls may be started
-	news     []news
-	lost     []*worker // that have started again, until takeLost
-	engines  *engines
-	split    *rollout.Split
-	counter  *rollout.Counter
-	sentAway sentAway
-	ended    rate    // of jobs whose stages were done
-	fetching []*call // whose inputs are being fetched
-	backlog  backlog
-	gauged   time.Time
-	reach    *reach
-	still    *standstill
-	doubted  bool // this process owned the queues before the last one, and has not been confirmed since
+	services       map[string]*serviceQueue
+	jobs           map[string]*job
+	serial         uint64
+	owner          bool // this process owns the queues and starts calls
+	reportLimit    reportLimit
+	startPending   bool // an event since the last startCalls may allow new calls
+	updates        []addressedUpdate
+	restarted      []*worker // upstreams that restarted since the last takeRestarted
+	engines        *engines
+	split          *rollout.Split
+	counter        *rollout.Counter
+	refusedCallers refusedCallers
+	completions    rate    // of jobs whose stages were completed
+	fetchingInputs []*call // calls whose upstreams are still fetching inputs
+	backlog        backlog
+	gaugesSet      time.Time
+	reachability   *reachability
+	lastStall      *stall
+	unconfirmed    bool // was the owner before the last stall, and is not confirmed since
 
-	lastEstimate time.Duration // of the last job that was handed in
-	lastReturned bool          // its caller was sent away before
+	lastEstimate time.Duration // of the last job submitted
+	lastRetry    bool          // whether its caller was refused before
 }
 
 func newScheduler() *scheduler {
 	e := newEngines()
-	return &scheduler{services: map[string]*serviceQueue{}, jobs: map[string]*job{}, engines: e, split: e.split, reach: e.reach, still: e.still, counter: rollout.NewCounter(), sentAway: sentAway{}}
+	return &scheduler{services: map[string]*serviceQueue{}, jobs: map[string]*job{}, engines: e, split: e.split, reachability: e.reachability, lastStall: e.lastStall, counter: rollout.NewCounter(), refusedCallers: refusedCallers{}}
 }
 
-// remake begins jobs anew whose results lay at upstreams that have started again, and
-// returns their results elsewhere, which are to be freed. Otherwise a call of the next stage or of the
-// engine would find out, after the time that it takes.
-func (s *scheduler) remake(now time.Time, lost []*worker) []made {
+// restartLostJobs restarts jobs with results at upstreams that restarted, and returns their other
+// results, which are to be freed. Otherwise only a call of the next stage or of the engine would
+// notice the loss, after the whole time of that call.
+func (s *scheduler) restartLostJobs(now time.Time, lost []*worker) []storedResult {
 	if len(lost) == 0 {
 		return nil
 	}
-	var out []made
+	var out []storedResult
 	for _, j := range s.jobs {
-		if j.answer == nil || !slices.ContainsFunc(j.made, func(m made) bool { return m.worker.lost }) {
+		if j.answer == nil || !slices.ContainsFunc(j.results, func(m storedResult) bool { return m.worker.restarted }) {
 			continue
 		}
 		if j.restarts >= maxRestarts {
-			s.end(j, Result{}, errStages(string(upstream.InputGone)))
-			out = append(out, s.forget(j)...)
+			s.endJob(j, Result{}, errStageFailed(string(upstream.InputGone)))
+			out = append(out, s.forgetJob(j)...)
 			continue
 		}
-		out = append(out, s.restart(now, j)...)
+		out = append(out, s.restartJob(now, j)...)
 	}
 	return out
 }
 
-// add queues the first stages of a job, or those after the ones that an owner before
-// has made. answer is called once. It returns results that are to be freed.
-func (s *scheduler) add(now time.Time, j Job, answer func(Result, error)) []made {
+// submit queues the first stages of a job, or those after the stages completed under a
+// previous owner. answer is called exactly once. It returns results to be freed.
+func (s *scheduler) submit(now time.Time, j Job, answer func(Result, error)) []storedResult {
 	if !s.owner {
-		answer(Result{}, errMoved())
+		answer(Result{}, errNotOwner())
 		return nil
 	}
-	if err := j.valid(); err != nil {
+	if err := j.validate(); err != nil {
 		answer(Result{}, err)
 		return nil
 	}
@@ -86,35 +86,36 @@
 	n := &job{Job: j, firstEvent: now.Add(j.FirstEvent), serial: s.serial, arrived: now, deadline: now.Add(j.Left), goal: now.Add(j.Goal), answer: answer}
 	for _, st := range j.Stages {
 		if st.Pieces > 0 && s.services[st.Service] == nil {
-			answer(Result{}, errStages("service "+st.Service+" makes no pieces"))
+			answer(Result{}, errStageFailed("service "+st.Service+" does not process pieces"))
 			return nil
 		}
-		if st.Pieces > 0 && !s.services[st.Service].within(j.Within) {
-			answer(Result{}, errNowhere(st.Service, j.Within))
+		if st.Pieces > 0 && !s.services[st.Service].hasWorkerWithin(j.Within) {
+			answer(Result{}, errNoAllowedUpstream(st.Service, j.Within))
 			return nil
 		}
 	}
 	s.reset(n)
-	s.foresee(now, n)
-	if !s.resume(now, n) && n.pieces() > 0 && !s.goesOn(now, n) {
-		if wait, refused := s.refuse(now, n); refused {
-			answer(Result{}, errBusy(wait))
+	s.predictEngine(now, n)
+	if !s.resumeStages(now, n) && n.pieces() > 0 && !s.admitResubmitted(now, n) {
+		if wait, refused := s.shouldRefuse(now, n); refused {
+			answer(Result{}, errOverloaded(wait))
 			return nil
 		}
 	}
-	s.pass(now)
+	s.advanceBacklog(now)
 	s.jobs[j.Handed] = n
-	s.recount(n)
+	s.updateBacklog(n)
 	if j.Again {
-		n.countHandedAgain()
+		n.countResubmitted()
 	}
 	s.advance(now, n)
-	return s.freeInputs(n)
+	return s.releaseInputs(n)
 }
 
-// foresee finds the engine that would take the job's call now: its stages leave it the
-// time that it should take, and large results are made in its data centre.
-func (s *scheduler) foresee(now time.Time, j *job) {
+// predictEngine finds the engine that would take the job's call now. The goal of the job's stages
+// is set so that they leave the engine the time it needs, and large results are produced in the
+// engine's data centre.
+func (s *scheduler) predictEngine(now time.Time, j *job) {
 	if j.Prompt == nil {
 		return
 	}
@@ -123,44 +124,44 @@
 		return
 	}
 	j.DataCenter = x.engine.DataCenter
-	j.goal = j.firstEvent.Add(-x.begins - engineMargin)
+	j.goal = j.firstEvent.Add(-x.ttft - engineMargin)
 }
 
-// engineMargin is left between the stages and the first event besides what an engine
-// should take: four ways between processes, and a step of the engine.
+// engineMargin is the slack between the stages and the first event on top of the engine's
+// expected time: four one-way delays between processes and one step of the engine.
 const engineMargin = 30 * time.Millisecond
 
-// own takes the ownership or gives it up. Jobs that are given up go on at the next
-// owner; of what was made for them, that is freed of which nobody was told. With
-// after there was an owner before this one.
-func (s *scheduler) own(now time.Time, owner, after bool) []made {
+// setOwner takes or gives up the ownership of the queues. Jobs in progress are moved to the next
+// owner; it returns those of their results that no caller was told of, to be freed. after says
+// that there was an owner before this one.
+func (s *scheduler) setOwner(now time.Time, owner, after bool) []storedResult {
 	if owner && after && !s.owner {
-		s.askAll(now)
+		s.scheduleReports(now)
 	}
 	if owner && !s.owner {
-		s.reach.forget() // it has made no calls lately
+		s.reachability.reset() // knowledge from an earlier ownership is out of date
 	}
-	s.owner, s.doubted = owner, false
+	s.owner, s.unconfirmed = owner, false
 	if owner {
 		return nil
 	}
-	var out []made
+	var out []storedResult
 	for _, j := range s.jobs {
 		if j.answer == nil || j.moving {
-			continue // its caller still fetches the results, or it moves already
+			continue // its caller still fetches the results, or it is already moving
 		}
-		s.unqueue(j)
+		s.dequeue(j)
 		j.moving = true
-		out = append(out, s.move(j)...)
+		out = append(out, s.moveJob(j)...)
 	}
 	return out
 }
 
-// reset begins a job anew.
+// reset clears the progress of a job, to start it from its first stage.
 func (s *scheduler) reset(j *job) {
 	n := len(j.Stages)
-	j.tail, j.handles, j.missing, j.started = make([]time.Duration, n), make([][]string, n), make([]int, n), make([]bool, n)
-	j.times, j.fetched, j.givenUp = make([]stageTimes, n), make([]int, n), make([]bool, n)
+	j.minRemaining, j.handles, j.missing, j.started = make([]time.Duration, n), make([][]string, n), make([]int, n), make([]bool, n)
+	j.times, j.inputsFetched, j.released = make([]stageTimes, n), make([]int, n), make([]bool, n)
 	for i := n - 1; i >= 0; i-- {
 		st := j.Stages[i]
 		j.handles[i], j.missing[i] = make([]string, st.Pieces), st.Pieces
@@ -168,54 +169,54 @@
 			continue
 		}
 		spec := s.services[st.Service].spec
-		whole := j.tail[i] + spec.CallTime + time.Duration(st.Pieces)*spec.PieceTime
+		total := j.minRemaining[i] + spec.CallTime + time.Duration(st.Pieces)*spec.PieceTime
 		for _, k := range st.After {
-			j.tail[k] = max(j.tail[k], whole)
+			j.minRemaining[k] = max(j.minRemaining[k], total)
 		}
 	}
 }
 
-// advance queues the stages whose inputs are there, and answers the job when
-// all are done.
+// advance queues the stages whose inputs are ready, and answers the job when all stages
+// are completed.
 func (s *scheduler) advance(now time.Time, j *job) {
 	all := true
 	for i, st := range j.Stages {
 		if j.missing[i] > 0 {
 			all = false
 		}
-		if j.started[i] || st.Pieces == 0 || !j.ready(i) {
+		if j.started[i] || st.Pieces == 0 || !j.inputsReady(i) {
 			continue
 		}
 		j.started[i] = true
 		j.times[i].ready = now
-		s.due = true
+		s.startPending = true
 		q := s.services[st.Service]
-		home := j.home(i)
+		home := j.preferredDataCenter(i)
 		for k := range st.Pieces {
-			q.wait(&piece{job: j, stage: i, number: k, epoch: j.restarts, home: home, queued: now})
+			q.enqueue(&piece{job: j, stage: i, number: k, epoch: j.restarts, preferredDataCenter: home, queued: now})
 		}
 	}
 	if all {
-		j.expires = now.Add(max(s.longestTTL(j), pickTTL))
-		s.ended.count(now)
+		j.expires = now.Add(max(s.longestTTL(j), assignmentTTL))
+		s.completions.count(now)
 		s.chooseEngine(now, j)
-		s.end(j, j.result(), nil)
+		s.endJob(j, j.result(), nil)
 	}
 }
 
-// chooseEngine picks the engine that takes the job's call, now that all it needs is
-// there. It counts there until the job is done with.
+// chooseEngine assigns the job's call to an engine, now that all inputs are ready. The
+// call counts in the engine's load until releaseEngine.
 func (s *scheduler) chooseEngine(now time.Time, j *job) {
 	if j.Prompt == nil {
 		return
 	}
 	x := s.engines.choose(now, j.firstEvent, j.Prompt, j.finalBytes())
 	if x.engine.ID != "" {
-		j.pick = s.engines.send(now, j.Prompt, x)
+		j.assignment = s.engines.assign(now, j.Prompt, x)
 	}
 }
 
-// longestTTL is how long the job's results may last.
+// longestTTL is the longest time for which an upstream keeps any of the job's results.
 func (s *scheduler) longestTTL(j *job) time.Duration {
 	var ttl time.Duration
 	for _, st := range j.Stages {
@@ -226,20 +227,20 @@
 	return ttl
 }
 
-// end answers a job and drops what waits of it. Its results stay known until
-// the caller is done with them.
-func (s *scheduler) end(j *job, r Result, err error) {
+// endJob answers a job and drops its queued pieces. Its results are tracked until the
+// caller releases them.
+func (s *scheduler) endJob(j *job, r Result, err error) {
 	if j.answer == nil {
 		return
 	}
 	j.answer(r, err)
 	j.answer = nil
-	s.recount(j)
-	s.unqueue(j)
+	s.updateBacklog(j)
+	s.dequeue(j)
 }
 
-// unqueue takes the job's pieces that wait out of the queues.
-func (s *scheduler) unqueue(j *job) {
+// dequeue removes the job's waiting pieces from the queues.
+func (s *scheduler) dequeue(j *job) {
 	for _, st := range j.Stages {
 		if q := s.services[st.Service]; q != nil {
 			q.waiting = slices.DeleteFunc(q.waiting, func(p *piece) bool { return p.job == j })
@@ -247,123 +248,123 @@
 	}
 }
 
-// done gives a job up and returns the results that are to be freed. A job that has
-// moved goes on elsewhere with the results that its caller was told of.
-func (s *scheduler) done(now time.Time, d Done) []made {
+// handleDone ends a submission and returns the results to be freed. A moved job continues
+// elsewhere with the results that were reported to its caller.
+func (s *scheduler) handleDone(now time.Time, d Done) []storedResult {
 	j := s.jobs[d.Handed]
 	if j == nil {
 		return nil
 	}
-	s.end(j, Result{}, errStages("the call was given up"))
-	s.leaveEngine(now, j, d.Engine)
+	s.endJob(j, Result{}, errStageFailed("the caller ended the call"))
+	s.releaseEngine(now, j, d.Engine)
 	if d.Moved {
-		return s.leave(j)
+		return s.abandonJob(j)
 	}
-	return s.forget(j)
+	return s.forgetJob(j)
 }
 
-// leaveEngine no longer counts the job's call at its engine.
-func (s *scheduler) leaveEngine(now time.Time, j *job, how EngineOutcome) {
-	if j.pick != nil {
-		s.engines.ended(now, j.pick, how)
-		j.pick = nil
+// releaseEngine removes the job's call from the load of its engine.
+func (s *scheduler) releaseEngine(now time.Time, j *job, how EngineOutcome) {
+	if j.assignment != nil {
+		s.engines.finishAssignment(now, j.assignment, how)
+		j.assignment = nil
 	}
 }
 
-func (s *scheduler) forget(j *job) []made {
+func (s *scheduler) forgetJob(j *job) []storedResult {
 	delete(s.jobs, j.Handed)
-	out := j.made
-	j.made = nil
+	out := j.results
+	j.results = nil
 	return out
 }
 
-// freed notes that results take no room any more.
-func (s *scheduler) freed(results []made) {
-	s.due = true
+// recordFreed records that results no longer occupy room.
+func (s *scheduler) recordFreed(results []storedResult) {
+	s.startPending = true
 	for _, m := range results {
-		m.worker.hold(-m.bytes)
+		m.worker.addOwn(-m.bytes)
 	}
 }
 
-// freeInputs returns the results of a job that no stage of it needs any more:
-// every stage that follows has all its pieces, or has fetched its inputs.
-func (s *scheduler) freeInputs(j *job) []made {
+// releaseInputs returns the results of a job that none of its stages needs any more: every
+// stage that depends on them is completed, or has fetched its inputs.
+func (s *scheduler) releaseInputs(j *job) []storedResult {
 	needed := make([]bool, len(j.Stages))
 	for i := range needed {
-		needed[i] = s.needs(j, i)
+		needed[i] = s.resultsNeeded(j, i)
 	}
-	var out, kept []made
-	for _, m := range j.made {
+	var out, kept []storedResult
+	for _, m := range j.results {
 		if needed[m.stage] {
 			kept = append(kept, m)
 		} else {
-			j.givenUp[m.stage] = true
+			j.released[m.stage] = true
 			out = append(out, m)
 		}
 	}
 	if len(out) > 0 {
-		j.made = kept
-		s.recount(j)
+		j.results = kept
+		s.updateBacklog(j)
 	}
 	return out
 }
 
-// expire ends jobs whose time is over and forgets results that are gone by
-// themselves. It returns what is to be freed.
-func (s *scheduler) expire(now time.Time) []made {
-	s.due = true // pauses end by themselves
-	s.reach.expire(now)
-	s.pass(now)
-	out := s.fetchedInputs(now)
+// expireJobs ends jobs past their deadline and forgets results that the upstreams have
+// expired. It returns results to be freed.
+func (s *scheduler) expireJobs(now time.Time) []storedResult {
+	s.startPending = true // pauses of upstreams end without an event
+	s.reachability.expireFailures(now)
+	s.advanceBacklog(now)
+	out := s.collectFetchedInputs(now)
 	for _, j := range s.jobs {
 		switch {
 		case j.answer != nil && !now.Before(j.deadline):
-			s.end(j, Result{}, errNoTime())
-			out = append(out, s.forget(j)...)
-		case j.answer != nil && s.outside(j) != "":
-			s.end(j, Result{}, errNowhere(s.outside(j), j.Within))
-			out = append(out, s.forget(j)...)
+			s.endJob(j, Result{}, errDeadlineExceeded())
+			out = append(out, s.forgetJob(j)...)
+		case j.answer != nil && s.serviceWithoutWorker(j) != "":
+			s.endJob(j, Result{}, errNoAllowedUpstream(s.serviceWithoutWorker(j), j.Within))
+			out = append(out, s.forgetJob(j)...)
 		case j.answer != nil && s.starved(now, j):
-			s.end(j, Result{}, errBusy(starvedComeBack))
-			out = append(out, s.forget(j)...)
+			s.endJob(j, Result{}, errOverloaded(starvedRetryAfter))
+			out = append(out, s.forgetJob(j)...)
 		case j.answer == nil && !j.expires.IsZero() && now.After(j.expires):
-			s.leaveEngine(now, j, EngineUnknown)
-			s.freed(s.forget(j))
+			s.releaseEngine(now, j, EngineUnknown)
+			s.recordFreed(s.forgetJob(j))
 		}
 	}
 	return out
 }
 
-// starved reports whether a job that misses its goal has waited for a call for so long that
-// its caller is better told now than at the deadline. What was made for it takes room that
-// others need meanwhile.
+// starved reports whether a job that misses its goal has gone without a call for so long
+// that it should be refused now and not at its deadline: its results take room that other
+// jobs need.
 func (s *scheduler) starved(now time.Time, j *job) bool {
 	if !j.late && j.goal.After(now) || j.calls > 0 {
 		return false
 	}
-	return now.Sub(j.lastCall()) > min(j.Left/2, starvedAfter)
+	return now.Sub(j.lastCallTime()) > min(j.Left/2, starvedAfter)
 }
 
-// start returns the calls that are to be made now. It looks at the queues only after
-// something by which a call may be started: sorting what waits is most of the owner's
-// work in an overload, and two events in three change nothing there.
-func (s *scheduler) start(now time.Time) []*call {
+// startCalls returns the calls to make now. It looks at the queues only after an event that
+// may allow a new call: under overload, sorting the queues is most of the owner's work, and
+// two events in three change nothing about them.
+func (s *scheduler) startCalls(now time.Time) []*call {
 	var out []*call
-	if !s.owner || !s.due || s.doubtful(now) {
+	if !s.owner || !s.startPending || s.awaitingConfirmation(now) {
 		return nil
 	}
-	s.due = false
-	for _, name := range slices.Sorted(maps.Keys(s.services)) { // the same order each time, as tests play it again
+	s.startPending = false
+	for _, name := range slices.Sorted(maps.Keys(s.services)) { // fixed order, so that tests are reproducible
 		q := s.services[name]
-		q.sorted = time.Time{}
+		q.sortedAt = time.Time{}
 		for len(q.waiting) > 0 {
-			c := q.next(now)
+			c := q.nextCall(now)
 			if c == nil {
 				break
 			}
 			c.service = name
-			s.reach.sent(now, c.worker.member.DataCenter)
-			s.watchInputs(c)
+			s.reachability.recordCall(now, c.worker.member.DataCenter)
+			s.trackInputs(c)
 			q.countCall(c)
 			out = append(out, c)
 		}
--- a/node/stagework/apart_test.go
+++ b/node/stagework/split_test.go
@@ -36,16 +36,16 @@
 				list = append(list, wire.Member{ID: wire.MemberID(fmt.Sprint("a", i)), Service: "a"})
 			}
 			s.setServices(services, map[string][]wire.Member{"a": list})
-			s.own(now, true, false)
+			s.setOwner(now, true, false)
 			add := func(id string, pieces int, goal time.Duration) {
-				s.add(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: goal, Stages: []Stage{{Service: spec.Name, Pieces: pieces, Bytes: 10}}}, func(Result, error) {})
+				s.submit(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: goal, Stages: []Stage{{Service: spec.Name, Pieces: pieces, Bytes: 10}}}, func(Result, error) {})
 			}
 			add("job", c.pieces, c.goal)
 			for i := range c.others {
 				add(fmt.Sprint("other", i), 1, time.Minute)
 			}
 			var got []int
-			for _, call := range s.start(now) {
+			for _, call := range s.startCalls(now) {
 				got = append(got, len(call.pieces))
 			}
 			g.Expect(got).To(gomega.Equal(c.want))
@@ -59,15 +59,15 @@
 	g := gomega.NewWithT(t)
 	s, now := newScheduler(), time.Unix(1000, 0)
 	s.setServices(services, newPark().members)
-	s.own(now, true, false)
+	s.setOwner(now, true, false)
 	goal := func(tokens int64) time.Time {
 		id := fmt.Sprint(tokens)
-		s.add(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: time.Minute, FirstEvent: time.Minute, Prompt: prompt("shared", tokens),
+		s.submit(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: time.Minute, FirstEvent: time.Minute, Prompt: prompt("shared", tokens),
 			Stages: []Stage{{Service: "a", Pieces: 1}}}, func(Result, error) {})
 		return s.jobs[id].goal
 	}
 	short, long := goal(1000), goal(31_000)
-	want := s.engines.pace.readTime(reading{tokens: 30_000})
+	want := s.engines.ttft.prefillTime(prefill{tokens: 30_000})
 	g.Expect(short.Sub(long)).To(gomega.BeNumerically("~", want, 5*time.Millisecond))
 	g.Expect(short).To(gomega.BeTemporally("<", now.Add(time.Minute)))
 }
--- a/node/stagework/standstill_test.go
+++ b/node/stagework/stall_test.go
@@ -23,28 +23,28 @@
 		t.Run(name, func(t *testing.T) {
 			s, now := fleetOwner(90)
 			burst(s, now, 0)
-			calls := s.start(now)
+			calls := s.startCalls(now)
 			if len(calls) < 60 {
 				t.Fatalf("%d calls under way", len(calls))
 			}
 			now = now.Add(frozen)
-			s.stoodStill(now)
+			s.recordStall(now)
 			for _, c := range calls {
-				s.finish(now, c, end(c))
+				s.finishCall(now, c, end(c))
 			}
 			for _, c := range calls {
-				if w := c.worker; w.ratio != 1 || w.failures != 0 || now.Before(w.until) {
-					t.Fatalf("%s: ratio %.1f, %d failures, left alone for %s", w.member.ID, w.ratio, w.failures, w.until.Sub(now))
+				if w := c.worker; w.slowdown != 1 || w.failures != 0 || now.Before(w.backoffUntil) {
+					t.Fatalf("%s: ratio %.1f, %d failures, left alone for %s", w.member.ID, w.slowdown, w.failures, w.backoffUntil.Sub(now))
 				}
 			}
-			s.confirmed()
-			s.expire(now)
+			s.confirm()
+			s.expireJobs(now)
 			if refused := burst(s, now, 1); refused > 0 {
 				t.Errorf("%d jobs refused, estimate %s", refused, s.lastEstimate)
 			}
-			c := s.start(now)[0]
-			s.finish(now.Add(2*c.expect), c, answered(c))
-			if c.worker.ratio <= 1 {
+			c := s.startCalls(now)[0]
+			s.finishCall(now.Add(2*c.expected), c, answered(c))
+			if c.worker.slowdown <= 1 {
 				t.Error("a call that began after the standstill is not measured")
 			}
 		})
@@ -62,7 +62,7 @@
 				j.Stages[k].After = nil // all upstreams have work at once
 			}
 		}
-		s.add(now, j, func(_ Result, err error) {
+		s.submit(now, j, func(_ Result, err error) {
 			if err != nil {
 				refused++
 			}
@@ -81,25 +81,25 @@
 
 // TestPulse tells a standstill from a goroutine that had nothing to do, or was busy.
 func TestPulse(t *testing.T) {
-	var p pulse
+	var p stallDetector
 	now := time.Unix(1000, 0)
 	step := func(d time.Duration) time.Duration {
 		now = now.Add(d)
-		return p.beat(now)
+		return p.observe(now)
 	}
-	p.arm(now, false)
+	p.setArmed(now, false)
 	if stood := step(time.Hour); stood != 0 {
 		t.Errorf("without a timer: %s", stood)
 	}
-	p.arm(now.Add(time.Minute), true)
+	p.setArmed(now.Add(time.Minute), true)
 	if stood := step(time.Minute + ownerTick); stood != 0 {
 		t.Errorf("since before the timer: %s", stood)
 	}
 	for range 100 {
-		if stood := step(standstillTime - time.Millisecond); stood != 0 {
+		if stood := step(stallThreshold - time.Millisecond); stood != 0 {
 			t.Fatalf("busy: %s", stood)
 		}
-		p.arm(now, true)
+		p.setArmed(now, true)
 	}
 	if stood := step(8 * time.Second); stood != 8*time.Second {
 		t.Errorf("frozen for 8 s: %s", stood)
@@ -114,17 +114,17 @@
 func TestStandstillIsNotTheEngines(t *testing.T) {
 	p := newPark()
 	_, first := p.call(prompt("shared", 1000))
-	engine := p.by[first.engine]
-	before, factor := p.pace.timeFor(reading{tokens: 1000}), engine.own.factor()
+	engine := p.loads[first.engine]
+	before, factor := p.ttft.timeFor(prefill{tokens: 1000}), engine.relativePace.factor()
 	p.now = p.now.Add(8 * time.Second)
-	p.still.ended = p.now
-	p.ended(p.now, first, EngineBegan)
-	if after := p.pace.timeFor(reading{tokens: 1000}); after != before || engine.own.factor() != factor {
-		t.Errorf("foreseen %s, before %s; factor %.1f", after, before, engine.own.factor())
+	p.lastStall.ended = p.now
+	p.finishAssignment(p.now, first, EngineBegan)
+	if after := p.ttft.timeFor(prefill{tokens: 1000}); after != before || engine.relativePace.factor() != factor {
+		t.Errorf("foreseen %s, before %s; factor %.1f", after, before, engine.relativePace.factor())
 	}
 	_, next := p.call(prompt("shared", 1000))
-	p.ended(p.now.Add(8*time.Second), next, EngineBegan)
-	if p.pace.timeFor(reading{tokens: 1000}) <= before {
+	p.finishAssignment(p.now.Add(8*time.Second), next, EngineBegan)
+	if p.ttft.timeFor(prefill{tokens: 1000}) <= before {
 		t.Error("a call that was sent after the standstill is not measured")
 	}
 }
@@ -139,21 +139,21 @@
 		calls bool
 	}{
 		"at once":           {func(*scheduler, time.Time) {}, 0, false},
-		"not confirmed":     {func(*scheduler, time.Time) {}, doubtTime - time.Millisecond, false},
-		"confirmed":         {func(s *scheduler, _ time.Time) { s.confirmed() }, 0, true},
-		"nobody says":       {func(*scheduler, time.Time) {}, doubtTime, true},
-		"named again":       {func(s *scheduler, now time.Time) { s.own(now, false, true); s.own(now, true, false) }, 0, true},
-		"another is named":  {func(s *scheduler, now time.Time) { s.own(now, false, true) }, doubtTime, false},
-		"named by a caller": {func(s *scheduler, now time.Time) { s.own(now, true, true) }, 0, true},
+		"not confirmed":     {func(*scheduler, time.Time) {}, maxUnconfirmed - time.Millisecond, false},
+		"confirmed":         {func(s *scheduler, _ time.Time) { s.confirm() }, 0, true},
+		"nobody says":       {func(*scheduler, time.Time) {}, maxUnconfirmed, true},
+		"named again":       {func(s *scheduler, now time.Time) { s.setOwner(now, false, true); s.setOwner(now, true, false) }, 0, true},
+		"another is named":  {func(s *scheduler, now time.Time) { s.setOwner(now, false, true) }, maxUnconfirmed, false},
+		"named by a caller": {func(s *scheduler, now time.Time) { s.setOwner(now, true, true) }, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, now := fleetOwner(90)
 			burst(s, now, 0)
 			now = now.Add(time.Second)
-			s.stoodStill(now)
+			s.recordStall(now)
 			c.then(s, now)
 			burst(s, now, 2)
-			if calls := s.start(now.Add(c.after)); len(calls) > 0 != c.calls {
+			if calls := s.startCalls(now.Add(c.after)); len(calls) > 0 != c.calls {
 				t.Errorf("%d calls", len(calls))
 			}
 		})
@@ -163,11 +163,11 @@
 // TestStandstillOfAnotherProcess freezes a process that does not own the queues: it may be named at once.
 func TestStandstillOfAnotherProcess(t *testing.T) {
 	s, now := fleetOwner(90)
-	s.own(now, false, true)
-	s.stoodStill(now)
-	s.own(now, true, false)
+	s.setOwner(now, false, true)
+	s.recordStall(now)
+	s.setOwner(now, true, false)
 	burst(s, now, 0)
-	if len(s.start(now)) == 0 {
+	if len(s.startCalls(now)) == 0 {
 		t.Error("no calls")
 	}
 }
@@ -177,22 +177,22 @@
 	self := wire.Member{ID: "self", Incarnation: 7}
 	mine := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
 	for name, c := range map[string]struct {
-		known ownership
+		known knownOwner
 		ends  bool
 	}{
-		"before the standstill": {ownership{mine, 8 * time.Second}, false},
-		"since the standstill":  {ownership{mine, 50 * time.Millisecond}, true},
-		"of another":            {ownership{wire.StageOwner{ID: "other", Incarnation: 7, Epoch: 6}, 50 * time.Millisecond}, false},
-		"of an earlier start":   {ownership{wire.StageOwner{ID: "self", Incarnation: 6, Epoch: 4}, 50 * time.Millisecond}, false},
-		"nothing is known":      {ownership{}, false},
+		"before the standstill": {knownOwner{mine, 8 * time.Second}, false},
+		"since the standstill":  {knownOwner{mine, 50 * time.Millisecond}, true},
+		"of another":            {knownOwner{wire.StageOwner{ID: "other", Incarnation: 7, Epoch: 6}, 50 * time.Millisecond}, false},
+		"of an earlier start":   {knownOwner{wire.StageOwner{ID: "self", Incarnation: 6, Epoch: 4}, 50 * time.Millisecond}, false},
+		"nothing is known":      {knownOwner{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sched, now := fleetOwner(90)
-			s := &Service{log: logr.Discard(), self: func() wire.Member { return self }, owner: func() ownership { return c.known }, scheduler: sched}
-			sched.stoodStill(now)
-			s.clearDoubt(now.Add(100 * time.Millisecond))
-			if sched.doubted == c.ends {
-				t.Errorf("in doubt: %v", sched.doubted)
+			s := &Service{log: logr.Discard(), self: func() wire.Member { return self }, ownership: func() knownOwner { return c.known }, scheduler: sched}
+			sched.recordStall(now)
+			s.confirmOwnership(now.Add(100 * time.Millisecond))
+			if sched.unconfirmed == c.ends {
+				t.Errorf("in doubt: %v", sched.unconfirmed)
 			}
 		})
 	}
--- a/node/stagework/takeover_test.go
+++ b/node/stagework/takeover_test.go
@@ -21,7 +21,7 @@
 			list = append(list, wire.Member{ID: wire.MemberID(id), Service: "a", Direct: id, DataCenter: "dc0", Incarnation: 1})
 		}
 		s.setServices(map[string]*optext.Service{"a": spec}, map[string][]wire.Member{"a": list})
-		s.own(now, true, true)
+		s.setOwner(now, true, true)
 		asked := map[*worker]bool{}
 		const window = 100 * time.Millisecond
 		lately, windowFrom := 0, now
@@ -29,11 +29,11 @@
 			if now.Sub(windowFrom) >= window {
 				lately, windowFrom = 0, now
 			}
-			for _, w := range s.reports(now) {
+			for _, w := range s.dueReports(now) {
 				asked[w] = true
 				lately++
 			}
-			if most := askBurst + askRate*window.Seconds(); float64(lately) > most {
+			if most := reportBurst + reportRate*window.Seconds(); float64(lately) > most {
 				t.Fatalf("%d upstreams: %d are asked within %s", upstreams, lately, window)
 			}
 		}
--- a/node/stagework/pace_test.go
+++ b/node/stagework/ttft_test.go
@@ -8,16 +8,16 @@
 )
 
 // prompts are readings of whole prompts of so many tokens.
-func prompts(tokens ...int64) (out []reading) {
+func prompts(tokens ...int64) (out []prefill) {
 	for _, n := range tokens {
-		out = append(out, partAfter(0, n))
+		out = append(out, prefillAfter(0, n))
 	}
 	return out
 }
 
 // observed is a pace that has seen prompts at an engine that takes so many seconds.
-func observed(times int, seen []reading, seconds func(reading) float64) pace {
-	p := newPace()
+func observed(times int, seen []prefill, seconds func(prefill) float64) ttftModel {
+	p := newTTFTModel()
 	for range times {
 		for _, r := range seen {
 			p.observe(r, seconds(r))
@@ -29,10 +29,10 @@
 // TestFirstPace expects firstRate before any call was seen.
 func TestFirstPace(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPace()
-	for _, tokens := range []int64{0, 1000, firstRate} {
-		want := time.Duration(tokens) * time.Second / firstRate
-		g.Expect(p.timeFor(partAfter(0, tokens))).To(gomega.BeNumerically("~", want, time.Millisecond))
+	p := newTTFTModel()
+	for _, tokens := range []int64{0, 1000, initialPrefillRate} {
+		want := time.Duration(tokens) * time.Second / initialPrefillRate
+		g.Expect(p.timeFor(prefillAfter(0, tokens))).To(gomega.BeNumerically("~", want, time.Millisecond))
 	}
 }
 
@@ -40,9 +40,9 @@
 // prompts of three lengths: what others take is read off the line.
 func TestPaceOfLinearReading(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := observed(500, prompts(200, 2000, 4000), func(r reading) float64 { return 0.05 + float64(r.tokens)/20_000 })
-	g.Expect(p.timeFor(reading{})).To(gomega.BeNumerically("~", 50*time.Millisecond, 5*time.Millisecond))
-	g.Expect(p.timeFor(partAfter(0, 20_000))).To(gomega.BeNumerically("~", 1050*time.Millisecond, 20*time.Millisecond))
+	p := observed(500, prompts(200, 2000, 4000), func(r prefill) float64 { return 0.05 + float64(r.tokens)/20_000 })
+	g.Expect(p.timeFor(prefill{})).To(gomega.BeNumerically("~", 50*time.Millisecond, 5*time.Millisecond))
+	g.Expect(p.timeFor(prefillAfter(0, 20_000))).To(gomega.BeNumerically("~", 1050*time.Millisecond, 20*time.Millisecond))
 }
 
 // TestPaceOfReadingThatGrows observes engines that pay for each pair of tokens besides, as
@@ -50,27 +50,27 @@
 // within a tenth.
 func TestPaceOfReadingThatGrows(t *testing.T) {
 	g := gomega.NewWithT(t)
-	takes := func(r reading) float64 { return 0.05 + float64(r.tokens)/80_000 + r.pairs*0.000154 }
+	takes := func(r prefill) float64 { return 0.05 + float64(r.tokens)/80_000 + r.pairs*0.000154 }
 	p := observed(100, prompts(800, 2400, 6000, 9000, 12_000, 20_000), takes)
-	long := partAfter(5000, 50_000)
+	long := prefillAfter(5000, 50_000)
 	g.Expect(p.timeFor(long).Seconds()).To(gomega.BeNumerically("~", takes(long), takes(long)/10))
 }
 
 // TestPaceOfEqualPrompts observes prompts of one length only.
 func TestPaceOfEqualPrompts(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := observed(2000, prompts(1000), func(reading) float64 { return 0.1 })
-	g.Expect(p.timeFor(partAfter(0, 1000))).To(gomega.BeNumerically("~", 100*time.Millisecond, 10*time.Millisecond))
-	g.Expect(p.timeFor(reading{tokens: -5})).To(gomega.BeNumerically(">=", 0))
+	p := observed(2000, prompts(1000), func(prefill) float64 { return 0.1 })
+	g.Expect(p.timeFor(prefillAfter(0, 1000))).To(gomega.BeNumerically("~", 100*time.Millisecond, 10*time.Millisecond))
+	g.Expect(p.timeFor(prefill{tokens: -5})).To(gomega.BeNumerically(">=", 0))
 }
 
 // TestPaceNeverGoesBack observes calls that take less the longer they are, which is
 // chance: no term takes less than nothing.
 func TestPaceNeverGoesBack(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := observed(300, prompts(500, 9000), func(r reading) float64 { return 0.2 - float64(r.tokens)/100_000 })
-	g.Expect(p.takes[1]).To(gomega.BeNumerically(">=", 0))
-	g.Expect(p.takes[2]).To(gomega.BeNumerically(">=", 0))
+	p := observed(300, prompts(500, 9000), func(r prefill) float64 { return 0.2 - float64(r.tokens)/100_000 })
+	g.Expect(p.coefficients[1]).To(gomega.BeNumerically(">=", 0))
+	g.Expect(p.coefficients[2]).To(gomega.BeNumerically(">=", 0))
 }
 
 // TestReadingOf splits prompts by what an engine has read: a part counts for its place only.
@@ -89,8 +89,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			missing, own := readingOf(parts, func(id string) bool { return c.has[id] })
-			if missing.tokens != c.missing || own != partAfter(4000, 100) {
+			missing, own := prefillOf(parts, func(id string) bool { return c.has[id] })
+			if missing.tokens != c.missing || own != prefillAfter(4000, 100) {
 				t.Fatalf("%+v missing, %+v of its own", missing, own)
 			}
 		})
--- a/node/stagework/workers.go
+++ b/node/stagework/workers.go
@@ -9,33 +9,33 @@
 	"caperdrum.org/api/wire"
 )
 
-// slowRatio is the ratio of a call's duration to what the text says from which on an
+// maxHealthySlowdown is the ratio of measured to configured duration of calls above which an
 // upstream only gets what the others cannot take.
-const slowRatio = 1.8
+const maxHealthySlowdown = 1.8
 
-// worker is an upstream that makes pieces.
+// worker is the state of an upstream that processes pieces.
 type worker struct {
-	member  wire.Member
-	running int
-	current *call // the last one
-	held
-	until    time.Time
-	failures int
-	ratio    float64 // of the duration of its calls to what the text says
-	used     time.Time
-	freeAt   time.Time // when its last call should end
-	paused   time.Time // it wants no calls until then
-	leaving  bool      // it wants none any more
-	gone     bool      // it left the members, or another upstream has its address
-	lost     bool      // it has started again: what it held is gone
-	proven   bool      // its last call ended well
-	ahead    bool      // its start is known from a report, before the members say so
-	trial    bool      // it is of the version to which the service is being rolled out
-	reach    *reach    // of its data centre, among others
+	member       wire.Member
+	runningCalls int
+	lastCall     *call // the last one started
+	roomUsage
+	backoffUntil        time.Time
+	failures            int
+	slowdown            float64 // ratio of measured to configured duration of its calls, as a moving average
+	lastCallAt          time.Time
+	freeAt              time.Time // when its last call is expected to end
+	pausedUntil         time.Time // the upstream asked for no calls until then
+	leaving             bool      // the upstream accepts no further calls
+	gone                bool      // it left the members, or another upstream has its address
+	restarted           bool      // it restarted: its results are lost
+	lastCallSucceeded   bool
+	incarnationReported bool          // its incarnation was learned from a report, before the member list has it
+	canary              bool          // runs the target version of the service's current roll-out
+	reachability        *reachability // of its data centre and the others
 }
 
-// setWorkers takes over the upstreams that are there, and returns those that have
-// started again since: nothing of what is known of a start goes on with the next.
+// setWorkers applies the list of upstreams, and returns the workers that restarted: no state
+// of an incarnation is kept for the next one.
 func (q *serviceQueue) setWorkers(members []wire.Member) (lost []*worker) {
 	present := map[wire.MemberID]bool{}
 	for _, m := range members {
@@ -43,8 +43,8 @@
 		switch w := q.workers[m.ID]; {
 		case w == nil:
 			q.workers[m.ID] = q.newWorker(m)
-		case w.member.Incarnation < m.Incarnation, w.member.Incarnation > m.Incarnation && !w.ahead:
-			lost = append(lost, q.replace(w, m))
+		case w.member.Incarnation < m.Incarnation, w.member.Incarnation > m.Incarnation && !w.incarnationReported:
+			lost = append(lost, q.replaceWorker(w, m))
 		}
 	}
 	for id, w := range q.workers {
@@ -53,69 +53,69 @@
 			delete(q.workers, id)
 		}
 	}
-	q.relist()
+	q.rebuildList()
 	return lost
 }
 
 func (q *serviceQueue) newWorker(m wire.Member) *worker {
-	return &worker{member: m, ratio: 1, reach: q.reach}
+	return &worker{member: m, slowdown: 1, reachability: q.reachability}
 }
 
-// replace puts the next start of an upstream in the place of one, and returns that.
-func (q *serviceQueue) replace(w *worker, next wire.Member) *worker {
+// replaceWorker replaces a worker by the next incarnation of its upstream, and returns the old one.
+func (q *serviceQueue) replaceWorker(w *worker, next wire.Member) *worker {
 	q.workers[next.ID] = q.newWorker(next)
-	w.gone, w.lost = true, true
-	q.relist()
+	w.gone, w.restarted = true, true
+	q.rebuildList()
 	return w
 }
 
-func (q *serviceQueue) relist() {
+func (q *serviceQueue) rebuildList() {
 	q.list = slices.SortedFunc(maps.Values(q.workers), func(a, b *worker) int { return cmp.Compare(a.member.ID, b.member.ID) })
-	q.markTrials()
+	q.markCanaries()
 }
 
-// takes reports whether the upstream can take a call now.
-func (q *serviceQueue) takes(w *worker, now time.Time) bool {
-	return !w.gone && !w.leaving && !now.Before(w.paused) && w.running < max(1, q.spec.Calls) && !now.Before(w.until) && q.room(w) > 0 && !q.passedOver(w, now)
+// canTake reports whether the upstream can take a call now.
+func (q *serviceQueue) canTake(w *worker, now time.Time) bool {
+	return !w.gone && !w.leaving && !now.Before(w.pausedUntil) && w.runningCalls < max(1, q.spec.Calls) && !now.Before(w.backoffUntil) && q.freeRoomAt(w) > 0 && !q.skips(w, now)
 }
 
-// idle counts the upstreams that would begin a piece that came now.
-func (q *serviceQueue) idle(now time.Time) int {
+// idleWorkers counts the upstreams that would start a newly queued piece at once.
+func (q *serviceQueue) idleWorkers(now time.Time) int {
 	if len(q.waiting) > 0 {
 		return 0
 	}
 	n := 0
 	for _, w := range q.list {
-		if w.healthy() && q.takes(w, now) {
+		if w.healthy() && q.canTake(w, now) {
 			n++
 		}
 	}
 	return n
 }
 
-// free returns the upstreams that take a call now, the fastest first.
-func (q *serviceQueue) free(now time.Time) []*worker {
+// availableWorkers returns the upstreams that can take a call now, the fastest first.
+func (q *serviceQueue) availableWorkers(now time.Time) []*worker {
 	var out []*worker
 	for _, w := range q.list {
-		if q.takes(w, now) {
+		if q.canTake(w, now) {
 			out = append(out, w)
 		}
 	}
 	slices.SortFunc(out, func(a, b *worker) int {
-		return cmp.Or(cmp.Compare(a.ratio, b.ratio), cmp.Compare(a.member.ID, b.member.ID))
+		return cmp.Or(cmp.Compare(a.slowdown, b.slowdown), cmp.Compare(a.member.ID, b.member.ID))
 	})
 	return out
 }
 
-func (q *serviceQueue) room(w *worker) int64 {
+func (q *serviceQueue) freeRoomAt(w *worker) int64 {
 	if q.spec.ResultRoom <= 0 {
 		return 1 << 60
 	}
-	return q.spec.ResultRoom - w.own - w.foreign
+	return q.spec.ResultRoom - w.ownBytes - w.foreignBytes
 }
 
-// healthy counts the upstreams that are neither slow nor failing.
-func (q *serviceQueue) healthy() int {
+// healthyWorkers counts the healthy upstreams.
+func (q *serviceQueue) healthyWorkers() int {
 	n := 0
 	for _, w := range q.list {
 		if w.healthy() {
@@ -125,41 +125,42 @@
 	return n
 }
 
-// freeRoom is how many bytes more all healthy upstreams can hold.
+// freeRoom is the number of bytes that all healthy upstreams together can still hold.
 func (q *serviceQueue) freeRoom() int64 {
 	var sum int64
 	for _, w := range q.list {
 		if w.healthy() {
-			sum += max(0, q.room(w))
+			sum += max(0, q.freeRoomAt(w))
 		}
 	}
 	return sum
 }
 
-// ownRoom is how many bytes of this owner's results all healthy upstreams can hold.
+// ownRoom is the number of bytes of this owner's results that all healthy upstreams together can hold.
 func (q *serviceQueue) ownRoom() int64 {
 	var sum int64
 	for _, w := range q.list {
 		if w.healthy() {
-			sum += max(0, q.spec.ResultRoom-w.foreign)
+			sum += max(0, q.spec.ResultRoom-w.foreignBytes)
 		}
 	}
 	return sum
 }
 
-// healthy reports whether the upstream is neither slow, nor failing, nor dark, nor on trial: what the service can
-// make is foreseen from the others.
+// healthy reports whether the upstream is neither slow, failing, leaving, unreachable nor a canary:
+// the throughput of the service is predicted from the healthy ones only.
 func (w *worker) healthy() bool {
-	return !w.trial && !w.dark() && w.ratio <= slowRatio && w.failures == 0 && !w.leaving
+	return !w.canary && !w.unreachable() && w.slowdown <= maxHealthySlowdown && w.failures == 0 && !w.leaving
 }
 
-func (w *worker) dark() bool { return w.reach.dark(w.member.DataCenter) }
+func (w *worker) unreachable() bool { return w.reachability.unreachable(w.member.DataCenter) }
 
-// pause is how long it takes until an upstream of the service wants calls again, where none does.
-func (q *serviceQueue) pause(now time.Time) time.Duration {
+// shortestPause is how long until any upstream of the service accepts calls again; zero if one
+// does now.
+func (q *serviceQueue) shortestPause(now time.Time) time.Duration {
 	least := time.Duration(0)
 	for _, w := range q.list {
-		pause := w.paused.Sub(now)
+		pause := w.pausedUntil.Sub(now)
 		switch {
 		case w.leaving:
 		case pause <= 0:
