--- a/node/stagework/backlog_test.go
+++ b/node/stagework/backlog_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// walked is what a walk over all jobs finds before a goal, by service, and how many jobs are behind.
-func walked(s *scheduler, goal time.Time) (ahead map[string]int, behind int) {
+// sumOverJobs computes the piecesAhead of a goal, by service, and the number of deferred jobs from
+// all jobs.
+func sumOverJobs(s *scheduler, goal time.Time) (ahead map[string]int, behind int) {
 	ahead = map[string]int{}
 	for _, j := range s.jobs {
 		if j.answer == nil {
@@ -28,12 +29,12 @@
 	return ahead, behind
 }
 
-// TestSumsEqualAWalk plays bursts in which jobs are refused, come back, are late, begin anew and
-// lose their owner: after each event the sums are what a walk over all jobs finds.
-func TestSumsEqualAWalk(t *testing.T) {
+// TestBacklogMatchesTheJobs plays bursts in which jobs are refused, retried, late, restarted and lose
+// their owner. The incremental sums of the backlog must always equal those computed from all jobs.
+func TestBacklogMatchesTheJobs(t *testing.T) {
 	for name, day := range chainDays {
 		t.Run(name, func(t *testing.T) {
-			m := newChain(1)
+			m := newChainModel(1)
 			steps := 0
 			m.check = func() {
 				s := m.owner
@@ -42,7 +43,7 @@
 				}
 				s.advanceBacklog(m.now)
 				for _, d := range []time.Duration{-time.Second, 0, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
-					ahead, behind := walked(s, m.now.Add(d))
+					ahead, behind := sumOverJobs(s, m.now.Add(d))
 					got := map[string]int{}
 					for service, q := range s.services {
 						got[service] = int(s.piecesAhead(q, m.now, m.now.Add(d)) + q.completedPieces(m.now) + 0.5)
@@ -50,11 +51,11 @@
 							got[service], ahead[service] = 0, 0
 						}
 						if ahead[service] != got[service] {
-							t.Fatalf("%s before %s: sums %d, walk %d", service, d, got[service], ahead[service])
+							t.Fatalf("%s before %s: backlog %d, over all jobs %d", service, d, got[service], ahead[service])
 						}
 					}
 					if s.backlog.deferred != behind {
-						t.Fatalf("%d behind, a walk finds %d", s.backlog.deferred, behind)
+						t.Fatalf("%d deferred, over all jobs %d", s.backlog.deferred, behind)
 					}
 				}
 			}
@@ -66,11 +67,11 @@
 	}
 }
 
-// BenchmarkEstimate estimates a job beside so many others: what it costs must not grow with them.
+// BenchmarkEstimate estimates a job beside n others: the cost must not grow with n.
 func BenchmarkEstimate(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("jobs=%d", n), func(b *testing.B) {
-			m := newChain(1)
+			m := newChainModel(1)
 			job := func(i int) Job {
 				return Job{ID: fmt.Sprint(i), Handed: fmt.Sprint(i), Stages: chainChats.stages(m.rand), Left: 12 * time.Second, Goal: 2 * time.Second, Again: true}
 			}
--- a/node/stagework/batching_test.go
+++ b/node/stagework/batching_test.go
@@ -10,8 +10,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// someIdle is a scheduler with six upstreams of a service, of which so many are idle.
-func someIdle(idle int) (*scheduler, time.Time) {
+// newSchedulerWithIdle returns a scheduler with six upstreams of a service, of which that many are idle.
+func newSchedulerWithIdle(idle int) (*scheduler, time.Time) {
 	s, now := newScheduler(), time.Unix(1000, 0)
 	var list []wire.Member
 	for i := range 6 {
@@ -25,8 +25,8 @@
 	return s, now
 }
 
-// TestPiecesThatCanWait lists which calls are made of jobs of one piece each, by their goals,
-// and after how long.
+// TestPiecesThatCanWait lists the calls made for jobs of one piece each, by the jobs' goals and the time
+// that they have waited.
 func TestPiecesThatCanWait(t *testing.T) {
 	const soon, far = 300 * time.Millisecond, time.Minute
 	hold := services["a"].CallTime / holdDivisor
@@ -34,20 +34,20 @@
 		idle  int
 		goals []time.Duration
 		after time.Duration
-		want  []int // pieces of each call
+		want  []int // pieces in each call
 	}{
-		"many upstreams are idle":           {4, []time.Duration{far, far}, 0, []int{1, 1}},
-		"few are, and it can wait":          {2, []time.Duration{far, far}, 0, nil},
-		"it has waited":                     {2, []time.Duration{far, far}, hold, []int{2}},
-		"not quite so long":                 {2, []time.Duration{far, far}, hold - 1, nil},
-		"a whole call waits":                {2, []time.Duration{far, far, far, far}, 0, []int{4}},
-		"it is urgent":                      {2, []time.Duration{soon}, 0, []int{1}},
-		"one is urgent, the other goes too": {1, []time.Duration{far, soon}, 0, []int{2}},
+		"many upstreams are idle":                     {4, []time.Duration{far, far}, 0, []int{1, 1}},
+		"few are idle, and the pieces can wait":       {2, []time.Duration{far, far}, 0, nil},
+		"the pieces have waited":                      {2, []time.Duration{far, far}, hold, []int{2}},
+		"they have waited almost long enough":         {2, []time.Duration{far, far}, hold - 1, nil},
+		"a full batch waits":                          {2, []time.Duration{far, far, far, far}, 0, []int{4}},
+		"the piece is urgent":                         {2, []time.Duration{soon}, 0, []int{1}},
+		"one piece is urgent, the other goes with it": {1, []time.Duration{far, soon}, 0, []int{2}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			s, now := someIdle(c.idle)
+			s, now := newSchedulerWithIdle(c.idle)
 			for i, goal := range c.goals {
 				id := fmt.Sprint(i)
 				s.submit(now, Job{ID: id, Handed: id, Left: time.Hour, Goal: goal, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: 10}}}, func(Result, error) {})
--- a/node/stagework/bench_test.go
+++ b/node/stagework/bench_test.go
@@ -9,8 +9,8 @@
 	"caperdrum.org/node/upstream"
 )
 
-// BenchmarkScheduler plays bursts of four sizes against the scheduler: what one call
-// costs must not grow with the calls that wait.
+// BenchmarkScheduler plays bursts of four sizes against the scheduler: the cost of a call must
+// not grow with the number of waiting calls.
 func BenchmarkScheduler(b *testing.B) {
 	for _, times := range []float64{1, 2, 4, 8} {
 		b.Run(fmt.Sprintf("load=%g", times), func(b *testing.B) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// BenchmarkChooseEngine chooses among as many engines as sites of 60, 600 and 6,000 have:
-// what a choice costs must not grow with all of them.
+// BenchmarkChooseEngine chooses among as many engines as sites of 60, 600 and 6,000 have: the
+// cost of a choice must not grow with their number.
 func BenchmarkChooseEngine(b *testing.B) {
 	for _, n := range []int{60, 600, 6000} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
--- a/node/stagework/canary_test.go
+++ b/node/stagework/canary_test.go
@@ -6,9 +6,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestNextStartStaysOnTrial has an upstream of the target version start again while its service is rolled out,
-// which its own report says before the members do: it stays on trial, and is not counted among the healthy ones.
-func TestNextStartStaysOnTrial(t *testing.T) {
+// TestNextIncarnationStaysACanary restarts an upstream of the target version during a roll-out, which its room report
+// shows before the member list: it stays a canary, and does not count as healthy.
+func TestNextIncarnationStaysACanary(t *testing.T) {
 	s, _ := fleetOwner(10)
 	q := s.services["courier"]
 	first := q.list[0]
@@ -16,13 +16,13 @@
 	s.followRollouts(wire.Rollouts{Revision: 1, List: []wire.Rollout{{Service: "courier", Target: "v2", State: wire.RolloutRunning, Replaced: []string{""}, Revision: 1, Order: 1}}})
 	others := q.healthyWorkers()
 	if !first.canary || others != len(q.list)-1 {
-		t.Fatalf("on trial: %v, %d healthy", first.canary, others)
+		t.Fatalf("canary: %v, %d healthy", first.canary, others)
 	}
 	next := first.member
 	next.Incarnation++
 	q.replaceWorker(first, next)
 	if !q.list[0].canary || q.healthyWorkers() != others {
-		t.Errorf("its next start is on trial: %v, %d healthy", q.list[0].canary, q.healthyWorkers())
+		t.Errorf("next incarnation is a canary: %v, %d healthy", q.list[0].canary, q.healthyWorkers())
 	}
 	s.followRollouts(wire.Rollouts{Revision: 2, List: []wire.Rollout{{Service: "courier", Target: "v2", State: wire.RolloutCompleted, Replaced: []string{""}, Revision: 2, Order: 1}}})
 	if q.healthyWorkers() != len(q.list) {
--- a/node/stagework/chain_test.go
+++ b/node/stagework/chain_test.go
@@ -12,9 +12,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// The load of a site on which calls of three stages in a row are two thirds of all, and each of
-// the three services is nearly full in a burst of them. The first takes 0.45 s for a full call,
-// and so do the others; goals leave 0.7 s for waiting at all three.
+// The load of a site on which two thirds of the calls have three stages in a row, and in a burst
+// of them each of the three services is nearly full. A full call takes 0.45 s at the first
+// service, and about as long at the others; the goals leave 0.7 s of queueing in total.
 var (
 	chainServices = map[string]*optext.Service{
 		"front":   {Name: "front", Direct: optext.Direct{Batch: 16, Calls: 1, CallTime: 240 * time.Millisecond, PieceTime: 13 * time.Millisecond, ResultRoom: 19_000_000, ResultTTL: 4 * time.Second}},
@@ -24,24 +24,24 @@
 	chainCounts = map[string]int{"front": 17, "catalog": 15, "courier": 18, "llm": 58}
 )
 
-// Kinds of that load: the more urgent is worth more.
+// Kinds of calls of that load. The more urgent ones are worth more.
 var (
-	chainDrafts = modelKind{name: "drafts", goal: 1200 * time.Millisecond, left: 12 * time.Second, shared: 5382, own: 6610, things: 712, clump: 3,
-		worth: 5.5, late: 0.82, returns: true, priority: 0,
+	chainDrafts = modelKind{name: "drafts", goal: 1200 * time.Millisecond, left: 12 * time.Second, shared: 5382, own: 6610, distinctParts: 712, groupSize: 3,
+		worth: 5.5, late: 0.82, retries: true, priority: 0,
 		stages: func(r *rand.Rand) []Stage {
 			if r.Float64() > 0.7 {
 				return []Stage{{Service: "front"}}
 			}
 			return []Stage{{Service: "front", Pieces: 1 + r.IntN(4), Bytes: 800_000}}
 		}}
-	chainChats = modelKind{name: "chats", goal: 2300 * time.Millisecond, left: 12 * time.Second, shared: 198, own: 628, things: 731, clump: 3,
-		worth: 1.1, late: 0.17, returns: true, priority: 1,
+	chainChats = modelKind{name: "chats", goal: 2300 * time.Millisecond, left: 12 * time.Second, shared: 198, own: 628, distinctParts: 731, groupSize: 3,
+		worth: 1.1, late: 0.17, retries: true, priority: 1,
 		stages: func(r *rand.Rand) []Stage {
 			return []Stage{{Service: "front", Pieces: 1, Bytes: lightBytes}, {Service: "catalog", After: []int{0}, Pieces: 4, Bytes: 60_000},
 				{Service: "courier", After: []int{1}, Pieces: 4 + r.IntN(5), Bytes: 6000}}
 		}}
-	chainChecks = modelKind{name: "checks", goal: 2700 * time.Millisecond, left: 6 * time.Second, shared: 568, own: 1800, things: 1186, clump: 3,
-		worth: 0.35, late: 0.052, returns: true, priority: 2,
+	chainChecks = modelKind{name: "checks", goal: 2700 * time.Millisecond, left: 6 * time.Second, shared: 568, own: 1800, distinctParts: 1186, groupSize: 3,
+		worth: 0.35, late: 0.052, retries: true, priority: 2,
 		stages: func(r *rand.Rand) []Stage {
 			extra := 0
 			if r.Float64() < 0.4 {
@@ -58,10 +58,10 @@
 	burstUntil = 10 * time.Second
 )
 
-// newChain is the model of the site with its owner.
-func newChain(seed uint64) *loadModel {
+// newChainModel returns the model of the site, with an owner.
+func newChainModel(seed uint64) *loadModel {
 	m := newLoadModel(seed)
-	m.specs, m.rate, m.light = chainServices, 112_000, true
+	m.specs, m.rate, m.lightPieces = chainServices, 112_000, true
 	m.owner = newScheduler()
 	m.owner.setServices(m.specs, chainMembers())
 	m.owner.setOwner(m.now, true, false)
@@ -79,9 +79,9 @@
 	return members
 }
 
-// usual lets the site's load arrive as on a busy day, with so many times the usual chats in the
-// burst.
-func (m *loadModel) usual(times, chats float64) {
+// usualLoad adds the load of a busy day, scaled by times, with the chats of the burst scaled
+// by chats.
+func (m *loadModel) usualLoad(times, chats float64) {
 	m.traffic(chainDrafts, 0, 14*time.Second, times*45)
 	m.traffic(chainChats, 0, 14*time.Second, times*121)
 	m.traffic(chainChecks, 0, 14*time.Second, times*75)
@@ -90,8 +90,8 @@
 	}
 }
 
-// lose takes upstreams of a service away for a while.
-func (m *loadModel) lose(service string, n int, from, until time.Duration) {
+// stop stops upstreams of a service for a while.
+func (m *loadModel) stop(service string, n int, from, until time.Duration) {
 	m.after(from, func() {
 		for i := range n {
 			m.dead[wire.MemberID(fmt.Sprintf("%s-%d", service, i))] = true
@@ -100,13 +100,13 @@
 	m.after(until, func() { clear(m.dead) })
 }
 
-// chainDays are the patterns that the site's heavy days have.
+// chainDays are the load patterns of the site's heavy days.
 var chainDays = map[string]func(m *loadModel){
-	"usual":                      func(m *loadModel) { m.usual(1.1, 1) },
-	"burst of chats":             func(m *loadModel) { m.usual(1.25, 2.4) },
-	"burst, a third lost before": func(m *loadModel) { m.usual(1.1, 2.4); m.lose("front", 5, 2*time.Second, 6300*time.Millisecond) },
+	"usual":                      func(m *loadModel) { m.usualLoad(1.1, 1) },
+	"burst of chats":             func(m *loadModel) { m.usualLoad(1.25, 2.4) },
+	"burst, a third lost before": func(m *loadModel) { m.usualLoad(1.1, 2.4); m.stop("front", 5, 2*time.Second, 6300*time.Millisecond) },
 	"a third five times slower": func(m *loadModel) {
-		m.usual(1.1, 1.3)
+		m.usualLoad(1.1, 1.3)
 		m.after(burstFrom, func() {
 			for i := range 5 {
 				m.slow[wire.MemberID(fmt.Sprint("catalog-", i))] = 5
@@ -116,12 +116,13 @@
 	},
 }
 
-// playChain plays a pattern on three seeds and returns what the burst earns, by kind; all under "".
+// playChain plays a pattern with three seeds and returns the mean credit of the burst by kind, and
+// of all kinds under "".
 func playChain(day func(m *loadModel)) map[string]float64 {
 	const seeds = 3
 	sums := map[string]float64{}
 	for seed := range uint64(seeds) {
-		m := newChain(seed + 1)
+		m := newChainModel(seed + 1)
 		day(m)
 		m.run(25 * time.Second)
 		for _, kind := range []string{"", "drafts", "chats", "checks"} {
@@ -131,8 +132,8 @@
 	return sums
 }
 
-// TestUsualChainLoadIsServedWhole plays the site's usual load.
-func TestUsualChainLoadIsServedWhole(t *testing.T) {
+// TestUsualChainLoadIsServed plays the site's usual load.
+func TestUsualChainLoadIsServed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	got := playChain(chainDays["usual"])
 	g.Expect(got[""]).To(gomega.BeNumerically(">", 0.99))
--- a/node/stagework/classes_test.go
+++ b/node/stagework/classes_test.go
@@ -10,15 +10,14 @@
 	"caperdrum.org/node/upstream"
 )
 
-// busyService drives one service of two upstreams whose calls take what the text
-// says.
+// busyService drives one service of two upstreams whose calls take the configured time.
 type busyService struct {
-	t       *testing.T
-	s       *scheduler
-	now     time.Time
-	running []*call
-	serial  int
-	made    []string // jobs whose results are there
+	t         *testing.T
+	s         *scheduler
+	now       time.Time
+	running   []*call
+	serial    int
+	completed []string // answered jobs
 }
 
 func newBusyService(t *testing.T) *busyService {
@@ -28,7 +27,7 @@
 	return b
 }
 
-// offer hands in a job and reports whether it was taken in.
+// offer submits a job and reports whether it was admitted.
 func (b *busyService) offer(priority int, goal time.Duration) bool {
 	b.serial++
 	id := fmt.Sprint("job", b.serial)
@@ -36,13 +35,13 @@
 	b.s.submit(b.now, Job{ID: id, Handed: id, Key: id, Left: 9 * time.Second, Goal: goal, Priority: priority, Stages: []Stage{{Service: "a", Pieces: 2, Bytes: 10}}},
 		func(_ Result, err error) {
 			refused = err != nil
-			b.made = append(b.made, id)
+			b.completed = append(b.completed, id)
 		})
 	return !refused
 }
 
-// pass lets time pass: calls end and begin, and results are fetched at once.
-func (b *busyService) pass(d time.Duration) {
+// advance moves the time on, ends and starts calls, and releases results at once.
+func (b *busyService) advance(d time.Duration) {
 	b.now = b.now.Add(d)
 	b.running = slices.DeleteFunc(b.running, func(c *call) bool {
 		if b.now.Sub(c.started) < c.expected {
@@ -55,18 +54,18 @@
 		b.s.recordFreed(b.s.finishCall(b.now, c, outcome{results: results}))
 		return true
 	})
-	for _, id := range b.made {
+	for _, id := range b.completed {
 		b.s.recordFreed(b.s.handleDone(b.now, Done{Handed: id}))
 	}
-	b.made = nil
+	b.completed = nil
 	b.s.recordFreed(b.s.expireJobs(b.now))
 	b.running = append(b.running, b.s.startCalls(b.now)...)
 }
 
-// TestLessUrgentJobsDoNotGoBeforeUrgentOnes offers more jobs of two priorities to
-// a service than it can make in time. The less urgent ones have the longer goal, so
-// that estimates alone would take in nearly all of them and hardly any other.
-func TestLessUrgentJobsDoNotGoBeforeUrgentOnes(t *testing.T) {
+// TestUrgentJobsAreNotRefusedMoreOften offers more jobs of two priorities than the service can
+// complete in time. The less urgent ones have the longer goal, so estimates alone would admit
+// nearly all of them and hardly any urgent one.
+func TestUrgentJobsAreNotRefusedMoreOften(t *testing.T) {
 	b := newBusyService(t)
 	const rounds = 1000
 	var taken [2]int
@@ -76,11 +75,11 @@
 				taken[priority]++
 			}
 		}
-		b.pass(40 * time.Millisecond)
+		b.advance(40 * time.Millisecond)
 	}
 	urgent, other := float64(taken[0])/rounds, float64(taken[1])/rounds
 	if urgent == 0 || other > urgent+2*classMargin {
-		t.Fatalf("%.2f of the urgent jobs are taken in, %.2f of the others", urgent, other)
+		t.Fatalf("admitted %.2f of the urgent jobs, %.2f of the others", urgent, other)
 	}
-	t.Logf("%.2f of the urgent jobs are taken in, %.2f of the others", urgent, other)
+	t.Logf("admitted %.2f of the urgent jobs, %.2f of the others", urgent, other)
 }
--- a/node/stagework/engines_test.go
+++ b/node/stagework/engines_test.go
@@ -14,14 +14,14 @@
 	"caperdrum.org/node/upstream"
 )
 
-// park is four engines in two data centres, and what decides between them.
-type park struct {
+// engineFleet has four engines in two data centres.
+type engineFleet struct {
 	*engines
 	now time.Time
 }
 
-func newPark() *park {
-	p := &park{engines: newEngines(), now: time.Unix(1000, 0)}
+func newEngineFleet() *engineFleet {
+	p := &engineFleet{engines: newEngines(), now: time.Unix(1000, 0)}
 	var list []wire.Member
 	for i := range 4 {
 		list = append(list, wire.Member{ID: wire.MemberID(fmt.Sprint("e", i)), Service: "llm", Direct: fmt.Sprint("e", i, ":80"), DataCenter: fmt.Sprint("dc", i%2)})
@@ -30,45 +30,45 @@
 	return p
 }
 
-// prompt has a part of 2000 tokens that others share, and one of its own.
+// prompt has a shared part of 2000 tokens and an own part.
 func prompt(shared string, own int64) *Prompt {
 	return &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: shared, Tokens: 2000}, {ID: "own", Tokens: own}}}
 }
 
-// call chooses an engine for the prompt and sends it there.
-func (p *park) call(pr *Prompt) (wire.MemberID, *assignment) {
+// sendCall chooses an engine for the prompt and assigns the call to it.
+func (p *engineFleet) sendCall(pr *Prompt) (wire.MemberID, *assignment) {
 	x := p.choose(p.now, p.now.Add(time.Second), pr, nil)
 	return x.engine.ID, p.assign(p.now, pr, x)
 }
 
-// TestEngineThatHasReadThePrompt sends prompts that share a part: they gather where it
-// was read, also at an owner that knows nothing yet, until more waits there than it
-// costs to read the part elsewhere; then the other engine keeps it too.
-func TestEngineThatHasReadThePrompt(t *testing.T) {
+// TestCallsGoWhereSharedPartsAreCached sends prompts with the same shared part: they go to the engine
+// that cached it, also at a new owner that knows nothing, until queueing there costs more than
+// prefilling the part elsewhere; then the other engine has it too.
+func TestCallsGoWhereSharedPartsAreCached(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPark()
+	p := newEngineFleet()
 	first, _ := upstream.ByPrefix(prompt("shared", 1).Parts, p.members["llm"])
 	var used []wire.MemberID
 	for range 20 {
-		id, _ := p.call(prompt("shared", 1000))
+		id, _ := p.sendCall(prompt("shared", 1000))
 		used = append(used, id)
 	}
-	in := int(initialPrefillRate/goalFactor/1000) - 1 // so many are in time behind each other
+	in := int(initialPrefillRate/goalFactor/1000) - 1 // how many in a row are in time at one engine
 	g.Expect(used[:in]).To(gomega.HaveEach(first.ID))
 	g.Expect(used[in+2]).NotTo(gomega.Equal(first.ID))
-	next := newPark()
-	id, _ := next.call(prompt("shared", 1000))
-	g.Expect(id).To(gomega.Equal(first.ID), "the next owner finds what was read")
+	next := newEngineFleet()
+	id, _ := next.sendCall(prompt("shared", 1000))
+	g.Expect(id).To(gomega.Equal(first.ID), "the next owner finds the cached part")
 }
 
-// TestCallsThatHaveBegunNoLongerWait lets long prompts begin: their engine is as good as
-// before.
-func TestCallsThatHaveBegunNoLongerWait(t *testing.T) {
+// TestStartedCallsLeaveTheEngineQueue lets calls with long prompts start: the load of their engine
+// goes back to zero.
+func TestStartedCallsLeaveTheEngineQueue(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPark()
+	p := newEngineFleet()
 	var picks []*assignment
 	for range 20 {
-		_, k := p.call(prompt("shared", 5000))
+		_, k := p.sendCall(prompt("shared", 5000))
 		picks = append(picks, k)
 	}
 	for _, k := range picks {
@@ -79,30 +79,30 @@
 	}
 }
 
-// TestEngineThatFailedIsPassedOver lets calls at an engine fail: it is passed over, for
-// longer each time, and taken again at once where there is no other.
-func TestEngineThatFailedIsPassedOver(t *testing.T) {
+// TestFailedEngineBacksOff lets calls at an engine fail: it is avoided, each time for longer, but
+// still used if there is no other.
+func TestFailedEngineBacksOff(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPark()
-	id, k := p.call(prompt("shared", 10))
+	p := newEngineFleet()
+	id, k := p.sendCall(prompt("shared", 10))
 	p.finishAssignment(p.now, k, EngineFailed)
-	other, _ := p.call(prompt("shared", 10))
+	other, _ := p.sendCall(prompt("shared", 10))
 	g.Expect(other).NotTo(gomega.Equal(id))
 	p.finishAssignment(p.now, &assignment{engine: id}, EngineFailed)
 	p.now = p.now.Add(failureBackoff)
 	g.Expect(p.loads[id].pausedUntil).To(gomega.BeTemporally("~", p.now.Add(failureBackoff), time.Millisecond))
 	p.members["llm"] = p.members["llm"][:0:0]
 	p.members["llm"] = append(p.members["llm"], wire.Member{ID: id})
-	again, _ := p.call(prompt("shared", 10))
+	again, _ := p.sendCall(prompt("shared", 10))
 	g.Expect(again).To(gomega.Equal(id))
 }
 
-// TestResultsDrawTheCall has large results in one data centre, for a prompt that nobody
-// has read a part of: an engine there is chosen.
-func TestResultsDrawTheCall(t *testing.T) {
+// TestEngineNearTheResultsIsChosen has large results in one data centre, and a prompt without cached
+// parts: an engine there is chosen.
+func TestEngineNearTheResultsIsChosen(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, dc := range []string{"dc0", "dc1"} {
-		x := newPark().choose(time.Unix(1000, 0), time.Unix(1001, 0), &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: "own", Tokens: 100}}}, map[string]int64{dc: 9_000_000})
+		x := newEngineFleet().choose(time.Unix(1000, 0), time.Unix(1001, 0), &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: "own", Tokens: 100}}}, map[string]int64{dc: 9_000_000})
 		g.Expect(x.engine.DataCenter).To(gomega.Equal(dc))
 	}
 }
@@ -110,14 +110,14 @@
 // TestNoEngine chooses for a service without engines, and for an empty prompt.
 func TestNoEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(newPark().choose(time.Unix(1000, 0), time.Unix(1001, 0), &Prompt{Service: "other"}, nil).engine.ID).To(gomega.BeEmpty())
-	g.Expect(newPark().choose(time.Unix(1000, 0), time.Unix(1001, 0), &Prompt{Service: "llm"}, nil).engine.ID).NotTo(gomega.BeEmpty())
+	g.Expect(newEngineFleet().choose(time.Unix(1000, 0), time.Unix(1001, 0), &Prompt{Service: "other"}, nil).engine.ID).To(gomega.BeEmpty())
+	g.Expect(newEngineFleet().choose(time.Unix(1000, 0), time.Unix(1001, 0), &Prompt{Service: "llm"}, nil).engine.ID).NotTo(gomega.BeEmpty())
 }
 
-// TestPartsAreBounded sends more prompts to one engine than it remembers.
+// TestPartsAreBounded sends prompts with more parts to one engine than are tracked.
 func TestPartsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPark()
+	p := newEngineFleet()
 	m := p.members["llm"][0]
 	for i := range maxParts + 10 {
 		p.now = p.now.Add(time.Millisecond)
@@ -129,12 +129,12 @@
 	g.Expect(p.loads).To(gomega.BeEmpty())
 }
 
-// TestJobCarriesItsEngine runs a job whose call needs an engine: it is chosen when the
-// results are there, and counts until the job is done with.
-func TestJobCarriesItsEngine(t *testing.T) {
+// TestResultNamesTheEngine runs a job whose call needs an engine: it is chosen when the results are
+// ready, and has the call in its load until the job is released.
+func TestResultNamesTheEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, now := newScheduler(), time.Unix(1000, 0)
-	s.setServices(services, newPark().members)
+	s.setServices(services, newEngineFleet().members)
 	s.setOwner(now, true, false)
 	var got Result
 	s.submit(now, Job{ID: "a", Handed: "a1", Left: time.Minute, Goal: time.Minute, Prompt: prompt("shared", 10), Stages: []Stage{{Service: "a"}}},
@@ -146,25 +146,25 @@
 	g.Expect(s.engines.loads[got.Engine].pausedUntil).To(gomega.BeTemporally(">", now))
 }
 
-// TestCallThatEndedTellsNothing ends calls before their first event: neither the pace nor
-// the engine's standing changes.
-func TestCallThatEndedTellsNothing(t *testing.T) {
+// TestCallWithoutFirstEventIsNotObserved ends calls before their first event: neither the model nor the
+// state of the engine changes.
+func TestCallWithoutFirstEventIsNotObserved(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPark()
+	p := newEngineFleet()
 	before := p.ttft
-	id, k := p.call(prompt("shared", 10))
+	id, k := p.sendCall(prompt("shared", 10))
 	p.finishAssignment(p.now.Add(time.Hour), k, EngineUnknown)
 	g.Expect(p.ttft).To(gomega.Equal(before))
 	g.Expect(p.loads[id].pausedUntil).To(gomega.BeZero())
 	g.Expect(p.loads[id].waiting.tokens).To(gomega.BeZero())
 }
 
-// TestEngineOfItsOwnPace lets one engine of four take 1.3 times as long as the others, as
-// a third of those of one service do: its factor says so, calls with time to spare still
-// go there where their parts were read, and a long prompt goes to another.
-func TestEngineOfItsOwnPace(t *testing.T) {
+// TestRelativePaceOfAnEngine has one engine of four take 1.3 times as long as the others, as a third of
+// the engines of a service do: its factor shows that, calls with time to spare still go there for its
+// cached parts, and a long prompt goes to another.
+func TestRelativePaceOfAnEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPark()
+	p := newEngineFleet()
 	const slowBy = 1.3
 	for i := range 400 {
 		m := p.members["llm"][i%4]
@@ -185,26 +185,26 @@
 	g.Expect(x.engine.ID).NotTo(gomega.Equal(slow))
 }
 
-// TestEngineThatTurnsSlow lets an engine become five times slower: after three calls it is
-// no longer taken for a prompt that it would be late with.
-func TestEngineThatTurnsSlow(t *testing.T) {
+// TestEngineBecomesSlow has an engine become five times slower: after three calls it is no longer chosen
+// for a prompt that would be late there.
+func TestEngineBecomesSlow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPark()
-	id, _ := p.call(prompt("shared", 3000))
+	p := newEngineFleet()
+	id, _ := p.sendCall(prompt("shared", 3000))
 	for range 3 {
-		_, k := p.call(prompt("shared", 3000))
+		_, k := p.sendCall(prompt("shared", 3000))
 		p.finishAssignment(p.now.Add(5*p.ttft.timeFor(k.prefillAhead)), &assignment{engine: id, prefill: k.prefill, prefillAhead: k.prefill}, EngineBegan)
 	}
 	next := p.choose(p.now, p.now.Add(500*time.Millisecond), prompt("shared", 3000), nil)
 	g.Expect(next.engine.ID).NotTo(gomega.Equal(id))
 }
 
-// TestColdEnginesGetTheirPartAtMost brings a data centre of engines back cold in a burst of
-// prompts that only they have read: none gets more than its part of what it bears, the others
-// take the rest, and none is called while all are cold and have had theirs. Pattern: warm-up.
-func TestColdEnginesGetTheirPartAtMost(t *testing.T) {
+// TestColdEnginesAreLimited brings a data centre of engines back cold in a burst of prompts that only
+// they have cached: none gets more than its share of the cold rate, the others take the rest, and none
+// is called while all are cold and have had their share.
+func TestColdEnginesAreLimited(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPark()
+	p := newEngineFleet()
 	p.cold = coldstart.Limit{Excess: 1.5, Slack: 5} // of 18 a second: 8 for a chooser
 	specs := map[string]*optext.Service{"llm": {Name: "llm", Direct: optext.Direct{ColdRate: 18}}}
 	members := slices.Clone(p.members["llm"])
@@ -233,11 +233,11 @@
 	}
 }
 
-// TestPaceOfColdSecondsIsNotLearnt has an engine take ten times as long while it is cold: once
-// it is not, it counts as fast as the others.
-func TestPaceOfColdSecondsIsNotLearnt(t *testing.T) {
+// TestColdEngineIsNotObserved has an engine take ten times as long while it is cold: that does not
+// change its relative pace.
+func TestColdEngineIsNotObserved(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPark()
+	p := newEngineFleet()
 	members := slices.Clone(p.members["llm"])
 	members[0].Cold = true
 	p.setMembers(nil, map[string][]wire.Member{"llm": members})
--- a/node/stagework/fetch_test.go
+++ b/node/stagework/fetch_test.go
@@ -11,27 +11,27 @@
 	"caperdrum.org/api/wire"
 )
 
-// fastLinks are engines that fetch a part of 2000 tokens in a millisecond, on the links
-// that users describe; slowLinks need longer than reading takes.
+// fastLinks are engines that fetch a part of 2000 tokens in a millisecond, over links as users
+// describe them; over slowLinks a fetch takes longer than the prefill.
 var (
 	fastLinks = &optext.Service{Direct: optext.Direct{TokenBytes: 35_136, EngineLink: 550_000_000_000}}
 	slowLinks = &optext.Service{Direct: optext.Direct{TokenBytes: 35_136, EngineLink: 1_000_000_000}}
 )
 
-// linked is a park whose engines can fetch from each other.
-func linked(spec *optext.Service) *park {
-	p := newPark()
+// newLinkedFleet returns engines that can fetch from each other.
+func newLinkedFleet(spec *optext.Service) *engineFleet {
+	p := newEngineFleet()
 	p.setMembers(map[string]*optext.Service{"llm": spec, "other": spec}, p.members)
 	return p
 }
 
-// readAt has an engine read a prompt.
-func (p *park) readAt(id wire.MemberID, pr *Prompt) {
+// prefillAt lets an engine prefill a prompt.
+func (p *engineFleet) prefillAt(id wire.MemberID, pr *Prompt) {
 	x := plan{engine: p.member(id)}
 	p.finishAssignment(p.now, p.assign(p.now, pr, x), EngineBegan)
 }
 
-func (p *park) member(id wire.MemberID) wire.Member {
+func (p *engineFleet) member(id wire.MemberID) wire.Member {
 	for _, m := range p.members["llm"] {
 		if m.ID == id {
 			return m
@@ -40,57 +40,57 @@
 	return wire.Member{ID: id}
 }
 
-// busy lets so many tokens wait at an engine.
-func (p *park) busy(id wire.MemberID, tokens int64) {
+// setWaiting sets how many tokens are queued at an engine.
+func (p *engineFleet) setWaiting(id wire.MemberID, tokens int64) {
 	p.load(p.member(id)).waiting = prefill{tokens: tokens}
 }
 
-func (p *park) plan(pr *Prompt) plan { return p.choose(p.now, p.now.Add(time.Second), pr, nil) }
+func (p *engineFleet) plan(pr *Prompt) plan { return p.choose(p.now, p.now.Add(time.Second), pr, nil) }
 
-// TestPartIsFetched has a part read at an engine that is busy: the call goes to an idle
-// one, which fetches the part.
+// TestPartIsFetched has a shared part cached at a busy engine: the call goes to an idle one, which
+// fetches the part.
 func TestPartIsFetched(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := linked(fastLinks)
-	p.readAt("e1", prompt("shared", 10))
+	p := newLinkedFleet(fastLinks)
+	p.prefillAt("e1", prompt("shared", 10))
 	x := p.plan(prompt("shared", 1000))
-	g.Expect(x.engine.ID).To(gomega.BeEquivalentTo("e1"), "it keeps the part and is in time")
+	g.Expect(x.engine.ID).To(gomega.BeEquivalentTo("e1"), "the engine has the part and is in time")
 	g.Expect(x.fetch.sourceAddress()).To(gomega.BeEmpty())
-	p.busy("e1", 100_000)
+	p.setWaiting("e1", 100_000)
 	x = p.plan(prompt("shared", 1000))
 	g.Expect(x.engine.ID).NotTo(gomega.BeEquivalentTo("e1"))
 	g.Expect(x.fetch.source.member.ID).To(gomega.BeEquivalentTo("e1"))
 	g.Expect(x.prefill).To(gomega.Equal(prefillAfter(2000, 1000)))
 }
 
-// TestPartIsReadInstead lists what keeps an engine from being fetched from.
+// TestPartIsReadInstead lists the cases in which a part is prefilled instead of fetched.
 func TestPartIsReadInstead(t *testing.T) {
-	again := func(p *park, change func(*wire.Member)) {
+	again := func(p *engineFleet, change func(*wire.Member)) {
 		list := append([]wire.Member(nil), p.members["llm"]...)
 		change(&list[1])
 		p.setMembers(p.services, map[string][]wire.Member{"llm": list})
 	}
 	cases := map[string]struct {
 		spec   *optext.Service
-		change func(p *park)
+		change func(p *engineFleet)
 	}{
-		"links are slow":            {slowLinks, func(*park) {}},
-		"the text says no links":    {&optext.Service{}, func(*park) {}},
-		"it has started again":      {fastLinks, func(p *park) { again(p, func(m *wire.Member) { m.Incarnation++ }) }},
-		"it is leaving":             {fastLinks, func(p *park) { again(p, func(m *wire.Member) { m.Leaving = true }) }},
-		"it is gone":                {fastLinks, func(p *park) { p.setMembers(p.services, map[string][]wire.Member{"llm": p.members["llm"][2:]}) }},
-		"it failed a call":          {fastLinks, func(p *park) { p.load(p.member("e1")).failures = 1 }},
-		"it has yielded the part":   {fastLinks, func(p *park) { p.evictOldestPart(p.load(p.member("e1"))) }},
-		"it is of another service":  {fastLinks, func(p *park) { p.load(p.member("e1")).member.Service = "other" }},
-		"its link is busy for long": {fastLinks, func(p *park) { p.load(p.member("e1")).sendingUntil = p.now.Add(time.Second) }},
+		"links are slow":                     {slowLinks, func(*engineFleet) {}},
+		"no links are configured":            {&optext.Service{}, func(*engineFleet) {}},
+		"the source has restarted":           {fastLinks, func(p *engineFleet) { again(p, func(m *wire.Member) { m.Incarnation++ }) }},
+		"the source is leaving":              {fastLinks, func(p *engineFleet) { again(p, func(m *wire.Member) { m.Leaving = true }) }},
+		"the source is gone":                 {fastLinks, func(p *engineFleet) { p.setMembers(p.services, map[string][]wire.Member{"llm": p.members["llm"][2:]}) }},
+		"the source failed a call":           {fastLinks, func(p *engineFleet) { p.load(p.member("e1")).failures = 1 }},
+		"the source has evicted the part":    {fastLinks, func(p *engineFleet) { p.evictOldestPart(p.load(p.member("e1"))) }},
+		"the source is of another service":   {fastLinks, func(p *engineFleet) { p.load(p.member("e1")).member.Service = "other" }},
+		"the source's link is busy for long": {fastLinks, func(p *engineFleet) { p.load(p.member("e1")).sendingUntil = p.now.Add(time.Second) }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			p := linked(c.spec)
-			p.readAt("e1", prompt("shared", 10))
+			p := newLinkedFleet(c.spec)
+			p.prefillAt("e1", prompt("shared", 10))
 			for _, id := range []wire.MemberID{"e0", "e1"} {
-				p.busy(id, 100_000)
+				p.setWaiting(id, 100_000)
 			}
 			c.change(p)
 			x := p.plan(prompt("shared", 1000))
@@ -102,24 +102,23 @@
 	}
 }
 
-// TestPartThatIsStillRead sends a call to an engine that has not begun: nobody fetches
-// from it yet.
+// TestPartThatIsStillRead sends a call to an engine that has not answered yet: nobody fetches its parts.
 func TestPartThatIsStillRead(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := linked(fastLinks)
+	p := newLinkedFleet(fastLinks)
 	p.assign(p.now, prompt("shared", 10), plan{engine: p.member("e1")})
-	p.busy("e1", 100_000)
+	p.setWaiting("e1", 100_000)
 	g.Expect(p.plan(prompt("shared", 1000)).fetch.sourceAddress()).To(gomega.BeEmpty())
 }
 
-// TestHotPartIsSpread has many calls fetch a part: they take turns at the engines that
-// keep it, since one sends to one after another.
-func TestHotPartIsSpread(t *testing.T) {
+// TestFetchesAreSpreadOverSources has many calls fetch a part: the sources take turns, as transfers from
+// one source run one after another.
+func TestFetchesAreSpreadOverSources(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := linked(fastLinks)
+	p := newLinkedFleet(fastLinks)
 	for _, id := range []wire.MemberID{"e0", "e1"} {
-		p.readAt(id, prompt("shared", 10))
-		p.busy(id, 1_000_000)
+		p.prefillAt(id, prompt("shared", 10))
+		p.setWaiting(id, 1_000_000)
 	}
 	sources := map[string]int{}
 	for range 10 {
@@ -136,14 +135,14 @@
 	}
 }
 
-// TestHoldersAreBounded has engines read more parts than are remembered: none is known as
-// a holder of a part that is forgotten.
+// TestHoldersAreBounded has an engine prefill more parts than are tracked: it is no longer a holder of
+// the evicted ones.
 func TestHoldersAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := linked(fastLinks)
+	p := newLinkedFleet(fastLinks)
 	for i := range maxParts + 10 {
 		p.now = p.now.Add(time.Millisecond)
-		p.readAt("e1", prompt(fmt.Sprint(i), 1))
+		p.prefillAt("e1", prompt(fmt.Sprint(i), 1))
 	}
 	g.Expect(p.holders).To(gomega.HaveLen(maxParts))
 	p.setMembers(p.services, nil)
--- a/node/stagework/fleet_test.go
+++ b/node/stagework/fleet_test.go
@@ -10,7 +10,8 @@
 	"caperdrum.org/node/upstream"
 )
 
-// fleetOwner owns the queues of services whose upstreams are as many as a deployment of so many processes has.
+// fleetOwner returns the owner of services with as many upstreams as a deployment of that many processes
+// has.
 func fleetOwner(processes int) (*scheduler, time.Time) {
 	s, now := newScheduler(), time.Unix(1000, 0)
 	specs := map[string]*optext.Service{}
@@ -27,14 +28,14 @@
 	return s, now
 }
 
-// fleetJob is one of a burst: a chain whose second stage is the busiest.
+// fleetJob returns a job of a burst: a chain whose second stage is the bottleneck.
 func fleetJob(i int) Job {
 	id := fmt.Sprint("j", i)
 	return Job{ID: id, Handed: id, Key: id, Left: 10 * time.Second, Goal: 2 * time.Second, DataCenter: fmt.Sprint("dc", i%6),
 		Stages: []Stage{{Service: "front", Pieces: 1, Bytes: 8000}, {Service: "catalog", After: []int{0}, Pieces: 4, Bytes: 60_000}, {Service: "courier", After: []int{1}, Pieces: 6, Bytes: 6000}}}
 }
 
-// BenchmarkBurst has callers return all at once, three jobs for each process, and plays it until all are done.
+// BenchmarkBurst has callers retry all at once, three jobs for each process, until all are done.
 func BenchmarkBurst(b *testing.B) {
 	for _, processes := range []int{90, 360, 720} {
 		b.Run(fmt.Sprint(processes), func(b *testing.B) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// playBurst plays the burst on a virtual clock and returns how many calls were made.
+// playBurst plays the burst on a virtual clock and returns the number of calls made.
 func playBurst(processes int) (calls int) {
 	s, now := fleetOwner(processes)
 	type ending struct {
@@ -91,8 +92,8 @@
 	return calls
 }
 
-// TestQueueIsLookedAtOnceADataCenter has pieces wait for upstreams of one data centre, which are all busy, while
-// those of five others are idle: the owner looks at each piece once for a data centre, however many upstreams there are.
+// TestQueueIsLookedAtOnceADataCenter has pieces wait for busy upstreams of one data centre, while those of
+// five others are idle: the owner checks each piece once for a data centre, not once for each upstream.
 func TestQueueIsLookedAtOnceADataCenter(t *testing.T) {
 	const dataCenters = 6
 	for _, processes := range []int{90, 360, 720} {
@@ -111,10 +112,10 @@
 		}
 		before := q.fitChecks
 		if c := q.nextCall(now); c != nil {
-			t.Fatalf("%d processes: a call of %d pieces, which should wait", processes, len(c.pieces))
+			t.Fatalf("%d processes: got a call of %d pieces, which should wait", processes, len(c.pieces))
 		}
 		if looked := q.fitChecks - before; looked > dataCenters*processes {
-			t.Errorf("%d processes: %d looks at %d pieces", processes, looked, processes)
+			t.Errorf("%d processes: %d checks of %d pieces", processes, looked, processes)
 		}
 	}
 }
--- a/node/stagework/inputs_test.go
+++ b/node/stagework/inputs_test.go
@@ -11,8 +11,7 @@
 	"caperdrum.org/node/upstream"
 )
 
-// twoStages is a scheduler with one upstream a stage, at which the calls of jobs of two stages
-// are ended by hand.
+// twoStages is a scheduler with one upstream for each of two stages, whose calls the test ends.
 type twoStages struct {
 	s     *scheduler
 	now   time.Time
@@ -30,8 +29,8 @@
 	return c
 }
 
-// add hands in a job of a result of a given size at a, and one at b that needs it.
-func (c *twoStages) add(id string, bytes int64) {
+// submit adds a job with a result of the given size at service a, and one at b that depends on it.
+func (c *twoStages) submit(id string, bytes int64) {
 	c.free(c.s.submit(c.now, Job{ID: id, Handed: id, Left: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: bytes}, {Service: "b", After: []int{0}, Pieces: 1, Bytes: 10}}},
 		func(_ Result, err error) { c.errs[id] = err }))
 	c.start()
@@ -43,15 +42,15 @@
 	}
 }
 
-// pass lets time pass.
-func (c *twoStages) pass(d time.Duration) {
+// advance moves the time on.
+func (c *twoStages) advance(d time.Duration) {
 	c.now = c.now.Add(d)
 	c.free(c.s.expireJobs(c.now))
 	c.start()
 }
 
-// end ends the oldest call of a service.
-func (c *twoStages) end(service string, failure upstream.Failure) {
+// endCall ends the oldest call of a service.
+func (c *twoStages) endCall(service string, failure upstream.Failure) {
 	call := c.calls[service][0]
 	c.calls[service] = c.calls[service][1:]
 	o := outcome{}
@@ -74,61 +73,61 @@
 	c.s.recordFreed(list)
 }
 
-// toSecond has a job's input made, which takes three quarters of the room at a, and its
-// second stage begun, while as many as given more jobs wait for that room.
-func (c *twoStages) toSecond(waiting int) {
-	c.add("first", 3000)
+// startSecondStage completes the first stage of a job, whose result takes three quarters of the room at
+// a, and starts its second stage, while the given number of other jobs wait for that room.
+func (c *twoStages) startSecondStage(waiting int) {
+	c.submit("first", 3000)
 	for i := range waiting {
-		c.add(fmt.Sprint("waiting", i), 3000)
+		c.submit(fmt.Sprint("waiting", i), 3000)
 	}
-	c.end("a", "")
+	c.endCall("a", "")
 }
 
-// TestInputsAreKeptWhereRoomIsNotShort has an input fetched while nobody waits for its room.
+// TestInputsAreKeptWhereRoomIsNotShort has an input fetched while no job waits for its room: it is kept
+// until the piece is done.
 func TestInputsAreKeptWhereRoomIsNotShort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newTwoStages()
-	c.toSecond(0)
-	c.pass(2 * inputFetchTime)
+	c.startSecondStage(0)
+	c.advance(2 * inputFetchTime)
 	g.Expect(c.freed).To(gomega.BeEmpty())
-	c.end("b", "")
+	c.endCall("b", "")
 	g.Expect(c.freed).To(gomega.Equal([]string{"a1"}))
 }
 
-// TestInputsAreGivenUpWhereRoomIsShort has an input fetched while a whole call waits for
-// its room: it is freed then, and neither before nor again, and the job ends well.
+// TestInputsAreGivenUpWhereRoomIsShort has an input fetched while a full batch waits for its room: it is
+// freed then, neither earlier nor twice, and the job succeeds.
 func TestInputsAreGivenUpWhereRoomIsShort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newTwoStages()
-	c.toSecond(services["a"].Batch)
-	c.pass(inputFetchTime / 2)
+	c.startSecondStage(services["a"].Batch)
+	c.advance(inputFetchTime / 2)
 	g.Expect(c.freed).To(gomega.BeEmpty())
-	c.pass(inputFetchTime)
+	c.advance(inputFetchTime)
 	g.Expect(c.freed).To(gomega.Equal([]string{"a1"}))
-	c.end("b", "")
+	c.endCall("b", "")
 	g.Expect(c.errs).To(gomega.HaveKeyWithValue("first", gomega.BeNil()))
 	g.Expect(c.freed).To(gomega.Equal([]string{"a1"}))
 }
 
-// TestInputsAreKeptAtUnprovenUpstreams begins a call at an upstream whose last one failed:
-// it may still work for another, and fetch the inputs later.
+// TestInputsAreKeptAtUnprovenUpstreams starts a call at an upstream whose last one failed: it may still run
+// calls of others, and fetch the inputs later.
 func TestInputsAreKeptAtUnprovenUpstreams(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newTwoStages()
 	c.s.services["b"].workers["b0"].lastCallSucceeded = false
-	c.toSecond(services["a"].Batch)
-	c.pass(2 * inputFetchTime)
+	c.startSecondStage(services["a"].Batch)
+	c.advance(2 * inputFetchTime)
 	g.Expect(c.freed).To(gomega.BeEmpty())
 }
 
-// TestCallThatFailsAfterItsInputsWereGivenUp begins the job anew once, and ends it the
-// second time.
+// TestCallThatFailsAfterItsInputsWereGivenUp restarts the job the first time, and fails it the second.
 func TestCallThatFailsAfterItsInputsWereGivenUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newTwoStages()
-	c.toSecond(services["a"].Batch)
-	c.pass(2 * inputFetchTime)
-	c.end("b", upstream.Failed)
+	c.startSecondStage(services["a"].Batch)
+	c.advance(2 * inputFetchTime)
+	c.endCall("b", upstream.Failed)
 	first := c.s.jobs["first"]
 	g.Expect(first.restarts).To(gomega.Equal(1))
 	g.Expect(first.missing).To(gomega.Equal([]int{1, 1}))
@@ -136,12 +135,12 @@
 		g.Expect(i).To(gomega.BeNumerically("<", 20))
 		for _, service := range []string{"b", "a"} {
 			if len(c.calls[service]) > 0 && (service == "a" || c.calls["b"][0].pieces[0].job != first) {
-				c.end(service, "")
+				c.endCall(service, "")
 			}
 		}
 	}
 	first.released[0] = true
-	c.end("b", upstream.Failed)
+	c.endCall("b", upstream.Failed)
 	g.Expect(c.errs["first"]).To(gomega.HaveOccurred())
 	g.Expect(c.s.jobs).NotTo(gomega.HaveKey("first"))
 }
--- a/node/stagework/isolation_test.go
+++ b/node/stagework/isolation_test.go
@@ -12,22 +12,22 @@
 	"caperdrum.org/node/peer"
 )
 
-// TestCutOffProcessRefusesAtOnce takes a process from control and from the owner: once both have been silent for some
-// time its jobs are refused as not run, and their callers are to go elsewhere at once. While one of the two answers, jobs
-// wait as before.
+// TestCutOffProcessRefusesAtOnce isolates a process from control and from the owner: once both have been
+// silent for a while, its jobs are refused as not run, and callers are told to retry elsewhere at once.
+// While either answers, jobs wait as usual.
 func TestCutOffProcessRefusesAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		owner, control time.Duration // silent
+		owner, control time.Duration // how long each is silent
 		refused        bool
 	}{
-		"both answer":               {0, 0, false},
-		"the owner alone is silent": {time.Second, 0, false},
-		"control alone is silent":   {0, 2 * isolatedAfter, false},
-		"both, for a moment":        {time.Second, isolatedAfter / 2, false},
-		"both":                      {time.Second, 2 * isolatedAfter, true},
+		"both answer":              {0, 0, false},
+		"only the owner is silent": {time.Second, 0, false},
+		"only control is silent":   {0, 2 * isolatedAfter, false},
+		"both briefly silent":      {time.Second, isolatedAfter / 2, false},
+		"both":                     {time.Second, 2 * isolatedAfter, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, o := newClientService(t), newOwner(t, "j")
+			s, o := newClientService(t), newFakeOwner(t, "j")
 			s.link.setOwner(wire.StageOwner{ID: "o", Peer: o.address, Epoch: 1}, false)
 			s.link.control = func() time.Duration { return c.control }
 			if c.owner > 0 {
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestOwnerIsPingedWhileControlIsSilent has no job under way: the owner is pinged only while control does not answer, and
-// its silence then counts as its loss as soon as the process counts as cut off.
+// TestOwnerIsPingedWhileControlIsSilent has no job in progress: the owner is pinged only while control does
+// not answer. If the owner does not answer then, it counts as lost once the process counts as isolated.
 func TestOwnerIsPingedWhileControlIsSilent(t *testing.T) {
 	l, control := newOwnerLink(peer.DialTCP, logr.Discard()), time.Duration(0)
 	defer l.close()
@@ -65,7 +65,7 @@
 	l.recordPing(client, errPingTimeout)
 	select {
 	case <-lost:
-		t.Error("given up at once")
+		t.Error("jobs withdrawn at once")
 	default:
 	}
 	control = 2 * isolatedAfter
@@ -73,6 +73,6 @@
 	select {
 	case <-lost:
 	default:
-		t.Error("not given up although control is silent too")
+		t.Error("jobs not withdrawn although control is silent too")
 	}
 }
--- a/node/stagework/load_test.go
+++ b/node/stagework/load_test.go
@@ -14,21 +14,21 @@
 	"caperdrum.org/api/wire"
 )
 
-// seedsOfLoad are the days that each pattern is played on: policies that differ by less
-// than a few parts in a hundred are not told apart by one.
-var seedsOfLoad = []uint64{1, 2, 3, 4, 5, 6}
+// loadSeeds are the seeds with which each pattern is played: a single one does not tell policies
+// apart that differ by a few hundredths.
+var loadSeeds = []uint64{1, 2, 3, 4, 5, 6}
 
-// meanInTime plays a pattern on each seed.
+// meanInTime plays a pattern with each seed and returns the mean.
 func meanInTime(play func(seed uint64) float64) float64 {
 	sum := 0.0
-	for _, seed := range seedsOfLoad {
+	for _, seed := range loadSeeds {
 		sum += play(seed)
 	}
-	return sum / float64(len(seedsOfLoad))
+	return sum / float64(len(loadSeeds))
 }
 
-// burstOfNotes is the pattern of a burst of the longest prompts: two and a half times the
-// usual rate of those with stages, for six seconds.
+// burstOfNotes plays a burst of the longest prompts: two and a half times the usual rate of those
+// with stages, for six seconds.
 func burstOfNotes(seed uint64, byHash bool) *loadModel {
 	m := newLoadModel(seed)
 	m.byHash = byHash
@@ -39,9 +39,9 @@
 	return m
 }
 
-// TestBurstOfLongPrompts compares the owner's choice of engines with the hash that each
-// process used before: more is in time during the burst, and the slowest tenth of first
-// events comes sooner.
+// TestBurstOfLongPrompts compares the owner's choice of engines with a choice by hash in each process:
+// more calls are in time during the burst, and the 90th percentile of the time to the first event is
+// shorter.
 func TestBurstOfLongPrompts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	slowest := func(m *loadModel) time.Duration {
@@ -65,16 +65,16 @@
 		owner += slowest(m)
 		return m.inTime(3*time.Second, 9*time.Second)
 	})
-	t.Logf("in time %.3f -> %.3f, slowest tenth of first events %s -> %s", before, now, hash/6, owner/6)
+	t.Logf("in time %.3f -> %.3f, 90th percentile of the time to the first event %s -> %s", before, now, hash/6, owner/6)
 	g.Expect(now).To(gomega.BeNumerically(">", before))
 	g.Expect(owner).To(gomega.BeNumerically("<", hash))
 }
 
-// lostOwner is the pattern of a lost owner: a load of nine tenths, and 0.6 s until the
-// leader has noticed and named the next one.
-func lostOwner(seed uint64, deaf bool) *loadModel {
+// lostOwnerLoad plays the loss of the owner at nine tenths of the capacity, with 0.6 s until the leader
+// has named the next one.
+func lostOwnerLoad(seed uint64, deaf bool) *loadModel {
 	m := newLoadModel(seed)
-	m.deaf = deaf
+	m.noUpdates = deaf
 	m.traffic(notes, 0, 14*time.Second, 8.4)
 	m.traffic(returns, 0, 14*time.Second, 26)
 	m.run(6 * time.Second)
@@ -83,32 +83,31 @@
 	return m
 }
 
-// TestLostOwnerCostsLittle loses the owner under load: fewer pieces meet upstreams without
-// room than the two hundred that one refusal each 60 ms at five upstreams would give in
-// 4 s, and callers that were told of results are served better, and less is thrown away,
-// than if all began anew.
+// TestLostOwnerCostsLittle loses the owner under load. Fewer pieces are rejected for want of room than the
+// 200 that one rejection each 60 ms at five upstreams would give in 4 s. With progress updates more calls
+// are in time, and fewer results are wasted, than if all jobs restarted.
 func TestLostOwnerCostsLittle(t *testing.T) {
 	g := gomega.NewWithT(t)
 	noRoom, thrownDeaf, thrown := 0, 0, 0
 	before := meanInTime(func(seed uint64) float64 {
-		m := lostOwner(seed, true)
-		thrownDeaf += m.thrown
+		m := lostOwnerLoad(seed, true)
+		thrownDeaf += m.wasted
 		return m.inTime(4*time.Second, 9*time.Second)
 	})
 	now := meanInTime(func(seed uint64) float64 {
-		m := lostOwner(seed, false)
+		m := lostOwnerLoad(seed, false)
 		noRoom += m.noRoom
-		thrown += m.thrown
+		thrown += m.wasted
 		return m.inTime(4*time.Second, 9*time.Second)
 	})
-	t.Logf("in time %.3f -> %.3f, thrown away %d -> %d, pieces without room %d a day", before, now, thrownDeaf/6, thrown/6, noRoom/6)
+	t.Logf("in time %.3f -> %.3f, wasted results %d -> %d, pieces without room %d a run", before, now, thrownDeaf/6, thrown/6, noRoom/6)
 	g.Expect(now).To(gomega.BeNumerically(">", before))
 	g.Expect(thrown).To(gomega.BeNumerically("<", thrownDeaf))
-	g.Expect(noRoom / len(seedsOfLoad)).To(gomega.BeNumerically("<", 200))
+	g.Expect(noRoom / len(loadSeeds)).To(gomega.BeNumerically("<", 200))
 }
 
-// TestOverloadEndsWithItsCause compares the second after a burst of returns with the
-// usual load: what came with the burst does not stay.
+// TestOverloadEndsWithItsCause compares the time from two seconds after a burst with the usual load: the
+// overload does not outlast the burst.
 func TestOverloadEndsWithItsCause(t *testing.T) {
 	g := gomega.NewWithT(t)
 	play := func(from, until time.Duration) float64 {
@@ -126,21 +125,20 @@
 	g.Expect(after).To(gomega.BeNumerically(">", usual-0.05))
 }
 
-// littleRoom is the pattern of a service in the middle of a chain whose upstreams have room
-// for the results of less than two calls, as 37 upstreams with 1.5 MB each and calls of 14
-// results of 60 kB do: a burst of one and a half times what they can make while results
-// lie there until the next stage is made.
-func littleRoom(seed uint64, keeps bool) *loadModel {
+// shortRoomLoad plays a service in the middle of a chain whose upstreams have room for the results of less
+// than two calls, as 37 upstreams with 1.5 MB each and calls of 14 results of 60 kB have: a burst of one and
+// a half times their throughput, while results are kept until the next stage is done.
+func shortRoomLoad(seed uint64, keeps bool) *loadModel {
 	m := newLoadModel(seed)
-	m.keeps = keeps
+	m.keepInputs = keeps
 	m.specs = maps.Clone(modelServices)
 	catalog := *modelServices["catalog"]
 	catalog.ResultRoom = 28 * 60_000
 	m.specs["catalog"] = &catalog
 	front := *modelServices["front"]
-	front.PieceTime /= 2 // it does not bind here
+	front.PieceTime /= 2 // not the bottleneck here
 	m.specs["front"] = &front
-	m.takeOver(false)
+	m.replaceOwner(false)
 	m.traffic(notes, 0, 14*time.Second, 4)
 	m.traffic(returns, 0, 14*time.Second, 16)
 	m.traffic(returns, 3*time.Second, 9*time.Second, 14)
@@ -148,16 +146,15 @@
 	return m
 }
 
-// TestInputsAreGivenUpOnceFetched compares a burst at a service with little room with one
-// in which inputs lie until the pieces are made: more is in time, and nobody asks for an
-// input that is gone.
-func TestInputsAreGivenUpOnceFetched(t *testing.T) {
+// TestInputsAreFreedOnceFetched compares a burst at a service with little room with one in which inputs are
+// kept until the pieces are done: more calls are in time, and no call finds an input gone.
+func TestInputsAreFreedOnceFetched(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gone := 0
-	before := meanInTime(func(seed uint64) float64 { return littleRoom(seed, true).inTime(3*time.Second, 9*time.Second) })
+	before := meanInTime(func(seed uint64) float64 { return shortRoomLoad(seed, true).inTime(3*time.Second, 9*time.Second) })
 	now := meanInTime(func(seed uint64) float64 {
-		m := littleRoom(seed, false)
-		gone += m.gone
+		m := shortRoomLoad(seed, false)
+		gone += m.goneInputs
 		return m.inTime(3*time.Second, 9*time.Second)
 	})
 	t.Logf("in time %.3f -> %.3f, %d inputs gone", before, now, gone)
@@ -165,8 +162,8 @@
 	g.Expect(gone).To(gomega.BeZero())
 }
 
-// largeServices and largeCounts are those of a site of 95 VMs: 240 ms a call, so that one
-// piece a call takes all upstreams of the first service at the usual load.
+// largeServices and largeCounts describe a site of 95 VMs with calls of 240 ms: calls of one piece would
+// occupy all upstreams of the first service at the usual load.
 var (
 	largeServices = map[string]*optext.Service{
 		"front":   {Name: "front", Direct: optext.Direct{Batch: 8, Calls: 1, CallTime: 240 * time.Millisecond, PieceTime: 26 * time.Millisecond, ResultRoom: 9_600_000, ResultTTL: 4 * time.Second}},
@@ -176,25 +173,25 @@
 	largeCounts = map[string]int{"front": 29, "catalog": 37, "courier": 43, "llm": 60}
 )
 
-// quotes have stages of 0.3 s and a goal of 1.1 s, most of which their engines need; chats
-// have a chain of three stages and a second to spare.
+// quotes have stages of 0.3 s and a goal of 1.1 s, most of which their engines need; chats have a chain of
+// three stages and a second to spare.
 var (
-	quotes = modelKind{name: "quotes", goal: 1100 * time.Millisecond, left: 12 * time.Second, shared: 5382, own: 6610, things: 891,
+	quotes = modelKind{name: "quotes", goal: 1100 * time.Millisecond, left: 12 * time.Second, shared: 5382, own: 6610, distinctParts: 891,
 		stages: func(r *rand.Rand) []Stage {
 			return []Stage{{Service: "front", Pieces: 1 + r.IntN(4), Bytes: 800_000}}
 		}}
-	chats = modelKind{name: "chats", goal: 2300 * time.Millisecond, left: 12 * time.Second, shared: 198, own: 628, things: 853,
+	chats = modelKind{name: "chats", goal: 2300 * time.Millisecond, left: 12 * time.Second, shared: 198, own: 628, distinctParts: 853,
 		stages: func(r *rand.Rand) []Stage {
 			return []Stage{{Service: "front", Pieces: 1, Bytes: 8000}, {Service: "catalog", After: []int{0}, Pieces: 4, Bytes: 60_000},
 				{Service: "courier", After: []int{1}, Pieces: 3 + r.IntN(7), Bytes: 6000}}
 		}}
 )
 
-// urgentBesideOthers is the pattern of urgent calls beside many that can wait, on a large
-// site at its usual load, in a burst of both for four seconds.
-func urgentBesideOthers(seed uint64, eager bool) *loadModel {
+// mixedUrgencyLoad plays urgent calls beside many that can wait, on a large site at its usual load, with a
+// burst of both for four seconds.
+func mixedUrgencyLoad(seed uint64, eager bool) *loadModel {
 	m := newLoadModel(seed)
-	m.eager, m.specs = eager, largeServices
+	m.noHolding, m.specs = eager, largeServices
 	members := map[string][]wire.Member{}
 	for service, n := range largeCounts {
 		for i := range n {
@@ -213,16 +210,16 @@
 	return m
 }
 
-// TestPiecesThatCanWaitLeaveUpstreamsIdle compares calls that are filled by pieces that can
-// wait with ones that start for each: fewer calls are made, and more is in time in the burst.
+// TestPiecesThatCanWaitLeaveUpstreamsIdle compares calls filled with held pieces with calls that start for
+// each piece: there are fewer calls, and more jobs are in time in the burst.
 func TestPiecesThatCanWaitLeaveUpstreamsIdle(t *testing.T) {
 	g := gomega.NewWithT(t)
 	play := func(eager bool) (inTime float64, calls int64) {
-		before := 0 - value(callsVar, "front") - value(callsVar, "catalog") - value(callsVar, "courier")
+		before := 0 - mapValue(callsVar, "front") - mapValue(callsVar, "catalog") - mapValue(callsVar, "courier")
 		for seed := range uint64(3) {
-			inTime += urgentBesideOthers(seed+1, eager).inTime(0, 8*time.Second) / 3
+			inTime += mixedUrgencyLoad(seed+1, eager).inTime(0, 8*time.Second) / 3
 		}
-		return inTime, before + value(callsVar, "front") + value(callsVar, "catalog") + value(callsVar, "courier")
+		return inTime, before + mapValue(callsVar, "front") + mapValue(callsVar, "catalog") + mapValue(callsVar, "courier")
 	}
 	before, callsBefore := play(true)
 	now, calls := play(false)
--- a/node/stagework/loadmodel_test.go
+++ b/node/stagework/loadmodel_test.go
@@ -15,75 +15,74 @@
 	"caperdrum.org/node/upstream"
 )
 
-// loadModel plays traffic against the scheduler on a virtual clock: upstreams that make
-// batches of pieces, keep results in limited room and lie in three data centres, engines
-// that read one prompt after the other, callers, and an owner that may be lost. Its
-// figures are those of the users' sheet for the customer whose days are heaviest here:
-// three short services in a chain, results of 3 MB for the engine of the longest prompts,
-// goals of 1.3 s to 1.7 s of which the chain takes 0.7 s with nothing waiting.
+// loadModel plays traffic against the scheduler on a virtual clock: upstreams in three data centres that
+// process batches and keep results in limited room, engines that prefill one prompt after the other, callers,
+// and an owner that may be lost. Its figures are from the users' sheet for the customer with the heaviest
+// load here: three short services in a chain, results of 3 MB for the engine of the longest prompts, and goals
+// of 1.3 s to 1.7 s of which the chain takes 0.7 s without queueing.
 type loadModel struct {
-	rand   *rand.Rand
-	now    time.Time
-	specs  map[string]*optext.Service
-	events eventHeap
-	owner  *scheduler // nil while there is none
-	heard  *submissions
-	rooms  map[wire.MemberID]*modelRoom
-	calls  map[*call]bool // under way
-	engine map[wire.MemberID]time.Time
-	read   map[string]bool           // engine and part
-	byHash bool                      // engines are chosen by hash alone, as before the owner did
-	deaf   bool                      // callers are not told of results, as before
-	keeps  bool                      // inputs are kept until the pieces are made, as before
-	eager  bool                      // pieces that can wait do not, as before
-	rate   float64                   // tokens that an engine reads in a second
-	slow   map[wire.MemberID]float64 // upstreams that take so many times as long
-	dead   map[wire.MemberID]bool    // upstreams that answer nothing
-	cost   ownerCost                 // zero: the owner takes no time
-	single bool                      // it begins calls after each event, as before
-	queue  []func()                  // events that the owner has not looked at
-	busy   bool                      // it works
-	check  func()                    // called after each event; nil: nothing is
-	light  bool                      // pieces with results of lightBytes take less
-
-	waiting map[string]*modelCall // calls whose stages are under way, by handing in
-	serial  int
-	ended   []modelEnd
-	noRoom  int // pieces
-	thrown  int // results that nobody used
-	gone    int // inputs that were asked for after they were freed
-}
-
-// modelRoom is what an upstream really holds.
+	rand             *rand.Rand
+	now              time.Time
+	specs            map[string]*optext.Service
+	events           eventHeap
+	owner            *scheduler // nil between two owners
+	submissions      *submissions
+	rooms            map[wire.MemberID]*modelRoom
+	calls            map[*call]bool // in progress
+	engineBusyUntil  map[wire.MemberID]time.Time
+	cached           map[string]bool           // by engine and part
+	byHash           bool                      // baseline: engines are chosen by hash alone
+	noUpdates        bool                      // baseline: callers get no progress updates
+	keepInputs       bool                      // baseline: inputs are kept until the pieces are done
+	noHolding        bool                      // baseline: pieces that can wait are not held
+	rate             float64                   // prefill rate of an engine, in tokens a second
+	slow             map[wire.MemberID]float64 // slowdown of upstreams
+	dead             map[wire.MemberID]bool    // upstreams that do not answer
+	cost             ownerCost                 // zero: the owner takes no time
+	oneEventPerRound bool                      // baseline: the owner starts calls after each event
+	queue            []func()                  // events waiting for the owner
+	busy             bool                      // the owner is in a round
+	check            func()                    // called after each event; may be nil
+	lightPieces      bool                      // pieces with results of lightBytes take less time
+
+	waiting    map[string]*modelCall // calls with stages in progress, by submission
+	serial     int
+	ended      []modelEnd
+	noRoom     int // pieces rejected for want of room
+	wasted     int // results that expired unused
+	goneInputs int // inputs requested after they were freed
+}
+
+// modelRoom is what an upstream actually holds.
 type modelRoom struct {
 	used    int64
 	results map[string]int64
 }
 
 type modelCall struct {
-	kind    modelKind
-	id      string
-	arrived time.Time
-	prompt  *Prompt
-	job     Job
-	again   time.Time // when its caller came back; zero before
-	early   bool      // it was refused within a quarter of its goal
+	kind         modelKind
+	id           string
+	arrived      time.Time
+	prompt       *Prompt
+	job          Job
+	retriedAt    time.Time // time of the caller's retry; zero before
+	refusedEarly bool      // it was refused within a quarter of its goal
 }
 
-// modelKind is one kind of call.
+// modelKind is a kind of call.
 type modelKind struct {
-	name     string
-	goal     time.Duration
-	left     time.Duration
-	shared   int64   // tokens of the part that calls share
-	own      int64   // tokens, mean of a log-normal distribution with a spread of 1
-	things   int     // different shared parts
-	clump    int     // arrive at the same moment; zero counts as one
-	worth    float64 // of one in time, and of one that is late
-	late     float64
-	returns  bool // callers come back once after a refusal
-	priority int
-	stages   func(r *rand.Rand) []Stage
+	name          string
+	goal          time.Duration
+	left          time.Duration
+	shared        int64   // tokens of the shared part
+	own           int64   // tokens, mean of a log-normal distribution with a spread of 1
+	distinctParts int     // number of different shared parts
+	groupSize     int     // calls that arrive at the same moment; zero counts as one
+	worth         float64 // of a call in time, and of a late one
+	late          float64
+	retries       bool // callers retry once after a refusal
+	priority      int
+	stages        func(r *rand.Rand) []Stage
 }
 
 type modelEnd struct {
@@ -91,8 +90,8 @@
 	arrived time.Time
 	inTime  bool
 	refused bool
-	credit  float64       // of its worth
-	first   time.Duration // from the stages' end to the first event
+	credit  float64       // earned part of its worth
+	first   time.Duration // from the end of the stages to the first event
 }
 
 type event struct {
@@ -124,13 +123,13 @@
 	"courier": {Name: "courier", Direct: optext.Direct{Batch: 36, Calls: 1, CallTime: 150 * time.Millisecond, PieceTime: 3600 * time.Microsecond, ResultRoom: 620_000, ResultTTL: 4 * time.Second}},
 }
 
-// notes and returns are the two kinds that make nearly all of the load.
+// notes and returns are the two kinds that make up nearly all of the load.
 var (
-	notes = modelKind{name: "notes", goal: 1300 * time.Millisecond, left: 6 * time.Second, shared: 6300, own: 2890, things: 94,
+	notes = modelKind{name: "notes", goal: 1300 * time.Millisecond, left: 6 * time.Second, shared: 6300, own: 2890, distinctParts: 94,
 		stages: func(r *rand.Rand) []Stage {
 			return []Stage{{Service: "front", Pieces: 1 + r.IntN(4), Bytes: 3 * megabyte}}
 		}}
-	returns = modelKind{name: "returns", goal: 1700 * time.Millisecond, left: 5 * time.Second, shared: 568, own: 1800, things: 156,
+	returns = modelKind{name: "returns", goal: 1700 * time.Millisecond, left: 5 * time.Second, shared: 568, own: 1800, distinctParts: 156,
 		stages: func(r *rand.Rand) []Stage {
 			return []Stage{{Service: "front", Pieces: 1, Bytes: 8000}, {Service: "catalog", After: []int{0}, Pieces: 8, Bytes: 60_000},
 				{Service: "courier", After: []int{1}, Pieces: 10 + r.IntN(13), Bytes: 6000}}
@@ -140,13 +139,13 @@
 // longestPrompt is the longest own part, in tokens.
 const longestPrompt = 39_600
 
-// readRate is how many tokens an engine reads in a second.
-const readRate = 36_000
+// modelPrefillRate is the prefill rate of an engine, in tokens a second.
+const modelPrefillRate = 36_000
 
 func newLoadModel(seed uint64) *loadModel {
-	m := &loadModel{specs: modelServices, rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), heard: newSubmissions(), rooms: map[wire.MemberID]*modelRoom{},
-		calls: map[*call]bool{}, rate: readRate, slow: map[wire.MemberID]float64{}, dead: map[wire.MemberID]bool{}, engine: map[wire.MemberID]time.Time{}, read: map[string]bool{}, waiting: map[string]*modelCall{}}
-	m.takeOver(false)
+	m := &loadModel{specs: modelServices, rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), submissions: newSubmissions(), rooms: map[wire.MemberID]*modelRoom{},
+		calls: map[*call]bool{}, rate: modelPrefillRate, slow: map[wire.MemberID]float64{}, dead: map[wire.MemberID]bool{}, engineBusyUntil: map[wire.MemberID]time.Time{}, cached: map[string]bool{}, waiting: map[string]*modelCall{}}
+	m.replaceOwner(false)
 	return m
 }
 
@@ -163,8 +162,8 @@
 	return out
 }
 
-// takeOver makes another process the owner of the queues.
-func (m *loadModel) takeOver(after bool) {
+// replaceOwner makes another process the owner of the queues.
+func (m *loadModel) replaceOwner(after bool) {
 	m.owner = newScheduler()
 	m.owner.setServices(m.specs, modelMembers())
 	m.owner.setOwner(m.now, true, after)
@@ -175,15 +174,15 @@
 	heap.Push(&m.events, event{m.now.Add(d), m.serial, do})
 }
 
-// traffic lets calls of a kind arrive for a while.
+// traffic adds arrivals of calls of a kind for a while.
 func (m *loadModel) traffic(k modelKind, from, until time.Duration, perSecond float64) {
 	for at := from; ; {
-		at += time.Duration(m.rand.ExpFloat64() / perSecond * float64(max(1, k.clump)) * float64(time.Second))
+		at += time.Duration(m.rand.ExpFloat64() / perSecond * float64(max(1, k.groupSize)) * float64(time.Second))
 		if at > until {
 			return
 		}
 		m.after(at, func() {
-			for range max(1, k.clump) {
+			for range max(1, k.groupSize) {
 				m.arrive(k)
 			}
 		})
@@ -194,56 +193,56 @@
 	m.serial++
 	c := &modelCall{kind: k, id: fmt.Sprint("call", m.serial), arrived: m.now}
 	own := int64(min(math.Exp(m.rand.NormFloat64()-0.5)*float64(k.own), longestPrompt))
-	c.prompt = &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: fmt.Sprint(k.name, m.rand.IntN(k.things)), Tokens: k.shared}, {ID: c.id, Tokens: own}}}
-	c.job = Job{ID: c.id, Key: c.id, Caller: "process", Stages: k.stages(m.rand), Priority: k.priority, DataCenter: m.hashed(c).DataCenter}
-	if m.deaf {
+	c.prompt = &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: fmt.Sprint(k.name, m.rand.IntN(k.distinctParts)), Tokens: k.shared}, {ID: c.id, Tokens: own}}}
+	c.job = Job{ID: c.id, Key: c.id, Caller: "process", Stages: k.stages(m.rand), Priority: k.priority, DataCenter: m.hashedEngine(c).DataCenter}
+	if m.noUpdates {
 		c.job.Caller = ""
 	}
 	if !m.byHash {
 		c.job.Prompt = c.prompt
 	}
-	m.handIn(c)
+	m.submit(c)
 }
 
-func (m *loadModel) hashed(c *modelCall) wire.Member {
+func (m *loadModel) hashedEngine(c *modelCall) wire.Member {
 	member, _ := upstream.ByPrefix(c.prompt.Parts, modelMembers()["llm"])
 	return member
 }
 
-func (m *loadModel) handIn(c *modelCall) {
+func (m *loadModel) submit(c *modelCall) {
 	if m.owner == nil {
-		m.after(50*time.Millisecond, func() { m.handIn(c) })
+		m.after(50*time.Millisecond, func() { m.submit(c) })
 		return
 	}
 	m.serial++
 	c.job.Handed = fmt.Sprint(c.id, "/", m.serial)
 	began := c.arrived
-	if !c.again.IsZero() {
-		began = c.again // its process knows of no try before
+	if !c.retriedAt.IsZero() {
+		began = c.retriedAt // its process does not know of the earlier attempt
 	}
 	c.job.Left, c.job.FirstEvent = c.kind.left-m.now.Sub(c.arrived), c.kind.goal-m.now.Sub(began)
-	c.job.Goal = c.job.FirstEvent - 50*time.Millisecond - m.readTime(c.prompt.Parts[1].Tokens)
-	m.heard.begin(c.job.Handed, c.job.Made)
+	c.job.Goal = c.job.FirstEvent - 50*time.Millisecond - m.prefillTime(c.prompt.Parts[1].Tokens)
+	m.submissions.begin(c.job.Handed, c.job.Made)
 	handed, owner := c.job.Handed, m.owner
 	m.waiting[handed] = c
-	m.toOwner(owner, func() {
-		m.free(owner, owner.submit(m.now, c.job, func(r Result, err error) { m.after(0, func() { m.staged(owner, c, handed, r, err) }) }))
+	m.ownerEvent(owner, func() {
+		m.free(owner, owner.submit(m.now, c.job, func(r Result, err error) { m.after(0, func() { m.stagesEnded(owner, c, handed, r, err) }) }))
 	})
 }
 
-func (m *loadModel) readTime(tokens int64) time.Duration {
+func (m *loadModel) prefillTime(tokens int64) time.Duration {
 	return time.Duration(float64(tokens) / m.rate * float64(time.Second))
 }
 
-// staged goes on when the stages of a call are done or refused.
-func (m *loadModel) staged(owner *scheduler, c *modelCall, handed string, r Result, err error) {
+// stagesEnded continues a call whose stages are completed or refused.
+func (m *loadModel) stagesEnded(owner *scheduler, c *modelCall, handed string, r Result, err error) {
 	if m.waiting[handed] != c {
 		return // the owner was lost meanwhile
 	}
 	delete(m.waiting, handed)
 	if err != nil {
-		m.toOwner(owner, func() { m.free(owner, owner.handleDone(m.now, Done{Handed: handed})) })
-		if m.comesBack(c, err) {
+		m.ownerEvent(owner, func() { m.free(owner, owner.handleDone(m.now, Done{Handed: handed})) })
+		if m.retryLater(c, err) {
 			return
 		}
 		m.ended = append(m.ended, modelEnd{kind: c.kind.name, arrived: c.arrived, refused: verdict.Of(err) == verdict.NotRun})
@@ -251,39 +250,39 @@
 	}
 	engine := r.Engine
 	if engine == "" {
-		engine = m.hashed(c).ID
+		engine = m.hashedEngine(c).ID
 	}
-	first := m.readBy(engine, c.prompt)
+	first := m.timeToFirstEvent(engine, c.prompt)
 	m.after(first, func() {
-		m.toOwner(owner, func() { m.free(owner, owner.handleDone(m.now, Done{Handed: handed, Engine: EngineBegan})) })
+		m.ownerEvent(owner, func() { m.free(owner, owner.handleDone(m.now, Done{Handed: handed, Engine: EngineBegan})) })
 		m.ended = append(m.ended, modelEnd{kind: c.kind.name, arrived: c.arrived, inTime: m.now.Sub(c.arrived) <= c.kind.goal, credit: m.credit(c), first: first})
 	})
 }
 
-// comesBack has a caller that was told when to come back do so, once.
-func (m *loadModel) comesBack(c *modelCall, err error) bool {
+// retryLater has a caller with a retry-after time retry, once.
+func (m *loadModel) retryLater(c *modelCall, err error) bool {
 	wait := verdict.From(err).RetryAfter
-	if !c.kind.returns || wait <= 0 || !c.again.IsZero() {
+	if !c.kind.retries || wait <= 0 || !c.retriedAt.IsZero() {
 		return false
 	}
-	c.again, c.early = m.now.Add(wait), m.now.Sub(c.arrived) <= c.kind.goal/4
-	m.after(wait, func() { m.handIn(c) })
+	c.retriedAt, c.refusedEarly = m.now.Add(wait), m.now.Sub(c.arrived) <= c.kind.goal/4
+	m.after(wait, func() { m.submit(c) })
 	return true
 }
 
-// credit is what an answer is worth whose first event comes now.
+// credit is the worth of an answer whose first event comes now.
 func (m *loadModel) credit(c *modelCall) float64 {
 	switch {
 	case m.now.Sub(c.arrived) <= c.kind.goal:
 		return c.kind.worth
-	case !c.again.IsZero() && c.early && m.now.Sub(c.again) <= c.kind.goal:
+	case !c.retriedAt.IsZero() && c.refusedEarly && m.now.Sub(c.retriedAt) <= c.kind.goal:
 		return (c.kind.worth + c.kind.late) / 2
 	}
 	return c.kind.late
 }
 
-// earned is the credit of the calls of a kind that arrived in a span, as a part of what they
-// were worth; of all kinds where it is empty.
+// earned is the credit of the calls of a kind that arrived in a period, as a share of their full
+// worth; an empty kind means all.
 func (m *loadModel) earned(kind string, worth map[string]float64, from, until time.Duration) float64 {
 	start, got, owed := time.Unix(1000, 0), 0.0, 0.0
 	for _, e := range m.ended {
@@ -296,22 +295,22 @@
 	return got / math.Max(owed, 1e-9)
 }
 
-// readBy is how long an engine takes to the first event, behind what it reads already.
-func (m *loadModel) readBy(engine wire.MemberID, p *Prompt) time.Duration {
+// timeToFirstEvent is the time of an engine to the first event, behind the prompts queued there.
+func (m *loadModel) timeToFirstEvent(engine wire.MemberID, p *Prompt) time.Duration {
 	tokens := p.Parts[1].Tokens
-	if key := string(engine) + p.Parts[0].ID; !m.read[key] {
-		m.read[key] = true
+	if key := string(engine) + p.Parts[0].ID; !m.cached[key] {
+		m.cached[key] = true
 		tokens += p.Parts[0].Tokens
 	}
-	begin := m.engine[engine]
+	begin := m.engineBusyUntil[engine]
 	if begin.Before(m.now) {
 		begin = m.now
 	}
-	m.engine[engine] = begin.Add(m.readTime(tokens))
-	return m.engine[engine].Sub(m.now) + 50*time.Millisecond
+	m.engineBusyUntil[engine] = begin.Add(m.prefillTime(tokens))
+	return m.engineBusyUntil[engine].Sub(m.now) + 50*time.Millisecond
 }
 
-// run plays until all is over, or for so long.
+// run plays events for the given time, or until none are left.
 func (m *loadModel) run(d time.Duration) {
 	end := m.now.Add(d)
 	for len(m.events) > 0 && !m.events[0].at.After(end) {
@@ -328,16 +327,16 @@
 	m.now = end
 }
 
-// step lets the owner do what it does after each event, and at its tick.
+// step does what the owner does after each event, and at its tick.
 func (m *loadModel) step() {
 	s := m.owner
 	if s == nil {
 		return
 	}
-	if m.keeps {
+	if m.keepInputs {
 		s.fetchingInputs = nil
 	}
-	if m.eager {
+	if m.noHolding {
 		for _, q := range s.services {
 			for _, p := range q.waiting {
 				p.queued = time.Time{}
@@ -346,7 +345,7 @@
 	}
 	m.free(s, s.expireJobs(m.now))
 	for _, n := range s.takeUpdates() {
-		m.heard.apply(n.News)
+		m.submissions.apply(n.News)
 		m.free(s, s.updatesDelivered([]News{n.News}))
 	}
 	for _, w := range s.dueReports(m.now) {
@@ -370,15 +369,15 @@
 	return r
 }
 
-// call has an upstream make pieces, as far as it really has room.
+// call has an upstream process pieces, as far as it actually has room.
 func (m *loadModel) call(s *scheduler, c *call) {
 	spec, room := m.specs[c.service], m.room(c.worker.member.ID)
 	o := outcome{results: make([]upstream.PieceResult, len(c.pieces))}
 	made := 0
 	for i, p := range c.pieces {
-		if slices.ContainsFunc(c.request[i].Inputs, func(h string) bool { return !m.lies(h) }) {
+		if slices.ContainsFunc(c.request[i].Inputs, func(h string) bool { return !m.isStored(h) }) {
 			o.results[i].Failure = upstream.InputGone
-			m.gone++
+			m.goneInputs++
 			continue
 		}
 		if room.used+p.bytes() > spec.ResultRoom {
@@ -403,20 +402,20 @@
 	}
 	if took > c.timeout || m.dead[c.worker.member.ID] {
 		m.after(min(took, c.timeout), func() {
-			m.toOwner(s, func() { m.free(s, s.finishCall(m.now, c, outcome{err: "no answer"})) })
+			m.ownerEvent(s, func() { m.free(s, s.finishCall(m.now, c, outcome{err: "no answer"})) })
 		})
 		return
 	}
 	m.after(took, func() {
 		for _, r := range o.results {
-			m.after(spec.ResultTTL, func() { m.expired(room, r.Handle) })
+			m.after(spec.ResultTTL, func() { m.expireResult(room, r.Handle) })
 		}
-		m.toOwner(s, func() { m.free(s, s.finishCall(m.now, c, o)) })
+		m.ownerEvent(s, func() { m.free(s, s.finishCall(m.now, c, o)) })
 	})
 }
 
-// lies reports whether a result is still there.
-func (m *loadModel) lies(handle string) bool {
+// isStored reports whether a result still exists.
+func (m *loadModel) isStored(handle string) bool {
 	for _, r := range m.rooms {
 		if _, there := r.results[handle]; there {
 			return true
@@ -425,16 +424,16 @@
 	return false
 }
 
-// expired takes a result away that nobody freed.
-func (m *loadModel) expired(room *modelRoom, handle string) {
+// expireResult removes a result that nobody freed.
+func (m *loadModel) expireResult(room *modelRoom, handle string) {
 	if bytes, lies := room.results[handle]; lies {
 		room.used -= bytes
 		delete(room.results, handle)
-		m.thrown++
+		m.wasted++
 	}
 }
 
-// free gives results up, a little later and many at a time.
+// free frees results, a little later and together.
 func (m *loadModel) free(s *scheduler, list []storedResult) {
 	if len(list) == 0 {
 		return
@@ -445,26 +444,26 @@
 			room.used -= room.results[r.handle]
 			delete(room.results, r.handle)
 		}
-		m.toOwner(s, func() { s.recordFreed(list) })
+		m.ownerEvent(s, func() { s.recordFreed(list) })
 	})
 }
 
-// loseOwner takes the owner away with all it knows; another one is there after the gap.
+// loseOwner drops the owner with its state; another one is named after the gap.
 func (m *loadModel) loseOwner(gap time.Duration) {
 	m.owner = nil
 	lost := m.waiting
 	m.waiting = map[string]*modelCall{}
 	m.after(gap, func() {
-		m.takeOver(true)
+		m.replaceOwner(true)
 		for _, handed := range slices.Sorted(maps.Keys(lost)) {
 			c := lost[handed]
-			c.job.Made = m.heard.end(handed)
-			m.handIn(c)
+			c.job.Made = m.submissions.end(handed)
+			m.submit(c)
 		}
 	})
 }
 
-// inTime is the part of the calls that arrived in a span and were served by their goal.
+// inTime is the share of the calls that arrived in a period and were served by their goal.
 func (m *loadModel) inTime(from, until time.Duration) float64 {
 	start := time.Unix(1000, 0)
 	asked, good := 0, 0
@@ -480,27 +479,26 @@
 	return float64(good) / math.Max(1, float64(asked))
 }
 
-// pieceTime is what a piece adds to a call.
+// pieceTime is the time that a piece adds to a call.
 func (m *loadModel) pieceTime(spec *optext.Service, p *piece) time.Duration {
-	if m.light && p.bytes() == lightBytes {
+	if m.lightPieces && p.bytes() == lightBytes {
 		return time.Duration(lightWork * float64(spec.PieceTime))
 	}
 	return spec.PieceTime
 }
 
-// Pieces with results of lightBytes are about the caller alone, and take less.
+// Pieces with results of lightBytes depend on the caller alone, and take less time.
 const (
 	lightBytes = 8000
 	lightWork  = 0.3
 )
 
-// ownerCost is the processor time of an owner: for each event that it looks at, and for each
-// round in which it starts calls and tells processes.
+// ownerCost is the CPU time of an owner: for each event, and for each round in which it starts calls
+// and sends updates.
 type ownerCost struct{ event, round time.Duration }
 
-// toOwner has the owner look at an event, once it is done with those before. One that was lost
-// looks at nothing.
-func (m *loadModel) toOwner(s *scheduler, do func()) {
+// ownerEvent has the owner handle an event, after the earlier ones. Events of a lost owner are dropped.
+func (m *loadModel) ownerEvent(s *scheduler, do func()) {
 	if s != m.owner {
 		return
 	}
@@ -509,17 +507,17 @@
 		return
 	}
 	m.queue = append(m.queue, do)
-	m.work()
+	m.runOwner()
 }
 
-// work lets the owner look at events: all that wait, or one where it is single.
-func (m *loadModel) work() {
+// runOwner has the owner handle all waiting events, or just one with oneEventPerRound.
+func (m *loadModel) runOwner() {
 	if m.busy || len(m.queue) == 0 {
 		return
 	}
 	m.busy = true
 	n := len(m.queue)
-	if m.single {
+	if m.oneEventPerRound {
 		n = 1
 	}
 	for _, do := range m.queue[:n] {
@@ -529,12 +527,12 @@
 	m.step()
 	m.after(time.Duration(n)*m.cost.event+m.cost.round, func() {
 		m.busy = false
-		m.work()
+		m.runOwner()
 	})
 }
 
-// tick has the owner look at its jobs from time to time.
+// tick has the owner check its jobs from time to time.
 func (m *loadModel) tick() {
-	m.toOwner(m.owner, func() {})
+	m.ownerEvent(m.owner, func() {})
 	m.after(ownerTick, m.tick)
 }
--- a/node/stagework/machine_test.go
+++ b/node/stagework/machine_test.go
@@ -15,19 +15,18 @@
 	"caperdrum.org/node/upstream"
 )
 
-// world drives a scheduler with jobs, calls that end in every way, upstreams
-// that come and go, and moves of the ownership. It checks what must always hold
-// from what the scheduler hands out.
+// world drives a scheduler with jobs, calls with every outcome, changing members and changes of ownership.
+// It checks invariants on everything that the scheduler returns.
 type world struct {
-	t       *rapid.T
-	s       *scheduler
-	now     time.Time
-	running []*call
-	jobs    map[string]*tracked
-	serial  int
-	made    map[string]string // handle to what it holds
-	lying   map[string]bool   // handles that were made and not freed
-	members map[string][]wire.Member
+	t        *rapid.T
+	s        *scheduler
+	now      time.Time
+	running  []*call
+	jobs     map[string]*tracked
+	serial   int
+	contents map[string]string // what each handle holds, as "job/stage/piece"
+	stored   map[string]bool   // handles that were not freed
+	members  map[string][]wire.Member
 }
 
 type tracked struct {
@@ -43,7 +42,7 @@
 }
 
 func newWorld(t *rapid.T) *world {
-	w := &world{t: t, s: newScheduler(), now: time.Unix(1000, 0), jobs: map[string]*tracked{}, made: map[string]string{}, lying: map[string]bool{}, members: map[string][]wire.Member{}}
+	w := &world{t: t, s: newScheduler(), now: time.Unix(1000, 0), jobs: map[string]*tracked{}, contents: map[string]string{}, stored: map[string]bool{}, members: map[string][]wire.Member{}}
 	for _, service := range []string{"a", "b"} {
 		for i := range 3 {
 			w.members[service] = append(w.members[service], wire.Member{ID: wire.MemberID(fmt.Sprint(service, i)), Service: service, Direct: fmt.Sprint(service, i), DataCenter: fmt.Sprint("dc", i%2)})
@@ -72,7 +71,7 @@
 	})
 }
 
-// start takes the calls that the scheduler hands out and checks them.
+// start takes the calls to start and checks them.
 func (w *world) start() {
 	for _, c := range w.s.startCalls(w.now) {
 		spec := services[c.service]
@@ -95,8 +94,8 @@
 	}
 }
 
-// checkRequest checks that a piece gets all results of the stages before it,
-// each once, and of its own job.
+// checkRequest checks that a piece gets all results of the stages that it depends on, each once, and
+// from its own job.
 func (w *world) checkRequest(p *piece, r upstream.Piece) {
 	j := w.jobs[r.ID].job
 	var want []string
@@ -107,7 +106,7 @@
 	}
 	var got []string
 	for _, h := range r.Inputs {
-		got = append(got, w.made[h])
+		got = append(got, w.contents[h])
 	}
 	slices.Sort(want)
 	slices.Sort(got)
@@ -148,9 +147,9 @@
 			out[i].Failure = rapid.SampledFrom([]upstream.Failure{upstream.Late, upstream.InputGone, upstream.NoRoom, upstream.Failed}).Draw(w.t, "why")
 			continue
 		}
-		h := fmt.Sprintf("%s/%d", c.worker.member.Direct, len(w.made))
-		w.made[h] = fmt.Sprintf("%s/%d/%d", r.ID, r.Stage, r.Number)
-		w.lying[h] = true
+		h := fmt.Sprintf("%s/%d", c.worker.member.Direct, len(w.contents))
+		w.contents[h] = fmt.Sprintf("%s/%d/%d", r.ID, r.Stage, r.Number)
+		w.stored[h] = true
 		out[i].Handle = h
 	}
 	return out
@@ -158,16 +157,16 @@
 
 func (w *world) free(results []storedResult) {
 	for _, m := range results {
-		if !w.lying[m.handle] {
-			w.t.Fatalf("%s is freed twice, or was never made", m.handle)
+		if !w.stored[m.handle] {
+			w.t.Fatalf("%s was freed twice, or never stored", m.handle)
 		}
-		delete(w.lying, m.handle)
+		delete(w.stored, m.handle)
 	}
 	w.s.recordFreed(results)
 }
 
-// report lets the upstreams that are asked for their room answer: with what an
-// owner before left there, or not at all.
+// report answers the requested room reports: with room that a previous owner's results occupy, or not
+// at all.
 func (w *world) report() {
 	for _, asked := range w.s.dueReports(w.now) {
 		free := int64(rapid.IntRange(-1, 4000).Draw(w.t, "free"))
@@ -177,7 +176,7 @@
 			w.s.applyReport(w.now, asked, &upstream.Room{Free: free, FreeMost: free + int64(rapid.IntRange(0, 500).Draw(w.t, "more"))})
 		}
 		if asked.foreignBytes < 0 || free >= 0 && asked.foreignBytes > services[asked.member.Service].ResultRoom {
-			w.t.Fatalf("%s holds %d bytes of others", asked.member.ID, asked.foreignBytes)
+			w.t.Fatalf("%s: %d foreign bytes", asked.member.ID, asked.foreignBytes)
 		}
 	}
 }
@@ -214,13 +213,12 @@
 		}
 		late := w.now.Sub(time.Unix(1000, 0)) > time.Hour
 		if tr.answered == 0 && w.s.jobs[id] == nil && !late {
-			w.t.Fatalf("%s is forgotten without an answer", id)
+			w.t.Fatalf("%s was dropped without an answer", id)
 		}
 	}
 }
 
-// checkResult checks that the answer holds each result of the final stages of
-// its own job once.
+// checkResult checks that the answer holds each result of the job's final stages once.
 func (w *world) checkResult(tr *tracked) {
 	var want, got []string
 	for i, final := range tr.job.finalStages() {
@@ -231,7 +229,7 @@
 		}
 	}
 	for _, h := range tr.result.Handles {
-		got = append(got, w.made[h])
+		got = append(got, w.contents[h])
 	}
 	slices.Sort(want)
 	slices.Sort(got)
@@ -240,8 +238,7 @@
 	}
 }
 
-// TestSchedulerKeepsResultsApart lets everything happen that the links and
-// upstreams do, and then lets all jobs end.
+// TestSchedulerKeepsResultsApart plays random events of links and upstreams, and then lets all jobs end.
 func TestSchedulerKeepsResultsApart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -273,23 +270,22 @@
 			w.free(w.s.handleDone(w.now, Done{Handed: id}))
 		}
 		if len(w.s.jobs) > 0 {
-			t.Fatalf("%d jobs are kept", len(w.s.jobs))
+			t.Fatalf("%d jobs are left", len(w.s.jobs))
 		}
 		for name, q := range w.s.services {
 			if len(q.waiting) > 0 {
-				t.Fatalf("%d pieces wait at %s for nobody", len(q.waiting), name)
+				t.Fatalf("%d pieces of ended jobs wait at %s", len(q.waiting), name)
 			}
 			for id, worker := range q.workers {
 				if worker.ownBytes < 0 || worker.runningCalls != 0 {
-					t.Fatalf("%s: room %d, %d calls", id, worker.ownBytes, worker.runningCalls)
+					t.Fatalf("%s: %d own bytes, %d calls", id, worker.ownBytes, worker.runningCalls)
 				}
 			}
 		}
 	})
 }
 
-// TestGroupsStayTogether gives two upstreams five groups of two: no group is
-// split over two calls.
+// TestGroupsStayTogether gives two upstreams five groups of two pieces: no group is split over two calls.
 func TestGroupsStayTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -311,8 +307,8 @@
 	})
 }
 
-// TestCallThatIsHandedInAgain hands a call in twice and lets the first handing in
-// be given up only then, as links may deliver it: the second one stays.
+// TestCallThatIsHandedInAgain submits a call twice, and ends the first submission only after that, as
+// messages may be reordered: the second submission continues.
 func TestCallThatIsHandedInAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -323,18 +319,17 @@
 		}
 		w.free(w.s.handleDone(w.now, Done{Handed: "first"}))
 		if err, ended := answered["first"]; !ended || err == nil {
-			t.Fatal("the job that was given up goes on")
+			t.Fatal("the ended submission continues")
 		}
 		if _, ended := answered["second"]; ended || w.s.jobs["second"] == nil {
-			t.Fatal("the job that was handed in again was given up")
+			t.Fatal("the second submission was ended too")
 		}
 	})
 }
 
-// TestStarvedJobIsToldSo hands in a job that misses its goal, at a service whose
-// upstreams are all busy: it is refused as not run long before its deadline, and
-// one that has a call under way is not.
-func TestStarvedJobIsToldSo(t *testing.T) {
+// TestStarvedJobIsRefused submits a job that misses its goal to a service whose upstreams are all busy: it
+// is refused as not run long before its deadline, and jobs with a call in progress are not.
+func TestStarvedJobIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		ended := map[string]error{}
--- a/node/stagework/metrics_test.go
+++ b/node/stagework/metrics_test.go
@@ -9,31 +9,31 @@
 	"github.com/onsi/gomega"
 )
 
-// value is a counter's value, zero where it has not counted yet.
-func value(m *expvar.Map, name string) int64 {
+// mapValue returns a counter of a map, zero if it does not exist yet.
+func mapValue(m *expvar.Map, name string) int64 {
 	if v, ok := m.Get(name).(*expvar.Int); ok {
 		return v.Value()
 	}
 	return 0
 }
 
-// TestCallsAreCounted makes a call before a whole one waits: its piece is counted and its
-// places are not, and what the owner holds is shown.
+// TestCallsAreCounted makes a call before another batch waits: its piece is counted but not its batch slots,
+// and the gauges show what the owner holds.
 func TestCallsAreCounted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	calls, pieces, places, taken := value(callsVar, "a"), value(piecesVar, "a"), value(batchSlotsVar, "a"), value(batchSlotsUsedVar, "a")
+	calls, pieces, places, taken := mapValue(callsVar, "a"), mapValue(piecesVar, "a"), mapValue(batchSlotsVar, "a"), mapValue(batchSlotsUsedVar, "a")
 	c := newTwoStages()
-	c.toSecond(services["a"].Batch) // a call of one piece; there is no room for another
-	g.Expect(value(callsVar, "a") - calls).To(gomega.BeEquivalentTo(1))
-	g.Expect(value(piecesVar, "a") - pieces).To(gomega.BeEquivalentTo(1))
-	g.Expect(value(batchSlotsVar, "a") - places).To(gomega.BeEquivalentTo(0))
-	g.Expect(value(batchSlotsUsedVar, "a") - taken).To(gomega.BeEquivalentTo(0))
+	c.startSecondStage(services["a"].Batch) // a call of one piece; there is no room for another
+	g.Expect(mapValue(callsVar, "a") - calls).To(gomega.BeEquivalentTo(1))
+	g.Expect(mapValue(piecesVar, "a") - pieces).To(gomega.BeEquivalentTo(1))
+	g.Expect(mapValue(batchSlotsVar, "a") - places).To(gomega.BeEquivalentTo(0))
+	g.Expect(mapValue(batchSlotsUsedVar, "a") - taken).To(gomega.BeEquivalentTo(0))
 	c.s.setGauges(c.now)
-	g.Expect(value(waitingVar, "a")).To(gomega.BeEquivalentTo(services["a"].Batch))
+	g.Expect(mapValue(waitingVar, "a")).To(gomega.BeEquivalentTo(services["a"].Batch))
 	g.Expect(activeJobsVar.Value()).To(gomega.BeEquivalentTo(1 + services["a"].Batch))
 }
 
-// TestOutcomesOfJobs names how jobs end.
+// TestOutcomesOfJobs checks the metric labels of ended jobs.
 func TestOutcomesOfJobs(t *testing.T) {
 	now := time.Unix(1000, 0)
 	j := &job{goal: now}
--- a/node/stagework/owner_bench_test.go
+++ b/node/stagework/owner_bench_test.go
@@ -21,12 +21,12 @@
 	"caperdrum.org/node/upstream"
 )
 
-// jobCallers is how many processes hand their jobs in.
+// jobCallers is the number of processes that submit jobs.
 const jobCallers = 16
 
-// BenchmarkOwner hands jobs of a chain in at an owner over connections, with upstreams that
-// answer over HTTP as soon as they are asked: what a call costs with its messages. Callers and
-// upstreams run in the same process and are part of the figure.
+// BenchmarkOwner submits jobs of a chain to an owner over connections, with upstreams that answer over HTTP
+// at once: it measures a call with all its messages. Callers and upstreams run in the same process and are
+// part of the figure.
 func BenchmarkOwner(b *testing.B) {
 	server := func(handle func(*peer.Server)) string {
 		s := peer.NewServer()
--- a/node/stagework/ownerlink_test.go
+++ b/node/stagework/ownerlink_test.go
@@ -16,23 +16,23 @@
 	"caperdrum.org/node/peer"
 )
 
-// owner is a process that answers jobs as a test says.
-type owner struct {
+// fakeOwner is a process that answers jobs as the test tells it.
+type fakeOwner struct {
 	server  *peer.Server
 	address string
 	arrived chan string
-	news    chan News
+	updates chan News
 	answer  map[string]chan error // by job
 	results map[string]Result     // by job; written before its answer
-	jobs    sync.Map              // by ID, as they were handed in
+	jobs    sync.Map              // by ID, as submitted
 }
 
-func newOwner(t *testing.T, jobs ...string) *owner {
+func newFakeOwner(t *testing.T, jobs ...string) *fakeOwner {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &owner{server: peer.NewServer(), address: l.Addr().String(), arrived: make(chan string, 16), news: make(chan News, 16), answer: map[string]chan error{}, results: map[string]Result{}}
+	o := &fakeOwner{server: peer.NewServer(), address: l.Addr().String(), arrived: make(chan string, 16), updates: make(chan News, 16), answer: map[string]chan error{}, results: map[string]Result{}}
 	for _, id := range jobs {
 		o.answer[id] = make(chan error, 1)
 	}
@@ -52,7 +52,7 @@
 	peer.Handle(o.server, methodDone, func(context.Context, *Done) (*peer.Empty, error) { return &peer.Empty{}, nil })
 	peer.Handle(o.server, methodProgress, func(_ context.Context, list *[]News) (*peer.Empty, error) {
 		for _, n := range *list {
-			o.news <- n
+			o.updates <- n
 		}
 		return &peer.Empty{}, nil
 	})
@@ -89,10 +89,10 @@
 	return out
 }
 
-// TestDeadlineOfOneJobLeavesTheOthers lets the deadline of one of two jobs pass:
-// the other one stays at the owner and gets its answer, without a second run.
+// TestDeadlineOfOneJobLeavesTheOthers has the deadline of one of two jobs pass: the other one stays at the owner
+// and gets its answer, without a second run.
 func TestDeadlineOfOneJobLeavesTheOthers(t *testing.T) {
-	o := newOwner(t, "short", "long")
+	o := newFakeOwner(t, "short", "long")
 	s := newClientService(t)
 	s.link.setOwner(wire.StageOwner{ID: "o", Peer: o.address, Epoch: 1}, false)
 	long := s.runAsync(context.Background(), "long")
@@ -102,7 +102,7 @@
 	short := s.runAsync(ctx, "short")
 	<-o.arrived
 	if a := <-short; verdict.Of(a.err) != verdict.NotRun {
-		t.Fatalf("the job whose time is over: %v", a.err)
+		t.Fatalf("the job past its deadline: %v", a.err)
 	}
 	o.answer["long"] <- nil
 	if a := <-long; a.err != nil || len(a.result.Handles) != 1 {
@@ -110,14 +110,14 @@
 	}
 	select {
 	case id := <-o.arrived:
-		t.Fatalf("%s was handed in again", id)
+		t.Fatalf("%s was resubmitted", id)
 	default:
 	}
 }
 
-// TestJobMovesToTheNextOwner names another owner while a job is under way.
+// TestJobMovesToTheNextOwner names another owner while a job is in progress.
 func TestJobMovesToTheNextOwner(t *testing.T) {
-	first, second := newOwner(t, "job"), newOwner(t, "job")
+	first, second := newFakeOwner(t, "job"), newFakeOwner(t, "job")
 	s := newClientService(t)
 	s.link.setOwner(wire.StageOwner{ID: "a", Peer: first.address, Epoch: 1}, false)
 	got := s.runAsync(context.Background(), "job")
@@ -130,22 +130,21 @@
 	}
 	s.link.setOwner(wire.StageOwner{ID: "a", Peer: first.address, Epoch: 1}, false)
 	if s.link.owner.ID != "b" {
-		t.Fatal("an older epoch was taken over")
+		t.Fatal("an older epoch was accepted")
 	}
 }
 
-// TestJobStaysAtAnOwnerThatHandsOver names another owner while a job is under way at one
-// that leaves as planned: the job stays until that one answers, and goes on at the next
-// with what was made.
+// TestJobStaysAtAnOwnerThatHandsOver names another owner while a job is in progress at one that leaves as
+// planned: the job stays until that one answers, and continues at the next from the completed stages.
 func TestJobStaysAtAnOwnerThatHandsOver(t *testing.T) {
-	first, second := newOwner(t, "job"), newOwner(t, "job")
+	first, second := newFakeOwner(t, "job"), newFakeOwner(t, "job")
 	s := newClientService(t)
 	s.link.setOwner(wire.StageOwner{ID: "a", Incarnation: 1, Peer: first.address, Epoch: 1}, false)
 	got := s.runAsync(context.Background(), "job")
 	<-first.arrived
 	leaving := memberset.Of(wire.Member{ID: "a", Incarnation: 1, Leaving: true})
 	if !s.link.handsOver(leaving) || s.link.handsOver(memberset.Of(wire.Member{ID: "a", Incarnation: 2, Leaving: true})) || s.link.handsOver(memberset.Set{}) {
-		t.Fatal("which owner hands over is not known")
+		t.Fatal("wrong answer on whether the owner hands over")
 	}
 	s.link.setOwner(wire.StageOwner{ID: "b", Peer: second.address, Epoch: 2}, true)
 	select {
@@ -158,7 +157,7 @@
 	<-second.arrived
 	taken, _ := second.jobs.Load("job")
 	if j := taken.(Job); !j.Again || len(j.Made) != 1 || j.Made[0].Pieces[0].Handle != "h" {
-		t.Fatalf("handed in as %+v", j)
+		t.Fatalf("submitted as %+v", j)
 	}
 	second.answer["job"] <- nil
 	if a := <-got; a.err != nil || a.result.Moved {
@@ -166,10 +165,10 @@
 	}
 }
 
-// TestRefusalOfTheOwnerStands passes the owner's verdict on, and takes only
-// "moved" for a reason to look for another owner.
-func TestRefusalOfTheOwnerStands(t *testing.T) {
-	o := newOwner(t, "job")
+// TestRefusalOfTheOwnerIsFinal passes the owner's verdict on, and looks for another owner only if the verdict
+// is that this one is not the owner.
+func TestRefusalOfTheOwnerIsFinal(t *testing.T) {
+	o := newFakeOwner(t, "job")
 	s := newClientService(t)
 	s.link.setOwner(wire.StageOwner{ID: "o", Peer: o.address, Epoch: 1}, false)
 	got := s.runAsync(context.Background(), "job")
@@ -182,10 +181,10 @@
 	}
 }
 
-// TestOwnerThatAnswersNeedsNoPing looks at an owner again and again: only one that has
-// sent something since the last time counts as heard, and another owner begins anew.
+// TestOwnerThatAnswersNeedsNoPing checks an owner's activity repeatedly: it counts only if the owner has sent
+// something since the last check, and starts over with another owner.
 func TestOwnerThatAnswersNeedsNoPing(t *testing.T) {
-	o := newOwner(t, "j")
+	o := newFakeOwner(t, "j")
 	client := peer.NewClient(o.address, peer.DialTCP)
 	defer client.Close()
 	var w activity
@@ -196,26 +195,26 @@
 	}
 	ping()
 	if w.receivedSince(client) {
-		t.Fatal("heard before the first look")
+		t.Fatal("active before the first check")
 	}
 	if w.receivedSince(client) {
-		t.Fatal("heard although nothing came")
+		t.Fatal("active although nothing was received")
 	}
 	ping()
 	if !w.receivedSince(client) || w.receivedSince(client) {
-		t.Fatal("heard once for one answer")
+		t.Fatal("one answer must count once")
 	}
 	other := peer.NewClient(o.address, peer.DialTCP)
 	defer other.Close()
 	if w.receivedSince(other) {
-		t.Fatal("what another owner has sent counts")
+		t.Fatal("what the previous owner sent counts")
 	}
 }
 
-// TestJobStaysAtABusyOwner has an owner not answer a ping in time while a job is under way there: the job stays,
+// TestJobStaysAtABusyOwner has an owner not answer a ping in time while a job is in progress there: the job stays,
 // over the same connection, and gets its answer.
 func TestJobStaysAtABusyOwner(t *testing.T) {
-	busy := newOwner(t, "job")
+	busy := newFakeOwner(t, "job")
 	answering := make(chan struct{})
 	peer.Handle(busy.server, peer.MethodPing, func(ctx context.Context, e *peer.Empty) (*peer.Empty, error) {
 		<-answering
@@ -239,12 +238,12 @@
 		t.Fatal(a.err)
 	}
 	if len(busy.arrived) > 0 {
-		t.Fatal("the job was handed in again")
+		t.Fatal("the job was resubmitted")
 	}
 }
 
-// TestJobLeavesAnOwnerThatIsGone has the owner's address answer no more: its jobs do not wait.
-func TestJobLeavesAnOwnerThatIsGone(t *testing.T) {
+// TestJobsAreWithdrawnFromAnUnreachableOwner has connections to the owner refused: its jobs do not wait.
+func TestJobsAreWithdrawnFromAnUnreachableOwner(t *testing.T) {
 	s := newClientService(t)
 	s.link.setOwner(wire.StageOwner{ID: "a", Peer: "127.0.0.1:1", Epoch: 1}, false)
 	lost := s.link.lost
--- a/node/stagework/ownership_test.go
+++ b/node/stagework/ownership_test.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/node/peer"
 )
 
-// newNamed is a process that may be named owner, as incarnation 7 of "self".
-func newNamed(t *testing.T) *Service {
+// newNamedOwner returns a process that may be named owner, as incarnation 7 of "self".
+func newNamedOwner(t *testing.T) *Service {
 	s := &Service{log: logr.Discard(), events: make(chan func(time.Time), 16), dial: peer.DialTCP, link: newOwnerLink(peer.DialTCP, logr.Discard()),
 		address: func() string { return "self:1" }, self: func() wire.Member { return wire.Member{ID: "self", Incarnation: 7} },
 		callers: map[string]*peer.Client{}, scheduler: newScheduler(), pendingFrees: map[*worker][]storedResult{}, submissions: newSubmissions()}
@@ -26,25 +26,25 @@
 	return s
 }
 
-// takes hands in a job without pieces, and reports whether the process takes it.
-func (s *Service) takes(t *testing.T, o wire.StageOwner) bool {
+// acceptsJob submits a job without pieces, and reports whether the process accepts it as the owner.
+func (s *Service) acceptsJob(t *testing.T, o wire.StageOwner) bool {
 	_, err := s.handleRun(t.Context(), &Job{ID: "j", Handed: "j", Left: time.Minute, Goal: time.Minute, Owner: o})
 	return err == nil
 }
 
-// TestNamedOwnerBelievesItsCallers hands jobs in at a process before its own view says that
-// it owns the queues: it takes them if the caller's view names this start of it, and an
-// older view does not take the queues away again.
+// TestNamedOwnerBelievesItsCallers submits jobs to a process before its own view names it the owner: it
+// accepts them if the caller's view names this incarnation, and an older view does not take the queues
+// away again.
 func TestNamedOwnerBelievesItsCallers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := newNamed(t)
+	s := newNamedOwner(t)
 	named := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
-	g.Expect(s.takes(t, named)).To(gomega.BeFalse(), "it has no view yet, and knows no upstreams")
+	g.Expect(s.acceptsJob(t, named)).To(gomega.BeFalse(), "without a view it knows no upstreams")
 	s.post(func(time.Time) { s.scheduler.setServices(services, nil) })
-	g.Expect(s.takes(t, wire.StageOwner{})).To(gomega.BeFalse())
-	g.Expect(s.takes(t, wire.StageOwner{ID: "other", Incarnation: 7, Epoch: 5})).To(gomega.BeFalse())
-	g.Expect(s.takes(t, wire.StageOwner{ID: "self", Incarnation: 6, Epoch: 5})).To(gomega.BeFalse())
-	g.Expect(s.takes(t, named)).To(gomega.BeTrue())
+	g.Expect(s.acceptsJob(t, wire.StageOwner{})).To(gomega.BeFalse())
+	g.Expect(s.acceptsJob(t, wire.StageOwner{ID: "other", Incarnation: 7, Epoch: 5})).To(gomega.BeFalse())
+	g.Expect(s.acceptsJob(t, wire.StageOwner{ID: "self", Incarnation: 6, Epoch: 5})).To(gomega.BeFalse())
+	g.Expect(s.acceptsJob(t, named)).To(gomega.BeTrue())
 	view := func(o wire.StageOwner, mine bool) {
 		done := make(chan struct{})
 		s.post(func(now time.Time) {
@@ -54,7 +54,7 @@
 		<-done
 	}
 	view(wire.StageOwner{ID: "before", Epoch: 4}, false)
-	g.Expect(s.takes(t, wire.StageOwner{})).To(gomega.BeTrue(), "an older view changes nothing")
+	g.Expect(s.acceptsJob(t, wire.StageOwner{})).To(gomega.BeTrue(), "an older view changes nothing")
 	view(wire.StageOwner{ID: "next", Epoch: 6}, false)
-	g.Expect(s.takes(t, named)).To(gomega.BeFalse(), "an older caller changes nothing")
+	g.Expect(s.acceptsJob(t, named)).To(gomega.BeFalse(), "an older caller changes nothing")
 }
--- a/node/stagework/reachability_test.go
+++ b/node/stagework/reachability_test.go
@@ -12,32 +12,32 @@
 	"caperdrum.org/node/residency"
 )
 
-// TestDarkDataCenterIsFoundOnce has one of six data centres of a fleet lose its power while calls come as usual: a few of
-// them find out, and the others go elsewhere. Before, each upstream there was found out by calls of its own.
+// TestDarkDataCenterIsFoundOnce has one of six data centres of a fleet lose power under the usual load: a few calls
+// detect it, and the others go elsewhere, instead of each upstream there being detected by calls of its own.
 func TestDarkDataCenterIsFoundOnce(t *testing.T) {
 	for _, processes := range []int{90, 360, 720} {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
 			s, now := fleetOwner(processes)
-			lost := playDark(s, now, 3*time.Second, "dc0", processes/20)
-			// one that looks each second, of each service at most, whatever the size
+			lost := playOutage(s, now, 3*time.Second, "dc0", processes/20)
+			// one probe a second, for each service at most, whatever the size
 			if most := 2 * len(s.services); lost.later > most {
-				t.Errorf("%d calls go to the dark data centre after the first second, %d may", lost.later, most)
+				t.Errorf("%d calls to the unreachable data centre after the first second, want at most %d", lost.later, most)
 			}
-			if most := lost.later * largestGroup; lost.pieces > most {
-				t.Errorf("%d pieces in %d calls that look whether it is back, %d may", lost.pieces, lost.later, most)
+			if most := lost.later * maxGroup; lost.pieces > most {
+				t.Errorf("%d pieces in %d probes, want at most %d", lost.pieces, lost.later, most)
 			}
 		})
 	}
 }
 
-// largestGroup is how many pieces a stage of fleetJob has at most: they stay together.
-const largestGroup = 6
+// maxGroup is the largest number of pieces of a stage of fleetJob, which stay together.
+const maxGroup = 6
 
-// lost are the calls that went to a dark data centre once that could be known.
-type lost struct{ later, pieces int }
+// outageCalls are the calls sent to an unreachable data centre after it should be known.
+type outageCalls struct{ later, pieces int }
 
-// playDark plays calls of a fleet on a virtual clock while connections to a data centre time out.
-func playDark(s *scheduler, now time.Time, span time.Duration, dark string, jobsATick int) (l lost) {
+// playOutage plays the calls of a fleet on a virtual clock while connections to a data centre time out.
+func playOutage(s *scheduler, now time.Time, span time.Duration, dark string, jobsATick int) (l outageCalls) {
 	const dial = 400 * time.Millisecond
 	type ending struct {
 		at time.Time
@@ -50,7 +50,7 @@
 			if e.c.worker.member.DataCenter == dark {
 				return e.c, outcome{err: "i/o timeout", unreachable: true}
 			}
-			return e.c, answered(e.c)
+			return e.c, successOutcome(e.c)
 		})
 		for range jobsATick {
 			number++
@@ -73,7 +73,7 @@
 	return l
 }
 
-// endCalls ends the calls whose time has come and returns the others.
+// endCalls ends the calls that are due and returns the others.
 func endCalls[E any](s *scheduler, now time.Time, under []E, at func(E) time.Time, how func(E) (*call, outcome)) (rest []E) {
 	for _, e := range under {
 		if now.Before(at(e)) {
@@ -86,44 +86,44 @@
 	return rest
 }
 
-// TestDarkDataCenterIsTriedAgain has a dark data centre come back: the call that looks finds it, and its upstreams are
-// used at once. One that stays dark gets a call a second.
+// TestDarkDataCenterIsTriedAgain has an unreachable data centre come back: a probe detects it, and its upstreams are
+// used at once. While it is unreachable it gets one call a second.
 func TestDarkDataCenterIsTriedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newReachability()
 	at := func(i int) wire.Member { return wire.Member{ID: wire.MemberID(fmt.Sprint("u", i)), DataCenter: "dc0"} }
 	for i := range minUnreachable - 1 {
 		r.recordFailure(now, at(i))
-		r.recordFailure(now, at(i)) // the same one again says nothing of the others
+		r.recordFailure(now, at(i)) // repeated failures of one upstream do not count
 	}
 	if r.blocked(now, "dc0") {
-		t.Fatal("dark too early")
+		t.Fatal("blocked too early")
 	}
 	r.recordAnswer("dc0")
 	for i := range minUnreachable {
 		if r.blocked(now, "dc0") {
-			t.Fatal("an answer in between does not count")
+			t.Fatal("an answer in between did not reset the failures")
 		}
 		r.recordFailure(now, at(10+i))
 	}
 	if !r.blocked(now, "dc0") || r.blocked(now, "dc1") {
-		t.Fatal("not dark, or another one is")
+		t.Fatal("not blocked, or another one is")
 	}
 	now = now.Add(reachProbeInterval)
 	if r.blocked(now, "dc0") {
-		t.Fatal("it is never tried again")
+		t.Fatal("no probe is due")
 	}
 	r.recordCall(now, "dc0")
 	if !r.blocked(now, "dc0") {
-		t.Fatal("tried by more than one call")
+		t.Fatal("more than one probe")
 	}
 	r.recordAnswer("dc0")
 	if r.blocked(now, "dc0") || r.unreachable("dc0") {
-		t.Fatal("not back")
+		t.Fatal("still unreachable after an answer")
 	}
 }
 
-// TestDarkDataCenterIsForgottenInTheEnd has work so little that nothing looks whether a data centre is back.
+// TestDarkDataCenterIsForgottenInTheEnd has too few calls to probe an unreachable data centre: its failures expire.
 func TestDarkDataCenterIsForgottenInTheEnd(t *testing.T) {
 	s, now := fleetOwner(90)
 	for i := range minUnreachable {
@@ -136,35 +136,35 @@
 	s.expireJobs(now.Add(failureTTL + ownerTick))
 	for _, w := range s.services["front"].list {
 		if w.unreachable() {
-			t.Fatalf("%s is passed over for good", w.member.ID)
+			t.Fatalf("%s is avoided for good", w.member.ID)
 		}
 	}
 }
 
-// TestPiecesWithNowhereElseAreTried has all data centres to which a job may go be dark: it is not held until its
-// deadline, but ends by its own tries, as where nothing is known of data centres.
+// TestPiecesWithNowhereElseAreTried has all data centres in which a job may run be unreachable: the job is not held
+// until its deadline, but ends by failed attempts, no later than without knowledge of the data centres.
 func TestPiecesWithNowhereElseAreTried(t *testing.T) {
 	all := []string{"dc0", "dc1", "dc2", "dc3", "dc4", "dc5"}
 	for name, c := range map[string]struct {
 		dark   []string
 		within residency.Within
 	}{
-		"all are dark":       {all, residency.Within{}},
-		"its region is":      {[]string{"dc0"}, residency.Within{Bound: true, DataCenters: []string{"dc0"}}},
-		"both of its region": {[]string{"dc0", "dc1"}, residency.Within{Bound: true, DataCenters: []string{"dc0", "dc1"}}},
+		"all are unreachable":           {all, residency.Within{}},
+		"the only one of its region is": {[]string{"dc0"}, residency.Within{Bound: true, DataCenters: []string{"dc0"}}},
+		"both of its region are":        {[]string{"dc0", "dc1"}, residency.Within{Bound: true, DataCenters: []string{"dc0", "dc1"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			known := endsAfter(t, c.dark, c.within, func(*scheduler) {})
-			unknown := endsAfter(t, c.dark, c.within, func(s *scheduler) { s.reachability.reset() })
+			known := timeToEnd(t, c.dark, c.within, func(*scheduler) {})
+			unknown := timeToEnd(t, c.dark, c.within, func(s *scheduler) { s.reachability.reset() })
 			if known > unknown {
-				t.Errorf("the job ends after %s, after %s where nothing is known", known, unknown)
+				t.Errorf("the job ends after %s, after %s without knowledge of data centres", known, unknown)
 			}
 		})
 	}
 }
 
-// endsAfter is how long a job takes to end that may go to dark data centres only.
-func endsAfter(t *testing.T, dark []string, within residency.Within, tick func(*scheduler)) time.Duration {
+// timeToEnd is how long a job takes to end that may run in unreachable data centres only.
+func timeToEnd(t *testing.T, dark []string, within residency.Within, tick func(*scheduler)) time.Duration {
 	s, now := fleetOwner(90)
 	for _, dc := range dark {
 		for i := range minUnreachable {
@@ -198,7 +198,7 @@
 	return 0
 }
 
-// TestDarkDataCenterIsLogged logs when a data centre goes dark and when it is back, once each.
+// TestDarkDataCenterIsLogged logs once that a data centre became unreachable, and once that it is reachable again.
 func TestDarkDataCenterIsLogged(t *testing.T) {
 	var lines []string
 	sched, now := fleetOwner(90)
@@ -217,17 +217,17 @@
 	}
 }
 
-// TestUpstreamsThatFailAreNotADarkDataCenter has upstreams of a data centre fail while others there answer, and upstreams
-// refuse calls: their VMs run.
+// TestUpstreamsThatFailAreNotADarkDataCenter has upstreams of a data centre be unreachable while others there answer,
+// and upstreams refuse connections, which shows that their VMs run.
 func TestUpstreamsThatFailAreNotADarkDataCenter(t *testing.T) {
 	s, now := fleetOwner(90)
-	burst(s, now, 0)
+	submitBurst(s, now, 0)
 	var failing int
 	for _, c := range s.startCalls(now) {
 		o := outcome{err: "connection refused"}
 		if c.worker.member.DataCenter == "dc1" {
 			if failing++; failing%minUnreachable == 0 {
-				o = answered(c)
+				o = successOutcome(c)
 			} else {
 				o.unreachable = true
 			}
@@ -239,46 +239,46 @@
 	}
 	for _, dc := range []string{"dc0", "dc1"} {
 		if s.reachability.unreachable(dc) {
-			t.Errorf("%s counts as dark", dc)
+			t.Errorf("%s counts as unreachable", dc)
 		}
 	}
 }
 
-// TestEnginesOfADarkDataCenter has calls find that a data centre's engines cannot be reached: the next ones go elsewhere,
-// though an engine there has read what they share, and come back when it answers.
+// TestEnginesOfADarkDataCenter has calls find the engines of a data centre unreachable: the next ones go elsewhere,
+// though an engine there has cached their shared part, and come back when it answers.
 func TestEnginesOfADarkDataCenter(t *testing.T) {
-	p := newPark()
-	first, k := p.call(prompt("shared", 1000))
+	p := newEngineFleet()
+	first, k := p.sendCall(prompt("shared", 1000))
 	p.finishAssignment(p.now, k, EngineBegan)
 	dc := p.loads[first].member.DataCenter
 	for i := range minUnreachable {
 		p.reachability.recordFailure(p.now, wire.Member{ID: wire.MemberID(fmt.Sprint("other", i)), DataCenter: dc})
 	}
-	id, _ := p.call(prompt("shared", 1000))
+	id, _ := p.sendCall(prompt("shared", 1000))
 	if p.loads[id].member.DataCenter == dc {
-		t.Fatalf("%s is chosen in a dark data centre", id)
+		t.Fatalf("%s is chosen in an unreachable data centre", id)
 	}
 	p.reachability.recordAnswer(dc)
-	if id, _ := p.call(prompt("shared", 1000)); p.loads[id].member.DataCenter != dc {
-		t.Errorf("%s is chosen though the data centre is back", id)
+	if id, _ := p.sendCall(prompt("shared", 1000)); p.loads[id].member.DataCenter != dc {
+		t.Errorf("%s is chosen though the data centre is reachable again", id)
 	}
 }
 
-// TestEngineThatCannotBeReached ends a pick with nothing answering: the engine is passed over, and counts for its data
-// centre.
+// TestEngineThatCannotBeReached ends an assignment at an unreachable engine: the engine backs off, and counts for
+// its data centre.
 func TestEngineThatCannotBeReached(t *testing.T) {
-	p := newPark()
-	id, k := p.call(prompt("shared", 1000))
+	p := newEngineFleet()
+	id, k := p.sendCall(prompt("shared", 1000))
 	p.finishAssignment(p.now, k, EngineUnreached)
 	l := p.loads[id]
 	if !p.now.Before(l.pausedUntil) || len(p.reachability.outages[l.member.DataCenter].unreached) != 1 {
-		t.Errorf("passed over until %s, %v", l.pausedUntil, p.reachability.outages)
+		t.Errorf("backs off until %s, %v", l.pausedUntil, p.reachability.outages)
 	}
 }
 
-// TestResultsSayWhatIsDark has results of jobs tell their processes which data centres the owner cannot reach.
+// TestResultsSayWhatIsDark checks that results list the data centres that the owner cannot reach.
 func TestResultsSayWhatIsDark(t *testing.T) {
-	s := newNamed(t)
+	s := newNamedOwner(t)
 	named := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
 	s.post(func(time.Time) { s.scheduler.setServices(services, nil) })
 	dark := func() []string {
@@ -289,7 +289,7 @@
 		return r.Dark
 	}
 	if got := dark(); got != nil {
-		t.Errorf("dark: %v", got)
+		t.Errorf("unreachable: %v", got)
 	}
 	s.post(func(now time.Time) {
 		for _, dc := range []string{"dc2", "dc1"} {
@@ -300,6 +300,6 @@
 		s.scheduler.reachability.recordFailure(now, wire.Member{ID: "v", DataCenter: "dc3"})
 	})
 	if got := fmt.Sprint(dark()); got != "[dc1 dc2]" {
-		t.Errorf("dark: %s", got)
+		t.Errorf("unreachable: %s", got)
 	}
 }
--- a/node/stagework/residency_test.go
+++ b/node/stagework/residency_test.go
@@ -14,8 +14,8 @@
 	"caperdrum.org/node/upstream"
 )
 
-// TestJobsStayWithinTheirDataCenters hands in jobs of which some are bound to data centres, with upstreams
-// that come and go: no piece of theirs is made elsewhere, no engine chosen and no part fetched from elsewhere.
+// TestJobsStayWithinTheirDataCenters submits jobs of which some are bound to data centres, while upstreams come
+// and go: none of their pieces runs elsewhere, and no engine or fetch source elsewhere is chosen.
 func TestJobsStayWithinTheirDataCenters(t *testing.T) {
 	specs := map[string]*optext.Service{
 		"a":   {Name: "a", Kind: string(optext.Batch), Direct: optext.Direct{Batch: 4, Calls: 1, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond, ResultRoom: 1_000_000, ResultTTL: 4 * time.Second}},
@@ -69,7 +69,7 @@
 			for _, c := range s.startCalls(now) {
 				for _, p := range c.pieces {
 					if w := bound[p.job.ID]; !w.Has(c.worker.member.DataCenter) {
-						t.Fatalf("a piece of %s, within %v, is made in %s", p.job.ID, w, c.worker.member.DataCenter)
+						t.Fatalf("a piece of %s, within %v, runs in %s", p.job.ID, w, c.worker.member.DataCenter)
 					}
 				}
 				under = append(under, c)
@@ -87,9 +87,9 @@
 	})
 }
 
-// TestJobThatNobodyMayMake is refused at once where no upstream is allowed, and as soon as the last one has
-// left.
-func TestJobThatNobodyMayMake(t *testing.T) {
+// TestJobWithoutAllowedUpstream is refused at once if no upstream is allowed, and ends as soon as the last one
+// has left.
+func TestJobWithoutAllowedUpstream(t *testing.T) {
 	s, now := newScheduler(), time.Unix(1000, 0)
 	s.setOwner(now, true, false)
 	specs := map[string]*optext.Service{"a": {Name: "a", Kind: string(optext.Batch), Direct: optext.Direct{Batch: 1, Calls: 1, CallTime: time.Second}}}
@@ -120,14 +120,14 @@
 	refused(2)
 }
 
-// TestPartsAreNotFetchedFromOutside has a part read in one data centre: a call that is bound to another reads it
-// there, one that is not fetches it.
+// TestPartsAreNotFetchedFromOutside has a part cached in one data centre: a call bound to another data centre
+// prefills it there, an unbound one fetches it.
 func TestPartsAreNotFetchedFromOutside(t *testing.T) {
 	for _, bound := range []bool{false, true} {
-		p := linked(fastLinks)
-		p.readAt("e0", prompt("shared", 10)) // in dc0, as e2
-		p.busy("e0", 1_000_000)
-		p.busy("e2", 1_000_000)
+		p := newLinkedFleet(fastLinks)
+		p.prefillAt("e0", prompt("shared", 10)) // in dc0, as is e2
+		p.setWaiting("e0", 1_000_000)
+		p.setWaiting("e2", 1_000_000)
 		pr := prompt("shared", 1000)
 		pr.Within = residency.Within{Bound: bound, DataCenters: []string{"dc1"}}
 		x := p.plan(pr)
@@ -135,7 +135,7 @@
 			t.Fatalf("bound %t: engine %s", bound, x.engine.ID)
 		}
 		if fetches := x.fetch.source != nil; fetches == bound {
-			t.Errorf("bound %t: the part is fetched: %t", bound, fetches)
+			t.Errorf("bound %t: fetches the part: %t", bound, fetches)
 		}
 	}
 }
--- a/node/stagework/restart_test.go
+++ b/node/stagework/restart_test.go
@@ -11,22 +11,22 @@
 	"caperdrum.org/node/upstream"
 )
 
-// again is two services of one upstream each, whose starts the test names.
-type again struct {
+// restartWorld is two services of one upstream each; the test sets the incarnation of the first.
+type restartWorld struct {
 	*scheduler
 	now time.Time
 }
 
-func newAgain(incarnation uint64) *again {
-	a := &again{scheduler: newScheduler(), now: time.Unix(1000, 0)}
+func newRestartWorld(incarnation uint64) *restartWorld {
+	a := &restartWorld{scheduler: newScheduler(), now: time.Unix(1000, 0)}
 	a.setOwner(a.now, true, false)
-	a.started(incarnation)
+	a.setIncarnation(incarnation)
 	return a
 }
 
-// started names the start of the first service's upstream, and returns the results that
-// are to be freed.
-func (a *again) started(incarnation uint64) []storedResult {
+// setIncarnation sets the incarnation of the first service's upstream in the member list, and returns the
+// results to be freed.
+func (a *restartWorld) setIncarnation(incarnation uint64) []storedResult {
 	spec := func() *optext.Service {
 		return &optext.Service{Kind: string(optext.Batch), Direct: optext.Direct{Batch: 4, Calls: 1, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond, ResultTTL: 4 * time.Second}}
 	}
@@ -36,8 +36,8 @@
 	return a.restartLostJobs(a.now, a.takeRestarted())
 }
 
-// make finishes all calls that may be made now, and returns to which services they went.
-func (a *again) make(t *testing.T, handle string) (services []string) {
+// runCalls completes all calls that can start now, and returns their services.
+func (a *restartWorld) runCalls(t *testing.T, handle string) (services []string) {
 	t.Helper()
 	for _, c := range a.startCalls(a.now) {
 		services = append(services, c.service)
@@ -50,84 +50,81 @@
 	return services
 }
 
-// TestResultsOfAnEarlierStartAreMadeAgain lets an upstream start again that holds what
-// the next stage of a job is made of: it is made again at once, without a call that finds out
-// that it is gone.
+// TestResultsOfAnEarlierStartAreMadeAgain restarts an upstream that holds inputs of a job's next stage: the
+// job restarts at once, without a call that would find its inputs gone.
 func TestResultsOfAnEarlierStartAreMadeAgain(t *testing.T) {
-	a := newAgain(1)
+	a := newRestartWorld(1)
 	var got Result
 	var failed error
-	a.submit(a.now, chain("j", "j1", nil), func(r Result, err error) { got, failed = r, err })
-	if first := a.make(t, "old"); len(first) != 1 || first[0] != "a" {
+	a.submit(a.now, chainJob("j", "j1", nil), func(r Result, err error) { got, failed = r, err })
+	if first := a.runCalls(t, "old"); len(first) != 1 || first[0] != "a" {
 		t.Fatalf("calls of %v", first)
 	}
-	a.started(2)
-	if next := a.make(t, "new"); len(next) != 1 || next[0] != "a" {
-		t.Fatalf("after its upstream has started again, calls of %v", next)
+	a.setIncarnation(2)
+	if next := a.runCalls(t, "new"); len(next) != 1 || next[0] != "a" {
+		t.Fatalf("after the restart of the upstream, calls of %v", next)
 	}
 	for _, m := range a.jobs["j1"].results {
 		if m.handle == "old" {
-			t.Fatal("the job goes on with a result that is gone")
+			t.Fatal("the job continues with a lost result")
 		}
 	}
-	if next := a.make(t, "last"); len(next) != 1 || next[0] != "b" || failed != nil || len(got.Handles) != 3 {
+	if next := a.runCalls(t, "last"); len(next) != 1 || next[0] != "b" || failed != nil || len(got.Handles) != 3 {
 		t.Fatalf("calls of %v; answered %v, %v", next, got, failed)
 	}
 }
 
-// TestResultOfACallBeforeTheStartIsNotUsed lets a call end well after its upstream has
-// started again: what it made is gone.
+// TestResultOfACallBeforeTheStartIsNotUsed ends a call successfully after its upstream has restarted: the
+// results are lost.
 func TestResultOfACallBeforeTheStartIsNotUsed(t *testing.T) {
-	a := newAgain(1)
-	a.submit(a.now, chain("j", "j1", nil), func(Result, error) {})
+	a := newRestartWorld(1)
+	a.submit(a.now, chainJob("j", "j1", nil), func(Result, error) {})
 	calls := a.startCalls(a.now)
-	a.started(2)
+	a.setIncarnation(2)
 	a.finishCall(a.now, calls[0], outcome{results: []upstream.PieceResult{{Handle: "x"}, {Handle: "y"}}})
 	if j := a.jobs["j1"]; j.missing[0] != 2 || len(j.results) != 0 {
-		t.Fatalf("%d pieces missing, made %v", j.missing[0], j.results)
+		t.Fatalf("%d pieces missing, results %v", j.missing[0], j.results)
 	}
-	if next := a.make(t, "new"); len(next) != 1 || next[0] != "a" {
+	if next := a.runCalls(t, "new"); len(next) != 1 || next[0] != "a" {
 		t.Fatalf("calls of %v", next)
 	}
 }
 
-// TestJobThatLosesItsResultsTwiceEnds restarts an upstream again and again: a job
-// begins anew a bounded number of times.
-func TestJobThatLosesItsResultsTwiceEnds(t *testing.T) {
-	a := newAgain(1)
+// TestRestartsAreBounded restarts an upstream again and again: the job restarts a bounded number of times.
+func TestRestartsAreBounded(t *testing.T) {
+	a := newRestartWorld(1)
 	var failed error
-	a.submit(a.now, chain("j", "j1", nil), func(_ Result, err error) { failed = err })
+	a.submit(a.now, chainJob("j", "j1", nil), func(_ Result, err error) { failed = err })
 	for start := uint64(2); start < 6 && failed == nil; start++ {
-		a.make(t, "x")
-		a.started(start)
+		a.runCalls(t, "x")
+		a.setIncarnation(start)
 	}
 	if failed == nil || len(a.jobs) != 0 || errors.Is(failed, errDeadlineExceeded()) {
 		t.Fatalf("ended with %v, %d jobs", failed, len(a.jobs))
 	}
 }
 
-// TestNextOwnerLeavesAnEarlierStartOut hands a job in whose results an earlier start of
-// the upstream has made.
+// TestNextOwnerLeavesAnEarlierStartOut submits a job with results of an earlier incarnation of the upstream:
+// they are ignored.
 func TestNextOwnerLeavesAnEarlierStartOut(t *testing.T) {
 	for _, c := range []struct {
 		made uint64
 		want string
 	}{{made: 1, want: "a"}, {made: 2, want: "b"}} {
-		a := newAgain(2)
+		a := newRestartWorld(2)
 		claim := StageMade{Stage: 0, Pieces: []PieceMade{{"a0", c.made, "x"}, {"a0", c.made, "y"}}}
-		a.submit(a.now, chain("j", "j1", []StageMade{claim}), func(Result, error) {})
-		if got := a.make(t, "z"); len(got) != 1 || got[0] != c.want {
-			t.Errorf("results of start %d at start 2: calls of %v, want %s", c.made, got, c.want)
+		a.submit(a.now, chainJob("j", "j1", []StageMade{claim}), func(Result, error) {})
+		if got := a.runCalls(t, "z"); len(got) != 1 || got[0] != c.want {
+			t.Errorf("results of incarnation %d at incarnation 2: calls of %v, want %s", c.made, got, c.want)
 		}
 	}
 }
 
-// TestEngineThatStartsAgainHasReadNothing lets the engine start again that has read a
-// prompt and has a call waiting: neither counts for its next start, and the call's end changes
-// nothing there.
+// TestEngineThatStartsAgainHasReadNothing restarts an engine that has cached a prompt and has a call waiting:
+// neither counts for its next incarnation, and the end of the call changes nothing there.
 func TestEngineThatStartsAgainHasReadNothing(t *testing.T) {
-	p := newPark()
-	id, before := p.call(prompt("p", 100))
+	p := newEngineFleet()
+	id, before := p.sendCall(prompt("p", 100))
 	var list []wire.Member
 	for _, m := range p.members["llm"] {
 		if m.ID == id {
@@ -138,54 +135,54 @@
 	p.setMembers(nil, map[string][]wire.Member{"llm": list})
 	for _, m := range list {
 		if l := p.load(m); m.ID == id && (l.waiting.tokens != 0 || len(l.parts) != 0) {
-			t.Fatalf("%d tokens wait at its next start, %d parts are read", l.waiting.tokens, len(l.parts))
+			t.Fatalf("%d tokens waiting at its next incarnation, %d parts cached", l.waiting.tokens, len(l.parts))
 		}
 	}
 	p.finishAssignment(p.now, before, EngineFailed)
 	for _, m := range list {
 		if l := p.load(m); m.ID == id && (l.waiting.tokens != 0 || l.failures != 0) {
-			t.Fatalf("a call of its start before counts: %d tokens, %d failures", l.waiting.tokens, l.failures)
+			t.Fatalf("a call of the earlier incarnation counts: %d tokens, %d failures", l.waiting.tokens, l.failures)
 		}
 	}
 }
 
-// TestReportOfALaterStart lets an upstream report that has started again, before the members
-// say so: what it held is made again at once, and the members' word changes nothing more. A late
-// report of the start before changes nothing.
-func TestReportOfALaterStart(t *testing.T) {
-	a := newAgain(10)
-	a.submit(a.now, chain("j", "j1", nil), func(Result, error) {})
-	a.make(t, "old")
+// TestReportOfALaterIncarnation has an upstream report a restart before the member list has it: the job
+// restarts at once, and the member list changes nothing afterwards. A late report of the earlier incarnation
+// is ignored.
+func TestReportOfALaterIncarnation(t *testing.T) {
+	a := newRestartWorld(10)
+	a.submit(a.now, chainJob("j", "j1", nil), func(Result, error) {})
+	a.runCalls(t, "old")
 	w := a.services["a"].workers["a0"]
 	a.applyReport(a.now, w, &upstream.Room{Free: 1, FreeMost: 1, Started: 9})
 	if a.services["a"].workers["a0"] != w {
-		t.Fatal("a late report ends a later start")
+		t.Fatal("a report of an earlier incarnation replaced a later one")
 	}
 	a.applyReport(a.now, w, &upstream.Room{Free: 1, FreeMost: 1, Started: 11})
 	a.restartLostJobs(a.now, a.takeRestarted())
-	if next := a.make(t, "new"); len(next) != 1 || next[0] != "a" {
+	if next := a.runCalls(t, "new"); len(next) != 1 || next[0] != "a" {
 		t.Fatalf("calls of %v", next)
 	}
 	after := a.services["a"].workers["a0"]
 	for _, members := range []uint64{10, 11} {
-		a.started(members)
+		a.setIncarnation(members)
 		if a.services["a"].workers["a0"] != after {
-			t.Fatalf("the members' start %d ends start 11", members)
+			t.Fatalf("incarnation %d in the member list replaced incarnation 11", members)
 		}
 	}
 	a.applyReport(a.now, w, &upstream.Room{Started: 12})
 	if a.services["a"].workers["a0"] != after {
-		t.Fatal("a report of a worker that is gone counts")
+		t.Fatal("a report of a replaced worker counts")
 	}
 }
 
-// TestStartWithAClockThatWentBack lets the members name an earlier time of start than
-// before, as after an upstream's clock went back: it is another start all the same.
-func TestStartWithAClockThatWentBack(t *testing.T) {
-	a := newAgain(10)
+// TestRestartWithAnEarlierClock has the member list name an earlier incarnation than before, as after an
+// upstream's clock was set back: it counts as a restart all the same.
+func TestRestartWithAnEarlierClock(t *testing.T) {
+	a := newRestartWorld(10)
 	before := a.services["a"].workers["a0"]
-	a.started(7)
+	a.setIncarnation(7)
 	if after := a.services["a"].workers["a0"]; after == before || !before.restarted || after.member.Incarnation != 7 {
-		t.Fatalf("start %d goes on", after.member.Incarnation)
+		t.Fatalf("incarnation %d continues", after.member.Incarnation)
 	}
 }
--- a/node/stagework/room_test.go
+++ b/node/stagework/room_test.go
@@ -9,9 +9,9 @@
 	"caperdrum.org/node/upstream"
 )
 
-// takenOver is a scheduler that has taken the queues over from another owner, and
-// a job that fills a whole upstream of service a.
-func takenOver(t *rapid.T) *world {
+// newTakeoverWorld returns a scheduler that has taken the queues over from another owner, and a job that
+// fills a whole upstream of service a.
+func newTakeoverWorld(t *rapid.T) *world {
 	w := newWorld(t)
 	w.s.setOwner(w.now, false, true)
 	w.s.setOwner(w.now, true, true)
@@ -19,17 +19,17 @@
 	return w
 }
 
-// TestNextOwnerAsksForTheRoom fills two of three upstreams with results of an
-// owner before: the job goes to the third one, and to no other.
+// TestNextOwnerAsksForTheRoom has two of three upstreams full with results of the previous owner: the job
+// goes to the third one, and to no other.
 func TestNextOwnerAsksForTheRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := takenOver(t)
+		w := newTakeoverWorld(t)
 		if calls := w.s.startCalls(w.now); len(calls) > 0 {
-			t.Fatal("a call was made before any upstream was asked")
+			t.Fatal("a call was made before any report")
 		}
 		asked := w.s.dueReports(w.now)
 		if want := 6; len(asked) != want {
-			t.Fatalf("%d of %d upstreams are asked", len(asked), want)
+			t.Fatalf("%d of %d reports requested", len(asked), want)
 		}
 		empty := rapid.SampledFrom([]string{"a0", "a1", "a2"}).Draw(t, "empty")
 		for _, a := range asked {
@@ -46,17 +46,16 @@
 		w.now = w.now.Add(reportInterval)
 		for _, a := range w.s.dueReports(w.now) {
 			if string(a.member.ID) == empty {
-				t.Fatal("an upstream that holds only this owner's results is asked again")
+				t.Fatal("another report is requested from an upstream that holds only this owner's results")
 			}
 		}
 	})
 }
 
-// TestSilentUpstreamIsUsedAfterAll takes the queues over while no upstream says
-// how much room it has.
+// TestSilentUpstreamIsUsedAfterAll takes the queues over while no upstream answers with a report.
 func TestSilentUpstreamIsUsedAfterAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := takenOver(t)
+		w := newTakeoverWorld(t)
 		for _, a := range w.s.dueReports(w.now) {
 			w.s.applyReport(w.now, a, nil)
 		}
@@ -67,8 +66,8 @@
 	})
 }
 
-// TestUpstreamWithoutRoomIsAsked refuses a piece for want of room: the upstream is
-// asked, and gets the piece again only when it has room.
+// TestUpstreamWithoutRoomIsAsked rejects a piece for want of room: a report is requested, and the upstream
+// gets the piece again only when it has room.
 func TestUpstreamWithoutRoomIsAsked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -78,13 +77,13 @@
 		calls := w.s.startCalls(w.now)
 		w.free(w.s.finishCall(w.now, calls[0], outcome{results: []upstream.PieceResult{{Failure: upstream.NoRoom}}}))
 		if len(w.s.dueReports(w.now)) > 0 {
-			t.Fatal("asked at once")
+			t.Fatal("report requested at once")
 		}
 		w.now = w.now.Add(reportInterval)
 		for _, free := range []int64{0, 0, 1000} {
 			asked := w.s.dueReports(w.now)
 			if len(asked) != 1 {
-				t.Fatalf("%d upstreams are asked", len(asked))
+				t.Fatalf("%d reports requested", len(asked))
 			}
 			w.s.applyReport(w.now, asked[0], &upstream.Room{Free: free, FreeMost: free})
 			w.now = w.now.Add(max(reportInterval, fullBackoff))
@@ -95,8 +94,8 @@
 	})
 }
 
-// TestWhatOthersHold lists what reports and refusals tell of others' results: room
-// 1000, of which this owner's own results take 200.
+// TestWhatOthersHold lists what is known of others' results after reports and rejections, in room 1000, of
+// which this owner's results take 200.
 func TestWhatOthersHold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -104,24 +103,24 @@
 		learn   func(h *roomUsage)
 		foreign int64
 	}{
-		{"an exact report", func(h *roomUsage) { h.applyReport(1000, 300, 300, 100) }, 500},
-		{"a coarse report leaves the rest open", func(h *roomUsage) { h.applyReport(1000, 300, 399, 100) }, 401},
-		{"own results that were there a moment ago are not others'", func(h *roomUsage) { h.addOwn(200); h.addOwn(-200); h.applyReport(1000, 300, 300, 100) }, 300},
-		{"a refused piece is exact", func(h *roomUsage) { h.recordNoRoom(now, 1000, 50, time.Second) }, 751},
-		{"a coarse report lets a part of a call in", func(h *roomUsage) { h.recordNoRoom(now, 1000, 50, time.Second); h.applyReport(1000, 0, 999, 100) }, 651},
-		{"and never more than is free", func(h *roomUsage) { h.recordNoRoom(now, 1000, 50, time.Second); h.applyReport(1000, 500, 999, 100) }, 300},
-		{"an empty upstream", func(h *roomUsage) { h.recordNoRoom(now, 1000, 50, time.Second); h.applyReport(1000, 800, 800, 100) }, 0},
+		{"exact report", func(h *roomUsage) { h.applyReport(1000, 300, 300, 100) }, 500},
+		{"a coarse report leaves a range", func(h *roomUsage) { h.applyReport(1000, 300, 399, 100) }, 401},
+		{"own results since the last report are not others'", func(h *roomUsage) { h.addOwn(200); h.addOwn(-200); h.applyReport(1000, 300, 300, 100) }, 300},
+		{"a rejection is exact", func(h *roomUsage) { h.recordNoRoom(now, 1000, 50, time.Second) }, 751},
+		{"a coarse report admits part of a call as a probe", func(h *roomUsage) { h.recordNoRoom(now, 1000, 50, time.Second); h.applyReport(1000, 0, 999, 100) }, 651},
+		{"a probe is never more than the free room", func(h *roomUsage) { h.recordNoRoom(now, 1000, 50, time.Second); h.applyReport(1000, 500, 999, 100) }, 300},
+		{"empty upstream", func(h *roomUsage) { h.recordNoRoom(now, 1000, 50, time.Second); h.applyReport(1000, 800, 800, 100) }, 0},
 	} {
 		h := &roomUsage{ownBytes: 200, maxOwnBytes: 200, minOwnBytes: 200}
 		c.learn(h)
 		if h.foreignBytes != c.foreign {
-			t.Errorf("%s: others hold %d, want %d", c.name, h.foreignBytes, c.foreign)
+			t.Errorf("%s: foreign bytes %d, want %d", c.name, h.foreignBytes, c.foreign)
 		}
 	}
 }
 
-// TestOthersResultsAreForgotten lets the time pass after which an owner's results
-// are gone by themselves, at an upstream that never reports.
+// TestOthersResultsAreForgotten has the time pass after which results expire, at an upstream that never
+// reports.
 func TestOthersResultsAreForgotten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -130,7 +129,7 @@
 		}
 		w.s.submit(w.now, Job{ID: "job", Handed: "job", Key: "k", Left: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: 1000}}}, func(Result, error) {})
 		if calls := w.s.startCalls(w.now); len(calls) > 0 {
-			t.Fatal("a call without room")
+			t.Fatal("a call was made without room")
 		}
 		w.now = w.now.Add(services["a"].ResultTTL + time.Millisecond)
 		w.s.dueReports(w.now)
@@ -140,12 +139,12 @@
 	})
 }
 
-// TestUpstreamThatWorksForTheOwnerBefore takes the queues over while all upstreams but one
-// still work: the idle one gets the job, and the others are asked again soon. One that has
-// worked for this owner gets calls whatever an old report says.
-func TestUpstreamThatWorksForTheOwnerBefore(t *testing.T) {
+// TestUpstreamBusyForThePreviousOwner takes the queues over while all upstreams but one are still busy: the
+// idle one gets the job, and further reports are requested from the others soon. An upstream that has
+// completed a call of this owner gets calls whatever an old report says.
+func TestUpstreamBusyForThePreviousOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := takenOver(t)
+		w := newTakeoverWorld(t)
 		idle := rapid.SampledFrom([]string{"a0", "a1", "a2"}).Draw(t, "idle")
 		room := services["a"].ResultRoom
 		for _, a := range w.s.dueReports(w.now) {
@@ -157,13 +156,13 @@
 		}
 		w.now = w.now.Add(fullBackoff)
 		if again := w.s.dueReports(w.now); len(again) != 5 {
-			t.Fatalf("%d upstreams are asked again, five were busy", len(again))
+			t.Fatalf("%d further reports requested, five upstreams were busy", len(again))
 		}
 		worked := calls[0].worker
 		w.free(w.s.finishCall(w.now, calls[0], outcome{results: make([]upstream.PieceResult, 4)}))
 		w.s.applyReport(w.now, worked, &upstream.Room{Free: room, FreeMost: room, Busy: true})
 		if !w.s.services["a"].canTake(worked, w.now) {
-			t.Fatal("an upstream that this owner has seen end its call gets none")
+			t.Fatal("an upstream that has completed a call of this owner gets none")
 		}
 	})
 }
--- a/node/stagework/split_test.go
+++ b/node/stagework/split_test.go
@@ -10,22 +10,22 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestStageIsTakenApart lists into which calls the pieces of one stage go: together unless
-// they are late so, are not apart, and no other upstream is kept from anybody by it.
-func TestStageIsTakenApart(t *testing.T) {
+// TestGroupIsSplit lists the calls into which the pieces of one stage go: one call, unless it would be late
+// and smaller ones are in time, and no other job needs their upstreams.
+func TestGroupIsSplit(t *testing.T) {
 	spec := services["a"] // 200 ms a call and 10 ms a piece
 	cases := map[string]struct {
 		pieces, upstreams int
 		goal              time.Duration
-		others            int // pieces of other jobs that wait
+		others            int // waiting pieces of other jobs
 		want              []int
 	}{
-		"in time together":                {3, 3, 300 * time.Millisecond, 0, []int{3}},
-		"in time by single pieces":        {3, 3, 215 * time.Millisecond, 0, []int{1, 1, 1}},
-		"in time by pairs":                {4, 3, 225 * time.Millisecond, 0, []int{2, 2}},
-		"late in any case":                {3, 3, 205 * time.Millisecond, 0, []int{3}},
-		"too few upstreams":               {3, 2, 215 * time.Millisecond, 0, []int{3}},
-		"others wait for these upstreams": {3, 3, 215 * time.Millisecond, 1, []int{3, 1}},
+		"in time as one call":               {3, 3, 300 * time.Millisecond, 0, []int{3}},
+		"in time as single pieces":          {3, 3, 215 * time.Millisecond, 0, []int{1, 1, 1}},
+		"in time as pairs":                  {4, 3, 225 * time.Millisecond, 0, []int{2, 2}},
+		"late in any case":                  {3, 3, 205 * time.Millisecond, 0, []int{3}},
+		"too few upstreams":                 {3, 2, 215 * time.Millisecond, 0, []int{3}},
+		"other jobs wait for the upstreams": {3, 3, 215 * time.Millisecond, 1, []int{3, 1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -53,12 +53,12 @@
 	}
 }
 
-// TestStagesLeaveTheEngineItsTime hands in a short and a long prompt with the same goal:
-// the stages of the long one must be done earlier, by what its engine should take more.
-func TestStagesLeaveTheEngineItsTime(t *testing.T) {
+// TestStageGoalLeavesTimeForTheEngine submits a short and a long prompt with the same goal: the stages of
+// the long one have an earlier goal, by the additional prefill time.
+func TestStageGoalLeavesTimeForTheEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, now := newScheduler(), time.Unix(1000, 0)
-	s.setServices(services, newPark().members)
+	s.setServices(services, newEngineFleet().members)
 	s.setOwner(now, true, false)
 	goal := func(tokens int64) time.Time {
 		id := fmt.Sprint(tokens)
--- a/node/stagework/stall_test.go
+++ b/node/stagework/stall_test.go
@@ -11,21 +11,21 @@
 	"caperdrum.org/node/upstream"
 )
 
-// TestStandstillIsNotTheUpstreams freezes an owner whose calls are under way at all upstreams of a fleet, as a VM
-// that gets no processor for seconds does, and lets them end when it goes on: answered, or past their limit. The
-// burst that comes then is taken in as one before, and no upstream is passed over.
+// TestStandstillIsNotTheUpstreams stalls an owner with calls in progress at all upstreams of a fleet, as when its VM
+// gets no CPU for seconds, and ends the calls afterwards, answered or timed out. The next burst is admitted as before,
+// and no upstream counts as slow or failing.
 func TestStandstillIsNotTheUpstreams(t *testing.T) {
 	const frozen = 8 * time.Second
 	for name, end := range map[string]func(c *call) outcome{
-		"answered":  answered,
+		"answered":  successOutcome,
 		"timed out": func(*call) outcome { return outcome{err: "deadline exceeded"} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, now := fleetOwner(90)
-			burst(s, now, 0)
+			submitBurst(s, now, 0)
 			calls := s.startCalls(now)
 			if len(calls) < 60 {
-				t.Fatalf("%d calls under way", len(calls))
+				t.Fatalf("%d calls in progress", len(calls))
 			}
 			now = now.Add(frozen)
 			s.recordStall(now)
@@ -34,25 +34,26 @@
 			}
 			for _, c := range calls {
 				if w := c.worker; w.slowdown != 1 || w.failures != 0 || now.Before(w.backoffUntil) {
-					t.Fatalf("%s: ratio %.1f, %d failures, left alone for %s", w.member.ID, w.slowdown, w.failures, w.backoffUntil.Sub(now))
+					t.Fatalf("%s: slowdown %.1f, %d failures, backs off for %s", w.member.ID, w.slowdown, w.failures, w.backoffUntil.Sub(now))
 				}
 			}
 			s.confirm()
 			s.expireJobs(now)
-			if refused := burst(s, now, 1); refused > 0 {
+			if refused := submitBurst(s, now, 1); refused > 0 {
 				t.Errorf("%d jobs refused, estimate %s", refused, s.lastEstimate)
 			}
 			c := s.startCalls(now)[0]
-			s.finishCall(now.Add(2*c.expected), c, answered(c))
+			s.finishCall(now.Add(2*c.expected), c, successOutcome(c))
 			if c.worker.slowdown <= 1 {
-				t.Error("a call that began after the standstill is not measured")
+				t.Error("a call that started after the stall is not measured")
 			}
 		})
 	}
 }
 
-// burst hands in as many jobs as an owner of that fleet has under way, and returns how many were refused.
-func burst(s *scheduler, now time.Time, number int) (refused int) {
+// submitBurst submits as many jobs as an owner of that fleet usually has in progress, and returns how many were
+// refused.
+func submitBurst(s *scheduler, now time.Time, number int) (refused int) {
 	for i := range 30 {
 		j := fleetJob(i)
 		j.ID = fmt.Sprint("burst", number, "-", i)
@@ -71,7 +72,7 @@
 	return refused
 }
 
-func answered(c *call) outcome {
+func successOutcome(c *call) outcome {
 	o := outcome{results: make([]upstream.PieceResult, len(c.pieces))}
 	for i, p := range c.pieces {
 		o.results[i].Handle = fmt.Sprint(p.job.ID, p.stage, p.number, c.worker.member.ID)
@@ -79,7 +80,7 @@
 	return o
 }
 
-// TestPulse tells a standstill from a goroutine that had nothing to do, or was busy.
+// TestPulse distinguishes a stall from a goroutine that had nothing to do, or was busy.
 func TestPulse(t *testing.T) {
 	var p stallDetector
 	now := time.Unix(1000, 0)
@@ -93,7 +94,7 @@
 	}
 	p.setArmed(now.Add(time.Minute), true)
 	if stood := step(time.Minute + ownerTick); stood != 0 {
-		t.Errorf("since before the timer: %s", stood)
+		t.Errorf("idle before the timer was set: %s", stood)
 	}
 	for range 100 {
 		if stood := step(stallThreshold - time.Millisecond); stood != 0 {
@@ -105,54 +106,54 @@
 		t.Errorf("frozen for 8 s: %s", stood)
 	}
 	if stood := step(ownerTick); stood != 0 {
-		t.Errorf("after it: %s", stood)
+		t.Errorf("after the stall: %s", stood)
 	}
 }
 
-// TestStandstillIsNotTheEngines freezes an owner while calls wait for their first event at an engine: what is foreseen
-// of that engine and of all others stays as it was.
+// TestStandstillIsNotTheEngines stalls an owner while a call waits for its first event at an engine: the predictions
+// for that engine and all others stay the same.
 func TestStandstillIsNotTheEngines(t *testing.T) {
-	p := newPark()
-	_, first := p.call(prompt("shared", 1000))
+	p := newEngineFleet()
+	_, first := p.sendCall(prompt("shared", 1000))
 	engine := p.loads[first.engine]
 	before, factor := p.ttft.timeFor(prefill{tokens: 1000}), engine.relativePace.factor()
 	p.now = p.now.Add(8 * time.Second)
 	p.lastStall.ended = p.now
 	p.finishAssignment(p.now, first, EngineBegan)
 	if after := p.ttft.timeFor(prefill{tokens: 1000}); after != before || engine.relativePace.factor() != factor {
-		t.Errorf("foreseen %s, before %s; factor %.1f", after, before, engine.relativePace.factor())
+		t.Errorf("predicted %s, before %s; factor %.1f", after, before, engine.relativePace.factor())
 	}
-	_, next := p.call(prompt("shared", 1000))
+	_, next := p.sendCall(prompt("shared", 1000))
 	p.finishAssignment(p.now.Add(8*time.Second), next, EngineBegan)
 	if p.ttft.timeFor(prefill{tokens: 1000}) <= before {
-		t.Error("a call that was sent after the standstill is not measured")
+		t.Error("a call that was sent after the stall is not observed")
 	}
 }
 
-// TestOwnerThatStoodStillIsFenced freezes an owner with jobs that wait, as a VM does that gets no processor until
-// another owner was named. It makes no calls of its former jobs, which would keep upstreams from the next
-// owner's, until it is confirmed or nobody can say who owns the queues.
+// TestOwnerThatStoodStillIsFenced stalls an owner with waiting jobs, as when its VM gets no CPU until another owner was
+// named. It starts no calls, which would take upstreams from the next owner, until it is confirmed or maxUnconfirmed
+// has passed without word of an owner.
 func TestOwnerThatStoodStillIsFenced(t *testing.T) {
 	for name, c := range map[string]struct {
 		then  func(s *scheduler, now time.Time)
 		after time.Duration
 		calls bool
 	}{
-		"at once":           {func(*scheduler, time.Time) {}, 0, false},
-		"not confirmed":     {func(*scheduler, time.Time) {}, maxUnconfirmed - time.Millisecond, false},
-		"confirmed":         {func(s *scheduler, _ time.Time) { s.confirm() }, 0, true},
-		"nobody says":       {func(*scheduler, time.Time) {}, maxUnconfirmed, true},
-		"named again":       {func(s *scheduler, now time.Time) { s.setOwner(now, false, true); s.setOwner(now, true, false) }, 0, true},
-		"another is named":  {func(s *scheduler, now time.Time) { s.setOwner(now, false, true) }, maxUnconfirmed, false},
-		"named by a caller": {func(s *scheduler, now time.Time) { s.setOwner(now, true, true) }, 0, true},
+		"at once":                {func(*scheduler, time.Time) {}, 0, false},
+		"not confirmed":          {func(*scheduler, time.Time) {}, maxUnconfirmed - time.Millisecond, false},
+		"confirmed":              {func(s *scheduler, _ time.Time) { s.confirm() }, 0, true},
+		"no word of an owner":    {func(*scheduler, time.Time) {}, maxUnconfirmed, true},
+		"named again":            {func(s *scheduler, now time.Time) { s.setOwner(now, false, true); s.setOwner(now, true, false) }, 0, true},
+		"another owner is named": {func(s *scheduler, now time.Time) { s.setOwner(now, false, true) }, maxUnconfirmed, false},
+		"named by a caller":      {func(s *scheduler, now time.Time) { s.setOwner(now, true, true) }, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, now := fleetOwner(90)
-			burst(s, now, 0)
+			submitBurst(s, now, 0)
 			now = now.Add(time.Second)
 			s.recordStall(now)
 			c.then(s, now)
-			burst(s, now, 2)
+			submitBurst(s, now, 2)
 			if calls := s.startCalls(now.Add(c.after)); len(calls) > 0 != c.calls {
 				t.Errorf("%d calls", len(calls))
 			}
@@ -160,19 +161,19 @@
 	}
 }
 
-// TestStandstillOfAnotherProcess freezes a process that does not own the queues: it may be named at once.
+// TestStandstillOfAnotherProcess stalls a process that does not own the queues: it may be named owner at once.
 func TestStandstillOfAnotherProcess(t *testing.T) {
 	s, now := fleetOwner(90)
 	s.setOwner(now, false, true)
 	s.recordStall(now)
 	s.setOwner(now, true, false)
-	burst(s, now, 0)
+	submitBurst(s, now, 0)
 	if len(s.startCalls(now)) == 0 {
 		t.Error("no calls")
 	}
 }
 
-// TestDoubtEndsByAQuorum tells a confirmation from before the standstill, and of another owner, from one that counts.
+// TestDoubtEndsByAQuorum accepts only a confirmation of this owner, made after the stall.
 func TestDoubtEndsByAQuorum(t *testing.T) {
 	self := wire.Member{ID: "self", Incarnation: 7}
 	mine := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
@@ -180,11 +181,11 @@
 		known knownOwner
 		ends  bool
 	}{
-		"before the standstill": {knownOwner{mine, 8 * time.Second}, false},
-		"since the standstill":  {knownOwner{mine, 50 * time.Millisecond}, true},
-		"of another":            {knownOwner{wire.StageOwner{ID: "other", Incarnation: 7, Epoch: 6}, 50 * time.Millisecond}, false},
-		"of an earlier start":   {knownOwner{wire.StageOwner{ID: "self", Incarnation: 6, Epoch: 4}, 50 * time.Millisecond}, false},
-		"nothing is known":      {knownOwner{}, false},
+		"before the stall":          {knownOwner{mine, 8 * time.Second}, false},
+		"after the stall":           {knownOwner{mine, 50 * time.Millisecond}, true},
+		"of another owner":          {knownOwner{wire.StageOwner{ID: "other", Incarnation: 7, Epoch: 6}, 50 * time.Millisecond}, false},
+		"of an earlier incarnation": {knownOwner{wire.StageOwner{ID: "self", Incarnation: 6, Epoch: 4}, 50 * time.Millisecond}, false},
+		"no owner is known":         {knownOwner{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sched, now := fleetOwner(90)
@@ -192,7 +193,7 @@
 			sched.recordStall(now)
 			s.confirmOwnership(now.Add(100 * time.Millisecond))
 			if sched.unconfirmed == c.ends {
-				t.Errorf("in doubt: %v", sched.unconfirmed)
+				t.Errorf("unconfirmed: %v", sched.unconfirmed)
 			}
 		})
 	}
--- a/node/stagework/takeover_test.go
+++ b/node/stagework/takeover_test.go
@@ -9,8 +9,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestTakeOverAsksInParts has a process take the queues of more and more upstreams over: what it asks at once does
-// not grow with them, and all of them are asked soon.
+// TestTakeOverAsksInParts has a process take the queues of more and more upstreams: the number of reports that it
+// requests at once does not grow with them, and all are requested soon.
 func TestTakeOverAsksInParts(t *testing.T) {
 	for _, upstreams := range []int{50, 426, 852} {
 		s, now := newScheduler(), time.Unix(1000, 0)
@@ -34,11 +34,11 @@
 				lately++
 			}
 			if most := reportBurst + reportRate*window.Seconds(); float64(lately) > most {
-				t.Fatalf("%d upstreams: %d are asked within %s", upstreams, lately, window)
+				t.Fatalf("%d upstreams: %d reports requested within %s", upstreams, lately, window)
 			}
 		}
 		if len(asked) != upstreams {
-			t.Fatalf("%d of %d upstreams are asked in 3 s", len(asked), upstreams)
+			t.Fatalf("%d of %d reports requested in 3 s", len(asked), upstreams)
 		}
 	}
 }
