--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -651,7 +651,7 @@
 			t.Errorf("%s was chosen and got %d calls", wanted, calls[string(wanted)].n.Load())
 		}
 		b.stages.mu.Lock()
-		if want := []stagework.EngineOutcome{stagework.EngineBegan}; wanted != "" && !slices.Equal(b.stages.outcomes, want) {
+		if want := []stagework.EngineOutcome{stagework.EngineStarted}; wanted != "" && !slices.Equal(b.stages.outcomes, want) {
 			t.Errorf("the owner is told %v", b.stages.outcomes)
 		}
 		b.stages.mu.Unlock()
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -129,7 +129,7 @@
 // outcomeOf is what the owner of the stages is told of an engine at which an attempt failed.
 func outcomeOf(err error) stagework.EngineOutcome {
 	if upstream.Unreached(err) {
-		return stagework.EngineUnreached
+		return stagework.EngineUnreachable
 	}
 	return stagework.EngineFailed
 }
--- a/node/proxy/stream.go
+++ b/node/proxy/stream.go
@@ -89,7 +89,7 @@
 		return true, nil
 	}
 	out.begin(a)
-	x.report(a.member, stagework.EngineBegan)
+	x.report(a.member, stagework.EngineStarted)
 	x.release()
 	err := out.copy(ctx, a)
 	switch {
@@ -193,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	x.s.endpoints.hear(result.Dark, time.Now())
+	x.s.endpoints.hear(result.UnreachableDataCenters, time.Now())
 	x.inputs, x.staged, x.releaseResults = result.Handles, true, release
 	x.engine, x.fetchFrom, x.engineOutcome = result.Engine, result.FetchFrom, stagework.EngineUnknown
 	x.s.log.V(logging.Routine).Info("stages done", "request", x.call.ID, "pieces", pieces, "results", len(result.Handles), "took", time.Since(began), "left", time.Until(x.deadline))
@@ -210,12 +210,12 @@
 	if !ok {
 		return
 	}
-	x.s.endpoints.hear(result.Dark, time.Now())
+	x.s.endpoints.hear(result.UnreachableDataCenters, time.Now())
 	x.staged, x.releaseResults, x.engine, x.fetchFrom = true, release, result.Engine, result.FetchFrom
 }
 
 func (x *exchange) job() (job stagework.Job, pieces int) {
-	job = stagework.Job{ID: x.call.ID, Key: x.call.PieceKey, Left: time.Until(x.deadline),
+	job = stagework.Job{ID: x.call.ID, Key: x.call.PieceKey, TimeLeft: time.Until(x.deadline),
 		Goal: time.Until(x.began.Add(x.route.Goal - engineStart(x.call.Prefix))), DataCenter: x.engineAt(), Priority: x.route.Priority, Within: x.within}
 	if len(x.call.Prefix) > 0 {
 		job.FirstEvent = time.Until(x.began.Add(x.route.Goal))
@@ -227,7 +227,7 @@
 			n = x.call.Pieces[i]
 		}
 		pieces += n
-		job.Stages = append(job.Stages, stagework.Stage{Service: st.Service, After: st.Inputs, Pieces: n, Bytes: st.ResultBytes})
+		job.Stages = append(job.Stages, stagework.Stage{Service: st.Service, DependsOn: st.Inputs, Pieces: n, ResultBytes: st.ResultBytes})
 	}
 	return job, pieces
 }
--- a/node/stagework/admission.go
+++ b/node/stagework/admission.go
@@ -81,7 +81,7 @@
 // refuseCaller remembers the caller and returns when it should retry.
 func (s *scheduler) refuseCaller(now time.Time, j *job) time.Duration {
 	s.refusedCallers.add(j.Key, now, j.deadline)
-	longest := j.Left / retryAfterDivisor
+	longest := j.TimeLeft / retryAfterDivisor
 	shortest := time.Duration(minRetryAfterShare * float64(longest))
 	return shortest + time.Duration(rand.Float64()*float64(longest-shortest))
 }
@@ -97,9 +97,9 @@
 			continue
 		}
 		q := s.services[st.Service]
-		rate := q.throughput(st.Bytes, resultHoldTime)
+		rate := q.throughput(st.ResultBytes, resultHoldTime)
 		if rate <= 0 {
-			return j.Left + 1, st.Service
+			return j.TimeLeft + 1, st.Service
 		}
 		runTime := q.spec.CallTime + time.Duration(st.Pieces)*q.spec.PieceTime
 		if q.idleWorkers(now) >= st.Pieces {
--- a/node/stagework/admission_test.go
+++ b/node/stagework/admission_test.go
@@ -27,7 +27,7 @@
 
 // offer submits a job of that many pieces and reports whether it was admitted.
 func (o *overloadedWorld) offer(id, key string, pieces int) bool {
-	o.s.submit(o.now, Job{ID: id, Handed: id, Key: key, Left: 9 * time.Second, Goal: time.Second, Stages: []Stage{{Service: "a", Pieces: pieces, Bytes: 10}}},
+	o.s.submit(o.now, Job{ID: id, SubmissionID: id, Key: key, TimeLeft: 9 * time.Second, Goal: time.Second, Stages: []Stage{{Service: "a", Pieces: pieces, ResultBytes: 10}}},
 		func(_ Result, err error) { o.ended[id] = err })
 	_, refused := o.ended[id]
 	return !refused
@@ -123,7 +123,7 @@
 		most, taken := o.s.maxDeferred(o.now), 0
 		for i := range 2 * most {
 			id := fmt.Sprint("hopeless", i)
-			o.s.submit(o.now, Job{ID: id, Handed: id, Key: id, Left: 9 * time.Second, Goal: services["a"].CallTime / 2, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: 10}}},
+			o.s.submit(o.now, Job{ID: id, SubmissionID: id, Key: id, TimeLeft: 9 * time.Second, Goal: services["a"].CallTime / 2, Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: 10}}},
 				func(_ Result, err error) { o.ended[id] = err })
 			if j := o.s.jobs[id]; j != nil {
 				taken++
@@ -143,7 +143,7 @@
 func TestNoWaitWithIdleUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		j := &job{Job: Job{Left: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1}}}, goal: w.now.Add(time.Minute)}
+		j := &job{Job: Job{TimeLeft: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1}}}, goal: w.now.Add(time.Minute)}
 		w.s.reset(j)
 		if got, _ := w.s.estimate(w.now, j); got != w.s.unloadedTime(j) {
 			t.Fatalf("estimate %s, unloaded time %s", got, w.s.unloadedTime(j))
--- a/node/stagework/backlog_test.go
+++ b/node/stagework/backlog_test.go
@@ -73,7 +73,7 @@
 		b.Run(fmt.Sprintf("jobs=%d", n), func(b *testing.B) {
 			m := newChainModel(1)
 			job := func(i int) Job {
-				return Job{ID: fmt.Sprint(i), Handed: fmt.Sprint(i), Stages: chainChats.stages(m.rand), Left: 12 * time.Second, Goal: 2 * time.Second, Again: true}
+				return Job{ID: fmt.Sprint(i), SubmissionID: fmt.Sprint(i), Stages: chainChats.stages(m.rand), TimeLeft: 12 * time.Second, Goal: 2 * time.Second, Resubmitted: true}
 			}
 			for i := range n {
 				m.owner.submit(m.now, job(i), func(Result, error) {})
--- a/node/stagework/batching_test.go
+++ b/node/stagework/batching_test.go
@@ -50,7 +50,7 @@
 			s, now := newSchedulerWithIdle(c.idle)
 			for i, goal := range c.goals {
 				id := fmt.Sprint(i)
-				s.submit(now, Job{ID: id, Handed: id, Left: time.Hour, Goal: goal, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: 10}}}, func(Result, error) {})
+				s.submit(now, Job{ID: id, SubmissionID: id, TimeLeft: time.Hour, Goal: goal, Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: 10}}}, func(Result, error) {})
 			}
 			now = now.Add(c.after)
 			s.expireJobs(now)
--- a/node/stagework/bench_test.go
+++ b/node/stagework/bench_test.go
@@ -47,7 +47,7 @@
 				i++
 				p := prompts[i%len(prompts)]
 				k := e.assign(now, p, e.choose(now, now.Add(time.Second), p, nil))
-				e.finishAssignment(now.Add(100*time.Millisecond), k, EngineBegan)
+				e.finishAssignment(now.Add(100*time.Millisecond), k, EngineStarted)
 			}
 		})
 	}
--- a/node/stagework/chain_test.go
+++ b/node/stagework/chain_test.go
@@ -32,13 +32,13 @@
 			if r.Float64() > 0.7 {
 				return []Stage{{Service: "front"}}
 			}
-			return []Stage{{Service: "front", Pieces: 1 + r.IntN(4), Bytes: 800_000}}
+			return []Stage{{Service: "front", Pieces: 1 + r.IntN(4), ResultBytes: 800_000}}
 		}}
 	chainChats = modelKind{name: "chats", goal: 2300 * time.Millisecond, left: 12 * time.Second, shared: 198, own: 628, distinctParts: 731, groupSize: 3,
 		worth: 1.1, late: 0.17, retries: true, priority: 1,
 		stages: func(r *rand.Rand) []Stage {
-			return []Stage{{Service: "front", Pieces: 1, Bytes: lightBytes}, {Service: "catalog", After: []int{0}, Pieces: 4, Bytes: 60_000},
-				{Service: "courier", After: []int{1}, Pieces: 4 + r.IntN(5), Bytes: 6000}}
+			return []Stage{{Service: "front", Pieces: 1, ResultBytes: lightBytes}, {Service: "catalog", DependsOn: []int{0}, Pieces: 4, ResultBytes: 60_000},
+				{Service: "courier", DependsOn: []int{1}, Pieces: 4 + r.IntN(5), ResultBytes: 6000}}
 		}}
 	chainChecks = modelKind{name: "checks", goal: 2700 * time.Millisecond, left: 6 * time.Second, shared: 568, own: 1800, distinctParts: 1186, groupSize: 3,
 		worth: 0.35, late: 0.052, retries: true, priority: 2,
@@ -47,8 +47,8 @@
 			if r.Float64() < 0.4 {
 				extra = 1 + r.IntN(2)
 			}
-			return []Stage{{Service: "front", Pieces: extra, Bytes: 800_000}, {Service: "front", Pieces: 1, Bytes: lightBytes},
-				{Service: "catalog", After: []int{1}, Pieces: 4, Bytes: 60_000}, {Service: "courier", After: []int{2}, Pieces: 4 + r.IntN(5), Bytes: 6000}}
+			return []Stage{{Service: "front", Pieces: extra, ResultBytes: 800_000}, {Service: "front", Pieces: 1, ResultBytes: lightBytes},
+				{Service: "catalog", DependsOn: []int{1}, Pieces: 4, ResultBytes: 60_000}, {Service: "courier", DependsOn: []int{2}, Pieces: 4 + r.IntN(5), ResultBytes: 6000}}
 		}}
 	chainWorth = map[string]float64{"drafts": 5.5, "chats": 1.1, "checks": 0.35}
 )
--- a/node/stagework/classes_test.go
+++ b/node/stagework/classes_test.go
@@ -32,7 +32,7 @@
 	b.serial++
 	id := fmt.Sprint("job", b.serial)
 	refused := false
-	b.s.submit(b.now, Job{ID: id, Handed: id, Key: id, Left: 9 * time.Second, Goal: goal, Priority: priority, Stages: []Stage{{Service: "a", Pieces: 2, Bytes: 10}}},
+	b.s.submit(b.now, Job{ID: id, SubmissionID: id, Key: id, TimeLeft: 9 * time.Second, Goal: goal, Priority: priority, Stages: []Stage{{Service: "a", Pieces: 2, ResultBytes: 10}}},
 		func(_ Result, err error) {
 			refused = err != nil
 			b.completed = append(b.completed, id)
@@ -55,7 +55,7 @@
 		return true
 	})
 	for _, id := range b.completed {
-		b.s.recordFreed(b.s.handleDone(b.now, Done{Handed: id}))
+		b.s.recordFreed(b.s.handleDone(b.now, Done{SubmissionID: id}))
 	}
 	b.completed = nil
 	b.s.recordFreed(b.s.expireJobs(b.now))
--- a/node/stagework/engines.go
+++ b/node/stagework/engines.go
@@ -288,7 +288,7 @@
 	}
 	l.waiting = l.waiting.minus(p.prefill)
 	switch how {
-	case EngineBegan:
+	case EngineStarted:
 		e.reachability.recordAnswer(l.member.DataCenter)
 		l.failures = 0
 		l.markPrefilled(p.sharedParts)
@@ -297,7 +297,7 @@
 		}
 	case EngineFailed:
 		l.recordFailure(now)
-	case EngineUnreached:
+	case EngineUnreachable:
 		l.recordFailure(now)
 		e.reachability.recordFailure(now, l.member)
 	}
--- a/node/stagework/engines_test.go
+++ b/node/stagework/engines_test.go
@@ -72,7 +72,7 @@
 		picks = append(picks, k)
 	}
 	for _, k := range picks {
-		p.finishAssignment(p.now, k, EngineBegan)
+		p.finishAssignment(p.now, k, EngineStarted)
 	}
 	for id, l := range p.loads {
 		g.Expect(l.waiting.tokens).To(gomega.BeZero(), string(id))
@@ -137,11 +137,11 @@
 	s.setServices(services, newEngineFleet().members)
 	s.setOwner(now, true, false)
 	var got Result
-	s.submit(now, Job{ID: "a", Handed: "a1", Left: time.Minute, Goal: time.Minute, Prompt: prompt("shared", 10), Stages: []Stage{{Service: "a"}}},
+	s.submit(now, Job{ID: "a", SubmissionID: "a1", TimeLeft: time.Minute, Goal: time.Minute, Prompt: prompt("shared", 10), Stages: []Stage{{Service: "a"}}},
 		func(r Result, err error) { got = r; g.Expect(err).NotTo(gomega.HaveOccurred()) })
 	g.Expect(got.Engine).NotTo(gomega.BeEmpty())
 	g.Expect(s.engines.loads[got.Engine].waiting.tokens).To(gomega.BeEquivalentTo(10))
-	s.handleDone(now, Done{Handed: "a1", Engine: EngineFailed})
+	s.handleDone(now, Done{SubmissionID: "a1", Engine: EngineFailed})
 	g.Expect(s.engines.loads[got.Engine].waiting.tokens).To(gomega.BeZero())
 	g.Expect(s.engines.loads[got.Engine].pausedUntil).To(gomega.BeTemporally(">", now))
 }
@@ -175,7 +175,7 @@
 		if i%4 == 0 {
 			took = time.Duration(slowBy * float64(took))
 		}
-		p.finishAssignment(p.now.Add(took), k, EngineBegan)
+		p.finishAssignment(p.now.Add(took), k, EngineStarted)
 	}
 	slow, other := p.members["llm"][0].ID, p.members["llm"][1].ID
 	g.Expect(p.loads[slow].relativePace.factor() / p.loads[other].relativePace.factor()).To(gomega.BeNumerically("~", slowBy, 0.1))
@@ -193,7 +193,7 @@
 	id, _ := p.sendCall(prompt("shared", 3000))
 	for range 3 {
 		_, k := p.sendCall(prompt("shared", 3000))
-		p.finishAssignment(p.now.Add(5*p.ttft.timeFor(k.prefillAhead)), &assignment{engine: id, prefill: k.prefill, prefillAhead: k.prefill}, EngineBegan)
+		p.finishAssignment(p.now.Add(5*p.ttft.timeFor(k.prefillAhead)), &assignment{engine: id, prefill: k.prefill, prefillAhead: k.prefill}, EngineStarted)
 	}
 	next := p.choose(p.now, p.now.Add(500*time.Millisecond), prompt("shared", 3000), nil)
 	g.Expect(next.engine.ID).NotTo(gomega.Equal(id))
--- a/node/stagework/fetch_test.go
+++ b/node/stagework/fetch_test.go
@@ -28,7 +28,7 @@
 // prefillAt lets an engine prefill a prompt.
 func (p *engineFleet) prefillAt(id wire.MemberID, pr *Prompt) {
 	x := plan{engine: p.member(id)}
-	p.finishAssignment(p.now, p.assign(p.now, pr, x), EngineBegan)
+	p.finishAssignment(p.now, p.assign(p.now, pr, x), EngineStarted)
 }
 
 func (p *engineFleet) member(id wire.MemberID) wire.Member {
--- a/node/stagework/fleet_test.go
+++ b/node/stagework/fleet_test.go
@@ -31,8 +31,8 @@
 // fleetJob returns a job of a burst: a chain whose second stage is the bottleneck.
 func fleetJob(i int) Job {
 	id := fmt.Sprint("j", i)
-	return Job{ID: id, Handed: id, Key: id, Left: 10 * time.Second, Goal: 2 * time.Second, DataCenter: fmt.Sprint("dc", i%6),
-		Stages: []Stage{{Service: "front", Pieces: 1, Bytes: 8000}, {Service: "catalog", After: []int{0}, Pieces: 4, Bytes: 60_000}, {Service: "courier", After: []int{1}, Pieces: 6, Bytes: 6000}}}
+	return Job{ID: id, SubmissionID: id, Key: id, TimeLeft: 10 * time.Second, Goal: 2 * time.Second, DataCenter: fmt.Sprint("dc", i%6),
+		Stages: []Stage{{Service: "front", Pieces: 1, ResultBytes: 8000}, {Service: "catalog", DependsOn: []int{0}, Pieces: 4, ResultBytes: 60_000}, {Service: "courier", DependsOn: []int{1}, Pieces: 6, ResultBytes: 6000}}}
 }
 
 // BenchmarkBurst has callers retry all at once, three jobs for each process, until all are done.
--- a/node/stagework/handover.go
+++ b/node/stagework/handover.go
@@ -15,48 +15,48 @@
 // results do not occupy room at the upstreams until they expire. Only results of incomplete
 // stages are lost with an owner.
 
-// StageMade lists the results of a completed stage.
-type StageMade struct {
-	Stage  int         `json:"stage"`
-	Pieces []PieceMade `json:"pieces"` // in the order of the pieces' numbers
+// CompletedStage lists the results of a completed stage.
+type CompletedStage struct {
+	Stage  int              `json:"stage"`
+	Pieces []ResultLocation `json:"pieces"` // in the order of the pieces' numbers
 }
 
-// PieceMade says where one result is stored.
-type PieceMade struct {
+// ResultLocation says where one result is stored.
+type ResultLocation struct {
 	Upstream    wire.MemberID `json:"upstream"`
 	Incarnation uint64        `json:"incarnation,omitempty"` // of the upstream that stores the result
 	Handle      string        `json:"handle"`
 }
 
-// News reports the progress of a job to the process that submitted it.
-type News struct {
-	Handed string     `json:"handed"`
-	Made   *StageMade `json:"made,omitempty"` // nil: the job restarts, and all results reported before are gone
+// ProgressUpdate reports the progress of a job to the process that submitted it.
+type ProgressUpdate struct {
+	SubmissionID string          `json:"handed"`
+	Completed    *CompletedStage `json:"made,omitempty"` // nil: the job restarts, and all results reported before are gone
 }
 
 // addressedUpdate is an update for the process at a peer address.
 type addressedUpdate struct {
 	to string
-	News
+	ProgressUpdate
 }
 
 // queueUpdate queues an update for the process that submitted the job, and reports whether
 // there is one.
-func (s *scheduler) queueUpdate(j *job, m *StageMade) bool {
+func (s *scheduler) queueUpdate(j *job, m *CompletedStage) bool {
 	if j.Caller == "" {
 		return false
 	}
-	s.updates = append(s.updates, addressedUpdate{j.Caller, News{j.Handed, m}})
+	s.updates = append(s.updates, addressedUpdate{j.Caller, ProgressUpdate{j.SubmissionID, m}})
 	return true
 }
 
 // updatesDelivered returns the inputs to be freed, now that the submitting processes know of the
 // stages made from them. Until then the next owner would need the inputs: an owner that is cut off
 // from all other processes keeps running for a while.
-func (s *scheduler) updatesDelivered(list []News) []storedResult {
+func (s *scheduler) updatesDelivered(list []ProgressUpdate) []storedResult {
 	var out []storedResult
 	for _, n := range list {
-		if j := s.jobs[n.Handed]; j != nil {
+		if j := s.jobs[n.SubmissionID]; j != nil {
 			out = append(out, s.releaseInputs(j)...)
 		}
 	}
@@ -92,14 +92,14 @@
 	if j.Caller == "" {
 		s.endJob(j, Result{}, errNotOwner()) // its caller cannot take results over
 	} else {
-		s.endJob(j, Result{Moved: true, Made: j.completedStages()}, nil)
+		s.endJob(j, Result{Moved: true, CompletedStages: j.completedStages()}, nil)
 	}
 	return s.abandonJob(j)
 }
 
 // completedStages returns the completed stages of the job whose results are still kept.
-func (j *job) completedStages() []StageMade {
-	var out []StageMade
+func (j *job) completedStages() []CompletedStage {
+	var out []CompletedStage
 	for i, st := range j.Stages {
 		if st.Pieces > 0 && j.missing[i] == 0 && !j.released[i] {
 			out = append(out, *j.completedStage(i))
@@ -111,10 +111,10 @@
 // mergeStages adds to the known stages those that they lack. A stage whose results were freed,
 // because the stages after it are complete, is only in known: without it the next owner would
 // run it again.
-func mergeStages(known, more []StageMade) []StageMade {
+func mergeStages(known, more []CompletedStage) []CompletedStage {
 	out := slices.Clone(known)
 	for _, m := range more {
-		if !slices.ContainsFunc(out, func(k StageMade) bool { return k.Stage == m.Stage }) {
+		if !slices.ContainsFunc(out, func(k CompletedStage) bool { return k.Stage == m.Stage }) {
 			out = append(out, m)
 		}
 	}
@@ -122,11 +122,11 @@
 }
 
 // completedStage returns where the results of a completed stage are stored.
-func (j *job) completedStage(stage int) *StageMade {
-	m := &StageMade{Stage: stage, Pieces: make([]PieceMade, j.Stages[stage].Pieces)}
+func (j *job) completedStage(stage int) *CompletedStage {
+	m := &CompletedStage{Stage: stage, Pieces: make([]ResultLocation, j.Stages[stage].Pieces)}
 	for _, r := range j.results {
 		if r.stage == stage {
-			m.Pieces[r.number] = PieceMade{r.worker.member.ID, r.worker.member.Incarnation, r.handle}
+			m.Pieces[r.number] = ResultLocation{r.worker.member.ID, r.worker.member.Incarnation, r.handle}
 		}
 	}
 	return m
@@ -137,7 +137,7 @@
 // stage needs any more are already freed, so their stages are only marked complete.
 func (s *scheduler) resumeStages(now time.Time, j *job) bool {
 	any := false
-	for _, m := range latestStagesFirst(j.Made) {
+	for _, m := range latestStagesFirst(j.CompletedStages) {
 		if !j.missesStage(m) {
 			continue
 		}
@@ -159,12 +159,12 @@
 	return any
 }
 
-func latestStagesFirst(list []StageMade) []StageMade {
-	return slices.SortedFunc(slices.Values(list), func(a, b StageMade) int { return cmp.Compare(b.Stage, a.Stage) })
+func latestStagesFirst(list []CompletedStage) []CompletedStage {
+	return slices.SortedFunc(slices.Values(list), func(a, b CompletedStage) int { return cmp.Compare(b.Stage, a.Stage) })
 }
 
 // missesStage reports whether a stage that was completed elsewhere is valid and not completed here.
-func (j *job) missesStage(m StageMade) bool {
+func (j *job) missesStage(m CompletedStage) bool {
 	return m.Stage >= 0 && m.Stage < len(j.Stages) && len(m.Pieces) > 0 && len(m.Pieces) == j.Stages[m.Stage].Pieces && j.missing[m.Stage] > 0
 }
 
@@ -181,7 +181,7 @@
 // admitResubmitted reports whether a job is resubmitted and can keep its deadline: its caller has
 // already waited, so it is not refused for missing its goal. If it is late it yields to others.
 func (s *scheduler) admitResubmitted(now time.Time, j *job) bool {
-	if !j.Again {
+	if !j.Resubmitted {
 		return false
 	}
 	estimate, _ := s.estimate(now, j)
@@ -190,14 +190,14 @@
 }
 
 // resultsOf returns the results of a stage that was completed under a previous owner.
-func (s *scheduler) resultsOf(j *job, m StageMade) (results []storedResult, ok bool) {
+func (s *scheduler) resultsOf(j *job, m CompletedStage) (results []storedResult, ok bool) {
 	st := j.Stages[m.Stage]
 	for n, p := range m.Pieces {
 		w := s.services[st.Service].workers[p.Upstream]
 		if w == nil || w.member.Incarnation != p.Incarnation {
 			return nil, false
 		}
-		results = append(results, storedResult{worker: w, handle: p.Handle, bytes: st.Bytes, stage: m.Stage, number: n})
+		results = append(results, storedResult{worker: w, handle: p.Handle, bytes: st.ResultBytes, stage: m.Stage, number: n})
 	}
 	return results, true
 }
@@ -221,34 +221,34 @@
 // submissions tracks the progress of the jobs that this process has submitted.
 type submissions struct {
 	mu        sync.Mutex
-	completed map[string][]StageMade // by submission
+	completed map[string][]CompletedStage // by submission
 }
 
-func newSubmissions() *submissions { return &submissions{completed: map[string][]StageMade{}} }
+func newSubmissions() *submissions { return &submissions{completed: map[string][]CompletedStage{}} }
 
 // begin expects updates of a submission that continues from the given stages.
-func (h *submissions) begin(handed string, before []StageMade) {
+func (h *submissions) begin(handed string, before []CompletedStage) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.completed[handed] = before
 }
 
 // apply records an update. Updates of submissions that have ended are ignored.
-func (h *submissions) apply(n News) {
+func (h *submissions) apply(n ProgressUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	known, expected := h.completed[n.Handed]
+	known, expected := h.completed[n.SubmissionID]
 	switch {
 	case !expected:
-	case n.Made == nil:
-		h.completed[n.Handed] = nil
+	case n.Completed == nil:
+		h.completed[n.SubmissionID] = nil
 	default:
-		h.completed[n.Handed] = append(slices.Clone(known), *n.Made)
+		h.completed[n.SubmissionID] = append(slices.Clone(known), *n.Completed)
 	}
 }
 
 // end returns the completed stages of a submission, and stops tracking it.
-func (h *submissions) end(handed string) []StageMade {
+func (h *submissions) end(handed string) []CompletedStage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	defer delete(h.completed, handed)
--- a/node/stagework/handover_test.go
+++ b/node/stagework/handover_test.go
@@ -29,9 +29,9 @@
 }
 
 // chainJob returns a job of two stages, the second of which depends on the first.
-func chainJob(id, handed string, before []StageMade) Job {
-	return Job{ID: id, Handed: handed, Key: "k" + id, Caller: "process", Left: time.Minute, Goal: time.Minute, Made: before,
-		Stages: []Stage{{Service: "a", Pieces: 2, Bytes: 500}, {Service: "b", After: []int{0}, Pieces: 3, Bytes: 100}}}
+func chainJob(id, handed string, before []CompletedStage) Job {
+	return Job{ID: id, SubmissionID: handed, Key: "k" + id, Caller: "process", TimeLeft: time.Minute, Goal: time.Minute, CompletedStages: before,
+		Stages: []Stage{{Service: "a", Pieces: 2, ResultBytes: 500}, {Service: "b", DependsOn: []int{0}, Pieces: 3, ResultBytes: 100}}}
 }
 
 func newHandoverWorld(t *rapid.T) *handoverWorld {
@@ -47,7 +47,7 @@
 	return s
 }
 
-func (r *handoverWorld) submit(id, handed string, before []StageMade) {
+func (r *handoverWorld) submit(id, handed string, before []CompletedStage) {
 	r.submissions.begin(handed, before)
 	r.free(r.owner.submit(r.now, chainJob(id, handed, before), func(res Result, err error) {
 		r.answers[id], r.errs[id] = res, err
@@ -78,8 +78,8 @@
 		}
 		r.free(r.owner.finishCall(r.now, c, o))
 		for _, n := range r.owner.takeUpdates() {
-			r.submissions.apply(n.News)
-			r.free(r.owner.updatesDelivered([]News{n.News}))
+			r.submissions.apply(n.ProgressUpdate)
+			r.free(r.owner.updatesDelivered([]ProgressUpdate{n.ProgressUpdate}))
 		}
 	}
 }
@@ -155,13 +155,13 @@
 func TestResultsOfAnUpstreamThatIsGoneAreMadeAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newHandoverWorld(t)
-		claim := rapid.SampledFrom([]StageMade{
-			{Stage: 0, Pieces: []PieceMade{{Upstream: "a0", Handle: "x"}, {Upstream: "gone", Handle: "y"}}},
-			{Stage: 0, Pieces: []PieceMade{{Upstream: "a0", Handle: "x"}}},
-			{Stage: 7, Pieces: []PieceMade{{Upstream: "a0", Handle: "x"}, {Upstream: "a0", Handle: "y"}}},
+		claim := rapid.SampledFrom([]CompletedStage{
+			{Stage: 0, Pieces: []ResultLocation{{Upstream: "a0", Handle: "x"}, {Upstream: "gone", Handle: "y"}}},
+			{Stage: 0, Pieces: []ResultLocation{{Upstream: "a0", Handle: "x"}}},
+			{Stage: 7, Pieces: []ResultLocation{{Upstream: "a0", Handle: "x"}, {Upstream: "a0", Handle: "y"}}},
 			{Stage: -1},
 		}).Draw(t, "claim")
-		r.submit("a", "a1", []StageMade{claim})
+		r.submit("a", "a1", []CompletedStage{claim})
 		r.runCalls(100)
 		if r.errs["a"] != nil || r.runs["a/0/0"] != 1 || r.runs["a/0/1"] != 1 {
 			t.Fatalf("%v, runs %v", r.errs["a"], r.runs)
@@ -180,7 +180,7 @@
 			r.runCalls(1)
 		}
 		moved := rapid.Bool().Draw(t, "moved")
-		r.free(r.owner.handleDone(r.now, Done{Handed: "a1", Moved: moved}))
+		r.free(r.owner.handleDone(r.now, Done{SubmissionID: "a1", Moved: moved}))
 		if kept := len(r.stored) > 0; kept != moved {
 			t.Fatalf("moved %v, %d results left", moved, len(r.stored))
 		}
@@ -194,20 +194,22 @@
 // clears it, and updates after the end are ignored.
 func TestNewsOfAJob(t *testing.T) {
 	h := newSubmissions()
-	stage := func(n int) *StageMade { return &StageMade{Stage: n, Pieces: []PieceMade{{Upstream: "u", Handle: "h"}}} }
-	h.begin("x", []StageMade{*stage(0)})
-	h.apply(News{"x", stage(1)})
-	h.apply(News{"other", stage(1)})
+	stage := func(n int) *CompletedStage {
+		return &CompletedStage{Stage: n, Pieces: []ResultLocation{{Upstream: "u", Handle: "h"}}}
+	}
+	h.begin("x", []CompletedStage{*stage(0)})
+	h.apply(ProgressUpdate{"x", stage(1)})
+	h.apply(ProgressUpdate{"other", stage(1)})
 	got := h.end("x")
 	if len(got) != 2 || got[1].Stage != 1 {
 		t.Fatalf("%+v", got)
 	}
-	h.apply(News{"x", stage(2)})
+	h.apply(ProgressUpdate{"x", stage(2)})
 	if len(h.completed) != 0 {
 		t.Fatalf("%v left", h.completed)
 	}
 	h.begin("y", got)
-	h.apply(News{"y", nil})
+	h.apply(ProgressUpdate{"y", nil})
 	if got := h.end("y"); len(got) != 0 {
 		t.Fatalf("%+v", got)
 	}
@@ -218,9 +220,9 @@
 	o := newFakeOwner(t)
 	s := newClientService(t)
 	s.dial, s.callers, s.log = peer.DialTCP, map[string]*peer.Client{}, logr.Discard()
-	s.sendUpdates([]addressedUpdate{{o.address, News{"x", &StageMade{Stage: 1, Pieces: []PieceMade{{Upstream: "u", Handle: "h"}}}}}})
+	s.sendUpdates([]addressedUpdate{{o.address, ProgressUpdate{"x", &CompletedStage{Stage: 1, Pieces: []ResultLocation{{Upstream: "u", Handle: "h"}}}}}})
 	n := <-o.updates
-	if n.Handed != "x" || n.Made == nil || !slices.Equal(n.Made.Pieces, []PieceMade{{Upstream: "u", Handle: "h"}}) {
+	if n.SubmissionID != "x" || n.Completed == nil || !slices.Equal(n.Completed.Pieces, []ResultLocation{{Upstream: "u", Handle: "h"}}) {
 		t.Fatalf("%+v", n)
 	}
 	s.closeStaleCallers(nil)
@@ -267,7 +269,7 @@
 			left  time.Duration
 			taken bool
 		}{{"first try", false, 9 * time.Second, false}, {"handed in again", true, 9 * time.Second, true}, {"without hope", true, 300 * time.Millisecond, false}} {
-			o.s.submit(o.now, Job{ID: c.id, Handed: c.id, Key: c.id, Again: c.again, Left: c.left, Goal: time.Second, Stages: []Stage{{Service: "a", Pieces: 4, Bytes: 10}}},
+			o.s.submit(o.now, Job{ID: c.id, SubmissionID: c.id, Key: c.id, Resubmitted: c.again, TimeLeft: c.left, Goal: time.Second, Stages: []Stage{{Service: "a", Pieces: 4, ResultBytes: 10}}},
 				func(_ Result, err error) { o.ended[c.id] = err })
 			if j := o.s.jobs[c.id]; (j != nil) != c.taken || j != nil && !j.late {
 				t.Fatalf("%s: %+v", c.id, j)
@@ -291,15 +293,15 @@
 		}
 		r.runCalls(10)
 		res := r.answers["under way"]
-		if !res.Moved || len(res.Made) != 1 {
+		if !res.Moved || len(res.CompletedStages) != 1 {
 			t.Fatalf("moved with %+v", res)
 		}
 		if len(r.stored) != 2 || len(first.jobs) != 0 {
 			t.Fatalf("%d results and %d jobs left", len(r.stored), len(first.jobs))
 		}
 		r.owner = r.newOwner(true)
-		r.submit("under way", "u2", res.Made)
-		r.submit("waiting", "w2", r.answers["waiting"].Made)
+		r.submit("under way", "u2", res.CompletedStages)
+		r.submit("waiting", "w2", r.answers["waiting"].CompletedStages)
 		r.now = r.now.Add(fullBackoff)
 		r.runCalls(10)
 		for id, err := range r.errs {
@@ -321,9 +323,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := newHandoverWorld(t)
 		job := chainJob("j", "j1", nil)
-		job.Stages = append(job.Stages, Stage{Service: "b", After: []int{1}, Pieces: 1, Bytes: 10})
-		handIn := func(handed string, before []StageMade) {
-			job.Handed, job.Made = handed, before
+		job.Stages = append(job.Stages, Stage{Service: "b", DependsOn: []int{1}, Pieces: 1, ResultBytes: 10})
+		handIn := func(handed string, before []CompletedStage) {
+			job.SubmissionID, job.CompletedStages = handed, before
 			r.submissions.begin(handed, before)
 			r.free(r.owner.submit(r.now, job, func(res Result, err error) { r.answers["j"], r.errs["j"] = res, err }))
 		}
@@ -336,7 +338,7 @@
 			t.Skip("all stages were completed")
 		}
 		r.owner = r.newOwner(true)
-		handIn("j2", mergeStages(r.submissions.end("j1"), res.Made))
+		handIn("j2", mergeStages(r.submissions.end("j1"), res.CompletedStages))
 		r.now = r.now.Add(fullBackoff)
 		r.runCalls(5)
 		if r.errs["j"] != nil || len(r.answers["j"].Handles) != 1 {
--- a/node/stagework/inputs.go
+++ b/node/stagework/inputs.go
@@ -68,7 +68,7 @@
 
 // inputsReleased reports whether a piece cannot be retried because its inputs were released.
 func (p *piece) inputsReleased() bool {
-	for _, k := range p.job.Stages[p.stage].After {
+	for _, k := range p.job.Stages[p.stage].DependsOn {
 		if p.job.released[k] {
 			return true
 		}
@@ -83,7 +83,7 @@
 		return true
 	}
 	for i, st := range j.Stages {
-		if j.missing[i] == 0 || !slices.Contains(st.After, stage) {
+		if j.missing[i] == 0 || !slices.Contains(st.DependsOn, stage) {
 			continue
 		}
 		if j.inputsFetched[i] < st.Pieces || !s.services[j.Stages[stage].Service].shortOfRoom() {
--- a/node/stagework/inputs_test.go
+++ b/node/stagework/inputs_test.go
@@ -31,7 +31,7 @@
 
 // submit adds a job with a result of the given size at service a, and one at b that depends on it.
 func (c *twoStages) submit(id string, bytes int64) {
-	c.free(c.s.submit(c.now, Job{ID: id, Handed: id, Left: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: bytes}, {Service: "b", After: []int{0}, Pieces: 1, Bytes: 10}}},
+	c.free(c.s.submit(c.now, Job{ID: id, SubmissionID: id, TimeLeft: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: bytes}, {Service: "b", DependsOn: []int{0}, Pieces: 1, ResultBytes: 10}}},
 		func(_ Result, err error) { c.errs[id] = err }))
 	c.start()
 }
--- a/node/stagework/job.go
+++ b/node/stagework/job.go
@@ -15,20 +15,20 @@
 // Job describes the stages of one call. Times are durations from now, as the clocks of
 // VMs differ.
 type Job struct {
-	ID         string        `json:"id"`     // of the call
-	Handed     string        `json:"handed"` // ID of this submission; each resubmission of a call gets a new one
-	Key        string        `json:"key"`
-	Stages     []Stage       `json:"stages"`
-	Left       time.Duration `json:"left"`                  // until the call's deadline
-	Goal       time.Duration `json:"goal"`                  // until the latency goal, after which the result is worth less; negative once that has passed
-	FirstEvent time.Duration `json:"first_event,omitempty"` // until the first event of the call's answer is due
-	DataCenter string        `json:"data_center"`
-	Priority   int           `json:"priority,omitempty"` // 0 is the most urgent
+	ID           string        `json:"id"`     // of the call
+	SubmissionID string        `json:"handed"` // ID of this submission; each resubmission of a call gets a new one
+	Key          string        `json:"key"`
+	Stages       []Stage       `json:"stages"`
+	TimeLeft     time.Duration `json:"left"`                  // until the call's deadline
+	Goal         time.Duration `json:"goal"`                  // until the latency goal, after which the result is worth less; negative once that has passed
+	FirstEvent   time.Duration `json:"first_event,omitempty"` // until the first event of the call's answer is due
+	DataCenter   string        `json:"data_center"`
+	Priority     int           `json:"priority,omitempty"` // 0 is the most urgent
 	// Within lists the data centres in which the pieces and the call itself may run.
-	Within residency.Within `json:"within,omitzero"`
-	Caller string           `json:"caller,omitempty"` // peer address of the submitting process; empty: it wants no progress updates
-	Made   []StageMade      `json:"made,omitempty"`   // stages completed under previous owners
-	Again  bool             `json:"again,omitempty"`  // submitted before, to an owner that did not finish it
+	Within          residency.Within `json:"within,omitzero"`
+	Caller          string           `json:"caller,omitempty"` // peer address of the submitting process; empty: it wants no progress updates
+	CompletedStages []CompletedStage `json:"made,omitempty"`   // stages completed under previous owners
+	Resubmitted     bool             `json:"again,omitempty"`  // submitted before, to an owner that did not finish it
 	// Owner is the process that the caller believes to be the owner. A newly named owner
 	// may learn of its role from this field first.
 	Owner  wire.StageOwner `json:"owner"`
@@ -37,10 +37,10 @@
 
 // Stage is one stage of a job.
 type Stage struct {
-	Service string `json:"service"`
-	After   []int  `json:"after,omitempty"`
-	Pieces  int    `json:"pieces"` // zero: the stage is skipped
-	Bytes   int64  `json:"bytes"`  // approximate size of one result
+	Service     string `json:"service"`
+	DependsOn   []int  `json:"after,omitempty"`
+	Pieces      int    `json:"pieces"` // zero: the stage is skipped
+	ResultBytes int64  `json:"bytes"`  // approximate size of one result
 }
 
 // Result holds the handles of all pieces of the final stages, those that no other stage
@@ -52,16 +52,16 @@
 	// which Engine should fetch them; empty: Engine prefills what it does not have.
 	FetchFrom string `json:"fetch_from,omitempty"`
 	// Moved says that the job continues at the next owner, from the completed stages.
-	Moved bool        `json:"moved,omitempty"`
-	Made  []StageMade `json:"made,omitempty"`
-	// Dark lists the data centres whose upstreams the owner cannot reach, for calls whose
+	Moved           bool             `json:"moved,omitempty"`
+	CompletedStages []CompletedStage `json:"made,omitempty"`
+	// UnreachableDataCenters lists the data centres whose upstreams the owner cannot reach, for calls whose
 	// upstream the owner does not choose.
-	Dark []string `json:"dark,omitempty"`
+	UnreachableDataCenters []string `json:"dark,omitempty"`
 }
 
 // Done tells the owner that a submission is over.
 type Done struct {
-	Handed string `json:"handed"`
+	SubmissionID string `json:"handed"`
 	// Moved says that the job continues elsewhere with the results reported to its caller.
 	// Otherwise none of its results is needed any more.
 	Moved bool `json:"moved,omitempty"`
@@ -74,10 +74,10 @@
 
 // Outcomes at engines.
 const (
-	EngineUnknown   EngineOutcome = ""          // the call was not sent there, or ended before the engine answered
-	EngineBegan     EngineOutcome = "began"     // the engine started to answer
-	EngineFailed    EngineOutcome = "failed"    // the engine did not answer, or refused the call
-	EngineUnreached EngineOutcome = "unreached" // no connection to the engine's address
+	EngineUnknown     EngineOutcome = ""          // the call was not sent there, or ended before the engine answered
+	EngineStarted     EngineOutcome = "began"     // the engine started to answer
+	EngineFailed      EngineOutcome = "failed"    // the engine did not answer, or refused the call
+	EngineUnreachable EngineOutcome = "unreached" // no connection to the engine's address
 )
 
 // Peer methods of the owner.
@@ -99,7 +99,7 @@
 		if s.Pieces == 0 {
 			continue
 		}
-		for _, k := range s.After {
+		for _, k := range s.DependsOn {
 			out[k] = false
 		}
 	}
@@ -109,7 +109,7 @@
 // validate rejects a job with a stage that depends on itself or on a later one.
 func (j *Job) validate() error {
 	for i, s := range j.Stages {
-		for _, k := range s.After {
+		for _, k := range s.DependsOn {
 			if k < 0 || k >= i {
 				return verdict.New(verdict.NotRun, verdict.CodeInvalid, "stage %d depends on stage %d, which is not before it", i, k)
 			}
--- a/node/stagework/load_test.go
+++ b/node/stagework/load_test.go
@@ -178,12 +178,12 @@
 var (
 	quotes = modelKind{name: "quotes", goal: 1100 * time.Millisecond, left: 12 * time.Second, shared: 5382, own: 6610, distinctParts: 891,
 		stages: func(r *rand.Rand) []Stage {
-			return []Stage{{Service: "front", Pieces: 1 + r.IntN(4), Bytes: 800_000}}
+			return []Stage{{Service: "front", Pieces: 1 + r.IntN(4), ResultBytes: 800_000}}
 		}}
 	chats = modelKind{name: "chats", goal: 2300 * time.Millisecond, left: 12 * time.Second, shared: 198, own: 628, distinctParts: 853,
 		stages: func(r *rand.Rand) []Stage {
-			return []Stage{{Service: "front", Pieces: 1, Bytes: 8000}, {Service: "catalog", After: []int{0}, Pieces: 4, Bytes: 60_000},
-				{Service: "courier", After: []int{1}, Pieces: 3 + r.IntN(7), Bytes: 6000}}
+			return []Stage{{Service: "front", Pieces: 1, ResultBytes: 8000}, {Service: "catalog", DependsOn: []int{0}, Pieces: 4, ResultBytes: 60_000},
+				{Service: "courier", DependsOn: []int{1}, Pieces: 3 + r.IntN(7), ResultBytes: 6000}}
 		}}
 )
 
--- a/node/stagework/loadmodel_test.go
+++ b/node/stagework/loadmodel_test.go
@@ -127,12 +127,12 @@
 var (
 	notes = modelKind{name: "notes", goal: 1300 * time.Millisecond, left: 6 * time.Second, shared: 6300, own: 2890, distinctParts: 94,
 		stages: func(r *rand.Rand) []Stage {
-			return []Stage{{Service: "front", Pieces: 1 + r.IntN(4), Bytes: 3 * megabyte}}
+			return []Stage{{Service: "front", Pieces: 1 + r.IntN(4), ResultBytes: 3 * megabyte}}
 		}}
 	returns = modelKind{name: "returns", goal: 1700 * time.Millisecond, left: 5 * time.Second, shared: 568, own: 1800, distinctParts: 156,
 		stages: func(r *rand.Rand) []Stage {
-			return []Stage{{Service: "front", Pieces: 1, Bytes: 8000}, {Service: "catalog", After: []int{0}, Pieces: 8, Bytes: 60_000},
-				{Service: "courier", After: []int{1}, Pieces: 10 + r.IntN(13), Bytes: 6000}}
+			return []Stage{{Service: "front", Pieces: 1, ResultBytes: 8000}, {Service: "catalog", DependsOn: []int{0}, Pieces: 8, ResultBytes: 60_000},
+				{Service: "courier", DependsOn: []int{1}, Pieces: 10 + r.IntN(13), ResultBytes: 6000}}
 		}}
 )
 
@@ -215,15 +215,15 @@
 		return
 	}
 	m.serial++
-	c.job.Handed = fmt.Sprint(c.id, "/", m.serial)
+	c.job.SubmissionID = fmt.Sprint(c.id, "/", m.serial)
 	began := c.arrived
 	if !c.retriedAt.IsZero() {
 		began = c.retriedAt // its process does not know of the earlier attempt
 	}
-	c.job.Left, c.job.FirstEvent = c.kind.left-m.now.Sub(c.arrived), c.kind.goal-m.now.Sub(began)
+	c.job.TimeLeft, c.job.FirstEvent = c.kind.left-m.now.Sub(c.arrived), c.kind.goal-m.now.Sub(began)
 	c.job.Goal = c.job.FirstEvent - 50*time.Millisecond - m.prefillTime(c.prompt.Parts[1].Tokens)
-	m.submissions.begin(c.job.Handed, c.job.Made)
-	handed, owner := c.job.Handed, m.owner
+	m.submissions.begin(c.job.SubmissionID, c.job.CompletedStages)
+	handed, owner := c.job.SubmissionID, m.owner
 	m.waiting[handed] = c
 	m.ownerEvent(owner, func() {
 		m.free(owner, owner.submit(m.now, c.job, func(r Result, err error) { m.after(0, func() { m.stagesEnded(owner, c, handed, r, err) }) }))
@@ -241,7 +241,7 @@
 	}
 	delete(m.waiting, handed)
 	if err != nil {
-		m.ownerEvent(owner, func() { m.free(owner, owner.handleDone(m.now, Done{Handed: handed})) })
+		m.ownerEvent(owner, func() { m.free(owner, owner.handleDone(m.now, Done{SubmissionID: handed})) })
 		if m.retryLater(c, err) {
 			return
 		}
@@ -254,7 +254,7 @@
 	}
 	first := m.timeToFirstEvent(engine, c.prompt)
 	m.after(first, func() {
-		m.ownerEvent(owner, func() { m.free(owner, owner.handleDone(m.now, Done{Handed: handed, Engine: EngineBegan})) })
+		m.ownerEvent(owner, func() { m.free(owner, owner.handleDone(m.now, Done{SubmissionID: handed, Engine: EngineStarted})) })
 		m.ended = append(m.ended, modelEnd{kind: c.kind.name, arrived: c.arrived, inTime: m.now.Sub(c.arrived) <= c.kind.goal, credit: m.credit(c), first: first})
 	})
 }
@@ -345,8 +345,8 @@
 	}
 	m.free(s, s.expireJobs(m.now))
 	for _, n := range s.takeUpdates() {
-		m.submissions.apply(n.News)
-		m.free(s, s.updatesDelivered([]News{n.News}))
+		m.submissions.apply(n.ProgressUpdate)
+		m.free(s, s.updatesDelivered([]ProgressUpdate{n.ProgressUpdate}))
 	}
 	for _, w := range s.dueReports(m.now) {
 		m.after(2*time.Millisecond, func() {
@@ -457,7 +457,7 @@
 		m.replaceOwner(true)
 		for _, handed := range slices.Sorted(maps.Keys(lost)) {
 			c := lost[handed]
-			c.job.Made = m.submissions.end(handed)
+			c.job.CompletedStages = m.submissions.end(handed)
 			m.submit(c)
 		}
 	})
--- a/node/stagework/machine_test.go
+++ b/node/stagework/machine_test.go
@@ -55,13 +55,13 @@
 
 func (w *world) addJob() {
 	w.serial++
-	j := Job{ID: fmt.Sprint("job", w.serial), Handed: fmt.Sprint("job", w.serial), Key: fmt.Sprint("k", rapid.IntRange(0, 9).Draw(w.t, "key")), DataCenter: "dc0", Left: time.Duration(rapid.IntRange(200, 4000).Draw(w.t, "left")) * time.Millisecond}
-	j.Goal = j.Left / 2
+	j := Job{ID: fmt.Sprint("job", w.serial), SubmissionID: fmt.Sprint("job", w.serial), Key: fmt.Sprint("k", rapid.IntRange(0, 9).Draw(w.t, "key")), DataCenter: "dc0", TimeLeft: time.Duration(rapid.IntRange(200, 4000).Draw(w.t, "left")) * time.Millisecond}
+	j.Goal = j.TimeLeft / 2
 	j.Stages = []Stage{
-		{Service: "a", Pieces: rapid.IntRange(0, 3).Draw(w.t, "p0"), Bytes: 500},
-		{Service: "a", Pieces: rapid.IntRange(0, 6).Draw(w.t, "p1"), Bytes: 100},
-		{Service: "b", After: []int{1}, Pieces: rapid.IntRange(0, 8).Draw(w.t, "p2"), Bytes: 60_000},
-		{Service: "b", After: []int{0, 2}, Pieces: rapid.IntRange(0, 3).Draw(w.t, "p3"), Bytes: 10},
+		{Service: "a", Pieces: rapid.IntRange(0, 3).Draw(w.t, "p0"), ResultBytes: 500},
+		{Service: "a", Pieces: rapid.IntRange(0, 6).Draw(w.t, "p1"), ResultBytes: 100},
+		{Service: "b", DependsOn: []int{1}, Pieces: rapid.IntRange(0, 8).Draw(w.t, "p2"), ResultBytes: 60_000},
+		{Service: "b", DependsOn: []int{0, 2}, Pieces: rapid.IntRange(0, 3).Draw(w.t, "p3"), ResultBytes: 10},
 	}
 	tr := &tracked{job: j}
 	w.jobs[j.ID] = tr
@@ -99,7 +99,7 @@
 func (w *world) checkRequest(p *piece, r upstream.Piece) {
 	j := w.jobs[r.ID].job
 	var want []string
-	for _, k := range j.Stages[r.Stage].After {
+	for _, k := range j.Stages[r.Stage].DependsOn {
 		for n := range j.Stages[k].Pieces {
 			want = append(want, fmt.Sprintf("%s/%d/%d", r.ID, k, n))
 		}
@@ -113,7 +113,7 @@
 	if !slices.Equal(want, got) {
 		w.t.Fatalf("piece %d of stage %d of %s gets %v, want %v", r.Number, r.Stage, r.ID, got, want)
 	}
-	if first := len(j.Stages[r.Stage].After) == 0; first != (r.Key != "") {
+	if first := len(j.Stages[r.Stage].DependsOn) == 0; first != (r.Key != "") {
 		w.t.Fatalf("key %q at stage %d", r.Key, r.Stage)
 	}
 }
@@ -184,7 +184,7 @@
 func (w *world) release() {
 	for _, tr := range w.jobs {
 		if tr.answered > 0 {
-			w.free(w.s.handleDone(w.now, Done{Handed: tr.job.ID}))
+			w.free(w.s.handleDone(w.now, Done{SubmissionID: tr.job.ID}))
 			return
 		}
 	}
@@ -267,7 +267,7 @@
 			if tr.answered != 1 {
 				t.Fatalf("%s is answered %d times", id, tr.answered)
 			}
-			w.free(w.s.handleDone(w.now, Done{Handed: id}))
+			w.free(w.s.handleDone(w.now, Done{SubmissionID: id}))
 		}
 		if len(w.s.jobs) > 0 {
 			t.Fatalf("%d jobs are left", len(w.s.jobs))
@@ -291,7 +291,7 @@
 		w := newWorld(t)
 		for range 5 {
 			w.serial++
-			w.s.submit(w.now, Job{ID: fmt.Sprint(w.serial), Handed: fmt.Sprint(w.serial), Key: "k", Left: 10 * time.Second, Goal: 5 * time.Second, Stages: []Stage{{Service: "a", Pieces: 2, Bytes: 10}}}, func(Result, error) {})
+			w.s.submit(w.now, Job{ID: fmt.Sprint(w.serial), SubmissionID: fmt.Sprint(w.serial), Key: "k", TimeLeft: 10 * time.Second, Goal: 5 * time.Second, Stages: []Stage{{Service: "a", Pieces: 2, ResultBytes: 10}}}, func(Result, error) {})
 		}
 		for _, c := range w.s.startCalls(w.now) {
 			var ids []string
@@ -314,10 +314,10 @@
 		w := newWorld(t)
 		answered := map[string]error{}
 		for _, handed := range []string{"first", "second"} {
-			w.s.submit(w.now, Job{ID: "call", Handed: handed, Key: "k", Left: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: 10}}},
+			w.s.submit(w.now, Job{ID: "call", SubmissionID: handed, Key: "k", TimeLeft: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: 10}}},
 				func(_ Result, err error) { answered[handed] = err })
 		}
-		w.free(w.s.handleDone(w.now, Done{Handed: "first"}))
+		w.free(w.s.handleDone(w.now, Done{SubmissionID: "first"}))
 		if err, ended := answered["first"]; !ended || err == nil {
 			t.Fatal("the ended submission continues")
 		}
@@ -334,7 +334,7 @@
 		w := newWorld(t)
 		ended := map[string]error{}
 		add := func(id string) {
-			w.s.submit(w.now, Job{ID: id, Handed: id, Key: "k", Left: 20 * time.Second, Goal: -time.Second, Stages: []Stage{{Service: "a", Pieces: 4, Bytes: 10}}},
+			w.s.submit(w.now, Job{ID: id, SubmissionID: id, Key: "k", TimeLeft: 20 * time.Second, Goal: -time.Second, Stages: []Stage{{Service: "a", Pieces: 4, ResultBytes: 10}}},
 				func(_ Result, err error) { ended[id] = err })
 		}
 		for i := range 3 {
--- a/node/stagework/owner_bench_test.go
+++ b/node/stagework/owner_bench_test.go
@@ -82,7 +82,7 @@
 	var addresses []string
 	for range jobCallers {
 		addresses = append(addresses, server(func(p *peer.Server) {
-			peer.Handle(p, methodProgress, func(context.Context, *[]News) (*control.Empty, error) { return &control.Empty{}, nil })
+			peer.Handle(p, methodProgress, func(context.Context, *[]ProgressUpdate) (*control.Empty, error) { return &control.Empty{}, nil })
 		}))
 		clients = append(clients, peer.NewClient(owner, peer.DialTCP))
 	}
@@ -92,7 +92,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		under <- struct{}{}
-		job := Job{ID: fmt.Sprint("call", i), Handed: fmt.Sprint("handed", i), Key: fmt.Sprint("key", i), Stages: chainChats.stages(random), Left: 12 * time.Second, Goal: 2 * time.Second,
+		job := Job{ID: fmt.Sprint("call", i), SubmissionID: fmt.Sprint("handed", i), Key: fmt.Sprint("key", i), Stages: chainChats.stages(random), TimeLeft: 12 * time.Second, Goal: 2 * time.Second,
 			FirstEvent: 2200 * time.Millisecond, Caller: addresses[i%jobCallers], Prompt: &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: fmt.Sprint("shared", i%700), Tokens: 198}, {ID: "own", Tokens: 628}}}}
 		wg.Go(func() {
 			defer func() { <-under }()
@@ -102,7 +102,7 @@
 				b.Error(err)
 				return
 			}
-			c.Notify(context.Background(), methodDone, Done{Handed: job.Handed, Engine: EngineBegan})
+			c.Notify(context.Background(), methodDone, Done{SubmissionID: job.SubmissionID, Engine: EngineStarted})
 		})
 	}
 	wg.Wait()
--- a/node/stagework/ownerlink.go
+++ b/node/stagework/ownerlink.go
@@ -253,46 +253,46 @@
 	defer cancel()
 	client, lost, _ := s.link.acquire()
 	defer s.link.release()
-	j.Handed = uuid.NewString()
+	j.SubmissionID = uuid.NewString()
 	r, moved, err := s.runAt(ctx, client, lost, j)
 	if moved || err != nil {
 		s.log.V(logging.Detail).Info("owner chose no engine", "request", j.ID, "moved", moved, "error", err)
 		return Result{}, nil, false
 	}
-	return r, func(engine EngineOutcome) { s.release(client, Done{Handed: j.Handed, Engine: engine}) }, true
+	return r, func(engine EngineOutcome) { s.release(client, Done{SubmissionID: j.SubmissionID, Engine: engine}) }, true
 }
 
 // Run runs the stages of a call and returns the handles of the final results. The Release must be
 // called once the results are not needed any more, unless it is nil. When the owner is lost, the
 // job continues at the next one from its completed stages.
 func (s *Service) Run(ctx context.Context, j Job) (Result, Release, error) {
-	deadline, goal, firstEvent := time.Now().Add(j.Left), time.Now().Add(j.Goal), time.Now().Add(j.FirstEvent)
+	deadline, goal, firstEvent := time.Now().Add(j.TimeLeft), time.Now().Add(j.Goal), time.Now().Add(j.FirstEvent)
 	var since time.Time // when the owner was lost; zero while there is one
 	for {
 		if s.link.isolated() {
 			return Result{}, nil, errIsolated()
 		}
 		client, lost, changed := s.link.acquire()
-		j.Left, j.Goal, j.FirstEvent = time.Until(deadline), time.Until(goal), time.Until(firstEvent)
-		j.Handed, j.Caller, j.Owner = uuid.NewString(), s.address(), s.link.currentOwner()
-		s.submissions.begin(j.Handed, j.Made)
+		j.TimeLeft, j.Goal, j.FirstEvent = time.Until(deadline), time.Until(goal), time.Until(firstEvent)
+		j.SubmissionID, j.Caller, j.Owner = uuid.NewString(), s.address(), s.link.currentOwner()
+		s.submissions.begin(j.SubmissionID, j.CompletedStages)
 		r, moved, err := s.runAt(ctx, client, lost, j)
-		j.Made = s.submissions.end(j.Handed)
+		j.CompletedStages = s.submissions.end(j.SubmissionID)
 		s.link.release()
 		if r.Moved {
-			j.Made = mergeStages(j.Made, r.Made)
+			j.CompletedStages = mergeStages(j.CompletedStages, r.CompletedStages)
 		}
 		if moved && !r.Moved && client != nil {
-			s.release(client, Done{Handed: j.Handed, Moved: true}) // the old owner may still be working on it, in vain
+			s.release(client, Done{SubmissionID: j.SubmissionID, Moved: true}) // the old owner may still be working on it, in vain
 		}
 		if !moved {
-			releaseJob := func(engine EngineOutcome) { s.release(client, Done{Handed: j.Handed, Engine: engine}) }
+			releaseJob := func(engine EngineOutcome) { s.release(client, Done{SubmissionID: j.SubmissionID, Engine: engine}) }
 			if err != nil {
 				releaseJob(EngineUnknown)
 			}
 			return r, releaseJob, err
 		}
-		j.Again = true
+		j.Resubmitted = true
 		now := time.Now()
 		if since.IsZero() {
 			since = now
@@ -348,6 +348,6 @@
 	ctx, cancel := context.WithTimeout(s.ctx, pingTimeout)
 	defer cancel()
 	if err := client.Notify(ctx, methodDone, d); err != nil {
-		s.log.V(logging.Detail).Info("results not released", "handed", d.Handed, "moved", d.Moved, "error", err.Error())
+		s.log.V(logging.Detail).Info("results not released", "handed", d.SubmissionID, "moved", d.Moved, "error", err.Error())
 	}
 }
--- a/node/stagework/ownerlink_test.go
+++ b/node/stagework/ownerlink_test.go
@@ -21,7 +21,7 @@
 	server  *peer.Server
 	address string
 	arrived chan string
-	updates chan News
+	updates chan ProgressUpdate
 	answer  map[string]chan error // by job
 	results map[string]Result     // by job; written before its answer
 	jobs    sync.Map              // by ID, as submitted
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &fakeOwner{server: peer.NewServer(), address: l.Addr().String(), arrived: make(chan string, 16), updates: make(chan News, 16), answer: map[string]chan error{}, results: map[string]Result{}}
+	o := &fakeOwner{server: peer.NewServer(), address: l.Addr().String(), arrived: make(chan string, 16), updates: make(chan ProgressUpdate, 16), answer: map[string]chan error{}, results: map[string]Result{}}
 	for _, id := range jobs {
 		o.answer[id] = make(chan error, 1)
 	}
@@ -50,7 +50,7 @@
 		}
 	})
 	peer.Handle(o.server, methodDone, func(context.Context, *Done) (*peer.Empty, error) { return &peer.Empty{}, nil })
-	peer.Handle(o.server, methodProgress, func(_ context.Context, list *[]News) (*peer.Empty, error) {
+	peer.Handle(o.server, methodProgress, func(_ context.Context, list *[]ProgressUpdate) (*peer.Empty, error) {
 		for _, n := range *list {
 			o.updates <- n
 		}
@@ -83,7 +83,7 @@
 func (s *Service) runAsync(ctx context.Context, id string) chan runAnswer {
 	out := make(chan runAnswer, 1)
 	go func() {
-		r, _, err := s.Run(ctx, Job{ID: id, Left: time.Minute, Goal: time.Minute})
+		r, _, err := s.Run(ctx, Job{ID: id, TimeLeft: time.Minute, Goal: time.Minute})
 		out <- runAnswer{r, err}
 	}()
 	return out
@@ -152,11 +152,11 @@
 		t.Fatal("the job left before it was answered")
 	default:
 	}
-	first.results["job"] = Result{Moved: true, Made: []StageMade{{Stage: 0, Pieces: []PieceMade{{Handle: "h"}}}}}
+	first.results["job"] = Result{Moved: true, CompletedStages: []CompletedStage{{Stage: 0, Pieces: []ResultLocation{{Handle: "h"}}}}}
 	first.answer["job"] <- nil
 	<-second.arrived
 	taken, _ := second.jobs.Load("job")
-	if j := taken.(Job); !j.Again || len(j.Made) != 1 || j.Made[0].Pieces[0].Handle != "h" {
+	if j := taken.(Job); !j.Resubmitted || len(j.CompletedStages) != 1 || j.CompletedStages[0].Pieces[0].Handle != "h" {
 		t.Fatalf("submitted as %+v", j)
 	}
 	second.answer["job"] <- nil
--- a/node/stagework/ownership_test.go
+++ b/node/stagework/ownership_test.go
@@ -28,7 +28,7 @@
 
 // acceptsJob submits a job without pieces, and reports whether the process accepts it as the owner.
 func (s *Service) acceptsJob(t *testing.T, o wire.StageOwner) bool {
-	_, err := s.handleRun(t.Context(), &Job{ID: "j", Handed: "j", Left: time.Minute, Goal: time.Minute, Owner: o})
+	_, err := s.handleRun(t.Context(), &Job{ID: "j", SubmissionID: "j", TimeLeft: time.Minute, Goal: time.Minute, Owner: o})
 	return err == nil
 }
 
--- a/node/stagework/pause_test.go
+++ b/node/stagework/pause_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	short := chainJob("k", "k1", nil)
-	short.Left = time.Second
+	short.TimeLeft = time.Second
 	var refusal error
 	a.submit(a.now, short, func(_ Result, err error) { refusal = err })
 	if v := verdict.From(refusal); refusal == nil || v.Verdict != verdict.NotRun || v.RetryAfter != 2*time.Second {
--- a/node/stagework/progress.go
+++ b/node/stagework/progress.go
@@ -118,8 +118,8 @@
 // empty when little data is moved.
 func (j *job) preferredDataCenter(stage int) string {
 	st := j.Stages[stage]
-	if len(st.After) == 0 {
-		if j.finalStages()[stage] && int64(st.Pieces)*st.Bytes >= largeTransferBytes {
+	if len(st.DependsOn) == 0 {
+		if j.finalStages()[stage] && int64(st.Pieces)*st.ResultBytes >= largeTransferBytes {
 			return j.DataCenter
 		}
 		return ""
@@ -127,7 +127,7 @@
 	at := map[string]int64{}
 	best, all := "", int64(0)
 	for _, m := range j.results {
-		if !slices.Contains(st.After, m.stage) {
+		if !slices.Contains(st.DependsOn, m.stage) {
 			continue
 		}
 		dc := m.worker.member.DataCenter
@@ -153,7 +153,7 @@
 }
 
 func (j *job) inputsReady(stage int) bool {
-	for _, k := range j.Stages[stage].After {
+	for _, k := range j.Stages[stage].DependsOn {
 		if j.missing[k] > 0 {
 			return false
 		}
@@ -186,7 +186,7 @@
 
 func (j *job) inputs(stage int) []string {
 	var out []string
-	for _, k := range j.Stages[stage].After {
+	for _, k := range j.Stages[stage].DependsOn {
 		out = append(out, j.handles[k]...)
 	}
 	return out
--- a/node/stagework/queue.go
+++ b/node/stagework/queue.go
@@ -225,7 +225,7 @@
 		// Keep the pieces of a stage together: results that wait for the stage's other pieces
 		// only occupy room.
 		group := groupOf(fit)
-		bytes := int64(len(group)) * group[0].job.Stages[group[0].stage].Bytes
+		bytes := int64(len(group)) * group[0].job.Stages[group[0].stage].ResultBytes
 		fits := len(c.pieces)+len(group) <= min(limit, q.spec.Batch) && bytes <= room
 		fit = fit[len(group):]
 		if len(c.pieces) > 0 && !fits {
@@ -277,7 +277,7 @@
 	return pieces[:n]
 }
 
-func (p *piece) bytes() int64 { return p.job.Stages[p.stage].Bytes }
+func (p *piece) bytes() int64 { return p.job.Stages[p.stage].ResultBytes }
 
 // callLimit is the timeout of a call: three times its expected duration at the upstream's
 // pace, plus half a second for the network.
@@ -287,7 +287,7 @@
 
 func (p *piece) request(now time.Time) upstream.Piece {
 	r := upstream.Piece{ID: p.job.ID, Stage: p.stage, Number: p.number, Left: p.job.deadline.Sub(now)}
-	if len(p.job.Stages[p.stage].After) == 0 {
+	if len(p.job.Stages[p.stage].DependsOn) == 0 {
 		r.Key = p.job.Key
 	} else {
 		r.Inputs = p.job.inputs(p.stage)
--- a/node/stagework/reachability_test.go
+++ b/node/stagework/reachability_test.go
@@ -180,7 +180,7 @@
 		c  *call
 	}
 	var under []ending
-	for passed := time.Duration(0); passed < 2*j.Left; passed += ownerTick {
+	for passed := time.Duration(0); passed < 2*j.TimeLeft; passed += ownerTick {
 		at := now.Add(passed)
 		tick(s)
 		under = endCalls(s, at, under, func(e ending) time.Time { return e.at }, func(e ending) (*call, outcome) {
@@ -249,7 +249,7 @@
 func TestEnginesOfADarkDataCenter(t *testing.T) {
 	p := newEngineFleet()
 	first, k := p.sendCall(prompt("shared", 1000))
-	p.finishAssignment(p.now, k, EngineBegan)
+	p.finishAssignment(p.now, k, EngineStarted)
 	dc := p.loads[first].member.DataCenter
 	for i := range minUnreachable {
 		p.reachability.recordFailure(p.now, wire.Member{ID: wire.MemberID(fmt.Sprint("other", i)), DataCenter: dc})
@@ -269,7 +269,7 @@
 func TestEngineThatCannotBeReached(t *testing.T) {
 	p := newEngineFleet()
 	id, k := p.sendCall(prompt("shared", 1000))
-	p.finishAssignment(p.now, k, EngineUnreached)
+	p.finishAssignment(p.now, k, EngineUnreachable)
 	l := p.loads[id]
 	if !p.now.Before(l.pausedUntil) || len(p.reachability.outages[l.member.DataCenter].unreached) != 1 {
 		t.Errorf("backs off until %s, %v", l.pausedUntil, p.reachability.outages)
@@ -282,11 +282,11 @@
 	named := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
 	s.post(func(time.Time) { s.scheduler.setServices(services, nil) })
 	dark := func() []string {
-		r, err := s.handleRun(t.Context(), &Job{ID: "j", Handed: "j", Left: time.Minute, Goal: time.Minute, Owner: named})
+		r, err := s.handleRun(t.Context(), &Job{ID: "j", SubmissionID: "j", TimeLeft: time.Minute, Goal: time.Minute, Owner: named})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r.Dark
+		return r.UnreachableDataCenters
 	}
 	if got := dark(); got != nil {
 		t.Errorf("unreachable: %v", got)
--- a/node/stagework/residency_test.go
+++ b/node/stagework/residency_test.go
@@ -52,9 +52,9 @@
 			}
 			id := fmt.Sprint("j", i)
 			bound[id] = w
-			job := Job{ID: id, Handed: id, Key: "k", Left: 10 * time.Second, Goal: 5 * time.Second, FirstEvent: 5 * time.Second, Within: w,
+			job := Job{ID: id, SubmissionID: id, Key: "k", TimeLeft: 10 * time.Second, Goal: 5 * time.Second, FirstEvent: 5 * time.Second, Within: w,
 				Prompt: &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: "shared", Tokens: 2000}, {ID: id, Tokens: 10}}, Within: w},
-				Stages: []Stage{{Service: "a", Pieces: 1 + i%2, Bytes: 200_000}, {Service: "b", After: []int{0}, Pieces: 1, Bytes: 100}}}
+				Stages: []Stage{{Service: "a", Pieces: 1 + i%2, ResultBytes: 200_000}, {Service: "b", DependsOn: []int{0}, Pieces: 1, ResultBytes: 100}}}
 			s.submit(now, job, func(r Result, err error) {
 				if err == nil && r.Engine != "" {
 					l := s.engines.loads[r.Engine]
@@ -99,7 +99,7 @@
 	s.setServices(specs, map[string][]wire.Member{"a": {member("a0", "dc0"), member("a1", "dc1")}})
 	var errs []error
 	add := func(id, dc string) {
-		s.submit(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: time.Minute, Within: residency.Within{Bound: true, DataCenters: []string{dc}}, Stages: []Stage{{Service: "a", Pieces: 3, Bytes: 1}}},
+		s.submit(now, Job{ID: id, SubmissionID: id, TimeLeft: time.Minute, Goal: time.Minute, Within: residency.Within{Bound: true, DataCenters: []string{dc}}, Stages: []Stage{{Service: "a", Pieces: 3, ResultBytes: 1}}},
 			func(_ Result, err error) { errs = append(errs, err) })
 	}
 	refused := func(n int) {
--- a/node/stagework/restart_test.go
+++ b/node/stagework/restart_test.go
@@ -112,8 +112,8 @@
 		want string
 	}{{made: 1, want: "a"}, {made: 2, want: "b"}} {
 		a := newRestartWorld(2)
-		claim := StageMade{Stage: 0, Pieces: []PieceMade{{"a0", c.made, "x"}, {"a0", c.made, "y"}}}
-		a.submit(a.now, chainJob("j", "j1", []StageMade{claim}), func(Result, error) {})
+		claim := CompletedStage{Stage: 0, Pieces: []ResultLocation{{"a0", c.made, "x"}, {"a0", c.made, "y"}}}
+		a.submit(a.now, chainJob("j", "j1", []CompletedStage{claim}), func(Result, error) {})
 		if got := a.runCalls(t, "z"); len(got) != 1 || got[0] != c.want {
 			t.Errorf("results of incarnation %d at incarnation 2: calls of %v, want %s", c.made, got, c.want)
 		}
--- a/node/stagework/room_test.go
+++ b/node/stagework/room_test.go
@@ -15,7 +15,7 @@
 	w := newWorld(t)
 	w.s.setOwner(w.now, false, true)
 	w.s.setOwner(w.now, true, true)
-	w.s.submit(w.now, Job{ID: "job", Handed: "job", Key: "k", Left: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 4, Bytes: 1000}}}, func(Result, error) {})
+	w.s.submit(w.now, Job{ID: "job", SubmissionID: "job", Key: "k", TimeLeft: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 4, ResultBytes: 1000}}}, func(Result, error) {})
 	return w
 }
 
@@ -73,7 +73,7 @@
 		w := newWorld(t)
 		w.members["a"] = w.members["a"][:1]
 		w.s.setServices(services, w.members)
-		w.s.submit(w.now, Job{ID: "job", Handed: "job", Key: "k", Left: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: 1000}}}, func(Result, error) {})
+		w.s.submit(w.now, Job{ID: "job", SubmissionID: "job", Key: "k", TimeLeft: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: 1000}}}, func(Result, error) {})
 		calls := w.s.startCalls(w.now)
 		w.free(w.s.finishCall(w.now, calls[0], outcome{results: []upstream.PieceResult{{Failure: upstream.NoRoom}}}))
 		if len(w.s.dueReports(w.now)) > 0 {
@@ -127,7 +127,7 @@
 		for _, worker := range w.s.services["a"].workers {
 			worker.recordNoRoom(w.now, services["a"].ResultRoom, 1, services["a"].ResultTTL)
 		}
-		w.s.submit(w.now, Job{ID: "job", Handed: "job", Key: "k", Left: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: 1000}}}, func(Result, error) {})
+		w.s.submit(w.now, Job{ID: "job", SubmissionID: "job", Key: "k", TimeLeft: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: 1000}}}, func(Result, error) {})
 		if calls := w.s.startCalls(w.now); len(calls) > 0 {
 			t.Fatal("a call was made without room")
 		}
--- a/node/stagework/scheduler.go
+++ b/node/stagework/scheduler.go
@@ -83,7 +83,7 @@
 		return nil
 	}
 	s.serial++
-	n := &job{Job: j, firstEvent: now.Add(j.FirstEvent), serial: s.serial, arrived: now, deadline: now.Add(j.Left), goal: now.Add(j.Goal), answer: answer}
+	n := &job{Job: j, firstEvent: now.Add(j.FirstEvent), serial: s.serial, arrived: now, deadline: now.Add(j.TimeLeft), goal: now.Add(j.Goal), answer: answer}
 	for _, st := range j.Stages {
 		if st.Pieces > 0 && s.services[st.Service] == nil {
 			answer(Result{}, errStageFailed("service "+st.Service+" does not process pieces"))
@@ -103,9 +103,9 @@
 		}
 	}
 	s.advanceBacklog(now)
-	s.jobs[j.Handed] = n
+	s.jobs[j.SubmissionID] = n
 	s.updateBacklog(n)
-	if j.Again {
+	if j.Resubmitted {
 		n.countResubmitted()
 	}
 	s.advance(now, n)
@@ -170,7 +170,7 @@
 		}
 		spec := s.services[st.Service].spec
 		total := j.minRemaining[i] + spec.CallTime + time.Duration(st.Pieces)*spec.PieceTime
-		for _, k := range st.After {
+		for _, k := range st.DependsOn {
 			j.minRemaining[k] = max(j.minRemaining[k], total)
 		}
 	}
@@ -251,7 +251,7 @@
 // handleDone ends a submission and returns the results to be freed. A moved job continues
 // elsewhere with the results that were reported to its caller.
 func (s *scheduler) handleDone(now time.Time, d Done) []storedResult {
-	j := s.jobs[d.Handed]
+	j := s.jobs[d.SubmissionID]
 	if j == nil {
 		return nil
 	}
@@ -272,7 +272,7 @@
 }
 
 func (s *scheduler) forgetJob(j *job) []storedResult {
-	delete(s.jobs, j.Handed)
+	delete(s.jobs, j.SubmissionID)
 	out := j.results
 	j.results = nil
 	return out
@@ -342,7 +342,7 @@
 	if !j.late && j.goal.After(now) || j.calls > 0 {
 		return false
 	}
-	return now.Sub(j.lastCallTime()) > min(j.Left/2, starvedAfter)
+	return now.Sub(j.lastCallTime()) > min(j.TimeLeft/2, starvedAfter)
 }
 
 // startCalls returns the calls to make now. It looks at the queues only after an event that
--- a/node/stagework/service.go
+++ b/node/stagework/service.go
@@ -232,11 +232,11 @@
 	s.post(func(now time.Time) {
 		s.learnOwnership(now, j.Owner)
 		s.scheduleFree(s.scheduler.submit(now, *j, func(r Result, err error) {
-			r.Dark = s.scheduler.reachability.unreachableDataCenters()
+			r.UnreachableDataCenters = s.scheduler.reachability.unreachableDataCenters()
 			s.logJobEnd(j, r, err)
 			answered <- answer{r, err}
 		}))
-		if _, taken := s.scheduler.jobs[j.Handed]; !taken {
+		if _, taken := s.scheduler.jobs[j.SubmissionID]; !taken {
 			jobsVar.Add(jobRefused, 1)
 			s.log.Info("job refused", "request", j.ID, "jobs", len(s.scheduler.jobs), "estimate", s.scheduler.lastEstimate, "goal", j.Goal, "sent_away_before", s.scheduler.lastRetry, "owner", s.scheduler.owner)
 		}
@@ -254,7 +254,7 @@
 // logJobEnd logs where the time of an admitted job went. Jobs in time are logged at the detail level
 // only, as there are up to 170 a second.
 func (s *Service) logJobEnd(j *Job, r Result, err error) {
-	n, taken := s.scheduler.jobs[j.Handed]
+	n, taken := s.scheduler.jobs[j.SubmissionID]
 	if !taken {
 		return // handleRun logs refusals
 	}
@@ -273,7 +273,7 @@
 }
 
 // handleProgress applies the owner's updates on this process's jobs.
-func (s *Service) handleProgress(_ context.Context, list *[]News) (*control.Empty, error) {
+func (s *Service) handleProgress(_ context.Context, list *[]ProgressUpdate) (*control.Empty, error) {
 	for _, n := range *list {
 		s.submissions.apply(n)
 	}
@@ -282,9 +282,9 @@
 
 // sendUpdates sends progress updates to the submitting processes.
 func (s *Service) sendUpdates(list []addressedUpdate) {
-	by := map[string][]News{}
+	by := map[string][]ProgressUpdate{}
 	for _, n := range list {
-		by[n.to] = append(by[n.to], n.News)
+		by[n.to] = append(by[n.to], n.ProgressUpdate)
 	}
 	self := s.address()
 	for to, l := range by {
@@ -304,7 +304,7 @@
 
 // sendUpdate sends updates to one process. A process that does not answer has found another owner
 // or is gone, so its jobs end here.
-func (s *Service) sendUpdate(client *peer.Client, list []News) {
+func (s *Service) sendUpdate(client *peer.Client, list []ProgressUpdate) {
 	ctx, cancel := context.WithTimeout(s.ctx, pingTimeout)
 	defer cancel()
 	err := client.Call(ctx, methodProgress, list, nil)
--- a/node/stagework/split_test.go
+++ b/node/stagework/split_test.go
@@ -38,7 +38,7 @@
 			s.setServices(services, map[string][]wire.Member{"a": list})
 			s.setOwner(now, true, false)
 			add := func(id string, pieces int, goal time.Duration) {
-				s.submit(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: goal, Stages: []Stage{{Service: spec.Name, Pieces: pieces, Bytes: 10}}}, func(Result, error) {})
+				s.submit(now, Job{ID: id, SubmissionID: id, TimeLeft: time.Minute, Goal: goal, Stages: []Stage{{Service: spec.Name, Pieces: pieces, ResultBytes: 10}}}, func(Result, error) {})
 			}
 			add("job", c.pieces, c.goal)
 			for i := range c.others {
@@ -62,7 +62,7 @@
 	s.setOwner(now, true, false)
 	goal := func(tokens int64) time.Time {
 		id := fmt.Sprint(tokens)
-		s.submit(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: time.Minute, FirstEvent: time.Minute, Prompt: prompt("shared", tokens),
+		s.submit(now, Job{ID: id, SubmissionID: id, TimeLeft: time.Minute, Goal: time.Minute, FirstEvent: time.Minute, Prompt: prompt("shared", tokens),
 			Stages: []Stage{{Service: "a", Pieces: 1}}}, func(Result, error) {})
 		return s.jobs[id].goal
 	}
--- a/node/stagework/stall_test.go
+++ b/node/stagework/stall_test.go
@@ -57,10 +57,10 @@
 	for i := range 30 {
 		j := fleetJob(i)
 		j.ID = fmt.Sprint("burst", number, "-", i)
-		j.Handed, j.Key = j.ID, j.ID
+		j.SubmissionID, j.Key = j.ID, j.ID
 		if number == 0 {
 			for k := range j.Stages {
-				j.Stages[k].After = nil // all upstreams have work at once
+				j.Stages[k].DependsOn = nil // all upstreams have work at once
 			}
 		}
 		s.submit(now, j, func(_ Result, err error) {
@@ -119,12 +119,12 @@
 	before, factor := p.ttft.timeFor(prefill{tokens: 1000}), engine.relativePace.factor()
 	p.now = p.now.Add(8 * time.Second)
 	p.lastStall.ended = p.now
-	p.finishAssignment(p.now, first, EngineBegan)
+	p.finishAssignment(p.now, first, EngineStarted)
 	if after := p.ttft.timeFor(prefill{tokens: 1000}); after != before || engine.relativePace.factor() != factor {
 		t.Errorf("predicted %s, before %s; factor %.1f", after, before, engine.relativePace.factor())
 	}
 	_, next := p.sendCall(prompt("shared", 1000))
-	p.finishAssignment(p.now.Add(8*time.Second), next, EngineBegan)
+	p.finishAssignment(p.now.Add(8*time.Second), next, EngineStarted)
 	if p.ttft.timeFor(prefill{tokens: 1000}) <= before {
 		t.Error("a call that was sent after the stall is not observed")
 	}
