--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -646,7 +646,7 @@
 			t.Errorf("%s was chosen and got %d calls", wanted, calls[string(wanted)].n.Load())
 		}
 		f.stages.mu.Lock()
-		if want := []stagework.EngineOutcome{stagework.EngineBegan}; wanted != "" && !slices.Equal(f.stages.outcomes, want) {
+		if want := []stagework.EngineOutcome{stagework.EngineStarted}; wanted != "" && !slices.Equal(f.stages.outcomes, want) {
 			t.Errorf("outcomes reported to the stage owner: %v", f.stages.outcomes)
 		}
 		f.stages.mu.Unlock()
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -128,7 +128,7 @@
 // engineOutcomeOf returns what is reported to the stage owner about an engine at which an attempt failed.
 func engineOutcomeOf(err error) stagework.EngineOutcome {
 	if upstream.Unreached(err) {
-		return stagework.EngineUnreached
+		return stagework.EngineUnreachable
 	}
 	return stagework.EngineFailed
 }
--- a/node/stagework/bench_test.go
+++ b/node/stagework/bench_test.go
@@ -9,8 +9,8 @@
 	"caperdrum.org/node/upstream"
 )
 
-// BenchmarkScheduler plays bursts of four sizes against the scheduler: what one call
-// costs must not grow with the calls that wait.
+// BenchmarkScheduler plays bursts of four sizes against the scheduler: the cost of a call must
+// not grow with the number of waiting calls.
 func BenchmarkScheduler(b *testing.B) {
 	for _, times := range []float64{1, 2, 4, 8} {
 		b.Run(fmt.Sprintf("load=%g", times), func(b *testing.B) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// BenchmarkChooseEngine chooses among as many engines as sites of 60, 600 and 6,000 have:
-// what a choice costs must not grow with all of them.
+// BenchmarkChooseEngine chooses among as many engines as sites of 60, 600 and 6,000 have: the
+// cost of a choice must not grow with their number.
 func BenchmarkChooseEngine(b *testing.B) {
 	for _, n := range []int{60, 600, 6000} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
@@ -37,7 +37,7 @@
 			for i := range n {
 				list = append(list, wire.Member{ID: wire.MemberID(fmt.Sprintf("i-%08x", i)), Service: "llm", DataCenter: fmt.Sprint("dc", i%4)})
 			}
-			e.follow(nil, map[string][]wire.Member{"llm": list})
+			e.setMembers(nil, map[string][]wire.Member{"llm": list})
 			prompts := make([]*Prompt, 5*n)
 			for i := range prompts {
 				prompts[i] = &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: fmt.Sprintf("base%08x", i%40), Tokens: 500}, {ID: fmt.Sprintf("thing%08x", i), Tokens: 3000}, {ID: "own", Tokens: 1000}}}
@@ -46,8 +46,8 @@
 			for b.Loop() {
 				i++
 				p := prompts[i%len(prompts)]
-				k := e.send(now, p, e.choose(now, now.Add(time.Second), p, nil))
-				e.ended(now.Add(100*time.Millisecond), k, EngineBegan)
+				k := e.assign(now, p, e.choose(now, now.Add(time.Second), p, nil))
+				e.finishAssignment(now.Add(100*time.Millisecond), k, EngineStarted)
 			}
 		})
 	}
--- a/node/stagework/fleet_test.go
+++ b/node/stagework/fleet_test.go
@@ -10,7 +10,8 @@
 	"caperdrum.org/node/upstream"
 )
 
-// fleetOwner owns the queues of services whose upstreams are as many as a deployment of so many processes has.
+// fleetOwner returns the owner of services with as many upstreams as a deployment of that many processes
+// has.
 func fleetOwner(processes int) (*scheduler, time.Time) {
 	s, now := newScheduler(), time.Unix(1000, 0)
 	specs := map[string]*optext.Service{}
@@ -23,18 +24,18 @@
 		}
 	}
 	s.setServices(specs, members)
-	s.own(now, true, false)
+	s.setOwner(now, true, false)
 	return s, now
 }
 
-// fleetJob is one of a burst: a chain whose second stage is the busiest.
+// fleetJob returns a job of a burst: a chain whose second stage is the bottleneck.
 func fleetJob(i int) Job {
 	id := fmt.Sprint("j", i)
-	return Job{ID: id, Handed: id, Key: id, Left: 10 * time.Second, Goal: 2 * time.Second, DataCenter: fmt.Sprint("dc", i%6),
-		Stages: []Stage{{Service: "front", Pieces: 1, Bytes: 8000}, {Service: "catalog", After: []int{0}, Pieces: 4, Bytes: 60_000}, {Service: "courier", After: []int{1}, Pieces: 6, Bytes: 6000}}}
+	return Job{ID: id, SubmissionID: id, Key: id, TimeLeft: 10 * time.Second, Goal: 2 * time.Second, DataCenter: fmt.Sprint("dc", i%6),
+		Stages: []Stage{{Service: "front", Pieces: 1, ResultBytes: 8000}, {Service: "catalog", DependsOn: []int{0}, Pieces: 4, ResultBytes: 60_000}, {Service: "courier", DependsOn: []int{1}, Pieces: 6, ResultBytes: 6000}}}
 }
 
-// BenchmarkBurst has callers return all at once, three jobs for each process, and plays it until all are done.
+// BenchmarkBurst has callers retry all at once, three jobs for each process, until all are done.
 func BenchmarkBurst(b *testing.B) {
 	for _, processes := range []int{90, 360, 720} {
 		b.Run(fmt.Sprint(processes), func(b *testing.B) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// playBurst plays the burst on a virtual clock and returns how many calls were made.
+// playBurst plays the burst on a virtual clock and returns the number of calls made.
 func playBurst(processes int) (calls int) {
 	s, now := fleetOwner(processes)
 	type ending struct {
@@ -56,15 +57,15 @@
 	}
 	var under []ending
 	start := func() {
-		for _, c := range s.start(now) {
+		for _, c := range s.startCalls(now) {
 			calls++
-			under = append(under, ending{now.Add(c.expect), c})
+			under = append(under, ending{now.Add(c.expected), c})
 		}
 	}
 	left := 0
 	for i := range 3 * processes {
 		left++
-		s.add(now, fleetJob(i), func(Result, error) { left-- })
+		s.submit(now, fleetJob(i), func(Result, error) { left-- })
 		start()
 	}
 	for step := 0; left > 0 && step < 20_000; step++ {
@@ -80,19 +81,19 @@
 			for k := range e.c.pieces {
 				o.results = append(o.results, upstream.PieceResult{Handle: fmt.Sprint("h", calls, k)})
 			}
-			s.freed(s.finish(now, e.c, o))
+			s.recordFreed(s.finishCall(now, e.c, o))
 			start() // after each event, as an owner does that keeps up
 		}
 		if step%20 == 0 {
-			s.freed(s.expire(now))
+			s.recordFreed(s.expireJobs(now))
 			start()
 		}
 	}
 	return calls
 }
 
-// TestQueueIsLookedAtOnceADataCenter has pieces wait for upstreams of one data centre, which are all busy, while
-// those of five others are idle: the owner looks at each piece once for a data centre, however many upstreams there are.
+// TestQueueIsLookedAtOnceADataCenter has pieces wait for busy upstreams of one data centre, while those of
+// five others are idle: the owner checks each piece once for a data centre, not once for each upstream.
 func TestQueueIsLookedAtOnceADataCenter(t *testing.T) {
 	const dataCenters = 6
 	for _, processes := range []int{90, 360, 720} {
@@ -100,21 +101,21 @@
 		q := s.services["courier"]
 		for _, w := range q.list {
 			if w.member.DataCenter == "dc0" {
-				w.running = 1
+				w.runningCalls = 1
 				w.freeAt = now.Add(300 * time.Millisecond)
 			}
 		}
 		for i := range processes {
 			j := &job{Job: fleetJob(i), serial: uint64(i), arrived: now, deadline: now.Add(10 * time.Second), goal: now.Add(2 * time.Second)}
 			s.reset(j)
-			q.wait(&piece{job: j, stage: 2, home: "dc0", queued: now})
+			q.enqueue(&piece{job: j, stage: 2, preferredDataCenter: "dc0", queued: now})
 		}
-		before := q.looked
-		if c := q.next(now); c != nil {
-			t.Fatalf("%d processes: a call of %d pieces, which should wait", processes, len(c.pieces))
+		before := q.fitChecks
+		if c := q.nextCall(now); c != nil {
+			t.Fatalf("%d processes: got a call of %d pieces, which should wait", processes, len(c.pieces))
 		}
-		if looked := q.looked - before; looked > dataCenters*processes {
-			t.Errorf("%d processes: %d looks at %d pieces", processes, looked, processes)
+		if looked := q.fitChecks - before; looked > dataCenters*processes {
+			t.Errorf("%d processes: %d checks of %d pieces", processes, looked, processes)
 		}
 	}
 }
--- a/node/stagework/machine_test.go
+++ b/node/stagework/machine_test.go
@@ -15,19 +15,18 @@
 	"caperdrum.org/node/upstream"
 )
 
-// world drives a scheduler with jobs, calls that end in every way, upstreams
-// that come and go, and moves of the ownership. It checks what must always hold
-// from what the scheduler hands out.
+// world drives a scheduler with jobs, calls with every outcome, changing members and changes of ownership.
+// It checks invariants on everything that the scheduler returns.
 type world struct {
-	t       *rapid.T
-	s       *scheduler
-	now     time.Time
-	running []*call
-	jobs    map[string]*tracked
-	serial  int
-	made    map[string]string // handle to what it holds
-	lying   map[string]bool   // handles that were made and not freed
-	members map[string][]wire.Member
+	t        *rapid.T
+	s        *scheduler
+	now      time.Time
+	running  []*call
+	jobs     map[string]*tracked
+	serial   int
+	contents map[string]string // what each handle holds, as "job/stage/piece"
+	stored   map[string]bool   // handles that were not freed
+	members  map[string][]wire.Member
 }
 
 type tracked struct {
@@ -43,47 +42,47 @@
 }
 
 func newWorld(t *rapid.T) *world {
-	w := &world{t: t, s: newScheduler(), now: time.Unix(1000, 0), jobs: map[string]*tracked{}, made: map[string]string{}, lying: map[string]bool{}, members: map[string][]wire.Member{}}
+	w := &world{t: t, s: newScheduler(), now: time.Unix(1000, 0), jobs: map[string]*tracked{}, contents: map[string]string{}, stored: map[string]bool{}, members: map[string][]wire.Member{}}
 	for _, service := range []string{"a", "b"} {
 		for i := range 3 {
 			w.members[service] = append(w.members[service], wire.Member{ID: wire.MemberID(fmt.Sprint(service, i)), Service: service, Direct: fmt.Sprint(service, i), DataCenter: fmt.Sprint("dc", i%2)})
 		}
 	}
 	w.s.setServices(services, w.members)
-	w.s.own(w.now, true, false)
+	w.s.setOwner(w.now, true, false)
 	return w
 }
 
 func (w *world) addJob() {
 	w.serial++
-	j := Job{ID: fmt.Sprint("job", w.serial), Handed: fmt.Sprint("job", w.serial), Key: fmt.Sprint("k", rapid.IntRange(0, 9).Draw(w.t, "key")), DataCenter: "dc0", Left: time.Duration(rapid.IntRange(200, 4000).Draw(w.t, "left")) * time.Millisecond}
-	j.Goal = j.Left / 2
+	j := Job{ID: fmt.Sprint("job", w.serial), SubmissionID: fmt.Sprint("job", w.serial), Key: fmt.Sprint("k", rapid.IntRange(0, 9).Draw(w.t, "key")), DataCenter: "dc0", TimeLeft: time.Duration(rapid.IntRange(200, 4000).Draw(w.t, "left")) * time.Millisecond}
+	j.Goal = j.TimeLeft / 2
 	j.Stages = []Stage{
-		{Service: "a", Pieces: rapid.IntRange(0, 3).Draw(w.t, "p0"), Bytes: 500},
-		{Service: "a", Pieces: rapid.IntRange(0, 6).Draw(w.t, "p1"), Bytes: 100},
-		{Service: "b", After: []int{1}, Pieces: rapid.IntRange(0, 8).Draw(w.t, "p2"), Bytes: 60_000},
-		{Service: "b", After: []int{0, 2}, Pieces: rapid.IntRange(0, 3).Draw(w.t, "p3"), Bytes: 10},
+		{Service: "a", Pieces: rapid.IntRange(0, 3).Draw(w.t, "p0"), ResultBytes: 500},
+		{Service: "a", Pieces: rapid.IntRange(0, 6).Draw(w.t, "p1"), ResultBytes: 100},
+		{Service: "b", DependsOn: []int{1}, Pieces: rapid.IntRange(0, 8).Draw(w.t, "p2"), ResultBytes: 60_000},
+		{Service: "b", DependsOn: []int{0, 2}, Pieces: rapid.IntRange(0, 3).Draw(w.t, "p3"), ResultBytes: 10},
 	}
 	tr := &tracked{job: j}
 	w.jobs[j.ID] = tr
-	w.s.add(w.now, j, func(r Result, err error) {
+	w.s.submit(w.now, j, func(r Result, err error) {
 		tr.answered++
 		tr.result, tr.err = r, err
 	})
 }
 
-// start takes the calls that the scheduler hands out and checks them.
+// start takes the calls to start and checks them.
 func (w *world) start() {
-	for _, c := range w.s.start(w.now) {
+	for _, c := range w.s.startCalls(w.now) {
 		spec := services[c.service]
 		if len(c.pieces) > spec.Batch || len(c.pieces) == 0 {
 			w.t.Fatalf("a call of %d pieces", len(c.pieces))
 		}
-		if c.worker.running > spec.Calls {
-			w.t.Fatalf("%d calls at %s", c.worker.running, c.worker.member.ID)
+		if c.worker.runningCalls > spec.Calls {
+			w.t.Fatalf("%d calls at %s", c.worker.runningCalls, c.worker.member.ID)
 		}
-		if c.worker.own > spec.ResultRoom {
-			w.t.Fatalf("%s holds %d of %d bytes", c.worker.member.ID, c.worker.own, spec.ResultRoom)
+		if c.worker.ownBytes > spec.ResultRoom {
+			w.t.Fatalf("%s holds %d of %d bytes", c.worker.member.ID, c.worker.ownBytes, spec.ResultRoom)
 		}
 		if !w.s.owner {
 			w.t.Fatal("a call by a process that does not own the queues")
@@ -95,26 +94,26 @@
 	}
 }
 
-// checkRequest checks that a piece gets all results of the stages before it,
-// each once, and of its own job.
+// checkRequest checks that a piece gets all results of the stages that it depends on, each once, and
+// from its own job.
 func (w *world) checkRequest(p *piece, r upstream.Piece) {
 	j := w.jobs[r.ID].job
 	var want []string
-	for _, k := range j.Stages[r.Stage].After {
+	for _, k := range j.Stages[r.Stage].DependsOn {
 		for n := range j.Stages[k].Pieces {
 			want = append(want, fmt.Sprintf("%s/%d/%d", r.ID, k, n))
 		}
 	}
 	var got []string
 	for _, h := range r.Inputs {
-		got = append(got, w.made[h])
+		got = append(got, w.contents[h])
 	}
 	slices.Sort(want)
 	slices.Sort(got)
 	if !slices.Equal(want, got) {
 		w.t.Fatalf("piece %d of stage %d of %s gets %v, want %v", r.Number, r.Stage, r.ID, got, want)
 	}
-	if first := len(j.Stages[r.Stage].After) == 0; first != (r.Key != "") {
+	if first := len(j.Stages[r.Stage].DependsOn) == 0; first != (r.Key != "") {
 		w.t.Fatalf("key %q at stage %d", r.Key, r.Stage)
 	}
 }
@@ -136,9 +135,9 @@
 	case "full":
 		o.full = true
 	case "moved":
-		o.moved = true
+		o.misdirected = true
 	}
-	w.free(w.s.finish(w.now, c, o))
+	w.free(w.s.finishCall(w.now, c, o))
 }
 
 func (w *world) results(c *call, failing bool) []upstream.PieceResult {
@@ -148,36 +147,36 @@
 			out[i].Failure = rapid.SampledFrom([]upstream.Failure{upstream.Late, upstream.InputGone, upstream.NoRoom, upstream.Failed}).Draw(w.t, "why")
 			continue
 		}
-		h := fmt.Sprintf("%s/%d", c.worker.member.Direct, len(w.made))
-		w.made[h] = fmt.Sprintf("%s/%d/%d", r.ID, r.Stage, r.Number)
-		w.lying[h] = true
+		h := fmt.Sprintf("%s/%d", c.worker.member.Direct, len(w.contents))
+		w.contents[h] = fmt.Sprintf("%s/%d/%d", r.ID, r.Stage, r.Number)
+		w.stored[h] = true
 		out[i].Handle = h
 	}
 	return out
 }
 
-func (w *world) free(results []made) {
+func (w *world) free(results []storedResult) {
 	for _, m := range results {
-		if !w.lying[m.handle] {
-			w.t.Fatalf("%s is freed twice, or was never made", m.handle)
+		if !w.stored[m.handle] {
+			w.t.Fatalf("%s was freed twice, or never stored", m.handle)
 		}
-		delete(w.lying, m.handle)
+		delete(w.stored, m.handle)
 	}
-	w.s.freed(results)
+	w.s.recordFreed(results)
 }
 
-// report lets the upstreams that are asked for their room answer: with what an
-// owner before left there, or not at all.
+// report answers the requested room reports: with room that a previous owner's results occupy, or not
+// at all.
 func (w *world) report() {
-	for _, asked := range w.s.reports(w.now) {
+	for _, asked := range w.s.dueReports(w.now) {
 		free := int64(rapid.IntRange(-1, 4000).Draw(w.t, "free"))
 		if free < 0 {
-			w.s.reported(w.now, asked, nil)
+			w.s.applyReport(w.now, asked, nil)
 		} else {
-			w.s.reported(w.now, asked, &upstream.Room{Free: free, FreeMost: free + int64(rapid.IntRange(0, 500).Draw(w.t, "more"))})
+			w.s.applyReport(w.now, asked, &upstream.Room{Free: free, FreeMost: free + int64(rapid.IntRange(0, 500).Draw(w.t, "more"))})
 		}
-		if asked.foreign < 0 || free >= 0 && asked.foreign > services[asked.member.Service].ResultRoom {
-			w.t.Fatalf("%s holds %d bytes of others", asked.member.ID, asked.foreign)
+		if asked.foreignBytes < 0 || free >= 0 && asked.foreignBytes > services[asked.member.Service].ResultRoom {
+			w.t.Fatalf("%s: %d foreign bytes", asked.member.ID, asked.foreignBytes)
 		}
 	}
 }
@@ -185,7 +184,7 @@
 func (w *world) release() {
 	for _, tr := range w.jobs {
 		if tr.answered > 0 {
-			w.free(w.s.done(w.now, Done{Handed: tr.job.ID}))
+			w.free(w.s.handleDone(w.now, Done{SubmissionID: tr.job.ID}))
 			return
 		}
 	}
@@ -214,16 +213,15 @@
 		}
 		late := w.now.Sub(time.Unix(1000, 0)) > time.Hour
 		if tr.answered == 0 && w.s.jobs[id] == nil && !late {
-			w.t.Fatalf("%s is forgotten without an answer", id)
+			w.t.Fatalf("%s was dropped without an answer", id)
 		}
 	}
 }
 
-// checkResult checks that the answer holds each result of the final stages of
-// its own job once.
+// checkResult checks that the answer holds each result of the job's final stages once.
 func (w *world) checkResult(tr *tracked) {
 	var want, got []string
-	for i, final := range tr.job.final() {
+	for i, final := range tr.job.finalStages() {
 		for n := range tr.job.Stages[i].Pieces {
 			if final {
 				want = append(want, fmt.Sprintf("%s/%d/%d", tr.job.ID, i, n))
@@ -231,7 +229,7 @@
 		}
 	}
 	for _, h := range tr.result.Handles {
-		got = append(got, w.made[h])
+		got = append(got, w.contents[h])
 	}
 	slices.Sort(want)
 	slices.Sort(got)
@@ -240,8 +238,7 @@
 	}
 }
 
-// TestSchedulerKeepsResultsApart lets everything happen that the links and
-// upstreams do, and then lets all jobs end.
+// TestSchedulerKeepsResultsApart plays random events of links and upstreams, and then lets all jobs end.
 func TestSchedulerKeepsResultsApart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -252,9 +249,9 @@
 			"members": func(*rapid.T) { w.changeMembers() },
 			"time": func(t *rapid.T) {
 				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
-				w.free(w.s.expire(w.now))
+				w.free(w.s.expireJobs(w.now))
 			},
-			"owner":  func(t *rapid.T) { w.free(w.s.own(w.now, rapid.IntRange(0, 3).Draw(t, "owner") > 0, true)) },
+			"owner":  func(t *rapid.T) { w.free(w.s.setOwner(w.now, rapid.IntRange(0, 3).Draw(t, "owner") > 0, true)) },
 			"report": func(t *rapid.T) { w.report() },
 			"": func(*rapid.T) {
 				w.start()
@@ -262,7 +259,7 @@
 			},
 		})
 		w.now = w.now.Add(10 * time.Second)
-		w.free(w.s.expire(w.now))
+		w.free(w.s.expireJobs(w.now))
 		for len(w.running) > 0 {
 			w.finish()
 		}
@@ -270,34 +267,33 @@
 			if tr.answered != 1 {
 				t.Fatalf("%s is answered %d times", id, tr.answered)
 			}
-			w.free(w.s.done(w.now, Done{Handed: id}))
+			w.free(w.s.handleDone(w.now, Done{SubmissionID: id}))
 		}
 		if len(w.s.jobs) > 0 {
-			t.Fatalf("%d jobs are kept", len(w.s.jobs))
+			t.Fatalf("%d jobs are left", len(w.s.jobs))
 		}
 		for name, q := range w.s.services {
 			if len(q.waiting) > 0 {
-				t.Fatalf("%d pieces wait at %s for nobody", len(q.waiting), name)
+				t.Fatalf("%d pieces of ended jobs wait at %s", len(q.waiting), name)
 			}
 			for id, worker := range q.workers {
-				if worker.own < 0 || worker.running != 0 {
-					t.Fatalf("%s: room %d, %d calls", id, worker.own, worker.running)
+				if worker.ownBytes < 0 || worker.runningCalls != 0 {
+					t.Fatalf("%s: %d own bytes, %d calls", id, worker.ownBytes, worker.runningCalls)
 				}
 			}
 		}
 	})
 }
 
-// TestGroupsStayTogether gives two upstreams five groups of two: no group is
-// split over two calls.
+// TestGroupsStayTogether gives two upstreams five groups of two pieces: no group is split over two calls.
 func TestGroupsStayTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		for range 5 {
 			w.serial++
-			w.s.add(w.now, Job{ID: fmt.Sprint(w.serial), Handed: fmt.Sprint(w.serial), Key: "k", Left: 10 * time.Second, Goal: 5 * time.Second, Stages: []Stage{{Service: "a", Pieces: 2, Bytes: 10}}}, func(Result, error) {})
+			w.s.submit(w.now, Job{ID: fmt.Sprint(w.serial), SubmissionID: fmt.Sprint(w.serial), Key: "k", TimeLeft: 10 * time.Second, Goal: 5 * time.Second, Stages: []Stage{{Service: "a", Pieces: 2, ResultBytes: 10}}}, func(Result, error) {})
 		}
-		for _, c := range w.s.start(w.now) {
+		for _, c := range w.s.startCalls(w.now) {
 			var ids []string
 			for _, p := range c.pieces {
 				ids = append(ids, p.job.ID)
@@ -311,45 +307,44 @@
 	})
 }
 
-// TestCallThatIsHandedInAgain hands a call in twice and lets the first handing in
-// be given up only then, as links may deliver it: the second one stays.
+// TestCallThatIsHandedInAgain submits a call twice, and ends the first submission only after that, as
+// messages may be reordered: the second submission continues.
 func TestCallThatIsHandedInAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		answered := map[string]error{}
 		for _, handed := range []string{"first", "second"} {
-			w.s.add(w.now, Job{ID: "call", Handed: handed, Key: "k", Left: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, Bytes: 10}}},
+			w.s.submit(w.now, Job{ID: "call", SubmissionID: handed, Key: "k", TimeLeft: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: 10}}},
 				func(_ Result, err error) { answered[handed] = err })
 		}
-		w.free(w.s.done(w.now, Done{Handed: "first"}))
+		w.free(w.s.handleDone(w.now, Done{SubmissionID: "first"}))
 		if err, ended := answered["first"]; !ended || err == nil {
-			t.Fatal("the job that was given up goes on")
+			t.Fatal("the ended submission continues")
 		}
 		if _, ended := answered["second"]; ended || w.s.jobs["second"] == nil {
-			t.Fatal("the job that was handed in again was given up")
+			t.Fatal("the second submission was ended too")
 		}
 	})
 }
 
-// TestStarvedJobIsToldSo hands in a job that misses its goal, at a service whose
-// upstreams are all busy: it is refused as not run long before its deadline, and
-// one that has a call under way is not.
-func TestStarvedJobIsToldSo(t *testing.T) {
+// TestStarvedJobIsRefused submits a job that misses its goal to a service whose upstreams are all busy: it
+// is refused as not run long before its deadline, and jobs with a call in progress are not.
+func TestStarvedJobIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		ended := map[string]error{}
 		add := func(id string) {
-			w.s.add(w.now, Job{ID: id, Handed: id, Key: "k", Left: 20 * time.Second, Goal: -time.Second, Stages: []Stage{{Service: "a", Pieces: 4, Bytes: 10}}},
+			w.s.submit(w.now, Job{ID: id, SubmissionID: id, Key: "k", TimeLeft: 20 * time.Second, Goal: -time.Second, Stages: []Stage{{Service: "a", Pieces: 4, ResultBytes: 10}}},
 				func(_ Result, err error) { ended[id] = err })
 		}
 		for i := range 3 {
 			add(fmt.Sprint("running", i))
 		}
-		w.s.start(w.now)
+		w.s.startCalls(w.now)
 		add("waits")
-		w.s.start(w.now)
+		w.s.startCalls(w.now)
 		w.now = w.now.Add(starvedAfter + time.Millisecond)
-		w.free(w.s.expire(w.now))
+		w.free(w.s.expireJobs(w.now))
 		if len(ended) != 1 || verdict.Of(ended["waits"]) != verdict.NotRun {
 			t.Fatalf("ended: %v", ended)
 		}
--- a/node/stagework/metrics_test.go
+++ b/node/stagework/metrics_test.go
@@ -9,31 +9,31 @@
 	"github.com/onsi/gomega"
 )
 
-// value is a counter's value, zero where it has not counted yet.
-func value(m *expvar.Map, name string) int64 {
+// mapValue returns a counter of a map, zero if it does not exist yet.
+func mapValue(m *expvar.Map, name string) int64 {
 	if v, ok := m.Get(name).(*expvar.Int); ok {
 		return v.Value()
 	}
 	return 0
 }
 
-// TestCallsAreCounted makes a call before a whole one waits: its piece is counted and its
-// places are not, and what the owner holds is shown.
+// TestCallsAreCounted makes a call before another batch waits: its piece is counted but not its batch slots,
+// and the gauges show what the owner holds.
 func TestCallsAreCounted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	calls, pieces, places, taken := value(callsVar, "a"), value(piecesVar, "a"), value(placesVar, "a"), value(takenVar, "a")
+	calls, pieces, places, taken := mapValue(callsVar, "a"), mapValue(piecesVar, "a"), mapValue(batchSlotsVar, "a"), mapValue(batchSlotsUsedVar, "a")
 	c := newTwoStages()
-	c.toSecond(services["a"].Batch) // a call of one piece; there is no room for another
-	g.Expect(value(callsVar, "a") - calls).To(gomega.BeEquivalentTo(1))
-	g.Expect(value(piecesVar, "a") - pieces).To(gomega.BeEquivalentTo(1))
-	g.Expect(value(placesVar, "a") - places).To(gomega.BeEquivalentTo(0))
-	g.Expect(value(takenVar, "a") - taken).To(gomega.BeEquivalentTo(0))
-	c.s.gauges(c.now)
-	g.Expect(value(waitingVar, "a")).To(gomega.BeEquivalentTo(services["a"].Batch))
-	g.Expect(underWayVar.Value()).To(gomega.BeEquivalentTo(1 + services["a"].Batch))
+	c.startSecondStage(services["a"].Batch) // a call of one piece; there is no room for another
+	g.Expect(mapValue(callsVar, "a") - calls).To(gomega.BeEquivalentTo(1))
+	g.Expect(mapValue(piecesVar, "a") - pieces).To(gomega.BeEquivalentTo(1))
+	g.Expect(mapValue(batchSlotsVar, "a") - places).To(gomega.BeEquivalentTo(0))
+	g.Expect(mapValue(batchSlotsUsedVar, "a") - taken).To(gomega.BeEquivalentTo(0))
+	c.s.setGauges(c.now)
+	g.Expect(mapValue(waitingVar, "a")).To(gomega.BeEquivalentTo(services["a"].Batch))
+	g.Expect(activeJobsVar.Value()).To(gomega.BeEquivalentTo(1 + services["a"].Batch))
 }
 
-// TestOutcomesOfJobs names how jobs end.
+// TestOutcomesOfJobs checks the metric labels of ended jobs.
 func TestOutcomesOfJobs(t *testing.T) {
 	now := time.Unix(1000, 0)
 	j := &job{goal: now}
@@ -43,7 +43,7 @@
 		err    error
 		want   string
 	}{{now, Result{}, nil, jobInTime}, {now.Add(1), Result{}, nil, jobLate}, {now, Result{}, errors.New("x"), jobFailed},
-		{now, Result{}, errMoved(), jobMoved}, {now, Result{Moved: true}, nil, jobMoved}} {
+		{now, Result{}, errNotOwner(), jobMoved}, {now, Result{Moved: true}, nil, jobMoved}} {
 		if got := j.outcomeOf(c.at, c.result, c.err); got != c.want {
 			t.Errorf("%+v: %s", c, got)
 		}
--- a/node/stagework/owner_bench_test.go
+++ b/node/stagework/owner_bench_test.go
@@ -21,12 +21,12 @@
 	"caperdrum.org/node/upstream"
 )
 
-// jobCallers is how many processes hand their jobs in.
+// jobCallers is the number of processes that submit jobs.
 const jobCallers = 16
 
-// BenchmarkOwner hands jobs of a chain in at an owner over connections, with upstreams that
-// answer over HTTP as soon as they are asked: what a call costs with its messages. Callers and
-// upstreams run in the same process and are part of the figure.
+// BenchmarkOwner submits jobs of a chain to an owner over connections, with upstreams that answer over HTTP
+// at once: it measures a call with all its messages. Callers and upstreams run in the same process and are
+// part of the figure.
 func BenchmarkOwner(b *testing.B) {
 	server := func(handle func(*peer.Server)) string {
 		s := peer.NewServer()
@@ -64,25 +64,25 @@
 		}
 	}
 	native := upstream.Native{}
-	s := &Service{log: logr.Discard(), protocol: native, pool: upstream.NewPool(native, upstream.NewNotices(logr.Discard(), clockwork.NewRealClock())), events: make(chan func(time.Time), 256), dial: peer.DialTCP, link: newLink(peer.DialTCP, logr.Discard()),
+	s := &Service{log: logr.Discard(), protocol: native, pool: upstream.NewPool(native, upstream.NewNotices(logr.Discard(), clockwork.NewRealClock())), events: make(chan func(time.Time), 256), dial: peer.DialTCP, link: newOwnerLink(peer.DialTCP, logr.Discard()),
 		address: func() string { return "self:1" }, self: func() wire.Member { return wire.Member{ID: "self", Incarnation: 7} },
-		callers: map[string]*peer.Client{}, scheduler: newScheduler(), toFree: map[*worker][]made{}, handed: newHandedIn()}
+		callers: map[string]*peer.Client{}, scheduler: newScheduler(), pendingFrees: map[*worker][]storedResult{}, submissions: newSubmissions()}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	b.Cleanup(s.cancel)
 	go s.loop()
 	s.post(func(now time.Time) {
 		s.scheduler.setServices(chainServices, members)
-		s.takeOwnership(now, wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 1}, true, "view")
+		s.setOwnership(now, wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 1}, true, "view")
 	})
 	owner := server(func(p *peer.Server) {
-		peer.Handle(p, methodRun, s.run)
-		peer.Handle(p, methodDone, s.done)
+		peer.Handle(p, methodRun, s.handleRun)
+		peer.Handle(p, methodDone, s.handleDone)
 	})
 	var clients []*peer.Client
 	var addresses []string
 	for range jobCallers {
 		addresses = append(addresses, server(func(p *peer.Server) {
-			peer.Handle(p, methodNews, func(context.Context, *[]News) (*control.Empty, error) { return &control.Empty{}, nil })
+			peer.Handle(p, methodProgress, func(context.Context, *[]ProgressUpdate) (*control.Empty, error) { return &control.Empty{}, nil })
 		}))
 		clients = append(clients, peer.NewClient(owner, peer.DialTCP))
 	}
@@ -92,7 +92,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		under <- struct{}{}
-		job := Job{ID: fmt.Sprint("call", i), Handed: fmt.Sprint("handed", i), Key: fmt.Sprint("key", i), Stages: chainChats.stages(random), Left: 12 * time.Second, Goal: 2 * time.Second,
+		job := Job{ID: fmt.Sprint("call", i), SubmissionID: fmt.Sprint("handed", i), Key: fmt.Sprint("key", i), Stages: chainChats.stages(random), TimeLeft: 12 * time.Second, Goal: 2 * time.Second,
 			FirstEvent: 2200 * time.Millisecond, Caller: addresses[i%jobCallers], Prompt: &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: fmt.Sprint("shared", i%700), Tokens: 198}, {ID: "own", Tokens: 628}}}}
 		wg.Go(func() {
 			defer func() { <-under }()
@@ -102,7 +102,7 @@
 				b.Error(err)
 				return
 			}
-			c.Notify(context.Background(), methodDone, Done{Handed: job.Handed, Engine: EngineBegan})
+			c.Notify(context.Background(), methodDone, Done{SubmissionID: job.SubmissionID, Engine: EngineStarted})
 		})
 	}
 	wg.Wait()
--- a/node/stagework/within_test.go
+++ b/node/stagework/residency_test.go
@@ -14,8 +14,8 @@
 	"caperdrum.org/node/upstream"
 )
 
-// TestJobsStayWithinTheirDataCenters hands in jobs of which some are bound to data centres, with upstreams
-// that come and go: no piece of theirs is made elsewhere, no engine chosen and no part fetched from elsewhere.
+// TestJobsStayWithinTheirDataCenters submits jobs of which some are bound to data centres, while upstreams come
+// and go: none of their pieces runs elsewhere, and no engine or fetch source elsewhere is chosen.
 func TestJobsStayWithinTheirDataCenters(t *testing.T) {
 	specs := map[string]*optext.Service{
 		"a":   {Name: "a", Kind: string(optext.Batch), Direct: optext.Direct{Batch: 4, Calls: 1, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond, ResultRoom: 1_000_000, ResultTTL: 4 * time.Second}},
@@ -24,7 +24,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := newScheduler(), time.Unix(1000, 0)
-		s.own(now, true, false)
+		s.setOwner(now, true, false)
 		dataCenters := []string{"dc0", "dc1", "dc2"}
 		follow := func() {
 			members := map[string][]wire.Member{}
@@ -52,24 +52,24 @@
 			}
 			id := fmt.Sprint("j", i)
 			bound[id] = w
-			job := Job{ID: id, Handed: id, Key: "k", Left: 10 * time.Second, Goal: 5 * time.Second, FirstEvent: 5 * time.Second, Within: w,
+			job := Job{ID: id, SubmissionID: id, Key: "k", TimeLeft: 10 * time.Second, Goal: 5 * time.Second, FirstEvent: 5 * time.Second, Within: w,
 				Prompt: &Prompt{Service: "llm", Parts: []upstream.PromptPart{{ID: "shared", Tokens: 2000}, {ID: id, Tokens: 10}}, Within: w},
-				Stages: []Stage{{Service: "a", Pieces: 1 + i%2, Bytes: 200_000}, {Service: "b", After: []int{0}, Pieces: 1, Bytes: 100}}}
-			s.add(now, job, func(r Result, err error) {
+				Stages: []Stage{{Service: "a", Pieces: 1 + i%2, ResultBytes: 200_000}, {Service: "b", DependsOn: []int{0}, Pieces: 1, ResultBytes: 100}}}
+			s.submit(now, job, func(r Result, err error) {
 				if err == nil && r.Engine != "" {
-					l := s.engines.by[r.Engine]
+					l := s.engines.loads[r.Engine]
 					if !w.Contains(l.member.DataCenter) {
 						t.Fatalf("%s, within %v: engine %s in %s", id, w, r.Engine, l.member.DataCenter)
 					}
-					if r.FetchFrom != "" && !w.Contains(s.engines.by[wire.MemberID(r.FetchFrom)].member.DataCenter) {
+					if r.FetchFrom != "" && !w.Contains(s.engines.loads[wire.MemberID(r.FetchFrom)].member.DataCenter) {
 						t.Fatalf("%s, within %v: parts are fetched from %s", id, w, r.FetchFrom)
 					}
 				}
 			})
-			for _, c := range s.start(now) {
+			for _, c := range s.startCalls(now) {
 				for _, p := range c.pieces {
 					if w := bound[p.job.ID]; !w.Contains(c.worker.member.DataCenter) {
-						t.Fatalf("a piece of %s, within %v, is made in %s", p.job.ID, w, c.worker.member.DataCenter)
+						t.Fatalf("a piece of %s, within %v, runs in %s", p.job.ID, w, c.worker.member.DataCenter)
 					}
 				}
 				under = append(under, c)
@@ -79,19 +79,19 @@
 				for k := range under[0].pieces {
 					o.results = append(o.results, upstream.PieceResult{Handle: fmt.Sprint("h", i, k)})
 				}
-				s.finish(now, under[0], o)
+				s.finishCall(now, under[0], o)
 				under = under[1:]
 			}
-			s.expire(now)
+			s.expireJobs(now)
 		}
 	})
 }
 
-// TestJobThatNobodyMayMake is refused at once where no upstream is allowed, and as soon as the last one has
-// left.
-func TestJobThatNobodyMayMake(t *testing.T) {
+// TestJobWithoutAllowedUpstream is refused at once if no upstream is allowed, and ends as soon as the last one
+// has left.
+func TestJobWithoutAllowedUpstream(t *testing.T) {
 	s, now := newScheduler(), time.Unix(1000, 0)
-	s.own(now, true, false)
+	s.setOwner(now, true, false)
 	specs := map[string]*optext.Service{"a": {Name: "a", Kind: string(optext.Batch), Direct: optext.Direct{Batch: 1, Calls: 1, CallTime: time.Second}}}
 	member := func(id, dc string) wire.Member {
 		return wire.Member{ID: wire.MemberID(id), Service: "a", Direct: id, DataCenter: dc, Incarnation: 1}
@@ -99,7 +99,7 @@
 	s.setServices(specs, map[string][]wire.Member{"a": {member("a0", "dc0"), member("a1", "dc1")}})
 	var errs []error
 	add := func(id, dc string) {
-		s.add(now, Job{ID: id, Handed: id, Left: time.Minute, Goal: time.Minute, Within: residency.AllowedDataCenters{Restricted: true, DataCenters: []string{dc}}, Stages: []Stage{{Service: "a", Pieces: 3, Bytes: 1}}},
+		s.submit(now, Job{ID: id, SubmissionID: id, TimeLeft: time.Minute, Goal: time.Minute, Within: residency.AllowedDataCenters{Restricted: true, DataCenters: []string{dc}}, Stages: []Stage{{Service: "a", Pieces: 3, ResultBytes: 1}}},
 			func(_ Result, err error) { errs = append(errs, err) })
 	}
 	refused := func(n int) {
@@ -114,20 +114,20 @@
 	add("j0", "dc7")
 	refused(1)
 	add("j1", "dc1")
-	s.start(now)
+	s.startCalls(now)
 	s.setServices(specs, map[string][]wire.Member{"a": {member("a0", "dc0")}})
-	s.expire(now)
+	s.expireJobs(now)
 	refused(2)
 }
 
-// TestPartsAreNotFetchedFromOutside has a part read in one data centre: a call that is bound to another reads it
-// there, one that is not fetches it.
+// TestPartsAreNotFetchedFromOutside has a part cached in one data centre: a call bound to another data centre
+// prefills it there, an unbound one fetches it.
 func TestPartsAreNotFetchedFromOutside(t *testing.T) {
 	for _, bound := range []bool{false, true} {
-		p := linked(fastLinks)
-		p.readAt("e0", prompt("shared", 10)) // in dc0, as e2
-		p.busy("e0", 1_000_000)
-		p.busy("e2", 1_000_000)
+		p := newLinkedFleet(fastLinks)
+		p.prefillAt("e0", prompt("shared", 10)) // in dc0, as is e2
+		p.setWaiting("e0", 1_000_000)
+		p.setWaiting("e2", 1_000_000)
 		pr := prompt("shared", 1000)
 		pr.Within = residency.AllowedDataCenters{Restricted: bound, DataCenters: []string{"dc1"}}
 		x := p.plan(pr)
@@ -135,7 +135,7 @@
 			t.Fatalf("bound %t: engine %s", bound, x.engine.ID)
 		}
 		if fetches := x.fetch.source != nil; fetches == bound {
-			t.Errorf("bound %t: the part is fetched: %t", bound, fetches)
+			t.Errorf("bound %t: fetches the part: %t", bound, fetches)
 		}
 	}
 }
--- a/node/stagework/takeover_test.go
+++ b/node/stagework/takeover_test.go
@@ -9,8 +9,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestTakeOverAsksInParts has a process take the queues of more and more upstreams over: what it asks at once does
-// not grow with them, and all of them are asked soon.
+// TestTakeOverAsksInParts has a process take the queues of more and more upstreams: the number of reports that it
+// requests at once does not grow with them, and all are requested soon.
 func TestTakeOverAsksInParts(t *testing.T) {
 	for _, upstreams := range []int{50, 426, 852} {
 		s, now := newScheduler(), time.Unix(1000, 0)
@@ -21,7 +21,7 @@
 			list = append(list, wire.Member{ID: wire.MemberID(id), Service: "a", Direct: id, DataCenter: "dc0", Incarnation: 1})
 		}
 		s.setServices(map[string]*optext.Service{"a": spec}, map[string][]wire.Member{"a": list})
-		s.own(now, true, true)
+		s.setOwner(now, true, true)
 		asked := map[*worker]bool{}
 		const window = 100 * time.Millisecond
 		lately, windowFrom := 0, now
@@ -29,16 +29,16 @@
 			if now.Sub(windowFrom) >= window {
 				lately, windowFrom = 0, now
 			}
-			for _, w := range s.reports(now) {
+			for _, w := range s.dueReports(now) {
 				asked[w] = true
 				lately++
 			}
-			if most := askBurst + askRate*window.Seconds(); float64(lately) > most {
-				t.Fatalf("%d upstreams: %d are asked within %s", upstreams, lately, window)
+			if most := reportBurst + reportRate*window.Seconds(); float64(lately) > most {
+				t.Fatalf("%d upstreams: %d reports requested within %s", upstreams, lately, window)
 			}
 		}
 		if len(asked) != upstreams {
-			t.Fatalf("%d of %d upstreams are asked in 3 s", len(asked), upstreams)
+			t.Fatalf("%d of %d reports requested in 3 s", len(asked), upstreams)
 		}
 	}
 }
