--- a/node/configsync/clock_test.go
+++ b/node/configsync/clock_test.go
@@ -23,7 +23,7 @@
 	if age := h.StampAge(asked.Add(2 * time.Second)); age != 3*time.Second {
 		t.Fatalf("confirmed %v ago", age)
 	}
-	if at := h.stamp.Load(); at.at.Round(0) == at.at {
+	if at := h.confirmed.Load(); at.at.Round(0) == at.at {
 		t.Fatal("the confirmation has lost its reading of the steady clock")
 	}
 }
--- a/node/configsync/configsync.go
+++ b/node/configsync/configsync.go
@@ -46,29 +46,29 @@
 
 // Service holds the current view.
 type Service struct {
-	held    *Holder
+	holder  *Holder
 	log     logr.Logger
 	ring    *timeline.Ring
 	clock   clockwork.Clock
 	control *peer.Control // for calls to the leader
 	dial    peer.Dialer
 
-	directory  *peer.Directory
-	generation uint64   // of the directory, as sources were made
-	lists      int      // of addresses that sources were made of so far
-	sources    []source // for synchronization, which any control process answers
-	current    int
+	directory           *peer.Directory
+	directoryGeneration uint64   // of the directory, as sources were made
+	sourceLists         int      // of addresses that sources were made of so far
+	sources             []source // for synchronization, which any control process answers
+	current             int
 
-	unanswered map[string]time.Time      // by address of a source that did not answer last time: when
-	silent     atomic.Pointer[time.Time] // since when no control process that reaches the leader has answered; nil while one does
+	unanswered       map[string]time.Time      // by address of a source that did not answer last time: when
+	unreachableSince atomic.Pointer[time.Time] // since when no control process that reaches the leader has answered; nil while one does
 
-	listen []func(*View)
-	onHint []func()
-	taken  atomic.Bool // every listener has seen a view
-	late   bool        // it was logged that no quorum has confirmed the view lately; of run's goroutine
-	poke   chan struct{}
-	doubts chan string   // addresses of processes that do not answer
-	saw    atomic.Uint64 // highest version heard of from others
+	listeners        []func(*View)
+	hintListeners    []func()
+	applied          atomic.Bool // every listener has seen a view
+	confirmationLate bool        // it was logged that no quorum has confirmed the view lately; of run's goroutine
+	wake             chan struct{}
+	unresponsive     chan string   // addresses of processes that do not answer
+	highestSeen      atomic.Uint64 // highest version heard of from others
 
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -86,11 +86,11 @@
 var versionVar = expvar.NewInt("config_version")
 
 // shown is the service whose figures the metric "configuration" shows; see package control.
-var shown atomic.Pointer[Service]
+var metricsSource atomic.Pointer[Service]
 
 func init() {
 	expvar.Publish("configuration", expvar.Func(func() any {
-		s := shown.Load()
+		s := metricsSource.Load()
 		if s == nil {
 			return struct{}{}
 		}
@@ -110,19 +110,19 @@
 	if p.Directory == nil {
 		p.Directory = peer.NewDirectory(p.Settings.Peers.Control)
 	}
-	s := &Service{held: NewHolder(m), log: p.Log, ring: p.Ring, clock: boottime.System(), poke: make(chan struct{}, 1), doubts: make(chan string, 1), done: make(chan struct{}),
+	s := &Service{holder: NewHolder(m), log: p.Log, ring: p.Ring, clock: boottime.System(), wake: make(chan struct{}, 1), unresponsive: make(chan string, 1), done: make(chan struct{}),
 		control: peer.NewDirectoryControl(p.Directory, p.Dial), dial: p.Dial, directory: p.Directory, unanswered: map[string]time.Time{}}
-	s.follow()
+	s.refreshSources()
 	return s
 }
 
 // follow takes over the directory's addresses and keeps open what is in use.
-func (s *Service) follow() {
+func (s *Service) refreshSources() {
 	addresses, generation := s.directory.Addresses()
-	if generation == s.generation {
+	if generation == s.directoryGeneration {
 		return
 	}
-	s.generation = generation
+	s.directoryGeneration = generation
 	old := map[string]source{}
 	for _, src := range s.sources {
 		old[src.Address()] = src
@@ -147,31 +147,31 @@
 		src.Close()
 		delete(s.unanswered, address)
 	}
-	s.lists++
-	if s.View() == nil && s.lists <= spreadLists {
-		s.current = s.first(addresses)
+	s.sourceLists++
+	if s.View() == nil && s.sourceLists <= maxInitialLists {
+		s.current = s.initialSource(addresses)
 	}
 }
 
 // spreadLists is how many lists of control processes a process that holds nothing begins anew with: that of its
 // settings, and the first that it hears of. From then on it goes through all addresses in turn: lists of control
 // processes that no quorum confirms may differ, and it would go back and forth between two.
-const spreadLists = 2
+const maxInitialLists = 2
 
 // first picks the control process that a process which holds nothing begins with: the one that it is itself,
 // which has all that it needs at hand, or one of all by its hash. After a start of all, the seeds alone would send
 // all processes their first views.
-func (s *Service) first(addresses []string) int {
+func (s *Service) initialSource(addresses []string) int {
 	self := s.Self()
 	if i := slices.Index(addresses, self.Peer); i >= 0 && strings.Contains(self.Role, string(settings.Control)) {
 		return i
 	}
-	return spread(self.ID, len(addresses))
+	return hashIndex(self.ID, len(addresses))
 }
 
 // spread picks the control process to begin with, so that not all members
 // begin with the same.
-func spread(id wire.MemberID, n int) int {
+func hashIndex(id wire.MemberID, n int) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return int(h.Sum32() % uint32(n))
@@ -181,18 +181,18 @@
 func (s *Service) Control() *peer.Control { return s.control }
 
 // View returns the current view, or nil before the first one.
-func (s *Service) View() *View { return s.held.View() }
+func (s *Service) View() *View { return s.holder.View() }
 
 // StampAge returns how long ago a quorum confirmed what this process holds.
-func (s *Service) StampAge() time.Duration { return s.held.StampAge(s.clock.Now()) }
+func (s *Service) StampAge() time.Duration { return s.holder.StampAge(s.clock.Now()) }
 
 // Steady returns for how long a quorum has confirmed what this process holds without a gap above
 // LongestGap; zero while there is one.
-func (s *Service) Steady() time.Duration { return s.held.Steady(s.clock.Now()) }
+func (s *Service) Steady() time.Duration { return s.holder.Steady(s.clock.Now()) }
 
 // Silent returns for how long no control process that reaches the leader has answered this process; zero while one does.
 func (s *Service) Silent() time.Duration {
-	since := s.silent.Load()
+	since := s.unreachableSince.Load()
 	if since == nil {
 		return 0
 	}
@@ -200,18 +200,18 @@
 }
 
 // Self returns this process's member record.
-func (s *Service) Self() wire.Member { return s.held.Self() }
+func (s *Service) Self() wire.Member { return s.holder.Self() }
 
 // SetLeaving announces that this process takes no new work, or takes it again.
 func (s *Service) SetLeaving(leaving bool) {
-	if s.held.SetLeaving(leaving) {
+	if s.holder.SetLeaving(leaving) {
 		s.Poke()
 	}
 }
 
 // SetHolds announces what the upstream beside this process holds.
 func (s *Service) SetHolds(holds string) {
-	if s.held.SetHolds(holds) {
+	if s.holder.SetHolds(holds) {
 		s.Poke()
 	}
 }
@@ -219,7 +219,7 @@
 // Poke makes the next synchronization happen at once.
 func (s *Service) Poke() {
 	select {
-	case s.poke <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
@@ -229,7 +229,7 @@
 // would be heard of a second later.
 func (s *Service) Suspect(address string) {
 	select {
-	case s.doubts <- address:
+	case s.unresponsive <- address:
 	default:
 	}
 }
@@ -249,11 +249,11 @@
 		return
 	}
 	for {
-		old := s.saw.Load()
+		old := s.highestSeen.Load()
 		if version <= old {
 			return
 		}
-		if s.saw.CompareAndSwap(old, version) {
+		if s.highestSeen.CompareAndSwap(old, version) {
 			s.Poke()
 			return
 		}
@@ -262,13 +262,13 @@
 
 // OnChange registers f, which is called with every new view, one at a time.
 // It must be called before Start.
-func (s *Service) OnChange(f func(*View)) { s.listen = append(s.listen, f) }
+func (s *Service) OnChange(f func(*View)) { s.listeners = append(s.listeners, f) }
 
 // Start implements kernel.Starter.
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	shown.Store(s)
+	metricsSource.Store(s)
 	go s.run(ctx)
 	return nil
 }
@@ -279,7 +279,7 @@
 	s.cancel()
 	<-s.done
 	s.SetLeaving(true)
-	s.farewell(ctx)
+	s.deregister(ctx)
 	s.control.Close()
 	for _, src := range s.sources {
 		src.Close()
@@ -287,7 +287,7 @@
 	return nil
 }
 
-func (s *Service) publish(v *View, before *View, how arrival) {
+func (s *Service) publish(v *View, before *View, how updateTiming) {
 	old, evacuations, suspects := uint64(0), uint64(0), uint64(0)
 	if before != nil {
 		old, evacuations, suspects = before.Version, before.Evacuations.Revision, before.Suspects.Revision
@@ -304,12 +304,12 @@
 	if v.Suspects.Revision != suspects {
 		s.log.Info("suspects known", "revision", v.Suspects.Revision, "calls", len(v.Suspects.List), "barred", v.Suspects.Barred(), "stamp_age", logging.Age(s.StampAge()))
 	}
-	for _, f := range s.listen {
+	for _, f := range s.listeners {
 		f(v)
 	}
-	s.taken.Store(true)
+	s.applied.Store(true)
 }
 
 // TakenOver reports whether every service of this process has seen a view. A
 // moment before, View returns one that, say, routing does not know yet.
-func (s *Service) TakenOver() bool { return s.taken.Load() }
+func (s *Service) TakenOver() bool { return s.applied.Load() }
--- a/node/configsync/evacuations_test.go
+++ b/node/configsync/evacuations_test.go
@@ -9,7 +9,7 @@
 	"caperdrum.org/api/wire"
 )
 
-func evacuated(revision uint64, dataCenters ...string) *wire.Evacuations {
+func evacuationsOf(revision uint64, dataCenters ...string) *wire.Evacuations {
 	e := &wire.Evacuations{Revision: revision}
 	for _, dc := range dataCenters {
 		e.List = append(e.List, wire.Evacuation{DataCenter: dc, Out: true, Revision: revision})
@@ -45,17 +45,17 @@
 			t.Fatalf("%d announced, %d agents, %d members; want %d", announced, agents, v.Members.Len(), want)
 		}
 	}
-	expect(take(wire.SyncReply{Members: upstreamsIn("north", "south"), Evacuations: evacuated(2, "north"), EvacuationsRevision: 2}), 1)
+	expect(take(wire.SyncReply{Members: upstreamsIn("north", "south"), Evacuations: evacuationsOf(2, "north"), EvacuationsRevision: 2}), 1)
 	if got := h.Request(0).Evacuations; got != 2 {
 		t.Fatalf("asks for what follows revision %d", got)
 	}
-	expect(take(wire.SyncReply{Evacuations: evacuated(3, "north", "south"), EvacuationsRevision: 3}), 0)
-	expect(take(wire.SyncReply{Evacuations: evacuated(4), EvacuationsRevision: 4}), 2)
-	if _, err := h.Take(&wire.SyncReply{MembersSeq: 1, Evacuations: evacuated(3, "north"), EvacuationsRevision: 3}, time.Unix(1000, 0)); !errors.Is(err, errBehind) {
+	expect(take(wire.SyncReply{Evacuations: evacuationsOf(3, "north", "south"), EvacuationsRevision: 3}), 0)
+	expect(take(wire.SyncReply{Evacuations: evacuationsOf(4), EvacuationsRevision: 4}), 2)
+	if _, err := h.Take(&wire.SyncReply{MembersSeq: 1, Evacuations: evacuationsOf(3, "north"), EvacuationsRevision: 3}, time.Unix(1000, 0)); !errors.Is(err, errOlderState) {
 		t.Fatalf("a control process that is behind: %v", err)
 	}
 	expect(h.View(), 2)
-	if _, err := h.Take(&wire.SyncReply{MembersSeq: 1, EvacuationsRevision: 9}, time.Unix(1000, 0)); !errors.Is(err, errGap) {
+	if _, err := h.Take(&wire.SyncReply{MembersSeq: 1, EvacuationsRevision: 9}, time.Unix(1000, 0)); !errors.Is(err, errIncompleteUpdate) {
 		t.Fatalf("news that are not brought: %v", err)
 	}
 }
--- a/node/configsync/hint.go
+++ b/node/configsync/hint.go
@@ -26,17 +26,17 @@
 }
 
 // Hint returns what answers said beyond the view.
-func (s *Service) Hint() Hint { return s.held.Hint() }
+func (s *Service) Hint() Hint { return s.holder.Hint() }
 
 // OnHint registers f, which must not block and is called when a hint grew. It
 // must be called before Start.
-func (s *Service) OnHint(f func()) { s.onHint = append(s.onHint, f) }
+func (s *Service) OnHint(f func()) { s.hintListeners = append(s.hintListeners, f) }
 
-func (s *Service) takeHint(reply *wire.SyncReply) {
-	if !s.held.TakeHint(reply) {
+func (s *Service) applyHint(reply *wire.SyncReply) {
+	if !s.holder.TakeHint(reply) {
 		return
 	}
-	for _, f := range s.onHint {
+	for _, f := range s.hintListeners {
 		f()
 	}
 }
--- a/node/configsync/holder.go
+++ b/node/configsync/holder.go
@@ -13,11 +13,11 @@
 
 // LongestGap is between two confirmations of a view that counts as confirmed all the while:
 // three synchronizations, and longer than an election takes.
-const LongestGap = staleStamp
+const LongestGap = maxConfirmationAge
 
 const (
-	staleStamp = 3 * time.Second // a control process with an older stamp is passed over
-	neverStamp = logging.Never
+	maxConfirmationAge = 3 * time.Second // a control process with an older stamp is passed over
+	neverConfirmed     = logging.Never
 )
 
 // Errors that make the process ask another control process.
@@ -25,20 +25,20 @@
 	errStale = errors.New("configsync: the control process has no fresh confirmation by a quorum")
 	// errUnconfirmed sends a process that holds nothing to another control process, at which it waits.
 	errUnconfirmed = errors.New("configsync: no quorum has confirmed what the control process knows")
-	errBehind      = errors.New("configsync: the control process is behind what is held here")
+	errOlderState  = errors.New("configsync: the control process is behind what is held here")
 	errNotRenewed  = errors.New("configsync: the lease could not be renewed there")
 )
 
 // Holder is the part of Service that decides what is held. It has no goroutine
 // and reads no clock. Take must not run twice at the same time.
 type Holder struct {
-	mu     sync.Mutex
-	member wire.Member
-	fault  error // of the last text; the next one must come whole
-	hint   Hint
+	mu      sync.Mutex
+	member  wire.Member
+	textErr error // of the last text; the next one must come whole
+	hint    Hint
 
-	view  atomic.Pointer[View]
-	stamp atomic.Pointer[confirmation] // the last one by a quorum
+	view      atomic.Pointer[View]
+	confirmed atomic.Pointer[confirmation] // the last one by a quorum
 }
 
 // confirmation is one of what is held, by a quorum. Times have their monotonic reading.
@@ -93,21 +93,21 @@
 	if v := h.View(); v != nil {
 		req.ConfigVersion, req.MembersSeq, req.OwnerEpoch = v.Version, v.Seq, v.Owner.Epoch
 		req.Evacuations, req.Suspects, req.Rollouts = v.Evacuations.Revision, v.Suspects.Revision, v.Rollouts.Revision
-		if h.fault == nil {
+		if h.textErr == nil {
 			req.ConfigHash = v.Hash
 		}
 	}
-	if h.fault != nil {
-		req.Fault = h.fault.Error()
+	if h.textErr != nil {
+		req.Fault = h.textErr.Error()
 	}
 	return req
 }
 
 // StampAge returns how long before now a quorum confirmed what is held.
 func (h *Holder) StampAge(now time.Time) time.Duration {
-	at := h.stamp.Load()
+	at := h.confirmed.Load()
 	if at == nil {
-		return neverStamp
+		return neverConfirmed
 	}
 	return now.Sub(at.at)
 }
@@ -115,7 +115,7 @@
 // Steady returns for how long before now the view has been confirmed without a gap; zero when
 // the last confirmation is longer ago than LongestGap.
 func (h *Holder) Steady(now time.Time) time.Duration {
-	at := h.stamp.Load()
+	at := h.confirmed.Load()
 	if at == nil || now.Sub(at.at) > LongestGap {
 		return 0
 	}
@@ -130,7 +130,7 @@
 // The stamp's age was measured after the call began, so asked minus the age is
 // no later than the confirmation.
 func (h *Holder) Take(reply *wire.SyncReply, asked time.Time) (*View, error) {
-	fresh := reply.StampAge >= 0 && reply.StampAge <= staleStamp
+	fresh := reply.StampAge >= 0 && reply.StampAge <= maxConfirmationAge
 	old := h.View()
 	if !fresh && old == nil {
 		return nil, errUnconfirmed
@@ -139,20 +139,20 @@
 	if old != nil {
 		next = *old
 	}
-	if err := h.takeConfig(&next, reply); err != nil {
+	if err := h.applyConfig(&next, reply); err != nil {
 		return nil, err
 	}
-	if err := next.takeMembers(reply.Members); err != nil {
+	if err := next.applyMembers(reply.Members); err != nil {
 		return nil, err
 	}
-	next.takeEvacuations(reply.Evacuations)
-	next.takeSuspects(reply.Suspects)
-	next.takeRollouts(reply.Rollouts)
+	next.applyEvacuations(reply.Evacuations)
+	next.applySuspects(reply.Suspects)
+	next.applyRollouts(reply.Rollouts)
 	if next.ahead(reply) {
-		return nil, errBehind
+		return nil, errOlderState
 	}
 	if next.behind(reply) {
-		return nil, errors.Annotate(errGap, "the answer does not bring all that it knows of")
+		return nil, errors.Annotate(errIncompleteUpdate, "the answer does not bring all that it knows of")
 	}
 	if reply.Owner.Epoch > next.Owner.Epoch {
 		next.Owner = reply.Owner
@@ -165,25 +165,25 @@
 	if !fresh {
 		return changed, errStale
 	}
-	h.confirm(asked.Add(-reply.StampAge))
+	h.recordConfirmation(asked.Add(-reply.StampAge))
 	return changed, nil
 }
 
-func (h *Holder) takeConfig(next *View, reply *wire.SyncReply) error {
-	err := next.takeText(reply.Config)
+func (h *Holder) applyConfig(next *View, reply *wire.SyncReply) error {
+	err := next.applyText(reply.Config)
 	if err == nil {
-		err = next.takeDelta(reply.Delta)
+		err = next.applyDelta(reply.Delta)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.fault = err
+	h.textErr = err
 	return err
 }
 
-func (h *Holder) confirm(at time.Time) {
+func (h *Holder) recordConfirmation(at time.Time) {
 	for {
-		old := h.stamp.Load()
-		if old != nil && !at.After(old.at) || h.stamp.CompareAndSwap(old, old.next(at)) {
+		old := h.confirmed.Load()
+		if old != nil && !at.After(old.at) || h.confirmed.CompareAndSwap(old, old.next(at)) {
 			return
 		}
 	}
--- a/node/configsync/holder_test.go
+++ b/node/configsync/holder_test.go
@@ -22,16 +22,16 @@
 		reply wire.SyncReply
 		want  error
 	}{
-		"a cluster that lost versions":     {wire.SyncReply{Version: 4, MembersSeq: 7}, errBehind},
-		"a cluster that lost members":      {wire.SyncReply{Version: 5, MembersSeq: 6}, errBehind},
-		"a delta over a gap":               {wire.SyncReply{Version: 5, MembersSeq: 9, Members: &wire.MembersDelta{From: 8, To: 9}}, errGap},
-		"news that are not brought":        {wire.SyncReply{Version: 6, MembersSeq: 7}, errGap},
-		"a text that was changed":          {wire.SyncReply{Version: 6, MembersSeq: 7, Config: &wire.ConfigText{Version: 6, Text: "x"}}, errText},
-		"a delta on top of another text":   {wire.SyncReply{Version: 6, MembersSeq: 7, Delta: &wire.ConfigDelta{Base: 4, Version: 6}}, errText},
-		"an old stamp":                     {wire.SyncReply{Version: 5, MembersSeq: 7, StampAge: staleStamp + 1}, errStale},
+		"a cluster that lost versions":     {wire.SyncReply{Version: 4, MembersSeq: 7}, errOlderState},
+		"a cluster that lost members":      {wire.SyncReply{Version: 5, MembersSeq: 6}, errOlderState},
+		"a delta over a gap":               {wire.SyncReply{Version: 5, MembersSeq: 9, Members: &wire.MembersDelta{From: 8, To: 9}}, errIncompleteUpdate},
+		"news that are not brought":        {wire.SyncReply{Version: 6, MembersSeq: 7}, errIncompleteUpdate},
+		"a text that was changed":          {wire.SyncReply{Version: 6, MembersSeq: 7, Config: &wire.ConfigText{Version: 6, Text: "x"}}, errTextMismatch},
+		"a delta on top of another text":   {wire.SyncReply{Version: 6, MembersSeq: 7, Delta: &wire.ConfigDelta{Base: 4, Version: 6}}, errTextMismatch},
+		"an old stamp":                     {wire.SyncReply{Version: 5, MembersSeq: 7, StampAge: maxConfirmationAge + 1}, errStale},
 		"no stamp":                         {wire.SyncReply{Version: 5, MembersSeq: 7, StampAge: -1}, errStale},
-		"a newer text under an old stamp":  {wire.SyncReply{Version: 6, MembersSeq: 7, Config: whole(6), StampAge: staleStamp + 1}, errStale},
-		"an older text with its own stamp": {wire.SyncReply{Version: 4, MembersSeq: 7, Config: whole(4)}, errBehind},
+		"a newer text under an old stamp":  {wire.SyncReply{Version: 6, MembersSeq: 7, Config: whole(6), StampAge: maxConfirmationAge + 1}, errStale},
+		"an older text with its own stamp": {wire.SyncReply{Version: 4, MembersSeq: 7, Config: whole(4)}, errOlderState},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			if !errors.Is(err, c.want) {
 				t.Fatalf("got %v, want %v", err, c.want)
 			}
-			if asksWhole := h.Request(0).ConfigHash == 0; asksWhole != (c.want == errText) {
+			if asksWhole := h.Request(0).ConfigHash == 0; asksWhole != (c.want == errTextMismatch) {
 				t.Fatalf("asks for the whole text: %v", asksWhole)
 			}
 			if age := h.StampAge(start.Add(time.Second)); age != time.Second {
--- a/node/configsync/taken_test.go
+++ b/node/configsync/listeners_test.go
@@ -15,7 +15,7 @@
 // TestTakenOver shows that a view which a listener has not finished with does
 // not count as taken over, though View returns it already.
 func TestTakenOver(t *testing.T) {
-	s := &Service{clock: clockwork.NewFakeClock(), held: NewHolder(wire.Member{ID: "a"}), log: logr.Discard(), ring: timeline.NewRing("a", "v", 16)}
+	s := &Service{clock: clockwork.NewFakeClock(), holder: NewHolder(wire.Member{ID: "a"}), log: logr.Discard(), ring: timeline.NewRing("a", "v", 16)}
 	calls := 0
 	s.OnChange(func(*View) {
 		calls++
--- a/node/configsync/lists.go
+++ b/node/configsync/lists.go
@@ -17,7 +17,7 @@
 // stands for no list. Lists in fresh belong to this change already and are not copied again.
 func (l lists) change(before, after string, m wire.Member, fresh map[string]bool) {
 	if before != "" && before != after {
-		list := l.own(before, fresh)
+		list := l.writable(before, fresh)
 		if i, found := slices.BinarySearchFunc(list, m.ID, compareID); found {
 			l[before] = slices.Delete(list, i, i+1)
 		}
@@ -28,7 +28,7 @@
 	if after == "" {
 		return
 	}
-	list := l.own(after, fresh)
+	list := l.writable(after, fresh)
 	i, found := slices.BinarySearchFunc(list, m.ID, compareID)
 	if found {
 		list[i] = m
@@ -38,7 +38,7 @@
 }
 
 // own returns a list that may be changed.
-func (l lists) own(name string, fresh map[string]bool) []wire.Member {
+func (l lists) writable(name string, fresh map[string]bool) []wire.Member {
 	if !fresh[name] {
 		fresh[name] = true
 		list := l[name]
--- a/node/configsync/lists_test.go
+++ b/node/configsync/lists_test.go
@@ -25,10 +25,10 @@
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				e := &wire.Evacuations{Revision: v.Evacuations.Revision + 1, List: []wire.Evacuation{{DataCenter: "north", Out: rapid.Bool().Draw(t, "out")}}}
-				v.takeEvacuations(e)
+				v.applyEvacuations(e)
 			case 1:
 				state := rapid.SampledFrom([]wire.RolloutState{wire.RolloutRunning, wire.RolloutCompleted, wire.RolloutRolledBack}).Draw(t, "state")
-				v.takeRollouts(&wire.Rollouts{Revision: v.Rollouts.Revision + 1, List: []wire.Rollout{{Service: "a", Target: "v2", State: state, Replaced: []string{"v1"}, Order: 1}}})
+				v.applyRollouts(&wire.Rollouts{Revision: v.Rollouts.Revision + 1, List: []wire.Rollout{{Service: "a", Target: "v2", State: state, Replaced: []string{"v1"}, Order: 1}}})
 			default:
 				d := &wire.MembersDelta{From: v.Seq, To: v.Seq + 1}
 				for range rapid.IntRange(1, 4).Draw(t, "changes") {
@@ -47,13 +47,13 @@
 					}
 					d.Changed = append(d.Changed, m)
 				}
-				if err := v.takeMembers(d); err != nil {
+				if err := v.applyMembers(d); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		anew := v
-		anew.index()
+		anew.rebuildLists()
 		for name, lists := range map[string][2]any{"announced": {v.Announced, anew.Announced}, "agents": {lists(v.ByService), lists(anew.ByService)}, "peers": {v.Peers, anew.Peers}} {
 			if fmt.Sprint(lists[0]) != fmt.Sprint(lists[1]) {
 				t.Fatalf("%s: %v, made anew %v", name, lists[0], lists[1])
--- a/node/configsync/loop.go
+++ b/node/configsync/loop.go
@@ -12,51 +12,51 @@
 )
 
 const (
-	syncWait   = time.Second            // how long an answer is held back; also the interval of lease renewal
-	grace      = 400 * time.Millisecond // how long an answer may take besides
-	graceLimit = 4 * time.Second        // of grace, which grows while no control process answers
+	syncWait       = time.Second            // how long an answer is held back; also the interval of lease renewal
+	answerGrace    = 400 * time.Millisecond // how long an answer may take besides
+	maxAnswerGrace = 4 * time.Second        // of grace, which grows while no control process answers
 	// answerLimit bounds an answer whose bytes keep coming: 12 MB over a link of 10 Mbit/s.
-	answerLimit = 10 * time.Second
-	seekWait    = 250 * time.Millisecond // hold at control processes that cannot renew the lease
-	pauseMin    = 25 * time.Millisecond
-	pauseMax    = 400 * time.Millisecond
-	cutMin      = 50 * time.Millisecond // a call is not cut short sooner
-	shunTime    = 3 * time.Second       // a control process that did not answer is asked last for this long
+	maxAnswerTime = 10 * time.Second
+	unrenewedWait = 250 * time.Millisecond // hold at control processes that cannot renew the lease
+	minPause      = 25 * time.Millisecond
+	maxPause      = 400 * time.Millisecond
+	minPollTime   = 50 * time.Millisecond // a call is not cut short sooner
+	avoidTime     = 3 * time.Second       // a control process that did not answer is asked last for this long
 	// farewellTime bounds how long a stopping process waits until its leaving
 	// is recorded; after that its lease ends by itself.
-	farewellTime = 1500 * time.Millisecond
+	deregisterTimeout = 1500 * time.Millisecond
 )
 
 // pace is how the next synchronization is done. After a failure the next
 // control process is asked for an answer at once, so that several that hang are
 // passed over within the lease.
-type pace struct {
+type syncPlan struct {
 	wait  time.Duration
 	grace time.Duration
 	pause time.Duration
 	fails int // in a row, without any answer
 }
 
-func startPace() pace { return pace{wait: 0, grace: grace, pause: 0} }
+func initialPlan() syncPlan { return syncPlan{wait: 0, grace: answerGrace, pause: 0} }
 
 // after returns the pace after a synchronization with n control processes to
 // choose from, and whether to move on to the next one.
-func (p pace) after(err error, n int) (next pace, moveOn bool) {
+func (p syncPlan) after(err error, n int) (next syncPlan, moveOn bool) {
 	switch {
 	case err == nil:
-		return pace{wait: syncWait, grace: grace}, false
+		return syncPlan{wait: syncWait, grace: answerGrace}, false
 	case errors.Is(err, errNotRenewed) || errors.Is(err, errUnconfirmed):
 		// News still arrives through it. Others may reach the leader, or have its confirmation.
-		return pace{wait: jitter(seekWait), grace: grace}, true
-	case errors.Is(err, errGap) || errors.Is(err, errText):
+		return syncPlan{wait: jitter(unrenewedWait), grace: answerGrace}, true
+	case errors.Is(err, errIncompleteUpdate) || errors.Is(err, errTextMismatch):
 		// The list or the text comes whole next time.
-		return pace{wait: 0, grace: grace, pause: jitter(pauseMin), fails: p.fails + 1}, p.fails > 0
+		return syncPlan{wait: 0, grace: answerGrace, pause: jitter(minPause), fails: p.fails + 1}, p.fails > 0
 	}
-	next = pace{wait: 0, grace: grace, pause: jitter(pauseMin), fails: p.fails + 1}
+	next = syncPlan{wait: 0, grace: answerGrace, pause: jitter(minPause), fails: p.fails + 1}
 	rounds := next.fails / n
 	if rounds > 0 {
-		next.pause = jitter(min(pauseMin<<min(rounds, 8), pauseMax))
-		next.grace = min(grace<<min(rounds, 8), graceLimit)
+		next.pause = jitter(min(minPause<<min(rounds, 8), maxPause))
+		next.grace = min(answerGrace<<min(rounds, 8), maxAnswerGrace)
 	}
 	return next, true
 }
@@ -65,22 +65,22 @@
 
 func (s *Service) run(ctx context.Context) {
 	defer close(s.done)
-	for p := startPace(); ctx.Err() == nil; {
-		s.follow()
+	for p := initialPlan(); ctx.Err() == nil; {
+		s.refreshSources()
 		src := s.sources[s.current]
 		began := s.clock.Now()
 		err := s.syncOnce(ctx, src, p)
 		if err != nil {
-			s.noteSilence(began.Add(p.wait))
+			s.recordUnreachable(began.Add(p.wait))
 		}
 		if err != nil && ctx.Err() == nil {
 			s.log.V(logging.Detail).Info("control process not used", "address", src.Address(), "error", err.Error())
 		}
-		s.logLate(src, p, err)
+		s.logConfirmationAge(src, p, err)
 		var moveOn bool
 		p, moveOn = p.after(err, len(s.sources))
 		if moveOn {
-			s.moveOn(err)
+			s.nextSource(err)
 		}
 		s.sleep(ctx, p.pause)
 	}
@@ -89,34 +89,34 @@
 // lateAfter is the age of the last confirmation by a quorum from which on it is
 // logged: twice what synchronization takes when all is well, below the ages at which
 // readiness and keys end.
-const lateAfter = 2 * syncWait
+const lateConfirmationAge = 2 * syncWait
 
 // logLate says once that no quorum has confirmed the view lately, and once that it
 // has again.
-func (s *Service) logLate(src source, p pace, err error) {
+func (s *Service) logConfirmationAge(src source, p syncPlan, err error) {
 	age := s.StampAge()
-	switch late := age > lateAfter; {
-	case late && !s.late && age < neverStamp:
+	switch late := age > lateConfirmationAge; {
+	case late && !s.confirmationLate && age < neverConfirmed:
 		s.log.Info("configuration not confirmed lately", "stamp_age", age, "asked", src.Address(), "fails", p.fails, "error", err)
-	case !late && s.late:
+	case !late && s.confirmationLate:
 		s.log.Info("configuration confirmed again", "stamp_age", age, "asked", src.Address(), "fails", p.fails)
 	}
-	s.late = age > lateAfter && age < neverStamp
+	s.confirmationLate = age > lateConfirmationAge && age < neverConfirmed
 }
 
 // moveOn picks the next control process. While others answer, one that did not
 // is left alone, so that a member does not hang on it again during an election.
-func (s *Service) moveOn(err error) {
+func (s *Service) nextSource(err error) {
 	n := len(s.sources)
 	address := s.sources[s.current].Address()
-	if answered(err) {
+	if gotAnswer(err) {
 		delete(s.unanswered, address)
 	} else {
 		s.unanswered[address] = s.clock.Now()
 	}
 	for i := 1; i <= n; i++ {
 		k := (s.current + i) % n
-		if at, silent := s.unanswered[s.sources[k].Address()]; !silent || s.clock.Since(at) > shunTime {
+		if at, silent := s.unanswered[s.sources[k].Address()]; !silent || s.clock.Since(at) > avoidTime {
 			s.current = k
 			return
 		}
@@ -126,17 +126,17 @@
 
 // noteSilence notes that a synchronization had no answer of a control process that reaches the leader. It was due at
 // the given time at the latest. A control process that is cut off together with this one answers, but knows nothing.
-func (s *Service) noteSilence(due time.Time) {
+func (s *Service) recordUnreachable(due time.Time) {
 	since := s.clock.Now()
 	if due.Before(since) {
 		since = due
 	}
-	s.silent.CompareAndSwap(nil, &since)
+	s.unreachableSince.CompareAndSwap(nil, &since)
 }
 
 // answered reports whether a synchronization that failed was answered.
-func answered(err error) bool {
-	for _, known := range []error{errNotRenewed, errStale, errUnconfirmed, errBehind, errGap, errText} {
+func gotAnswer(err error) bool {
+	for _, known := range []error{errNotRenewed, errStale, errUnconfirmed, errOlderState, errIncompleteUpdate, errTextMismatch} {
 		if errors.Is(err, known) {
 			return true
 		}
@@ -154,10 +154,10 @@
 	}
 }
 
-func (s *Service) syncOnce(ctx context.Context, src source, p pace) error {
+func (s *Service) syncOnce(ctx context.Context, src source, p syncPlan) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	req := s.held.Request(p.wait)
+	req := s.holder.Request(p.wait)
 	asked := s.clock.Now()
 	var reply wire.SyncReply
 	answer := make(chan error, 1)
@@ -166,7 +166,7 @@
 	defer late.Stop()
 	received := src.Received()
 	var cut <-chan time.Time
-	poke := s.poke
+	poke := s.wake
 	for {
 		select {
 		case err := <-answer:
@@ -175,7 +175,7 @@
 			}
 			return s.accept(&reply, asked)
 		case <-late.Chan():
-			if now := src.Received(); now > received && s.clock.Since(asked) < answerLimit {
+			if now := src.Received(); now > received && s.clock.Since(asked) < maxAnswerTime {
 				received = now // a long answer is on its way
 				late.Reset(p.grace)
 				continue
@@ -184,7 +184,7 @@
 			return errors.Errorf("configsync: no answer within %s", s.clock.Since(asked))
 		case <-ctx.Done():
 			return ctx.Err()
-		case address := <-s.doubts:
+		case address := <-s.unresponsive:
 			if sameVM(address, src.Address()) {
 				s.log.Info("synchronization leaves a VM", "asked", src.Address(), "silent_there", address, "held_for", s.clock.Since(asked))
 				src.Close()
@@ -193,7 +193,7 @@
 		case <-poke:
 			poke = nil
 			if p.wait > 0 { // an answer that is not held back comes soon
-				cut = s.clock.After(max(0, cutMin-s.clock.Since(asked)))
+				cut = s.clock.After(max(0, minPollTime-s.clock.Since(asked)))
 			}
 		case <-cut:
 			return nil // asked anew at once
@@ -202,7 +202,7 @@
 }
 
 // arrival is how a new view came, for its log line.
-type arrival struct {
+type updateTiming struct {
 	whole   bool          // the text, not a difference to the one before
 	arrived time.Duration // from the call to its answer
 	parsed  time.Duration // and from there until the view stood
@@ -210,13 +210,13 @@
 
 func (s *Service) accept(reply *wire.SyncReply, asked time.Time) error {
 	before := s.View()
-	s.takeHint(reply)
-	confirmed := reply.StampAge >= 0 && reply.StampAge <= staleStamp
+	s.applyHint(reply)
+	confirmed := reply.StampAge >= 0 && reply.StampAge <= maxConfirmationAge
 	if confirmed || before == nil && len(s.directory.Learned()) == 0 {
 		s.directory.Learn(reply.Control)
 	}
-	how := arrival{whole: reply.Config != nil, arrived: s.clock.Since(asked)}
-	changed, err := s.held.Take(reply, asked)
+	how := updateTiming{whole: reply.Config != nil, arrived: s.clock.Since(asked)}
+	changed, err := s.holder.Take(reply, asked)
 	how.parsed = s.clock.Since(asked) - how.arrived
 	if changed != nil {
 		s.publish(changed, before, how)
@@ -225,36 +225,36 @@
 		return errNotRenewed
 	}
 	if err == nil {
-		s.silent.Store(nil)
+		s.unreachableSince.Store(nil)
 	}
 	return err
 }
 
 // farewell asks one control process after the other until the leaving record
 // is in the members.
-func (s *Service) farewell(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, farewellTime)
+func (s *Service) deregister(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, deregisterTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if s.recorded(ctx, s.sources[s.current]) {
+		if s.deregisterAt(ctx, s.sources[s.current]) {
 			return
 		}
 		s.current = (s.current + 1) % len(s.sources)
-		s.sleep(ctx, jitter(pauseMin))
+		s.sleep(ctx, jitter(minPause))
 	}
-	s.log.Info("leaving not recorded", "reason", "no control process confirmed it", "waited", farewellTime)
+	s.log.Info("leaving not recorded", "reason", "no control process confirmed it", "waited", deregisterTimeout)
 }
 
-func (s *Service) recorded(ctx context.Context, src source) bool {
-	ctx, cancel := context.WithTimeout(ctx, grace)
+func (s *Service) deregisterAt(ctx context.Context, src source) bool {
+	ctx, cancel := context.WithTimeout(ctx, answerGrace)
 	defer cancel()
 	for ctx.Err() == nil {
 		asked := s.clock.Now()
 		var reply wire.SyncReply
-		if src.Call(ctx, MethodSync, s.held.Request(seekWait), &reply) != nil {
+		if src.Call(ctx, MethodSync, s.holder.Request(unrenewedWait), &reply) != nil {
 			return false
 		}
-		s.held.Take(&reply, asked) // moves the request on; nobody is told any more
+		s.holder.Take(&reply, asked) // moves the request on; nobody is told any more
 		if reply.Recorded {
 			return true
 		}
--- a/node/configsync/loop_test.go
+++ b/node/configsync/loop_test.go
@@ -18,7 +18,7 @@
 func TestHangingControlsArePassedOverWithinTheLease(t *testing.T) {
 	const lease, controls = 3 * time.Second, 3
 	hang := errors.New("no answer")
-	p, _ := startPace().after(nil, controls)
+	p, _ := initialPlan().after(nil, controls)
 	silent := p.wait // the last renewal was made when the held-back call began
 	for range controls - 1 {
 		silent += p.wait + p.grace
@@ -33,7 +33,7 @@
 	}
 	for range 100 { // nobody answers for long
 		p, _ = p.after(hang, controls)
-		if p.pause > pauseMax || p.wait+p.grace > graceLimit {
+		if p.pause > maxPause || p.wait+p.grace > maxAnswerGrace {
 			t.Fatalf("pace %+v", p)
 		}
 	}
@@ -42,10 +42,10 @@
 // TestTrafficPokesOncePerVersion keeps busy traffic from cutting each call
 // short before its answer.
 func TestTrafficPokesOncePerVersion(t *testing.T) {
-	s := &Service{held: NewHolder(wire.Member{}), clock: clockwork.NewFakeClock(), poke: make(chan struct{}, 1)}
+	s := &Service{holder: NewHolder(wire.Member{}), clock: clockwork.NewFakeClock(), wake: make(chan struct{}, 1)}
 	poked := func() bool {
 		select {
-		case <-s.poke:
+		case <-s.wake:
 			return true
 		default:
 			return false
@@ -53,7 +53,7 @@
 	}
 	text := "[data_center:a]\n"
 	first := wire.SyncReply{Version: 3, Config: &wire.ConfigText{Version: 3, Text: text, Hash: xxhash.Sum64String(text)}}
-	if _, err := s.held.Take(&first, time.Unix(1000, 0)); err != nil {
+	if _, err := s.holder.Take(&first, time.Unix(1000, 0)); err != nil {
 		t.Fatal(err)
 	}
 	for i, c := range []struct {
@@ -69,26 +69,26 @@
 
 // answers is a control process that gives the answers in turn, then the last
 // one again.
-type answers struct {
+type scriptedSource struct {
 	address string
 	replies []wire.SyncReply
 	calls   int
 }
 
-func (a *answers) Call(_ context.Context, _ string, _, result any) error {
+func (a *scriptedSource) Call(_ context.Context, _ string, _, result any) error {
 	*result.(*wire.SyncReply) = a.replies[min(a.calls, len(a.replies)-1)]
 	a.calls++
 	return nil
 }
-func (a *answers) Address() string  { return a.address }
-func (a *answers) Received() uint64 { return 0 }
-func (a *answers) Close()           {}
+func (a *scriptedSource) Address() string  { return a.address }
+func (a *scriptedSource) Received() uint64 { return 0 }
+func (a *scriptedSource) Close()           {}
 
 // TestFarewellWaitsUntilItIsRecorded answers twice without the record.
 func TestFarewellWaitsUntilItIsRecorded(t *testing.T) {
-	src := &answers{replies: []wire.SyncReply{{Renewed: true}, {Renewed: true}, {Renewed: true, Recorded: true}}}
-	s := &Service{held: NewHolder(wire.Member{}), clock: clockwork.NewRealClock(), sources: []source{src}}
-	s.farewell(context.Background())
+	src := &scriptedSource{replies: []wire.SyncReply{{Renewed: true}, {Renewed: true}, {Renewed: true, Recorded: true}}}
+	s := &Service{holder: NewHolder(wire.Member{}), clock: clockwork.NewRealClock(), sources: []source{src}}
+	s.deregister(context.Background())
 	if src.calls != 3 {
 		t.Fatalf("%d calls", src.calls)
 	}
@@ -99,15 +99,15 @@
 // has passed, and all are asked when none answers.
 func TestSilentControlIsShunnedWhileOthersAnswer(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := &Service{clock: clock, sources: []source{&answers{address: "a"}, &answers{address: "b"}, &answers{address: "c"}}, unanswered: map[string]time.Time{}}
+	s := &Service{clock: clock, sources: []source{&scriptedSource{address: "a"}, &scriptedSource{address: "b"}, &scriptedSource{address: "c"}}, unanswered: map[string]time.Time{}}
 	var asked []int
 	for _, err := range []error{errors.New("no answer"), errNotRenewed, errNotRenewed, errNotRenewed} {
-		s.moveOn(err)
+		s.nextSource(err)
 		asked = append(asked, s.current)
 	}
-	clock.Advance(shunTime + 1)
+	clock.Advance(avoidTime + 1)
 	for range 4 {
-		s.moveOn(errors.New("no answer"))
+		s.nextSource(errors.New("no answer"))
 		asked = append(asked, s.current)
 	}
 	if want := []int{1, 2, 1, 2, 0, 1, 2, 0}; !slices.Equal(asked, want) {
@@ -116,42 +116,42 @@
 }
 
 // hanging is a control process that takes calls and never answers.
-type hanging struct {
+type hangingSource struct {
 	address string
 	asked   chan struct{}
 }
 
-func (h *hanging) Call(ctx context.Context, _ string, _, _ any) error {
+func (h *hangingSource) Call(ctx context.Context, _ string, _, _ any) error {
 	h.asked <- struct{}{}
 	<-ctx.Done()
 	return ctx.Err()
 }
-func (h *hanging) Address() string  { return h.address }
-func (h *hanging) Received() uint64 { return 0 }
-func (h *hanging) Close()           {}
+func (h *hangingSource) Address() string  { return h.address }
+func (h *hangingSource) Received() uint64 { return 0 }
+func (h *hangingSource) Close()           {}
 
 // TestSuspectedVMIsLeft holds a synchronization back at a VM on which another process does
 // not answer: it ends without a step of the clock, and the control process there is asked
 // last. What is said of other VMs changes nothing.
 func TestSuspectedVMIsLeft(t *testing.T) {
-	src := &hanging{address: "10.0.0.1:7101", asked: make(chan struct{}, 1)}
-	s := &Service{held: NewHolder(wire.Member{}), clock: clockwork.NewFakeClock(), poke: make(chan struct{}, 1), doubts: make(chan string), unanswered: map[string]time.Time{}, sources: []source{src, &answers{address: "10.0.0.2:7101"}}}
+	src := &hangingSource{address: "10.0.0.1:7101", asked: make(chan struct{}, 1)}
+	s := &Service{holder: NewHolder(wire.Member{}), clock: clockwork.NewFakeClock(), wake: make(chan struct{}, 1), unresponsive: make(chan string), unanswered: map[string]time.Time{}, sources: []source{src, &scriptedSource{address: "10.0.0.2:7101"}}}
 	ended := make(chan error, 1)
-	go func() { ended <- s.syncOnce(context.Background(), src, pace{wait: syncWait, grace: grace}) }()
+	go func() { ended <- s.syncOnce(context.Background(), src, syncPlan{wait: syncWait, grace: answerGrace}) }()
 	<-src.asked
-	s.doubts <- "10.0.0.11:7000"
-	s.doubts <- "not an address"
+	s.unresponsive <- "10.0.0.11:7000"
+	s.unresponsive <- "not an address"
 	select {
 	case err := <-ended:
 		t.Fatalf("ended by another VM's silence: %v", err)
 	default:
 	}
-	s.doubts <- "10.0.0.1:7000"
+	s.unresponsive <- "10.0.0.1:7000"
 	err := <-ended
 	if err == nil {
 		t.Fatal("no error")
 	}
-	if s.moveOn(err); s.current != 1 || len(s.unanswered) != 1 {
+	if s.nextSource(err); s.current != 1 || len(s.unanswered) != 1 {
 		t.Fatalf("asks source %d next, %v did not answer", s.current, s.unanswered)
 	}
 }
--- a/node/configsync/update.go
+++ b/node/configsync/member_update.go
@@ -19,7 +19,7 @@
 
 // placesOf returns the lists in which a member stands, by kind; an empty name is none. Those that get calls
 // are not leaving, and their data centres are not evacuated.
-func placesOf(m wire.Member, evacuated []string) (places [listKinds]string) {
+func listsOf(m wire.Member, evacuated []string) (places [listKinds]string) {
 	if m.Peer != "" {
 		places[peers] = peerList
 	}
@@ -35,41 +35,41 @@
 }
 
 // update changes a view's members one by one.
-type update struct {
+type memberUpdate struct {
 	v         *View
 	evacuated []string
 	lists     [listKinds]lists
-	fresh     [listKinds]map[string]bool // lists that belong to this update
+	owned     [listKinds]map[string]bool // lists that belong to this update
 }
 
-func (u *update) put(m wire.Member) {
+func (u *memberUpdate) put(m wire.Member) {
 	var before [listKinds]string
 	if old, known := u.v.Members.Get(m.ID); known {
-		before = placesOf(old, u.evacuated)
+		before = listsOf(old, u.evacuated)
 	}
 	u.v.Members = u.v.Members.With(m)
-	u.move(before, placesOf(m, u.evacuated), m)
+	u.move(before, listsOf(m, u.evacuated), m)
 }
 
-func (u *update) remove(id wire.MemberID) {
+func (u *memberUpdate) remove(id wire.MemberID) {
 	old, known := u.v.Members.Get(id)
 	if !known {
 		return
 	}
 	u.v.Members = u.v.Members.Without(id)
-	u.move(placesOf(old, u.evacuated), [listKinds]string{}, old)
+	u.move(listsOf(old, u.evacuated), [listKinds]string{}, old)
 }
 
-func (u *update) move(before, after [listKinds]string, m wire.Member) {
+func (u *memberUpdate) move(before, after [listKinds]string, m wire.Member) {
 	for kind := range listKinds {
-		u.lists[kind].change(before[kind], after[kind], m, u.fresh[kind])
+		u.lists[kind].change(before[kind], after[kind], m, u.owned[kind])
 	}
 }
 
 // exclude makes Announced of the lists that touched names, or of all where it is nil: without upstreams that
 // a roll-out has decided against. Those of a version that was replaced stay while there are no others: they
 // have served well. Those of one that was rolled back never do.
-func (v *View) exclude(touched map[string]bool) {
+func (v *View) filterAnnounced(touched map[string]bool) {
 	if touched == nil {
 		v.Announced = cloneLists(v.announced)
 	} else {
--- a/node/configsync/silence_test.go
+++ b/node/configsync/outage_test.go
@@ -16,7 +16,7 @@
 // first answer was due that did not come, until a control process answers that reaches the leader.
 func TestSilenceOfControl(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := &Service{held: NewHolder(wire.Member{ID: "m"}), log: logr.Discard(), clock: clock, directory: peer.NewDirectory([]string{"c1"})}
+	s := &Service{holder: NewHolder(wire.Member{ID: "m"}), log: logr.Discard(), clock: clock, directory: peer.NewDirectory([]string{"c1"})}
 	want := func(when string, silent time.Duration) {
 		t.Helper()
 		if got := s.Silent(); got != silent {
@@ -26,27 +26,27 @@
 	want("at the start", 0)
 
 	due := clock.Now().Add(syncWait)
-	clock.Advance(syncWait + grace)
-	s.noteSilence(due)
-	want("held back, then given up", grace)
+	clock.Advance(syncWait + answerGrace)
+	s.recordUnreachable(due)
+	want("held back, then given up", answerGrace)
 	clock.Advance(time.Second)
-	s.noteSilence(clock.Now())
-	want("not answered again", grace+time.Second)
+	s.recordUnreachable(clock.Now())
+	want("not answered again", answerGrace+time.Second)
 
 	if err := s.accept(&wire.SyncReply{StampAge: -1}, clock.Now()); !errors.Is(err, errUnconfirmed) {
 		t.Fatal(err)
 	}
-	want("answered without a confirmation", grace+time.Second)
+	want("answered without a confirmation", answerGrace+time.Second)
 	if err := s.accept(&wire.SyncReply{}, clock.Now()); !errors.Is(err, errNotRenewed) {
 		t.Fatal(err)
 	}
-	want("answered by one that does not reach the leader", grace+time.Second)
+	want("answered by one that does not reach the leader", answerGrace+time.Second)
 	if err := s.accept(&wire.SyncReply{Renewed: true}, clock.Now()); err != nil {
 		t.Fatal(err)
 	}
 	want("answered", 0)
 
-	s.noteSilence(clock.Now().Add(syncWait))
+	s.recordUnreachable(clock.Now().Add(syncWait))
 	clock.Advance(time.Millisecond)
 	want("reset before the answer was due", time.Millisecond)
 }
--- a/node/configsync/rollouts_test.go
+++ b/node/configsync/rollouts_test.go
@@ -31,10 +31,10 @@
 		for _, version := range c.serving {
 			delta.Changed = append(delta.Changed, upstream(version))
 		}
-		if err := v.takeMembers(delta); err != nil {
+		if err := v.applyMembers(delta); err != nil {
 			t.Fatal(err)
 		}
-		v.takeRollouts(&wire.Rollouts{Revision: 1, List: []wire.Rollout{{Service: "desk", Target: "v2", State: c.state, Replaced: []string{"v1"}, Order: 1}}})
+		v.applyRollouts(&wire.Rollouts{Revision: 1, List: []wire.Rollout{{Service: "desk", Target: "v2", State: c.state, Replaced: []string{"v1"}, Order: 1}}})
 		ids := []wire.MemberID{}
 		for _, m := range v.Announced["desk"] {
 			ids = append(ids, m.ID)
--- a/node/configsync/slow_test.go
+++ b/node/configsync/slow_answer_test.go
@@ -24,15 +24,15 @@
 // take as long again, and meanwhile this process hears neither of members that leave
 // nor of a confirmation.
 func TestAnswerThatComesSlowly(t *testing.T) {
-	const parts, between = 8, grace * 3 / 4
+	const parts, between = 8, answerGrace * 3 / 4
 	clock := clockwork.NewFakeClock()
 	near, far := net.Pipe()
 	src := peer.NewClient("c1", func(context.Context, string) (net.Conn, error) { return near, nil })
 	defer src.Close()
-	s := &Service{held: NewHolder(wire.Member{ID: "m"}), clock: clock, log: logr.Discard(), ring: timeline.NewRing("m", "v", 16),
-		directory: peer.NewDirectory([]string{"c1"}), sources: []source{src}, poke: make(chan struct{}, 1)}
+	s := &Service{holder: NewHolder(wire.Member{ID: "m"}), clock: clock, log: logr.Discard(), ring: timeline.NewRing("m", "v", 16),
+		directory: peer.NewDirectory([]string{"c1"}), sources: []source{src}, wake: make(chan struct{}, 1)}
 	done := make(chan error, 1)
-	go func() { done <- s.syncOnce(context.Background(), src, pace{grace: grace}) }()
+	go func() { done <- s.syncOnce(context.Background(), src, syncPlan{grace: answerGrace}) }()
 	var call struct {
 		ID json.RawMessage `json:"id"`
 	}
@@ -70,9 +70,9 @@
 	near, far := net.Pipe()
 	src := peer.NewClient("c1", func(context.Context, string) (net.Conn, error) { return near, nil })
 	defer src.Close()
-	s := &Service{held: NewHolder(wire.Member{ID: "m"}), clock: clock, log: logr.Discard(), poke: make(chan struct{}, 1)}
+	s := &Service{holder: NewHolder(wire.Member{ID: "m"}), clock: clock, log: logr.Discard(), wake: make(chan struct{}, 1)}
 	done := make(chan error, 1)
-	go func() { done <- s.syncOnce(context.Background(), src, pace{grace: grace}) }()
+	go func() { done <- s.syncOnce(context.Background(), src, syncPlan{grace: answerGrace}) }()
 	var call struct{}
 	if err := json.NewDecoder(far).Decode(&call); err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 			}
 			return
 		default:
-			clock.Advance(grace / 2)
+			clock.Advance(answerGrace / 2)
 			time.Sleep(time.Millisecond) // lets the other goroutine run; decides nothing
 		}
 	}
--- a/node/configsync/spread_test.go
+++ b/node/configsync/source_test.go
@@ -20,14 +20,14 @@
 	for _, processes := range []int{90, 360, 720} {
 		asked := map[string]int{}
 		for i := range processes {
-			s := starting(wire.Member{ID: wire.MemberID(fmt.Sprintf("edge-%d", i))}, seeds)
+			s := newUnsynced(wire.Member{ID: wire.MemberID(fmt.Sprintf("edge-%d", i))}, seeds)
 			src := s.sources[s.current]
 			err := s.accept(&wire.SyncReply{StampAge: -1, Control: voters}, s.clock.Now())
-			if _, moveOn := startPace().after(err, len(s.sources)); !moveOn {
+			if _, moveOn := initialPlan().after(err, len(s.sources)); !moveOn {
 				t.Fatalf("stays at %s: %v", src.Address(), err)
 			}
-			s.moveOn(err)
-			s.follow()
+			s.nextSource(err)
+			s.refreshSources()
 			asked[s.sources[s.current].Address()]++
 		}
 		most := processes*3/(2*len(voters)) + 1
@@ -44,14 +44,14 @@
 func TestAllControlProcessesAreAskedInTheEnd(t *testing.T) {
 	seeds := []string{"10.1.0.1:7740", "10.2.0.1:7740", "10.3.0.1:7740", "10.4.0.1:7740", "10.5.0.1:7740"}
 	for i := range 200 {
-		s := starting(wire.Member{ID: wire.MemberID(fmt.Sprintf("edge-%d", i))}, seeds)
+		s := newUnsynced(wire.Member{ID: wire.MemberID(fmt.Sprintf("edge-%d", i))}, seeds)
 		asked := map[string]bool{}
 		for range 4 * len(seeds) {
 			address := s.sources[s.current].Address()
 			asked[address] = true
 			err := s.accept(&wire.SyncReply{StampAge: -1, Control: []string{address, fmt.Sprint("10.9.0.", len(asked), ":7740")}}, s.clock.Now())
-			s.moveOn(err)
-			s.follow()
+			s.nextSource(err)
+			s.refreshSources()
 		}
 		for _, address := range seeds {
 			if !asked[address] {
@@ -62,9 +62,9 @@
 }
 
 // starting is a process that holds nothing and knows the seeds.
-func starting(m wire.Member, seeds []string) *Service {
-	s := &Service{held: NewHolder(m), log: logr.Discard(), clock: clockwork.NewFakeClock(), directory: peer.NewDirectory(seeds), unanswered: map[string]time.Time{}}
-	s.follow()
+func newUnsynced(m wire.Member, seeds []string) *Service {
+	s := &Service{holder: NewHolder(m), log: logr.Discard(), clock: clockwork.NewFakeClock(), directory: peer.NewDirectory(seeds), unanswered: map[string]time.Time{}}
+	s.refreshSources()
 	return s
 }
 
@@ -72,12 +72,12 @@
 func TestControlProcessBeginsWithItself(t *testing.T) {
 	seeds := []string{"10.1.0.1:7740", "10.2.0.1:7740", "10.3.0.1:7740"}
 	for _, address := range seeds {
-		s := starting(wire.Member{ID: "voter", Peer: address, Role: "proxy+control"}, seeds)
+		s := newUnsynced(wire.Member{ID: "voter", Peer: address, Role: "proxy+control"}, seeds)
 		if got := s.sources[s.current].Address(); got != address {
 			t.Errorf("%s begins with %s", address, got)
 		}
-		other := starting(wire.Member{ID: "voter", Peer: address, Role: "proxy"}, seeds)
-		if other.current != spread("voter", len(seeds)) {
+		other := newUnsynced(wire.Member{ID: "voter", Peer: address, Role: "proxy"}, seeds)
+		if other.current != hashIndex("voter", len(seeds)) {
 			t.Errorf("a process without the role begins with address %d", other.current)
 		}
 	}
--- a/node/configsync/suspects_test.go
+++ b/node/configsync/suspects_test.go
@@ -29,10 +29,10 @@
 	if err := take(wire.SyncReply{Suspects: news(3, true), SuspectsRevision: 3}); err != nil || h.View().Suspects.Barred() != 1 {
 		t.Fatal(err, h.View().Suspects)
 	}
-	if err := take(wire.SyncReply{Suspects: news(2, false), SuspectsRevision: 2}); !errors.Is(err, errBehind) || h.View().Suspects.Barred() != 1 {
+	if err := take(wire.SyncReply{Suspects: news(2, false), SuspectsRevision: 2}); !errors.Is(err, errOlderState) || h.View().Suspects.Barred() != 1 {
 		t.Fatalf("a control process that is behind: %v", err)
 	}
-	if err := take(wire.SyncReply{SuspectsRevision: 9}); !errors.Is(err, errGap) {
+	if err := take(wire.SyncReply{SuspectsRevision: 9}); !errors.Is(err, errIncompleteUpdate) {
 		t.Fatalf("news that are not brought: %v", err)
 	}
 }
--- a/node/configsync/text.go
+++ b/node/configsync/text.go
@@ -9,18 +9,18 @@
 )
 
 // errText says that a text or a delta does not have the hash it should have.
-var errText = textdelta.ErrMismatch
+var errTextMismatch = textdelta.ErrMismatch
 
 // textName names the text in errors.
 const textName = "configuration"
 
 // takeText takes over a whole text, if it is newer.
-func (v *View) takeText(c *wire.ConfigText) error {
+func (v *View) applyText(c *wire.ConfigText) error {
 	if c == nil || c.Version <= v.Version {
 		return nil
 	}
 	if xxhash.Sum64String(c.Text) != c.Hash {
-		return errors.Annotatef(errText, "version %d", c.Version)
+		return errors.Annotatef(errTextMismatch, "version %d", c.Version)
 	}
 	parsed, err := v.Config.Next(textName, c.Text)
 	if err != nil {
@@ -31,12 +31,12 @@
 }
 
 // takeDelta applies a difference to the text held.
-func (v *View) takeDelta(d *wire.ConfigDelta) error {
+func (v *View) applyDelta(d *wire.ConfigDelta) error {
 	if d == nil || d.Version <= v.Version {
 		return nil
 	}
 	if d.Base != v.Version {
-		return errors.Annotatef(errText, "a delta from version %d on top of %d", d.Base, v.Version)
+		return errors.Annotatef(errTextMismatch, "a delta from version %d on top of %d", d.Base, v.Version)
 	}
 	text, ends, err := textdelta.Apply(v.Text, v.ends, d)
 	if err != nil {
--- a/node/configsync/text_test.go
+++ b/node/configsync/text_test.go
@@ -52,7 +52,7 @@
 			text := texts.Draw(t, "text")
 			history = history.Next(n, text)
 			whole := history.Text()
-			err := v.takeText(&whole)
+			err := v.applyText(&whole)
 			if d := history.Delta(v.Version, v.Hash); n > 1 && d != nil {
 				t.Fatal("a delta from the current version")
 			}
@@ -68,7 +68,7 @@
 			} else { // as if it had been worth it
 				d.Pieces = pieces(next)
 			}
-			if err := v.takeDelta(d); err != nil {
+			if err := v.applyDelta(d); err != nil {
 				t.Fatalf("%v\n%s", err, next)
 			}
 			n++
--- a/node/configsync/view.go
+++ b/node/configsync/view.go
@@ -40,29 +40,29 @@
 }
 
 // errGap says that a member delta does not follow what is held.
-var errGap = errors.New("configsync: the member delta does not follow the list held")
+var errIncompleteUpdate = errors.New("configsync: the member delta does not follow the list held")
 
-func (v *View) takeMembers(d *wire.MembersDelta) error {
+func (v *View) applyMembers(d *wire.MembersDelta) error {
 	if d == nil || d.To <= v.Seq {
 		return nil
 	}
 	if !d.Whole && d.From != v.Seq {
-		return errors.Annotatef(errGap, "from %d to %d, held %d", d.From, d.To, v.Seq)
+		return errors.Annotatef(errIncompleteUpdate, "from %d to %d, held %d", d.From, d.To, v.Seq)
 	}
 	if d.Whole {
 		v.Members, v.Seq = memberset.Of(d.Changed...), d.To
-		v.index()
+		v.rebuildLists()
 		return nil
 	}
 	v.Seq = d.To
-	v.change(d.Changed, d.Removed)
+	v.applyMemberChanges(d.Changed, d.Removed)
 	return nil
 }
 
 // change takes over single members. What it costs does not grow with the members, but for the
 // copies of the lists that change.
-func (v *View) change(changed []wire.Member, removed []wire.MemberID) {
-	u := update{v: v, evacuated: v.Evacuations.Out(), fresh: [listKinds]map[string]bool{{}, {}, {}}}
+func (v *View) applyMemberChanges(changed []wire.Member, removed []wire.MemberID) {
+	u := memberUpdate{v: v, evacuated: v.Evacuations.Out(), owned: [listKinds]map[string]bool{{}, {}, {}}}
 	u.lists = [listKinds]lists{agents: cloneLists(v.ByService), announced: cloneLists(v.announced), peers: {peerList: v.Peers}}
 	for _, m := range changed {
 		u.put(m)
@@ -71,31 +71,31 @@
 		u.remove(id)
 	}
 	v.ByService, v.announced, v.Peers = u.lists[agents], u.lists[announced], u.lists[peers][peerList]
-	v.exclude(u.fresh[announced])
+	v.filterAnnounced(u.owned[announced])
 }
 
 // takeEvacuations takes over newer evacuations. What lies at upstreams of such a data centre
 // may still be fetched from there; they get no new calls, as if they were leaving.
-func (v *View) takeEvacuations(e *wire.Evacuations) {
+func (v *View) applyEvacuations(e *wire.Evacuations) {
 	if e == nil || e.Revision <= v.Evacuations.Revision {
 		return
 	}
 	v.Evacuations = *e
-	v.index()
+	v.rebuildLists()
 }
 
-func (v *View) takeSuspects(s *wire.Suspects) {
+func (v *View) applySuspects(s *wire.Suspects) {
 	if s != nil && s.Revision > v.Suspects.Revision {
 		v.Suspects = *s
 	}
 }
 
-func (v *View) takeRollouts(r *wire.Rollouts) {
+func (v *View) applyRollouts(r *wire.Rollouts) {
 	if r == nil || r.Revision <= v.Rollouts.Revision {
 		return
 	}
 	v.Rollouts = *r
-	v.index()
+	v.rebuildLists()
 }
 
 // ahead reports whether the view holds something newer than an answer's sender knows.
@@ -117,12 +117,12 @@
 }
 
 // index makes the lists anew.
-func (v *View) index() {
+func (v *View) rebuildLists() {
 	v.ByService, v.announced, v.Peers = lists{}, lists{}, nil
 	evacuated := v.Evacuations.Out()
 	all := [listKinds]lists{agents: v.ByService, announced: v.announced, peers: {}}
 	for m := range v.Members.All() {
-		for kind, name := range placesOf(m, evacuated) {
+		for kind, name := range listsOf(m, evacuated) {
 			if name != "" {
 				all[kind][name] = append(all[kind][name], m)
 			}
@@ -135,5 +135,5 @@
 	}
 	v.Peers = all[peers][peerList]
 	v.Announced = nil
-	v.exclude(nil)
+	v.filterAnnounced(nil)
 }
--- a/node/control/operate.go
+++ b/node/control/admin.go
@@ -34,10 +34,10 @@
 // members hold their records, so that an upstream that is told so may count on
 // every process to hear that it leaves.
 func (s *Service) announce(ctx context.Context, req *wire.AnnounceRequest) (*Empty, error) {
-	if _, ok := stampOf(s.cluster); !ok || !s.cluster.IsLeader() {
+	if _, ok := confirmationOf(s.cluster); !ok || !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
-	return s.hold(ctx, req.Upstreams)
+	return s.renewAndWait(ctx, req.Upstreams)
 }
 
 // leave marks an upstream as leaving and answers when the members hold the mark.
@@ -46,22 +46,22 @@
 	if err := s.replica.ReadBarrier(ctx); err != nil {
 		return nil, s.leaderError(err)
 	}
-	return s.hold(ctx, s.leases.leaving(req))
+	return s.renewAndWait(ctx, s.leases.leavingRecords(req))
 }
 
 // hold renews leases and returns once the members hold the records.
-func (s *Service) hold(ctx context.Context, upstreams []wire.Member) (*Empty, error) {
+func (s *Service) renewAndWait(ctx context.Context, upstreams []wire.Member) (*Empty, error) {
 	renewals := make([]Renewal, len(upstreams))
 	for i, m := range upstreams {
 		renewals[i] = Renewal{Member: m}
 	}
-	s.leases.renew(renewals)
+	s.leases.record(renewals)
 	for {
-		changed := s.news.changed()
+		changed := s.notifier.changed()
 		if !s.cluster.IsLeader() {
 			return nil, s.notLeader()
 		}
-		if holdsAll(s.cluster.View(), upstreams) {
+		if allRecorded(s.cluster.View(), upstreams) {
 			return &Empty{}, nil
 		}
 		select {
@@ -72,7 +72,7 @@
 	}
 }
 
-func holdsAll(v *state.View, members []wire.Member) bool {
+func allRecorded(v *state.View, members []wire.Member) bool {
 	for _, m := range members {
 		known, ok := v.Members[m.ID]
 		if !ok || m.Changes(known) {
@@ -87,7 +87,7 @@
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
-	s.links.learn(id.Peer)
-	s.repair.offers.note(id.Peer, s.clock.Now())
+	s.transport.setAddress(id.Peer)
+	s.repair.offers.add(id.Peer, s.clock.Now())
 	return &Empty{}, nil
 }
--- a/node/control/evacuate.go
+++ b/node/control/evacuate.go
@@ -20,7 +20,7 @@
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
-	if err := s.mayEvacuate(o.DataCenter); err != nil {
+	if err := s.checkEvacuation(o.DataCenter); err != nil {
 		s.log.Info("evacuation refused", "data_center", o.DataCenter, "out", o.Out, "reason", err.Error())
 		return nil, err
 	}
@@ -45,9 +45,9 @@
 
 // mayEvacuate reports why an order for the data centre is refused. Where the settings do not
 // name the data centres, those count that a member is in or that had an order before.
-func (s *Service) mayEvacuate(dataCenter string) error {
+func (s *Service) checkEvacuation(dataCenter string) error {
 	v := s.cluster.View()
-	if err := s.mayOrder(v); err != nil {
+	if err := s.checkReadyForOrders(v); err != nil {
 		return err
 	}
 	if !s.knowsDataCenter(v, dataCenter) {
@@ -57,7 +57,7 @@
 }
 
 // mayOrder reports why no order of operators is taken yet.
-func (s *Service) mayOrder(v *state.View) error {
+func (s *Service) checkReadyForOrders(v *state.View) error {
 	switch {
 	case v.Config.Version == 0:
 		return verdict.New(verdict.NotRun, verdict.CodeStale, "no configuration yet")
--- a/node/control/follower.go
+++ b/node/control/follower.go
@@ -29,8 +29,8 @@
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
-	s.leases.renew(req.Renewals)
-	reply, ok := stampOf(s.cluster)
+	s.leases.record(req.Renewals)
+	reply, ok := confirmationOf(s.cluster)
 	if !ok {
 		return nil, s.notLeader()
 	}
@@ -39,19 +39,19 @@
 
 // stampOf reads the stamp before the index, so that the index is no older than
 // the stamp.
-func stampOf(c cluster) (*RenewReply, bool) {
+func confirmationOf(c cluster) (*RenewReply, bool) {
 	age := c.StampAge()
 	index := c.Status().Committed
-	return &RenewReply{Index: index, Age: age}, age >= 0 && age <= stampLimit
+	return &RenewReply{Index: index, Age: age}, age >= 0 && age <= maxConfirmationAge
 }
 
 const (
-	followInterval = 500 * time.Millisecond
-	followGap      = 50 * time.Millisecond // between two calls to the leader
-	toldSlack      = 64
-	followTimeout  = 2 * followInterval
-	stampLimit     = 4 * followInterval // age of a leader's stamp that is not passed on
-	renewalLimit   = 4 * followInterval // age of a renewal that is not passed on: its sender may be dead
+	forwardInterval    = 500 * time.Millisecond
+	minForwardGap      = 50 * time.Millisecond // between two calls to the leader
+	reportedSlack      = 64
+	forwardTimeout     = 2 * forwardInterval
+	maxConfirmationAge = 4 * forwardInterval // age of a leader's stamp that is not passed on
+	maxRenewalAge      = 4 * forwardInterval // age of a renewal that is not passed on: its sender may be dead
 )
 
 // follower keeps a control process that does not lead useful: it passes
@@ -61,30 +61,30 @@
 	clock   clockwork.Clock
 	leases  *leases
 	call    func(ctx context.Context, address string, req RenewRequest) (*RenewReply, error)
-	failed  func(error)
+	onError func(error)
 	wake    chan struct{}
 
-	mu      sync.Mutex
-	pending map[wire.MemberID]queued
-	told    map[wire.MemberID]uint64 // versions that members reported here
-	lastOK  time.Time
+	mu          sync.Mutex
+	pending     map[wire.MemberID]queuedRenewal
+	reported    map[wire.MemberID]uint64 // versions that members reported here
+	lastReached time.Time
 }
 
-type queued struct {
+type queuedRenewal struct {
 	Renewal
 	at time.Time
 }
 
 func newFollower(s *Service) *follower {
 	var client *peer.Client
-	return &follower{cluster: s.cluster, clock: s.clock, leases: s.leases, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queued{}, told: map[wire.MemberID]uint64{},
-		failed: func(err error) { s.log.V(logging.Detail).Info("leader not reached", "error", err.Error()) },
+	return &follower{cluster: s.cluster, clock: s.clock, leases: s.leases, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{},
+		onError: func(err error) { s.log.V(logging.Detail).Info("leader not reached", "error", err.Error()) },
 		call: func(ctx context.Context, address string, req RenewRequest) (*RenewReply, error) {
 			if client == nil || client.Address() != address {
 				if client != nil {
 					client.Close()
 				}
-				client = peer.NewClient(address, s.links.dial)
+				client = peer.NewClient(address, s.transport.dial)
 			}
 			var reply RenewReply
 			return &reply, client.Call(ctx, MethodRenew, req, &reply)
@@ -99,30 +99,30 @@
 	known, ok := members[r.Member.ID]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if urgent || !ok || r.Member.Changes(known) || f.told[r.Member.ID] != r.ConfigVersion {
+	if urgent || !ok || r.Member.Changes(known) || f.reported[r.Member.ID] != r.ConfigVersion {
 		select {
 		case f.wake <- struct{}{}:
 		default:
 		}
 	}
-	if len(f.told) > 2*len(members)+toldSlack {
-		clear(f.told) // most of them are gone
+	if len(f.reported) > 2*len(members)+reportedSlack {
+		clear(f.reported) // most of them are gone
 	}
-	f.told[r.Member.ID] = r.ConfigVersion
-	f.queue(queued{r, f.clock.Now()})
-	return f.clock.Since(f.lastOK) < followTimeout
+	f.reported[r.Member.ID] = r.ConfigVersion
+	f.queue(queuedRenewal{r, f.clock.Now()})
+	return f.clock.Since(f.lastReached) < forwardTimeout
 }
 
 // queue keeps the latest record of each member. Messages may overtake each
 // other.
-func (f *follower) queue(r queued) {
+func (f *follower) queue(r queuedRenewal) {
 	if old, ok := f.pending[r.Member.ID]; !ok || !old.Member.Follows(r.Member) {
 		f.pending[r.Member.ID] = r
 	}
 }
 
 func (f *follower) run(ctx context.Context) {
-	ticker := f.clock.NewTicker(followInterval)
+	ticker := f.clock.NewTicker(forwardInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -130,42 +130,42 @@
 			return
 		case <-ticker.Chan():
 		case <-f.wake:
-		case <-f.unconfirmed():
+		case <-f.retryWhileUnconfirmed():
 		}
 		if err := f.step(ctx); err != nil {
-			f.failed(err)
+			f.onError(err)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.clock.After(followGap):
+		case <-f.clock.After(minForwardGap):
 		}
 	}
 }
 
 // unconfirmed returns when the leader is to be asked while no confirmation is known that makes a first view:
 // processes that have just started wait for it. Otherwise it returns nil.
-func (f *follower) unconfirmed() <-chan time.Time {
-	if usable(f.cluster.StampAge()) {
+func (f *follower) retryWhileUnconfirmed() <-chan time.Time {
+	if confirmsInitialView(f.cluster.StampAge()) {
 		return nil
 	}
-	return f.clock.After(followGap)
+	return f.clock.After(minForwardGap)
 }
 
 func (f *follower) step(ctx context.Context) error {
 	if f.cluster.IsLeader() {
-		f.leases.renew(renewals(f.take()))
+		f.leases.record(renewalsOf(f.take()))
 		return nil
 	}
-	return f.forward(ctx)
+	return f.forwardRenewals(ctx)
 }
 
-func (f *follower) take() []queued {
+func (f *follower) take() []queuedRenewal {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]queued, 0, len(f.pending))
+	out := make([]queuedRenewal, 0, len(f.pending))
 	for _, r := range f.pending {
-		if f.clock.Since(r.at) <= renewalLimit {
+		if f.clock.Since(r.at) <= maxRenewalAge {
 			out = append(out, r)
 		}
 	}
@@ -173,7 +173,7 @@
 	return out
 }
 
-func renewals(rs []queued) []Renewal {
+func renewalsOf(rs []queuedRenewal) []Renewal {
 	out := make([]Renewal, len(rs))
 	for i, r := range rs {
 		out[i] = r.Renewal
@@ -182,7 +182,7 @@
 }
 
 // putBack queues what could not be passed on.
-func (f *follower) putBack(rs []queued) {
+func (f *follower) requeue(rs []queuedRenewal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range rs {
@@ -192,22 +192,22 @@
 	}
 }
 
-func (f *follower) forward(ctx context.Context) error {
+func (f *follower) forwardRenewals(ctx context.Context) error {
 	leader := f.cluster.Leader()
 	if leader.Address == "" {
 		return errors.New("no leader known")
 	}
-	ctx, cancel := context.WithTimeout(ctx, followTimeout)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	asked := f.clock.Now()
 	taken := f.take()
-	reply, err := f.call(ctx, leader.Address, RenewRequest{Renewals: renewals(taken)})
+	reply, err := f.call(ctx, leader.Address, RenewRequest{Renewals: renewalsOf(taken)})
 	if err != nil {
-		f.putBack(taken)
+		f.requeue(taken)
 		return err
 	}
 	f.mu.Lock()
-	f.lastOK = f.clock.Now()
+	f.lastReached = f.clock.Now()
 	f.mu.Unlock()
 	if err := f.cluster.WaitApplied(ctx, reply.Index); err != nil {
 		return err
--- a/node/control/follower_test.go
+++ b/node/control/follower_test.go
@@ -17,22 +17,22 @@
 )
 
 // following is a cluster of which another process leads.
-type following struct {
-	hinting
+type followerCluster struct {
+	hintCluster
 	mu      sync.Mutex
 	stamped time.Time // zero: never
 }
 
-func (f *following) Leader() consensus.Peer                    { return consensus.Peer{ID: "a", Address: "a:1"} }
-func (f *following) WaitApplied(context.Context, uint64) error { return nil }
+func (f *followerCluster) Leader() consensus.Peer                    { return consensus.Peer{ID: "a", Address: "a:1"} }
+func (f *followerCluster) WaitApplied(context.Context, uint64) error { return nil }
 
-func (f *following) SetStamp(at time.Time) {
+func (f *followerCluster) SetStamp(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stamped = at
 }
 
-func (f *following) StampAge() time.Duration {
+func (f *followerCluster) StampAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stamped.IsZero() {
@@ -49,11 +49,11 @@
 			confirmed = 1230 * time.Millisecond // of the leader itself, after the start
 			later     = 10 * time.Second
 		)
-		c := &following{hinting: hinting{machine: state.New()}}
+		c := &followerCluster{hintCluster: hintCluster{machine: state.New()}}
 		c.view.Store(c.machine.View())
 		began := time.Now()
 		var calls atomic.Int64
-		f := &follower{cluster: c, clock: clockwork.NewRealClock(), wake: make(chan struct{}, 1), pending: map[wire.MemberID]queued{}, told: map[wire.MemberID]uint64{}, failed: func(error) {}}
+		f := &follower{cluster: c, clock: clockwork.NewRealClock(), wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{}, onError: func(error) {}}
 		f.call = func(context.Context, string, RenewRequest) (*RenewReply, error) {
 			calls.Add(1)
 			if time.Since(began) < confirmed {
@@ -67,13 +67,13 @@
 			defer close(ended)
 			f.run(ctx)
 		}()
-		time.Sleep(confirmed + 2*followGap)
+		time.Sleep(confirmed + 2*minForwardGap)
 		if age := c.StampAge(); age < 0 {
-			t.Errorf("no confirmation %s after the leader had one", 2*followGap)
+			t.Errorf("no confirmation %s after the leader had one", 2*minForwardGap)
 		}
 		before := calls.Load()
 		time.Sleep(later)
-		if got, most := calls.Load()-before, int64(later/followInterval)+1; got > most {
+		if got, most := calls.Load()-before, int64(later/forwardInterval)+1; got > most {
 			t.Errorf("%d calls in %s with a confirmation, more than %d", got, later, most)
 		}
 		cancel()
--- a/node/control/formation.go
+++ b/node/control/formation.go
@@ -25,18 +25,18 @@
 
 // errFormationFile says that the list of the first start cannot be read. The
 // file is written whole or not at all, so the disk is damaged.
-var errFormationFile = errors.New("control: the file of the first start is damaged")
+var errCorruptFormationFile = errors.New("control: the file of the first start is damaged")
 
 // startFormation returns the addresses among which the founder is chosen, or
 // nil when this process may not found: it was not there at the first start.
-func startFormation(fs disk.FS, firstStart bool, configured []string) ([]string, error) {
+func loadSeeds(fs disk.FS, firstStart bool, configured []string) ([]string, error) {
 	data, err := fs.ReadFile(formationFile)
 	if err == nil {
 		var seeds []string
 		if json.Unmarshal(data, &seeds) == nil {
 			return seeds, nil
 		}
-		return nil, errors.Annotatef(errFormationFile, "%s", data)
+		return nil, errors.Annotatef(errCorruptFormationFile, "%s", data)
 	}
 	if !os.IsNotExist(errors.Cause(err)) || !firstStart {
 		return nil, ignoreMissing(err)
@@ -57,7 +57,7 @@
 
 // form founds the cluster if that is this process's part, and ends once the
 // process belongs to a cluster.
-func (s *Service) form(ctx context.Context) {
+func (s *Service) runFormation(ctx context.Context) {
 	rule := formation.Rule{Self: s.set.Control.Advertise, Seeds: s.seeds}
 	clients := map[string]*peer.Client{}
 	defer func() {
@@ -68,12 +68,12 @@
 	for ctx.Err() == nil && !s.joined() {
 		step := rule.Next()
 		if step.Found {
-			s.found(ctx)
+			s.initCluster(ctx)
 			return
 		}
 		if step.Ask != "" {
 			if clients[step.Ask] == nil {
-				clients[step.Ask] = peer.NewClient(step.Ask, s.links.dial)
+				clients[step.Ask] = peer.NewClient(step.Ask, s.transport.dial)
 			}
 			answer := s.hello(ctx, clients[step.Ask], step.Hello)
 			if answer.Known {
@@ -105,7 +105,7 @@
 	return answer
 }
 
-func (s *Service) found(ctx context.Context) {
+func (s *Service) initCluster(ctx context.Context) {
 	if err := s.replica.Init(ctx); err != nil {
 		s.log.Error(err, "cluster not founded")
 		return
--- a/node/control/largetext_test.go
+++ b/node/control/largetext_test.go
@@ -41,7 +41,7 @@
 	s := startSystem(t, 3, 1)
 	leader := s.leader()
 	put := func(version uint64, text string) {
-		if _, err := leader.put(context.Background(), &wire.PutRequest{Version: version, Text: text}); err != nil {
+		if _, err := leader.putConfig(context.Background(), &wire.PutRequest{Version: version, Text: text}); err != nil {
 			t.Errorf("version %d: %v", version, err)
 		}
 	}
--- a/node/control/leases.go
+++ b/node/control/leases.go
@@ -28,43 +28,43 @@
 	ttl     time.Duration
 	ring    *timeline.Ring
 
-	mu      sync.Mutex
-	seen    map[wire.MemberID]seen
-	pending map[wire.MemberID]wire.Member
-	wake    chan struct{}
+	mu       sync.Mutex
+	renewals map[wire.MemberID]lastRenewal
+	pending  map[wire.MemberID]wire.Member
+	wake     chan struct{}
 
 	term     uint64    // of the leadership that leases were granted for
 	lastStep time.Time // of run's goroutine
 }
 
-type seen struct {
+type lastRenewal struct {
 	at          time.Time
 	incarnation uint64
 	version     uint64
 	fault       string
-	granted     bool // at is that of a grant: nothing was heard since
+	implicit    bool // at is that of a grant: nothing was heard since
 }
 
 func newLeases(c cluster, clock clockwork.Clock, ttl time.Duration, ring *timeline.Ring) *leases {
-	return &leases{cluster: c, clock: clock, ttl: ttl, ring: ring, seen: map[wire.MemberID]seen{},
+	return &leases{cluster: c, clock: clock, ttl: ttl, ring: ring, renewals: map[wire.MemberID]lastRenewal{},
 		pending: map[wire.MemberID]wire.Member{}, wake: make(chan struct{}, 1)}
 }
 
 // renew notes signs of life and queues the members that the state does not
 // hold as they are.
-func (l *leases) renew(rs []Renewal) {
+func (l *leases) record(rs []Renewal) {
 	members := l.cluster.View().Members
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range rs {
 		known, ok := members[r.Member.ID]
-		old := l.seen[r.Member.ID]
+		old := l.renewals[r.Member.ID]
 		held := ok || now.Sub(old.at) <= l.ttl
 		if held && max(old.incarnation, known.Incarnation) > r.Member.Incarnation {
 			continue // a late message of an earlier start, or the VM's clock went back
 		}
-		l.seen[r.Member.ID] = seen{at: now, incarnation: r.Member.Incarnation, version: r.ConfigVersion, fault: r.Fault}
+		l.renewals[r.Member.ID] = lastRenewal{at: now, incarnation: r.Member.Incarnation, version: r.ConfigVersion, fault: r.Fault}
 		waiting, queued := l.pending[r.Member.ID]
 		if queued && !r.Member.Follows(waiting) {
 			continue
@@ -91,14 +91,14 @@
 func (l *leases) lastStart(m wire.Member) lastStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s, known := l.seen[m.ID]
-	return lastStart{incarnation: max(m.Incarnation, s.incarnation), heard: known && !s.granted}
+	s, known := l.renewals[m.ID]
+	return lastStart{incarnation: max(m.Incarnation, s.incarnation), heard: known && !s.implicit}
 }
 
 // leaving returns the record by which an announced upstream leaves. None needs
 // one that neither the members hold nor a sign of life has named, and none a start
 // that a later one has replaced.
-func (l *leases) leaving(req *wire.LeaveRequest) []wire.Member {
+func (l *leases) leavingRecords(req *wire.LeaveRequest) []wire.Member {
 	l.mu.Lock()
 	m, known := l.pending[req.ID]
 	l.mu.Unlock()
@@ -116,10 +116,10 @@
 	expiryInterval = 250 * time.Millisecond
 	// joinGap is the time between two commands of members, so that many that
 	// start at once share few commands and few deltas.
-	joinGap = 50 * time.Millisecond
+	minCommitGap = 50 * time.Millisecond
 	// standstill is a pause between two steps after which the leader cannot
 	// tell who was silent: it did not listen itself.
-	standstill = time.Second
+	stallThreshold = time.Second
 )
 
 func (l *leases) run(ctx context.Context) {
@@ -138,7 +138,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.clock.After(joinGap):
+		case <-l.clock.After(minCommitGap):
 		}
 	}
 }
@@ -147,7 +147,7 @@
 func (l *leases) step(ctx context.Context) bool {
 	status := l.cluster.Status()
 	now := l.clock.Now()
-	still := now.Sub(l.lastStep) > standstill
+	still := now.Sub(l.lastStep) > stallThreshold
 	l.lastStep = now
 	if !l.cluster.IsLeader() {
 		l.term = 0
@@ -156,19 +156,19 @@
 	}
 	if l.term != status.Term || still {
 		l.term = status.Term
-		l.grantAll(now)
+		l.grantFullLeases(now)
 	}
 	return l.commit(ctx)
 }
 
 // grantAll grants every member a whole lease from now on.
-func (l *leases) grantAll(now time.Time) {
+func (l *leases) grantFullLeases(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, m := range l.cluster.View().Members {
-		s := l.seen[id]
-		s.at, s.granted, s.incarnation = now, true, max(m.Incarnation, s.incarnation)
-		l.seen[id] = s
+		s := l.renewals[id]
+		s.at, s.implicit, s.incarnation = now, true, max(m.Incarnation, s.incarnation)
+		l.renewals[id] = s
 	}
 }
 
@@ -180,7 +180,7 @@
 	for _, rm := range cmd.Remove {
 		l.ring.Record(timeline.Event{Kind: "lease-expired", Detail: string(rm.ID)})
 	}
-	ctx, cancel := context.WithTimeout(ctx, standstill/2)
+	ctx, cancel := context.WithTimeout(ctx, stallThreshold/2)
 	defer cancel()
 	l.cluster.Propose(ctx, cmd) // members renew again, so a lost command is made again
 	return true
@@ -228,18 +228,18 @@
 	defer l.mu.Unlock()
 	var out []state.Removal
 	for id, m := range members {
-		s, ok := l.seen[id]
+		s, ok := l.renewals[id]
 		if !ok {
-			l.seen[id] = seen{at: now, incarnation: m.Incarnation, granted: true}
+			l.renewals[id] = lastRenewal{at: now, incarnation: m.Incarnation, implicit: true}
 			continue
 		}
 		if now.Sub(s.at) > l.ttlOf(m) {
 			out = append(out, state.Removal{ID: id, Incarnation: m.Incarnation})
 		}
 	}
-	for id, s := range l.seen {
+	for id, s := range l.renewals {
 		if _, member := members[id]; !member && now.Sub(s.at) > l.ttl {
-			delete(l.seen, id)
+			delete(l.renewals, id)
 		}
 	}
 	return out
@@ -255,9 +255,9 @@
 	var out []wire.MemberStatus
 	for id, m := range view.Members {
 		row := wire.MemberStatus{Member: m, LastSeen: -1}
-		if s, ok := l.seen[id]; ok {
+		if s, ok := l.renewals[id]; ok {
 			row.ConfigVersion, row.Fault = s.version, s.fault
-			if !s.granted {
+			if !s.implicit {
 				row.LastSeen = now.Sub(s.at)
 			}
 		}
--- a/node/control/leases_test.go
+++ b/node/control/leases_test.go
@@ -13,9 +13,9 @@
 // TestLeasesThatNobodyListenedTo lists times in which the leader could not
 // hear members; none of them may be removed after it.
 func TestLeasesThatNobodyListenedTo(t *testing.T) {
-	cases := map[string]func(w *world){
-		"the leader stood still": func(w *world) { w.clock.Advance(10 * time.Second) },
-		"the lead was lost and won in between": func(w *world) {
+	cases := map[string]func(w *simulation){
+		"the leader stood still": func(w *simulation) { w.clock.Advance(10 * time.Second) },
+		"the lead was lost and won in between": func(w *simulation) {
 			lead := w.nodes[0].svc.leases
 			for range 20 {
 				w.clock.Advance(expiryInterval)
@@ -26,10 +26,10 @@
 	}
 	for name, pass := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(nil)
+			w := newSimulation(nil)
 			lead := w.nodes[0].svc.leases
 			m := wire.Member{ID: "m0", Incarnation: 1}
-			lead.renew([]Renewal{{Member: m}})
+			lead.record([]Renewal{{Member: m}})
 			lead.step(context.Background())
 			pass(w)
 			lead.step(context.Background())
@@ -50,10 +50,10 @@
 // TestRestartStormIsBatched restarts many members at once: their joins share a
 // command.
 func TestRestartStormIsBatched(t *testing.T) {
-	w := newWorld(nil)
+	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	for i := range 200 {
-		lead.renew([]Renewal{{Member: wire.Member{ID: wire.MemberID("m0" + string(rune('a'+i))), Incarnation: 1}}})
+		lead.record([]Renewal{{Member: wire.Member{ID: wire.MemberID("m0" + string(rune('a'+i))), Incarnation: 1}}})
 	}
 	lead.step(context.Background())
 	if len(w.log) != 1 || len(w.oracle.View().Members) != 200 {
@@ -64,13 +64,13 @@
 // TestClockThatWentBack restarts a member under a lower incarnation: it is a
 // member again once the lease of the earlier start has ended.
 func TestClockThatWentBack(t *testing.T) {
-	w := newWorld(nil)
+	w := newSimulation(nil)
 	w.commit(state.Command{Join: []wire.Member{{ID: "m0", Incarnation: 9}}})
 	w.nodes[0].catchUp(1)
 	lead := w.nodes[0].svc.leases
 	for range 14 {
 		lead.step(context.Background())
-		lead.renew([]Renewal{{Member: wire.Member{ID: "m0", Incarnation: 5}}})
+		lead.record([]Renewal{{Member: wire.Member{ID: "m0", Incarnation: 5}}})
 		w.clock.Advance(expiryInterval)
 	}
 	lead.step(context.Background())
@@ -82,15 +82,15 @@
 // TestGrantIsNoSignOfLife lets a new leader grant leases: until a member renews,
 // it is reported as not heard from.
 func TestGrantIsNoSignOfLife(t *testing.T) {
-	w := newWorld(nil)
+	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	both := []Renewal{{Member: wire.Member{ID: "m0", Incarnation: 1}}, {Member: wire.Member{ID: "m1", Incarnation: 1}}}
-	lead.renew(both)
+	lead.record(both)
 	lead.step(context.Background())
 	w.clock.Advance(expiryInterval)
 	w.term++
 	lead.step(context.Background())
-	lead.renew(both[:1])
+	lead.record(both[:1])
 	w.clock.Advance(expiryInterval)
 	want := map[wire.MemberID]time.Duration{"m0": expiryInterval, "m1": -1}
 	for _, row := range lead.report() {
@@ -104,12 +104,12 @@
 // leave, and a sign of life arrive that it sent before. The record is kept as
 // leaving for longer than a sign of life may be late, and then removed.
 func TestLateSignOfLifeDoesNotBringALeavingUpstreamBack(t *testing.T) {
-	w := newWorld(nil)
+	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	ready := wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", false)
 	leaving := wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", true)
 	for _, m := range []wire.Member{ready, leaving, ready} {
-		lead.renew([]Renewal{{Member: m}})
+		lead.record([]Renewal{{Member: m}})
 		lead.step(context.Background())
 	}
 	pass := func(d time.Duration) {
@@ -132,21 +132,21 @@
 // the members hold, or are about to. Nothing is made up for an unknown one, or
 // for a process of our own.
 func TestUpstreamThatLeavesIsFoundWhereverItIs(t *testing.T) {
-	w := newWorld(nil)
+	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	held := wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", false)
 	waits := wire.AnnouncedUpstream("m1", "s", "10.0.0.2:80", "e", false)
-	lead.renew([]Renewal{{Member: held}, {Member: wire.Member{ID: "m2", Incarnation: 1}}})
+	lead.record([]Renewal{{Member: held}, {Member: wire.Member{ID: "m2", Incarnation: 1}}})
 	lead.step(context.Background())
-	lead.renew([]Renewal{{Member: waits}})
+	lead.record([]Renewal{{Member: waits}})
 	for _, m := range []wire.Member{held, waits} {
 		want := wire.AnnouncedUpstream(m.ID, m.Service, m.Direct, m.DataCenter, true)
-		if got := lead.leaving(&wire.LeaveRequest{ID: m.ID}); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
+		if got := lead.leavingRecords(&wire.LeaveRequest{ID: m.ID}); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 			t.Errorf("%s leaves as %+v", m.ID, got)
 		}
 	}
 	for _, id := range []wire.MemberID{"m2", "m3"} {
-		if got := lead.leaving(&wire.LeaveRequest{ID: id}); len(got) != 0 {
+		if got := lead.leavingRecords(&wire.LeaveRequest{ID: id}); len(got) != 0 {
 			t.Errorf("%s leaves as %+v", id, got)
 		}
 	}
@@ -155,9 +155,9 @@
 // TestSilentUpstreamIsRemoved gives an announced upstream a longer lease than a
 // process of our own, since its signs of life may be late.
 func TestSilentUpstreamIsRemoved(t *testing.T) {
-	w := newWorld(nil)
+	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
-	lead.renew([]Renewal{{Member: wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", false)}})
+	lead.record([]Renewal{{Member: wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", false)}})
 	for elapsed := time.Duration(0); elapsed < announcedLease+time.Second; elapsed += expiryInterval {
 		lead.step(context.Background())
 		_, held := w.oracle.View().Members["m0"]
@@ -187,10 +187,10 @@
 		"it did not say when it started, and left": {record(0, false), record(0, true)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(nil)
+			w := newSimulation(nil)
 			lead := w.nodes[0].svc.leases
 			for _, m := range append(before, record(second, false)) {
-				lead.renew([]Renewal{{Member: m}})
+				lead.record([]Renewal{{Member: m}})
 				lead.step(context.Background())
 			}
 			check := func(when string) {
@@ -203,10 +203,10 @@
 			late := func(l *leases, when string) {
 				t.Helper()
 				for _, m := range []wire.Member{record(first, false), record(first, true), record(0, true)} {
-					l.renew([]Renewal{{Member: m}})
+					l.record([]Renewal{{Member: m}})
 					l.step(context.Background())
 				}
-				if got := l.leaving(&wire.LeaveRequest{ID: "m0", Incarnation: first}); len(got) != 0 {
+				if got := l.leavingRecords(&wire.LeaveRequest{ID: "m0", Incarnation: first}); len(got) != 0 {
 					t.Fatalf("%s: a late word of its leaving makes it leave: %+v", when, got)
 				}
 				check(when)
@@ -232,16 +232,16 @@
 // TestUpstreamWhoseClockWentBack lets an upstream start again with a clock that is behind
 // that of its start before: it is taken once the earlier start's lease has ended.
 func TestUpstreamWhoseClockWentBack(t *testing.T) {
-	w := newWorld(nil)
+	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	record := func(started uint64) wire.Member {
 		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", false).StartedAt(started)
 	}
-	lead.renew([]Renewal{{Member: record(5000)}})
+	lead.record([]Renewal{{Member: record(5000)}})
 	lead.step(context.Background())
 	for range (announcedLease + time.Second) / expiryInterval {
 		w.clock.Advance(expiryInterval)
-		lead.renew([]Renewal{{Member: record(3000)}})
+		lead.record([]Renewal{{Member: record(3000)}})
 		lead.step(context.Background())
 	}
 	if m := w.oracle.View().Members["m0"]; m.Incarnation != 3000 {
@@ -252,7 +252,7 @@
 // TestOnlyWhatSignsOfLifeChangeIsReplicated numbers signs of life of an upstream that is cold, is
 // cold no more, and leaves: each of these is replicated once, in spite of late ones.
 func TestOnlyWhatSignsOfLifeChangeIsReplicated(t *testing.T) {
-	w := newWorld(nil)
+	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	beat := func(number uint64, cold, leaving bool) wire.Member {
 		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", leaving).Said(number, cold)
@@ -271,7 +271,7 @@
 		{beat(7, false, true), 4, false},
 		{beat(8, false, false), 4, false}, // sent before it left
 	} {
-		lead.renew([]Renewal{{Member: c.beat}})
+		lead.record([]Renewal{{Member: c.beat}})
 		lead.step(context.Background())
 		w.nodes[0].catchUp(len(w.log))
 		if m := w.oracle.View().Members["m0"]; len(w.log) != c.commands || m.Cold != c.cold {
--- a/node/control/hint_test.go
+++ b/node/control/longpoll_test.go
@@ -18,7 +18,7 @@
 )
 
 // hinting is a cluster whose fences and term change by hand.
-type hinting struct {
+type hintCluster struct {
 	cluster // nil: what is not overridden is not called
 	machine *state.Machine
 	view    atomic.Pointer[state.View]
@@ -26,19 +26,19 @@
 	outage  atomic.Bool
 }
 
-func (h *hinting) View() *state.View        { return h.view.Load() }
-func (h *hinting) Status() consensus.Status { return consensus.Status{Term: h.term.Load()} }
-func (h *hinting) StampAge() time.Duration  { return 0 }
-func (h *hinting) IsLeader() bool           { return false }
-func (h *hinting) Outage() error {
+func (h *hintCluster) View() *state.View        { return h.view.Load() }
+func (h *hintCluster) Status() consensus.Status { return consensus.Status{Term: h.term.Load()} }
+func (h *hintCluster) StampAge() time.Duration  { return 0 }
+func (h *hintCluster) IsLeader() bool           { return false }
+func (h *hintCluster) Outage() error {
 	if h.outage.Load() {
 		return syscall.ENOSPC
 	}
 	return nil
 }
-func (h *hinting) Leader() consensus.Peer { return consensus.Peer{} }
+func (h *hintCluster) Leader() consensus.Peer { return consensus.Peer{} }
 
-func (h *hinting) draw(t *testing.T, id wire.MemberID) {
+func (h *hintCluster) drawToken(t *testing.T, id wire.MemberID) {
 	data, err := state.Command{Fences: []wire.MemberID{id}}.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -53,12 +53,12 @@
 // of the clock, when a token is drawn for the caller or the term changes, and
 // not when one is drawn for somebody else.
 func TestHintEndsHold(t *testing.T) {
-	h := &hinting{machine: state.New()}
+	h := &hintCluster{machine: state.New()}
 	h.view.Store(h.machine.View())
 	h.term.Store(1)
 	clock := clockwork.NewFakeClock()
-	s := &Service{cluster: h, clock: clock, news: newNews(h)}
-	s.follow = &follower{cluster: h, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queued{}, told: map[wire.MemberID]uint64{}}
+	s := &Service{cluster: h, clock: clock, notifier: newChangeNotifier(h)}
+	s.follower = &follower{cluster: h, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{}}
 	held := configsync.NewHolder(wire.Member{ID: "a"})
 	answers := make(chan *wire.SyncReply, 1)
 	ask := func() {
@@ -76,16 +76,16 @@
 	}
 	take := func(fence, term uint64) {
 		t.Helper()
-		s.news.check()
+		s.notifier.check()
 		if !held.TakeHint(<-answers) || held.Hint() != (configsync.Hint{Fence: fence, Term: term}) {
 			t.Fatalf("hint %+v", held.Hint())
 		}
 	}
 	held.TakeHint(&wire.SyncReply{Term: 1})
 	ask()
-	h.draw(t, "b")
-	s.news.check() // of no concern here: the answer stays held back
-	h.draw(t, "a")
+	h.drawToken(t, "b")
+	s.notifier.check() // of no concern here: the answer stays held back
+	h.drawToken(t, "a")
 	take(2, 1)
 	ask()
 	h.term.Store(2)
@@ -107,11 +107,11 @@
 // synchronization is held back there: the caller is sent elsewhere at once,
 // without a step of the clock, and so is the next one.
 func TestOutageEndsHold(t *testing.T) {
-	h := &hinting{machine: state.New()}
+	h := &hintCluster{machine: state.New()}
 	h.view.Store(h.machine.View())
 	clock := clockwork.NewFakeClock()
-	s := &Service{cluster: h, clock: clock, news: newNews(h)}
-	s.follow = &follower{cluster: h, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queued{}, told: map[wire.MemberID]uint64{}}
+	s := &Service{cluster: h, clock: clock, notifier: newChangeNotifier(h)}
+	s.follower = &follower{cluster: h, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{}}
 	held := configsync.NewHolder(wire.Member{ID: "a"})
 	req := held.Request(time.Second)
 	answers := make(chan error, 1)
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	h.outage.Store(true)
-	s.news.check()
+	s.notifier.check()
 	if err := <-answers; verdict.Of(err) != verdict.NotRun {
 		t.Fatalf("%v", err)
 	}
@@ -134,18 +134,18 @@
 
 // unconfirmed is a control process that has started again: it knows what its log says, and no quorum has
 // confirmed it yet.
-type unconfirmed struct {
-	*hinting
+type unconfirmedCluster struct {
+	*hintCluster
 	age atomic.Int64
 }
 
-func (u *unconfirmed) StampAge() time.Duration { return time.Duration(u.age.Load()) }
+func (u *unconfirmedCluster) StampAge() time.Duration { return time.Duration(u.age.Load()) }
 
 // TestFirstViewWaitsForAConfirmation has processes that hold nothing ask again and again while no quorum has
 // confirmed what is known: nothing is sent that they could not use, and all that wait get it with the first
 // confirmation. A call that does not wait is answered at once, since its caller hears where the voters are.
 func TestFirstViewWaitsForAConfirmation(t *testing.T) {
-	u := &unconfirmed{hinting: &hinting{machine: state.New()}}
+	u := &unconfirmedCluster{hintCluster: &hintCluster{machine: state.New()}}
 	u.age.Store(-1)
 	data, err := state.Command{Join: fleetRecords(100), Put: &wire.PutRequest{Version: 1, Text: "[customer:foundry]\n"}}.Encode()
 	if err != nil {
@@ -156,8 +156,8 @@
 	}
 	u.view.Store(u.machine.View())
 	clock := clockwork.NewFakeClock()
-	s := &Service{cluster: u, clock: clock, news: newNews(u)}
-	s.follow = &follower{cluster: u, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queued{}, told: map[wire.MemberID]uint64{}}
+	s := &Service{cluster: u, clock: clock, notifier: newChangeNotifier(u)}
+	s.follower = &follower{cluster: u, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{}}
 	const processes = 360
 	replies := make(chan *wire.SyncReply, processes)
 	const patience = 250 * time.Millisecond
@@ -190,7 +190,7 @@
 	}
 	ask(patience)
 	u.age.Store(0)
-	s.news.check() // without a step of the clock
+	s.notifier.check() // without a step of the clock
 	for range processes {
 		if r := <-replies; r.Config == nil || r.Members == nil || len(r.Members.Changed) != 100 {
 			t.Fatalf("with the confirmation comes %+v", r)
--- a/node/control/metrics.go
+++ b/node/control/metrics.go
@@ -10,19 +10,19 @@
 
 // shown is the service whose figures the metric "control" shows: the process's own. Tests
 // run several in one process; the last one started counts.
-var shown atomic.Pointer[Service]
+var metricsSource atomic.Pointer[Service]
 
 func init() {
 	expvar.Publish("control", expvar.Func(func() any {
-		if s := shown.Load(); s != nil {
-			return s.figures()
+		if s := metricsSource.Load(); s != nil {
+			return s.metrics()
 		}
 		return struct{}{}
 	}))
 }
 
 // figures are what this process believes of its cluster, made when they are asked for.
-type figures struct {
+type metrics struct {
 	Leads         bool           `json:"leads"`
 	Leader        string         `json:"leader"` // empty: none is known
 	Term          uint64         `json:"term"`
@@ -42,12 +42,12 @@
 	Members       map[string]int `json:"members"` // by service, or role, and state
 	Waits         string         `json:"waits"`   // what repair of the voters waits for
 
-	Rollouts map[string]rolloutFigures `json:"rollouts,omitempty"` // by service
+	Rollouts map[string]rolloutMetrics `json:"rollouts,omitempty"` // by service
 }
 
-func (s *Service) figures() figures {
+func (s *Service) metrics() metrics {
 	st, v := s.cluster.Status(), s.cluster.View()
-	out := figures{Leads: st.Role == consensus.Leader, Leader: string(st.Leader), Term: st.Term, Last: st.Last, Committed: st.Committed, Applied: st.Applied,
+	out := metrics{Leads: st.Role == consensus.Leader, Leader: string(st.Leader), Term: st.Term, Last: st.Last, Committed: st.Committed, Applied: st.Applied,
 		Version: v.Config.Version, StampAgeMs: s.cluster.StampAge().Milliseconds(), Voters: len(st.Membership.Voters), Learners: len(st.Membership.Learners),
 		Votes: st.Membership.Has(st.ID), Joined: s.joined(), Suspended: s.cluster.Outage() != nil, SnapshotIndex: st.SnapshotIndex,
 		Owner: string(v.Owner.ID), OwnerEpoch: v.Owner.Epoch, Members: map[string]int{}, Waits: s.repair.Report()}
@@ -62,13 +62,13 @@
 		}
 		out.Members[kind+"/"+state]++
 	}
-	out.Rollouts = s.rollouts.figures(v.Rollouts)
+	out.Rollouts = s.rollouts.metrics(v.Rollouts)
 	return out
 }
 
 // rolloutFigures are what is known of a service's last roll-out. The answers are those that the leader
 // has heard of.
-type rolloutFigures struct {
+type rolloutMetrics struct {
 	Target  string            `json:"target"`
 	State   wire.RolloutState `json:"state"`
 	Share   float64           `json:"share"`
@@ -77,13 +77,13 @@
 	Others  uint64            `json:"others"`  // answers of the other versions
 }
 
-func (l *rollouts) figures(r wire.Rollouts) map[string]rolloutFigures {
+func (l *rolloutTracker) metrics(r wire.Rollouts) map[string]rolloutMetrics {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := map[string]rolloutFigures{}
+	out := map[string]rolloutMetrics{}
 	for _, x := range r.List {
-		f := rolloutFigures{Target: x.Target, State: x.State, Share: x.Share}
-		if j := l.judges[x.Service]; j != nil && j.order == x.Order {
+		f := rolloutMetrics{Target: x.Target, State: x.State, Share: x.Share}
+		if j := l.byService[x.Service]; j != nil && j.order == x.Order {
 			f.Answers, f.Bad, f.Others = j.judge.Target.Answers, j.judge.Target.Bad, j.judge.Others.Answers
 		}
 		out[x.Service] = f
--- a/node/control/news.go
+++ b/node/control/notifier.go
@@ -7,38 +7,38 @@
 
 // news wakes the held-back sync calls when something changed that they are told of. Most commands change
 // nothing of it.
-type news struct {
+type changeNotifier struct {
 	cluster cluster
-	last    told
+	last    syncState
 	next    atomic.Pointer[chan struct{}]
 }
 
 // told is by what a sync call sees that there is something new.
-type told struct {
+type syncState struct {
 	version, seq, fence, term, owner uint64
 	evacuations, suspects, rollouts  uint64 // revisions
 	outage                           bool   // the replica takes no part
 	confirmed                        bool   // what is known makes a first view
 }
 
-func toldBy(c cluster) told {
+func syncStateOf(c cluster) syncState {
 	v := c.View()
-	return told{version: v.Config.Version, seq: v.MembersSeq, fence: v.Fence, term: c.Status().Term, owner: v.Owner.Epoch,
+	return syncState{version: v.Config.Version, seq: v.MembersSeq, fence: v.Fence, term: c.Status().Term, owner: v.Owner.Epoch,
 		evacuations: v.Evacuations.Revision, suspects: v.Suspects.Revision, rollouts: v.Rollouts.Revision,
-		outage: c.Outage() != nil, confirmed: usable(c.StampAge())}
+		outage: c.Outage() != nil, confirmed: confirmsInitialView(c.StampAge())}
 }
 
-func newNews(c cluster) *news {
-	n := &news{cluster: c}
+func newChangeNotifier(c cluster) *changeNotifier {
+	n := &changeNotifier{cluster: c}
 	ch := make(chan struct{})
 	n.next.Store(&ch)
 	return n
 }
 
 // changed returns a channel that is closed at the next change after the call.
-func (n *news) changed() <-chan struct{} { return *n.next.Load() }
+func (n *changeNotifier) changed() <-chan struct{} { return *n.next.Load() }
 
-func (n *news) run(ctx context.Context) {
+func (n *changeNotifier) run(ctx context.Context) {
 	for {
 		command := n.cluster.Changed()
 		n.check()
@@ -50,8 +50,8 @@
 	}
 }
 
-func (n *news) check() {
-	now := toldBy(n.cluster)
+func (n *changeNotifier) check() {
+	now := syncStateOf(n.cluster)
 	if now == n.last {
 		return
 	}
--- a/node/control/spread.go
+++ b/node/control/placement.go
@@ -9,28 +9,28 @@
 
 // spread says how voters lie in data centres, of which some may be lost at once: what was
 // acknowledged outlives that, and changes go on, while the others hold more than half.
-type spread struct {
-	losses int                         // data centres that may be lost at once
-	where  func(address string) string // data centre of a process by its peer address; empty: not known
+type voterPlacement struct {
+	losses       int                         // data centres that may be lost at once
+	dataCenterOf func(address string) string // data centre of a process by its peer address; empty: not known
 }
 
 // spread reads where processes are from the members.
-func (s *Service) spread() spread {
+func (s *Service) placement() voterPlacement {
 	by := map[string]string{}
 	for _, m := range s.cluster.View().Members {
 		if m.Peer != "" {
 			by[m.Peer] = m.DataCenter
 		}
 	}
-	return spread{s.set.Control.DataCenterLosses, func(address string) string { return by[address] }}
+	return voterPlacement{s.set.Control.DataCenterLosses, func(address string) string { return by[address] }}
 }
 
 // counts returns how many of the voters each data centre holds. One whose data centre is not
 // known counts as alone in its own.
-func (sp spread) counts(voters []consensus.Peer) map[string]int {
+func (sp voterPlacement) counts(voters []consensus.Peer) map[string]int {
 	out := map[string]int{}
 	for _, v := range voters {
-		dc := sp.where(v.Address)
+		dc := sp.dataCenterOf(v.Address)
 		if dc == "" {
 			dc = "at " + v.Address
 		}
@@ -40,7 +40,7 @@
 }
 
 // worst is how many voters the data centres hold whose loss costs the most.
-func (sp spread) worst(voters []consensus.Peer) int {
+func (sp voterPlacement) maxLoss(voters []consensus.Peer) int {
 	var counts []int
 	for _, n := range sp.counts(voters) {
 		counts = append(counts, n)
@@ -54,27 +54,27 @@
 }
 
 // crowded reports whether the loss takes half of the voters or more.
-func (sp spread) crowded(voters []consensus.Peer) bool {
-	return sp.losses > 0 && 2*sp.worst(voters) >= len(voters)
+func (sp voterPlacement) lossBreaksQuorum(voters []consensus.Peer) bool {
+	return sp.losses > 0 && 2*sp.maxLoss(voters) >= len(voters)
 }
 
 // improves reports whether the loss takes half of the voters now, and costs less once the
 // process votes in the place of one where most do.
-func (sp spread) improves(voters []consensus.Peer, p consensus.Peer) bool {
-	if !sp.crowded(voters) {
+func (sp voterPlacement) improves(voters []consensus.Peer, p consensus.Peer) bool {
+	if !sp.lossBreaksQuorum(voters) {
 		return false
 	}
 	next := append(slices.Clone(voters), p)
-	v, ok := sp.surplus(next, p.ID)
-	return ok && sp.worst(without(next, v.ID)) < sp.worst(voters)
+	v, ok := sp.removalCandidate(next, p.ID)
+	return ok && sp.maxLoss(without(next, v.ID)) < sp.maxLoss(voters)
 }
 
 // surplus returns a voter of the data centre that holds most of them, other than keep.
-func (sp spread) surplus(voters []consensus.Peer, keep consensus.NodeID) (consensus.Peer, bool) {
+func (sp voterPlacement) removalCandidate(voters []consensus.Peer, keep consensus.NodeID) (consensus.Peer, bool) {
 	counts := sp.counts(voters)
 	best, most := consensus.Peer{}, 0
 	for _, v := range voters {
-		if n := counts[sp.where(v.Address)]; v.ID != keep && n > most {
+		if n := counts[sp.dataCenterOf(v.Address)]; v.ID != keep && n > most {
 			best, most = v, n
 		}
 	}
@@ -83,14 +83,14 @@
 
 // best returns the process that should vote next: of those that offer themselves, one whose
 // data centre has the fewest members.
-func (sp spread) best(m consensus.Membership, offers []consensus.Peer) (consensus.Peer, bool) {
+func (sp voterPlacement) bestCandidate(m consensus.Membership, offers []consensus.Peer) (consensus.Peer, bool) {
 	counts := sp.counts(m.All())
 	best, found, least := consensus.Peer{}, false, 0
 	for _, p := range offers {
 		if m.Has(p.ID) || m.HasLearner(p.ID) {
 			continue
 		}
-		if n := counts[sp.where(p.Address)]; !found || n < least {
+		if n := counts[sp.dataCenterOf(p.Address)]; !found || n < least {
 			best, found, least = p, true, n
 		}
 	}
@@ -98,9 +98,9 @@
 }
 
 // warning says that the losses are not borne, where they are not; empty where they are.
-func (sp spread) warning(voters []consensus.Peer) string {
-	if !sp.crowded(voters) {
+func (sp voterPlacement) warning(voters []consensus.Peer) string {
+	if !sp.lossBreaksQuorum(voters) {
 		return ""
 	}
-	return fmt.Sprintf("the loss of %d data centres would take %d of %d voters, and no process elsewhere offers itself", sp.losses, sp.worst(voters), len(voters))
+	return fmt.Sprintf("the loss of %d data centres would take %d of %d voters, and no process elsewhere offers itself", sp.losses, sp.maxLoss(voters), len(voters))
 }
--- a/node/control/spread_test.go
+++ b/node/control/placement_test.go
@@ -12,13 +12,13 @@
 )
 
 // inNames reads a data centre from an address such as north/3.
-func inNames(losses int) spread {
-	return spread{losses, func(address string) string { return strings.Split(address, "/")[0] }}
+func placementByAddress(losses int) voterPlacement {
+	return voterPlacement{losses, func(address string) string { return strings.Split(address, "/")[0] }}
 }
 
 // bestWorst is the least number of voters that the loss can take where up to most of the
 // processes vote, an odd number of them: the processes of the data centres are taken in turn.
-func bestWorst(perDataCenter []int, losses, most int) (worst, voters int) {
+func optimalMaxLoss(perDataCenter []int, losses, most int) (worst, voters int) {
 	took := make([]int, len(perDataCenter))
 	for took := took; voters < most; {
 		any := false
@@ -49,7 +49,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		losses := rapid.IntRange(1, 2).Draw(t, "losses")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 5), 1, 6).Draw(t, "processes")
-		sp := inNames(losses)
+		sp := placementByAddress(losses)
 		var all []consensus.Peer
 		for dc, n := range sizes {
 			for i := range n {
@@ -65,7 +65,7 @@
 			for _, p := range st.Membership.All() {
 				st.Progress[p.ID] = consensus.Progress{Active: true, Match: 100}
 			}
-			if next, why = planElastic(st, all, nil, 3, most, sp); next == nil {
+			if next, why = planSelfForming(st, all, nil, 3, most, sp); next == nil {
 				break
 			}
 			if len(next.Voters) > most+1 || !next.Has(st.ID) || step > 60 {
@@ -74,12 +74,12 @@
 			st.Membership = *next
 		}
 		voters := st.Membership.Voters
-		worst, n := bestWorst(sizes, losses, most)
+		worst, n := optimalMaxLoss(sizes, losses, most)
 		borne := 2*worst < n
-		if borne && sp.crowded(voters) {
+		if borne && sp.lossBreaksQuorum(voters) {
 			t.Fatalf("of %v, the loss of %d data centres takes half of %v", sizes, losses, voters)
 		}
-		if sp.crowded(voters) == (why == "") {
+		if sp.lossBreaksQuorum(voters) == (why == "") {
 			t.Fatalf("voters %v: says %q", voters, why)
 		}
 	})
--- a/node/control/suspicion_test.go
+++ b/node/control/probe_backoff_test.go
@@ -12,12 +12,12 @@
 		overload = 8 * time.Second
 		longest  = 900 * time.Millisecond // that an overloaded owner does not answer
 	)
-	var s suspicions
+	var s probeBackoff
 	now := time.Unix(1000, 0)
 	replaced := 0
 	for end := now.Add(overload); now.Before(end); now = now.Add(longest) {
-		if longest > s.patience(now) {
-			s.note(now)
+		if longest > s.timeout(now) {
+			s.add(now)
 			replaced++
 		}
 	}
@@ -28,22 +28,22 @@
 
 // TestPatienceComesBack has owners be lost one at a time: each loss is noticed as soon as the first.
 func TestPatienceComesBack(t *testing.T) {
-	var s suspicions
+	var s probeBackoff
 	now := time.Unix(1000, 0)
 	for range 5 {
-		if got := s.patience(now); got != pulseSilence {
+		if got := s.timeout(now); got != baseProbeTimeout {
 			t.Fatalf("patience %s", got)
 		}
-		s.note(now)
-		if got := s.patience(now.Add(time.Second)); got != 2*pulseSilence {
+		s.add(now)
+		if got := s.timeout(now.Add(time.Second)); got != 2*baseProbeTimeout {
 			t.Fatalf("a second later: %s", got)
 		}
-		now = now.Add(suspicionMemory + time.Second)
+		now = now.Add(backoffWindow + time.Second)
 	}
 	for range 10 {
-		s.note(now)
+		s.add(now)
 	}
-	if got := s.patience(now); got != pulseSilence<<mostDoublings {
+	if got := s.timeout(now); got != baseProbeTimeout<<maxBackoffDoublings {
 		t.Fatalf("after ten losses: %s", got)
 	}
 }
--- a/node/control/pulse_test.go
+++ b/node/control/probe_test.go
@@ -15,7 +15,7 @@
 	answer chan error
 }
 
-func (c *silentClient) ask(ctx context.Context) error {
+func (c *silentClient) ping(ctx context.Context) error {
 	c.asked <- struct{}{}
 	select {
 	case err := <-c.answer:
@@ -28,16 +28,16 @@
 func (c *silentClient) Close() {}
 
 // pulseBed is a pulse whose questions a test answers.
-type pulseBed struct {
-	*pulse
+type probeHarness struct {
+	*livenessProbe
 	t       *testing.T
 	clock   *clockwork.FakeClock
 	clients []*silentClient
 }
 
-func newPulseBed(t *testing.T) *pulseBed {
-	b := &pulseBed{t: t, clock: clockwork.NewFakeClock()}
-	b.pulse = newPulse(b.clock, "owner", func() pulseClient {
+func newProbeHarness(t *testing.T) *probeHarness {
+	b := &probeHarness{t: t, clock: clockwork.NewFakeClock()}
+	b.livenessProbe = newLivenessProbe(b.clock, "owner", func() probeClient {
 		c := &silentClient{make(chan struct{}), make(chan error)}
 		b.clients = append(b.clients, c)
 		return c
@@ -45,17 +45,17 @@
 	return b
 }
 
-func (b *pulseBed) newest() *silentClient { return b.clients[len(b.clients)-1] }
+func (b *probeHarness) newest() *silentClient { return b.clients[len(b.clients)-1] }
 
 // asks asks once and lets the time to the next question pass.
-func (b *pulseBed) asks() {
-	b.beat(b.t.Context())
+func (b *probeHarness) sendAndAdvance() {
+	b.send(b.t.Context())
 	<-b.newest().asked
-	b.clock.Advance(ownerInterval)
+	b.clock.Advance(probeInterval)
 }
 
 // unanswered waits until as many questions are unanswered.
-func (b *pulseBed) unanswered(want int) {
+func (b *probeHarness) waitUnanswered(want int) {
 	for {
 		b.mu.Lock()
 		n := len(b.pending)
@@ -70,14 +70,14 @@
 // TestPulseOfSilentProcess asks a process that does not answer: it counts as lost after
 // pulseSilence and one interval, and not before a lost packet's first repeat.
 func TestPulseOfSilentProcess(t *testing.T) {
-	b := newPulseBed(t)
+	b := newProbeHarness(t)
 	began := b.clock.Now()
-	for !b.lost() {
-		if b.asks(); b.clock.Since(began) > time.Second {
+	for !b.failed() {
+		if b.sendAndAdvance(); b.clock.Since(began) > time.Second {
 			t.Fatal("it does not count as lost")
 		}
 	}
-	if took := b.clock.Since(began); took <= 200*time.Millisecond || took > pulseSilence+ownerInterval {
+	if took := b.clock.Since(began); took <= 200*time.Millisecond || took > baseProbeTimeout+probeInterval {
 		t.Fatalf("lost after %s", took)
 	}
 }
@@ -85,16 +85,16 @@
 // TestPulseOfSlowAnswers answers each question 200 ms late, as a link does that loses a
 // packet a time: the process is not lost.
 func TestPulseOfSlowAnswers(t *testing.T) {
-	b := newPulseBed(t)
+	b := newProbeHarness(t)
 	at := []time.Time{}
 	for range 100 {
 		at = append(at, b.clock.Now())
-		b.asks()
+		b.sendAndAdvance()
 		if len(at) > 4 {
-			b.note(b.newest(), at[0], nil)
+			b.recordResult(b.newest(), at[0], nil)
 			at = at[1:]
 		}
-		if b.lost() {
+		if b.failed() {
 			t.Fatal("it counts as lost")
 		}
 	}
@@ -103,13 +103,13 @@
 // TestPulseOverAnotherConnection lets the connection go silent and not the process: the
 // next questions go over another one, and the process is not lost.
 func TestPulseOverAnotherConnection(t *testing.T) {
-	b := newPulseBed(t)
+	b := newProbeHarness(t)
 	for len(b.clients) == 1 {
-		b.asks()
+		b.sendAndAdvance()
 	}
 	b.newest().answer <- nil
-	b.unanswered(0)
-	if b.lost() {
+	b.waitUnanswered(0)
+	if b.failed() {
 		t.Fatal("it counts as lost")
 	}
 }
@@ -118,16 +118,16 @@
 // answer between them forgets the first.
 func TestPulseOfClosedPort(t *testing.T) {
 	refused := errors.New("connection refused")
-	b := newPulseBed(t)
+	b := newProbeHarness(t)
 	for _, step := range []struct {
 		err  error
 		lost bool
 	}{{refused, false}, {nil, false}, {refused, false}, {refused, true}} {
-		b.note(b.newest(), b.clock.Now(), step.err)
-		if b.lost() != step.lost {
+		b.recordResult(b.newest(), b.clock.Now(), step.err)
+		if b.failed() != step.lost {
 			t.Fatalf("after %v: lost %v", step.err, !step.lost)
 		}
-		if _, err := b.silence(); err != step.err {
+		if _, err := b.oldestUnanswered(); err != step.err {
 			t.Fatalf("the last failure is %v, want %v", err, step.err)
 		}
 	}
@@ -136,11 +136,11 @@
 // TestPulseAfterAPause restarts after a pause of the process that asks: what it did not
 // hear meanwhile is no silence.
 func TestPulseAfterAPause(t *testing.T) {
-	b := newPulseBed(t)
-	b.asks()
+	b := newProbeHarness(t)
+	b.sendAndAdvance()
 	b.clock.Advance(time.Minute)
-	b.restart()
-	if b.lost() {
+	b.reset()
+	if b.failed() {
 		t.Fatal("it counts as lost")
 	}
 }
--- a/node/control/puts.go
+++ b/node/control/puts.go
@@ -16,21 +16,21 @@
 
 // putLimit bounds how long a change may be under way after its sender has left: twice
 // the time in which operators expect their acknowledgement (5 s).
-const putLimit = 10 * time.Second
+const putTimeout = 10 * time.Second
 
 // puts are the changes of the text that are under way at this leader, by version. A
 // change that is sent again meanwhile waits for the first: operators resend what is
 // not acknowledged in time, and each one would go into the log once more.
-type puts struct {
-	mu    sync.Mutex
-	under map[uint64]*underWay
-	valid *optext.Config // the text that was checked last
+type pendingPuts struct {
+	mu        sync.Mutex
+	byVersion map[uint64]*pendingPut
+	lastValid *optext.Config // the text that was checked last
 }
 
 // check reads a text, or reports what is wrong with it. It decodes what differs from the last one.
-func (p *puts) check(text string) (*optext.Config, error) {
+func (p *pendingPuts) check(text string) (*optext.Config, error) {
 	p.mu.Lock()
-	last := p.valid
+	last := p.lastValid
 	p.mu.Unlock()
 	next, err := last.Next("text", text)
 	if err != nil {
@@ -38,12 +38,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.valid = next
+	p.lastValid = next
 	return next, nil
 }
 
 // underWay is one change. Its result is valid once done is closed.
-type underWay struct {
+type pendingPut struct {
 	hash   uint64
 	done   chan struct{}
 	result *wire.PutResult
@@ -52,11 +52,11 @@
 
 // run makes the change, unless it is under way already, and returns its result. It
 // goes on when ctx ends first, for the next one that sends it.
-func (p *puts) run(ctx context.Context, req *wire.PutRequest, change func(ctx context.Context) (*wire.PutResult, error)) (*wire.PutResult, error) {
+func (p *pendingPuts) run(ctx context.Context, req *wire.PutRequest, change func(ctx context.Context) (*wire.PutResult, error)) (*wire.PutResult, error) {
 	u, first := p.join(req)
 	if first {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), putLimit)
+			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), putTimeout)
 			defer cancel()
 			u.result, u.err = change(ctx)
 			p.end(req.Version, u)
@@ -72,35 +72,35 @@
 
 // join returns the change under way, or begins one. Another text under the same
 // version stands by itself: it comes too late, or comes first.
-func (p *puts) join(req *wire.PutRequest) (u *underWay, first bool) {
+func (p *pendingPuts) join(req *wire.PutRequest) (u *pendingPut, first bool) {
 	hash := xxhash.Sum64String(req.Text)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if u := p.under[req.Version]; u != nil && u.hash == hash {
+	if u := p.byVersion[req.Version]; u != nil && u.hash == hash {
 		return u, false
 	}
-	u = &underWay{hash: hash, done: make(chan struct{})}
-	if p.under == nil {
-		p.under = map[uint64]*underWay{}
+	u = &pendingPut{hash: hash, done: make(chan struct{})}
+	if p.byVersion == nil {
+		p.byVersion = map[uint64]*pendingPut{}
 	}
-	if p.under[req.Version] == nil {
-		p.under[req.Version] = u
+	if p.byVersion[req.Version] == nil {
+		p.byVersion[req.Version] = u
 	}
 	return u, true
 }
 
-func (p *puts) end(version uint64, u *underWay) {
+func (p *pendingPuts) end(version uint64, u *pendingPut) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.under[version] == u {
-		delete(p.under, version)
+	if p.byVersion[version] == u {
+		delete(p.byVersion, version)
 	}
 	close(u.done)
 }
 
 // put replaces the text. It is acknowledged only while as many voters hold it
 // as the settings want for the losses to be borne.
-func (s *Service) put(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
+func (s *Service) putConfig(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
@@ -109,7 +109,7 @@
 		s.log.Info("change accepted", "version", req.Version, "bytes", len(req.Text), "applied", false, "in_force", v)
 		return &wire.PutResult{Version: v}, nil
 	}
-	return s.puts.run(ctx, req, func(ctx context.Context) (*wire.PutResult, error) { return s.change(ctx, req) })
+	return s.puts.run(ctx, req, func(ctx context.Context) (*wire.PutResult, error) { return s.validateAndPut(ctx, req) })
 }
 
 // enoughVoters reports whether the losses that the settings name are borne, as far as the
@@ -122,12 +122,12 @@
 	if !s.set.Control.SelfForming {
 		return true
 	}
-	sp := s.spread()
-	p, ok := sp.best(m, s.repair.offers.fresh(s.clock.Now()))
-	return !sp.crowded(m.Voters) || !ok || !sp.improves(m.Voters, p)
+	sp := s.placement()
+	p, ok := sp.bestCandidate(m, s.repair.offers.fresh(s.clock.Now()))
+	return !sp.lossBreaksQuorum(m.Voters) || !ok || !sp.improves(m.Voters, p)
 }
 
-func (s *Service) change(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
+func (s *Service) validateAndPut(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
 	began := s.clock.Now()
 	config, err := s.puts.check(req.Text)
 	if err == nil {
@@ -141,7 +141,7 @@
 		s.log.Info("change refused", "reason", "too few voters", "voters", len(s.cluster.Status().Membership.Voters), "want", s.minVoters(), "version", req.Version)
 		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined yet")
 	}
-	result, err := s.commit(ctx, req)
+	result, err := s.proposePut(ctx, req)
 	if err != nil {
 		s.log.Info("change not confirmed", "version", req.Version, "bytes", len(req.Text), "parsed", parsed, "took", s.clock.Since(began), "error", err.Error())
 		return nil, s.leaderError(err)
@@ -157,7 +157,7 @@
 
 // commit proposes the change as the difference to the text in force. Another change
 // may come first; then the difference is made anew.
-func (s *Service) commit(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
+func (s *Service) proposePut(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
 	for {
 		cmd := state.Command{PutDelta: s.cluster.View().Texts.To(req.Version, req.Text)}
 		if cmd.PutDelta == nil {
--- a/node/control/puts_test.go
+++ b/node/control/puts_test.go
@@ -18,7 +18,7 @@
 
 // proposed is a cluster of one that shows what is proposed, and lets the test do
 // something before it is applied.
-type proposed struct {
+type recordingCluster struct {
 	cluster // nil: what is not overridden is not called
 	t       *testing.T
 	machine *state.Machine
@@ -27,13 +27,13 @@
 	before  func()
 }
 
-func (p *proposed) IsLeader() bool    { return true }
-func (p *proposed) View() *state.View { return p.view.Load() }
-func (p *proposed) Status() consensus.Status {
+func (p *recordingCluster) IsLeader() bool    { return true }
+func (p *recordingCluster) View() *state.View { return p.view.Load() }
+func (p *recordingCluster) Status() consensus.Status {
 	return consensus.Status{Membership: consensus.Membership{Voters: []consensus.Peer{{ID: "c"}}}}
 }
 
-func (p *proposed) Propose(_ context.Context, c state.Command) (state.Result, error) {
+func (p *recordingCluster) Propose(_ context.Context, c state.Command) (state.Result, error) {
 	data, err := c.Encode()
 	if err != nil {
 		p.t.Error(err)
@@ -46,17 +46,17 @@
 	return p.machine.Apply(data)
 }
 
-func (p *proposed) publish() { p.view.Store(p.machine.View()) }
+func (p *recordingCluster) publish() { p.view.Store(p.machine.View()) }
 
-func newProposed(t *testing.T) (*Service, *proposed) {
-	p := &proposed{t: t, machine: state.New()}
+func newRecordingCluster(t *testing.T) (*Service, *recordingCluster) {
+	p := &recordingCluster{t: t, machine: state.New()}
 	p.publish()
 	return &Service{cluster: p, clock: clockwork.NewFakeClock(), log: logr.Discard(), set: &settings.Settings{}}, p
 }
 
 func mustPut(t *testing.T, s *Service, version uint64, text string) *wire.PutResult {
 	t.Helper()
-	res, err := s.put(context.Background(), &wire.PutRequest{Version: version, Text: text})
+	res, err := s.putConfig(context.Background(), &wire.PutRequest{Version: version, Text: text})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 // TestChangeOfOneRouteIsAShortCommand changes one route of many: its command in the log
 // has the size of the change, and an older version needs none.
 func TestChangeOfOneRouteIsAShortCommand(t *testing.T) {
-	s, p := newProposed(t)
+	s, p := newRecordingCluster(t)
 	text := routes(1000)
 	mustPut(t, s, 5, text)
 	next := strings.Replace(text, "goal = 1.2s", "goal = 1.3s", 1)
@@ -84,7 +84,7 @@
 // TestAnotherChangeComesFirst has another change committed between the making of a
 // difference and its turn: it is made anew.
 func TestAnotherChangeComesFirst(t *testing.T) {
-	s, p := newProposed(t)
+	s, p := newRecordingCluster(t)
 	text := routes(100)
 	mustPut(t, s, 1, text)
 	p.before = func() {
@@ -111,14 +111,14 @@
 }
 
 func resendJoins(t *testing.T) {
-	s, p := newProposed(t)
+	s, p := newRecordingCluster(t)
 	proposing, goOn := make(chan struct{}), make(chan struct{})
 	p.before = func() { close(proposing); <-goOn }
 	req := &wire.PutRequest{Version: 1, Text: routes(10)}
 	ctx, leave := context.WithCancel(context.Background())
 	first, again := make(chan error, 1), make(chan error, 1)
 	put := func(ctx context.Context, done chan error) {
-		_, err := s.put(ctx, req)
+		_, err := s.putConfig(ctx, req)
 		done <- err
 	}
 	go put(ctx, first)
--- a/node/control/quarantine.go
+++ b/node/control/quarantine.go
@@ -22,11 +22,11 @@
 		s.log.Info("report of crashes not confirmed", "crashes", len(report.Crashes), "answered", len(report.Answered), "error", err.Error())
 		return nil, s.leaderError(err)
 	}
-	s.tellQuarantine(res.Quarantine)
+	s.logQuarantine(res.Quarantine)
 	return &Empty{}, nil
 }
 
-func (s *Service) tellQuarantine(c *wire.QuarantineChange) {
+func (s *Service) logQuarantine(c *wire.QuarantineChange) {
 	for _, e := range c.Barred {
 		s.log.Info("call barred", "fingerprint", e.Call.Fingerprint, "customer", e.Call.Customer, "route", e.Call.Route, "bytes", e.Call.Bytes, "upstreams", e.Upstreams)
 		s.ring.Record(timeline.Event{Kind: "call-barred", Detail: string(e.Call.Fingerprint) + " of " + e.Call.Customer + " on " + e.Call.Route})
@@ -52,7 +52,7 @@
 	if len(res.Quarantine.Lifted) == 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no call with fingerprint %q is in quarantine", f)
 	}
-	s.tellQuarantine(res.Quarantine)
+	s.logQuarantine(res.Quarantine)
 	return nil
 }
 
--- a/node/control/repair.go
+++ b/node/control/repair.go
@@ -20,13 +20,13 @@
 // processes as learners, promotes those that caught up, and removes voters
 // that stay silent once a replacement votes.
 type repair struct {
-	s      *Service
-	silent map[consensus.NodeID]time.Time
-	report atomic.Pointer[string]
-	offers offers
+	s          *Service
+	lastActive map[consensus.NodeID]time.Time
+	status     atomic.Pointer[string]
+	offers     offers
 
 	term, committed uint64 // at the last step
-	confirmed       string // term and membership that an entry follows
+	noopFor         string // term and membership that an entry follows
 }
 
 const (
@@ -34,26 +34,26 @@
 	confirmTimeout = time.Second
 	// elasticInterval is shorter: three steps must fit into the time between
 	// two losses, the first of which took a disk.
-	elasticInterval = 200 * time.Millisecond
-	silentLimit     = 5 * time.Second // a voter silent for this long is replaced
-	promoteLag      = 64              // entries by which a learner may lag when it is promoted
+	selfFormingInterval = 200 * time.Millisecond
+	voterTimeout        = 5 * time.Second // a voter silent for this long is replaced
+	maxPromoteLag       = 64              // entries by which a learner may lag when it is promoted
 )
 
 func newRepair(s *Service) *repair {
-	r := &repair{s: s, silent: map[consensus.NodeID]time.Time{}}
-	r.say("")
+	r := &repair{s: s, lastActive: map[consensus.NodeID]time.Time{}}
+	r.setStatus("")
 	return r
 }
 
-func (r *repair) say(s string) { r.report.Store(&s) }
+func (r *repair) setStatus(s string) { r.status.Store(&s) }
 
 // Report says what repair waits for; empty when the voter set is whole.
-func (r *repair) Report() string { return *r.report.Load() }
+func (r *repair) Report() string { return *r.status.Load() }
 
 func (r *repair) run(ctx context.Context) {
 	interval := repairInterval
 	if r.s.set.Control.SelfForming {
-		interval = elasticInterval
+		interval = selfFormingInterval
 	}
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -64,8 +64,8 @@
 		case <-ticker.C:
 		}
 		if !r.s.replica.IsLeader() {
-			clear(r.silent)
-			r.say("")
+			clear(r.lastActive)
+			r.setStatus("")
 			continue
 		}
 		if err := r.step(ctx); err != nil {
@@ -76,17 +76,17 @@
 
 func (r *repair) step(ctx context.Context) error {
 	status := r.s.replica.Status()
-	r.noteSilence(status)
-	need := r.need(status)
+	r.trackActivity(status)
+	need := r.requiredIndex(status)
 	if status.MembershipPending {
-		r.say("a change of the voters is under way")
+		r.setStatus("a change of the voters is under way")
 		return nil
 	}
-	if err := r.confirm(ctx, status); err != nil {
+	if err := r.commitNoop(ctx, status); err != nil {
 		return errors.Trace(err)
 	}
-	next, why := r.next(ctx, status, need)
-	r.say(why)
+	next, why := r.nextMembership(ctx, status, need)
+	r.setStatus(why)
 	if next == nil {
 		return nil
 	}
@@ -105,9 +105,9 @@
 // they know that it is committed. Without an entry behind it, voters that all
 // restart right after the change would still need the votes of the voters before,
 // one of which may have lost its folder.
-func (r *repair) confirm(ctx context.Context, status consensus.Status) error {
+func (r *repair) commitNoop(ctx context.Context, status consensus.Status) error {
 	voters := fmt.Sprint(status.Term, status.Membership)
-	if r.confirmed == voters {
+	if r.noopFor == voters {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
@@ -115,21 +115,21 @@
 	if _, err := r.s.replica.Propose(ctx, state.Command{}); err != nil {
 		return err
 	}
-	r.confirmed = voters
+	r.noopFor = voters
 	return nil
 }
 
-func (r *repair) next(ctx context.Context, status consensus.Status, need uint64) (*consensus.Membership, string) {
+func (r *repair) nextMembership(ctx context.Context, status consensus.Status, need uint64) (*consensus.Membership, string) {
 	c := r.s.set.Control
 	if c.SelfForming {
-		return planElastic(status, r.offers.fresh(r.s.clock.Now()), r.silentFor(elasticSilence), c.MinVoters(), c.Voters, r.s.spread())
+		return planSelfForming(status, r.offers.fresh(r.s.clock.Now()), r.silentLongerThan(selfFormingVoterTimeout), c.MinVoters(), c.Voters, r.s.placement())
 	}
 	return plan(status, r.findSpares(ctx, status), r.silentVoters(), c.Voters, need)
 }
 
 // need returns the entry that a whole voter holds: the last one committed a
 // step ago, as entries of the last moments may be under way.
-func (r *repair) need(status consensus.Status) uint64 {
+func (r *repair) requiredIndex(status consensus.Status) uint64 {
 	need := r.committed
 	if r.term != status.Term {
 		need = status.Committed
@@ -140,25 +140,25 @@
 
 // noteSilence tracks since when each other replica's log has stood still
 // without an answer.
-func (r *repair) noteSilence(status consensus.Status) {
+func (r *repair) trackActivity(status consensus.Status) {
 	now := time.Now()
 	for id, pr := range status.Progress {
-		if _, known := r.silent[id]; !known || pr.Active {
-			r.silent[id] = now
+		if _, known := r.lastActive[id]; !known || pr.Active {
+			r.lastActive[id] = now
 		}
 	}
-	for id := range r.silent {
+	for id := range r.lastActive {
 		if _, known := status.Progress[id]; !known {
-			delete(r.silent, id)
+			delete(r.lastActive, id)
 		}
 	}
 }
 
-func (r *repair) silentVoters() map[consensus.NodeID]bool { return r.silentFor(silentLimit) }
+func (r *repair) silentVoters() map[consensus.NodeID]bool { return r.silentLongerThan(voterTimeout) }
 
-func (r *repair) silentFor(limit time.Duration) map[consensus.NodeID]bool {
+func (r *repair) silentLongerThan(limit time.Duration) map[consensus.NodeID]bool {
 	out := map[consensus.NodeID]bool{}
-	for id, since := range r.silent {
+	for id, since := range r.lastActive {
 		out[id] = time.Since(since) > limit
 	}
 	return out
@@ -167,17 +167,17 @@
 // findSpares asks the listed control processes that are not working members
 // who they are, all at once: those that are dead answer nothing.
 func (r *repair) findSpares(ctx context.Context, status consensus.Status) []consensus.Peer {
-	if countWorking(status, r.silentVoters()) >= r.s.set.Control.Voters {
+	if countLive(status, r.silentVoters()) >= r.s.set.Control.Voters {
 		return nil
 	}
 	found := make([]*consensus.Peer, len(r.s.set.Peers.Control)) // in the order of the settings
 	var wg sync.WaitGroup
 	for i, address := range r.s.set.Peers.Control {
-		if address == r.s.set.Control.Advertise || answering(status, r.silentVoters(), address) {
+		if address == r.s.set.Control.Advertise || hasLiveMember(status, r.silentVoters(), address) {
 			continue
 		}
 		wg.Go(func() {
-			p, err := r.ask(ctx, address)
+			p, err := r.identify(ctx, address)
 			if err == nil && !status.Membership.Has(p.ID) && !status.Membership.HasLearner(p.ID) {
 				found[i] = &p
 			}
@@ -193,7 +193,7 @@
 	return out
 }
 
-func answering(status consensus.Status, silent map[consensus.NodeID]bool, address string) bool {
+func hasLiveMember(status consensus.Status, silent map[consensus.NodeID]bool, address string) bool {
 	for _, p := range status.Membership.All() {
 		if p.Address == address && !silent[p.ID] {
 			return true
@@ -202,8 +202,8 @@
 	return false
 }
 
-func (r *repair) ask(ctx context.Context, address string) (consensus.Peer, error) {
-	client := peer.NewClient(address, r.s.links.dial)
+func (r *repair) identify(ctx context.Context, address string) (consensus.Peer, error) {
+	client := peer.NewClient(address, r.s.transport.dial)
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(ctx, repairInterval)
 	defer cancel()
@@ -229,17 +229,17 @@
 	if len(m.Voters) > want {
 		return removeVoter(st, silent, want, need)
 	}
-	if working := countWorking(st, silent); working < want {
+	if working := countLive(st, silent); working < want {
 		return addVoter(st, spares, working, want)
 	}
 	if len(m.Learners) > 0 {
 		id := m.Learners[0].ID
 		return dropLearner(m, id), fmt.Sprintf("%d voters work: removing learner %s, which is not needed", want, id)
 	}
-	return nil, missing(st, silent, need)
+	return nil, laggingVoter(st, silent, need)
 }
 
-func countWorking(st consensus.Status, silent map[consensus.NodeID]bool) int {
+func countLive(st consensus.Status, silent map[consensus.NodeID]bool) int {
 	working := 0
 	for _, v := range st.Membership.Voters {
 		if v.ID == st.ID || !silent[v.ID] {
@@ -251,7 +251,7 @@
 
 // missing names a voter that is not silent and lacks entries up to need; empty
 // when there is none.
-func missing(st consensus.Status, silent map[consensus.NodeID]bool, need uint64) string {
+func laggingVoter(st consensus.Status, silent map[consensus.NodeID]bool, need uint64) string {
 	for _, v := range st.Membership.Voters {
 		match := st.Progress[v.ID].Match
 		if v.ID != st.ID && !silent[v.ID] && match < need {
@@ -266,7 +266,7 @@
 // answer.
 func removeVoter(st consensus.Status, silent map[consensus.NodeID]bool, want int, need uint64) (*consensus.Membership, string) {
 	m := st.Membership
-	if why := missing(st, silent, need); why != "" {
+	if why := laggingVoter(st, silent, need); why != "" {
 		return nil, why
 	}
 	var last *consensus.Peer
@@ -297,7 +297,7 @@
 	m := st.Membership
 	for _, l := range m.Learners {
 		pr := st.Progress[l.ID]
-		if pr.Active && pr.Match+promoteLag >= st.Last && pr.Match >= st.SnapshotIndex {
+		if pr.Active && pr.Match+maxPromoteLag >= st.Last && pr.Match >= st.SnapshotIndex {
 			return promote(m, l), fmt.Sprintf("learner %s caught up: promoting it", l.ID)
 		}
 	}
--- a/node/control/repair_test.go
+++ b/node/control/repair_test.go
@@ -46,8 +46,8 @@
 		{name: "wiped disk back at its address", voters: "a b c", silent: "c", spares: "c2", want: 3, next: "a b c", nextLearners: "c2"},
 		{name: "wiped disk caught up", voters: "a b c", learners: "c2", silent: "c", want: 3, next: "a b c c2"},
 		{name: "wiped disk votes", voters: "a b c c2", silent: "c", want: 3, next: "a b c2"},
-		{name: "learner far behind", voters: "a b c", learners: "d", silent: "c", behind: "d", lag: promoteLag + 1, want: 3},
-		{name: "learner nearly there", voters: "a b c", learners: "d", silent: "c", behind: "d", lag: promoteLag, want: 3, next: "a b c d"},
+		{name: "learner far behind", voters: "a b c", learners: "d", silent: "c", behind: "d", lag: maxPromoteLag + 1, want: 3},
+		{name: "learner nearly there", voters: "a b c", learners: "d", silent: "c", behind: "d", lag: maxPromoteLag, want: 3, next: "a b c d"},
 		{name: "learner not heard from lately", voters: "a b c", learners: "d", silent: "c", idle: "d", want: 3},
 		{name: "spare died as a learner", voters: "a b c", learners: "d", silent: "c d", spares: "e", want: 3, next: "a b c"},
 		{name: "promoted voter misses entries", voters: "a b c d", silent: "c", behind: "d", lag: 1, want: 3},
@@ -117,7 +117,7 @@
 	return v != nil && v.up
 }
 
-func (m *planModel) working(ms consensus.Membership) (up, hold int) {
+func (m *planModel) liveVoters(ms consensus.Membership) (up, hold int) {
 	for _, p := range ms.Voters {
 		if m.up(p.ID) {
 			up++
@@ -144,7 +144,7 @@
 
 // write commits entries at a quorum; the other members get them later.
 func (m *planModel) write(n uint64) {
-	up, hold := m.working(m.members)
+	up, hold := m.liveVoters(m.members)
 	if !hasQuorum(up, m.members) || hold == 0 {
 		return
 	}
@@ -170,7 +170,7 @@
 }
 
 // noteSilence lets the leader find out who is silent.
-func (m *planModel) noteSilence() {
+func (m *planModel) updateSilence() {
 	clear(m.silent)
 	for _, p := range m.members.All() {
 		m.silent[p.ID] = !m.up(p.ID)
@@ -178,7 +178,7 @@
 }
 
 func (m *planModel) step(t *rapid.T) string {
-	up, hold := m.working(m.members)
+	up, hold := m.liveVoters(m.members)
 	lead := m.leader()
 	if !hasQuorum(up, m.members) || lead.match < m.last {
 		return "no quorum"
@@ -213,7 +213,7 @@
 
 // spareable reports whether the other voters' disks are a quorum and hold what
 // is committed.
-func (m *planModel) spareable(lost *modelVM) bool {
+func (m *planModel) canLose(lost *modelVM) bool {
 	disks, hold := 0, 0
 	for _, p := range m.members.Voters {
 		if v := m.vm(p.ID); v != nil && v != lost {
@@ -238,7 +238,7 @@
 			changed++
 		}
 	}
-	up, after := m.working(next)
+	up, after := m.liveVoters(next)
 	switch {
 	case changed > 1:
 		t.Fatalf("%d voters changed at once", changed)
@@ -268,41 +268,41 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"die":     func(*rapid.T) { any().up = false },
 			"return":  func(*rapid.T) { any().up = true },
-			"silence": func(*rapid.T) { m.noteSilence() },
-			"write":   func(t *rapid.T) { m.write(rapid.Uint64Range(1, 2*promoteLag).Draw(t, "entries")) },
+			"silence": func(*rapid.T) { m.updateSilence() },
+			"write":   func(t *rapid.T) { m.write(rapid.Uint64Range(1, 2*maxPromoteLag).Draw(t, "entries")) },
 			"catch":   func(*rapid.T) { m.catchUp() },
 			"plan":    func(t *rapid.T) { m.step(t) },
 			"tick": func(t *rapid.T) {
-				m.noteSilence()
+				m.updateSilence()
 				m.step(t)
 			},
 			"wipe": func(*rapid.T) {
 				v := any()
-				if !m.spareable(v) {
+				if !m.canLose(v) {
 					return // more disks lost than a membership bears
 				}
 				v.wipes++
 				v.id, v.match = consensus.NodeID(fmt.Sprintf("%s-%d", v.id[:1], v.wipes)), 0
 			},
 		})
-		m.quiet(t)
+		m.converge(t)
 	})
 }
 
 // quiet lets all VMs run. Plan must reach the wanted set: the disks that are
 // left are a quorum.
-func (m *planModel) quiet(t *rapid.T) {
+func (m *planModel) converge(t *rapid.T) {
 	for _, v := range m.vms {
 		v.up = true
 	}
 	why := ""
 	for range 40 {
-		m.noteSilence()
+		m.updateSilence()
 		why = m.step(t)
 		m.catchUp()
 	}
-	m.noteSilence()
-	up, hold := m.working(m.members)
+	m.updateSilence()
+	up, hold := m.liveVoters(m.members)
 	if why != "" || up != m.want || hold != m.want || len(m.members.Voters) != m.want || len(m.members.Learners) != 0 {
 		t.Fatalf("not settled: %q, voters %q, learners %q", why, idsOf(m.members.Voters), idsOf(m.members.Learners))
 	}
--- a/node/control/rollout.go
+++ b/node/control/rollout.go
@@ -29,16 +29,16 @@
 
 // rollouts are what the leader has heard of running roll-outs. A new leader begins with
 // nothing; the processes report all that they have counted.
-type rollouts struct {
-	mu     sync.Mutex
-	judges map[string]*judged // by service
+type rolloutTracker struct {
+	mu        sync.Mutex
+	byService map[string]*trackedRollout // by service
 }
 
-type judged struct {
-	order uint64
-	judge *rollout.Judge
-	ends  time.Time // by this process's clock
-	late  bool      // the span was over, or nearly so, when this process began to listen
+type trackedRollout struct {
+	order       uint64
+	judge       *rollout.Judge
+	ends        time.Time // by this process's clock
+	startedLate bool      // the span was over, or nearly so, when this process began to listen
 }
 
 // StartRollout carries out an order, and returns once a quorum holds it. An order for what runs
@@ -47,7 +47,7 @@
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
-	if err := s.mayRollOut(o); err != nil {
+	if err := s.checkRolloutOrder(o); err != nil {
 		s.log.Info("roll-out refused", "service", o.Service, "target", o.Target, "span", o.Span, "reason", err.Error())
 		return nil, err
 	}
@@ -68,9 +68,9 @@
 	return r, nil
 }
 
-func (s *Service) mayRollOut(o *wire.RolloutOrder) error {
+func (s *Service) checkRolloutOrder(o *wire.RolloutOrder) error {
 	v := s.cluster.View()
-	if err := s.mayOrder(v); err != nil {
+	if err := s.checkReadyForOrders(v); err != nil {
 		return err
 	}
 	config, err := s.puts.check(v.Config.Text)
@@ -105,7 +105,7 @@
 	if !current.Running() {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeUnknown, "no roll-out of service %q is running", service)
 	}
-	return s.stepRollout(ctx, &wire.RolloutStep{Service: service, Base: current.Revision, State: wire.RolloutRolledBack, Reason: "aborted by " + author})
+	return s.proposeRolloutStep(ctx, &wire.RolloutStep{Service: service, Base: current.Revision, State: wire.RolloutRolledBack, Reason: "aborted by " + author})
 }
 
 // RolloutRead names the service whose roll-out is read.
@@ -138,62 +138,62 @@
 	defer s.rollouts.mu.Unlock()
 	for _, c := range report.Counts {
 		if r := view.Rollouts.Of(c.Service); r.Running() && r.Order == c.Order {
-			s.rollouts.of(r, view, now).judge.Take(now, report.From, c.Counts)
+			s.rollouts.progress(r, view, now).judge.Take(now, report.From, c.Counts)
 		}
 	}
 	return &Empty{}, nil
 }
 
 // of returns what is known of a running roll-out.
-func (l *rollouts) of(r wire.Rollout, v *state.View, now time.Time) *judged {
-	j := l.judges[r.Service]
+func (l *rolloutTracker) progress(r wire.Rollout, v *state.View, now time.Time) *trackedRollout {
+	j := l.byService[r.Service]
 	if j == nil || j.order != r.Order {
 		passed := time.Duration(now.UnixMilli()-r.Started) * time.Millisecond
 		left := rollout.Left(r.Span, passed, reporters(v.Members))
-		j = &judged{order: r.Order, judge: rollout.NewJudge(r.Target), ends: now.Add(left), late: left > r.Span-passed}
-		if l.judges == nil {
-			l.judges = map[string]*judged{}
+		j = &trackedRollout{order: r.Order, judge: rollout.NewJudge(r.Target), ends: now.Add(left), startedLate: left > r.Span-passed}
+		if l.byService == nil {
+			l.byService = map[string]*trackedRollout{}
 		}
-		l.judges[r.Service] = j
+		l.byService[r.Service] = j
 	}
 	return j
 }
 
 // rolloutRun lets the leader decide about running roll-outs.
-func (s *Service) rolloutRun(ctx context.Context) {
+func (s *Service) runRollouts(ctx context.Context) {
 	periodic.Run(ctx, s.clock, rolloutInterval, func() {
 		view := s.cluster.View()
 		if !view.Rollouts.AnyRunning() || !s.cluster.IsLeader() {
-			s.rollouts.forget()
+			s.rollouts.reset()
 			return
 		}
 		for _, r := range view.Rollouts.List {
-			if step := s.decideRollout(r, view); step != nil {
-				s.takeStep(ctx, step)
+			if step := s.nextRolloutStep(r, view); step != nil {
+				s.applyRolloutStep(ctx, step)
 			}
 		}
 	})
 }
 
 // forget drops what was heard: the next leader, or the next roll-out, begins anew.
-func (l *rollouts) forget() {
+func (l *rolloutTracker) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.judges = nil
+	l.byService = nil
 }
 
 // decideRollout returns the next decision about a roll-out, or nil.
-func (s *Service) decideRollout(r wire.Rollout, view *state.View) *wire.RolloutStep {
+func (s *Service) nextRolloutStep(r wire.Rollout, view *state.View) *wire.RolloutStep {
 	if !r.Running() {
 		return nil
 	}
 	now := s.clock.Now()
 	s.rollouts.mu.Lock()
 	defer s.rollouts.mu.Unlock()
-	j := s.rollouts.of(r, view, now)
-	heard := rollout.Heard{Verdict: j.judge.Verdict(), Target: j.judge.Target.Answers, Others: j.judge.Others.Answers, Late: j.late}
+	j := s.rollouts.progress(r, view, now)
+	heard := rollout.Heard{Verdict: j.judge.Verdict(), Target: j.judge.Target.Answers, Others: j.judge.Others.Answers, Late: j.startedLate}
 	return rollout.Next(r, j.ends.Sub(now), heard,
-		upstreamsOf(r, view.Members), rollout.Limits{Share: s.set.Control.RolloutShare})
+		countUpstreams(r, view.Members), rollout.Limits{Share: s.set.Control.RolloutShare})
 }
 
 // reporters counts the processes that report what they count.
@@ -208,7 +208,7 @@
 }
 
 // upstreamsOf counts the upstreams of both sides of a roll-out.
-func upstreamsOf(r wire.Rollout, members map[wire.MemberID]wire.Member) rollout.Upstreams {
+func countUpstreams(r wire.Rollout, members map[wire.MemberID]wire.Member) rollout.Upstreams {
 	var up rollout.Upstreams
 	for _, m := range members {
 		switch {
@@ -223,15 +223,15 @@
 }
 
 // takeStep proposes a decision. One that is not confirmed is made anew.
-func (s *Service) takeStep(ctx context.Context, step *wire.RolloutStep) {
-	ctx, cancel := context.WithTimeout(ctx, standstill/2)
+func (s *Service) applyRolloutStep(ctx context.Context, step *wire.RolloutStep) {
+	ctx, cancel := context.WithTimeout(ctx, stallThreshold/2)
 	defer cancel()
-	if _, err := s.stepRollout(ctx, step); err != nil {
+	if _, err := s.proposeRolloutStep(ctx, step); err != nil {
 		s.log.Info("decision about a roll-out not confirmed", "service", step.Service, "state", step.State, "error", err.Error())
 	}
 }
 
-func (s *Service) stepRollout(ctx context.Context, step *wire.RolloutStep) (*wire.RolloutResult, error) {
+func (s *Service) proposeRolloutStep(ctx context.Context, step *wire.RolloutStep) (*wire.RolloutResult, error) {
 	res, err := s.cluster.Propose(ctx, state.Command{StepRollout: step})
 	if err != nil {
 		return nil, s.leaderError(err)
--- a/node/control/rollout_test.go
+++ b/node/control/rollout_test.go
@@ -14,9 +14,9 @@
 	start := time.Unix(1000, 0)
 	r := wire.Rollout{Service: "desk", Target: "v2", Span: 10 * time.Second, State: wire.RolloutRunning, Order: 1, Started: start.UnixMilli()}
 	for passed, late := range map[time.Duration]bool{0: false, 5 * time.Second: false, 9 * time.Second: true, 10 * time.Second: true, time.Hour: true} {
-		var l rollouts
-		if j := l.of(r, &state.View{}, start.Add(passed)); j.late != late {
-			t.Errorf("after %s: late %v", passed, j.late)
+		var l rolloutTracker
+		if j := l.progress(r, &state.View{}, start.Add(passed)); j.startedLate != late {
+			t.Errorf("after %s: late %v", passed, j.startedLate)
 		}
 	}
 }
--- a/node/control/tell.go
+++ b/node/control/seeds.go
@@ -13,30 +13,30 @@
 const (
 	// tellInterval bounds how long a process without a disk does not know the
 	// voters after all processes have lost their memory.
-	tellInterval = 500 * time.Millisecond
-	tellTimeout  = 400 * time.Millisecond
+	notifySeedsInterval = 500 * time.Millisecond
+	notifySeedTimeout   = 400 * time.Millisecond
 )
 
 // tellRun lets the leader tell the seeds where the voters listen. Seeds may be
 // processes that have no disk, and after a loss of power nobody else could tell
 // the others.
-func (s *Service) tellRun(ctx context.Context) {
+func (s *Service) runSeedNotifier(ctx context.Context) {
 	clients := map[string]*peer.Client{}
 	defer func() {
 		for _, c := range clients {
 			c.Close()
 		}
 	}()
-	periodic.Run(ctx, s.clock, tellInterval, func() {
+	periodic.Run(ctx, s.clock, notifySeedsInterval, func() {
 		voters := s.voterAddresses()
 		s.directory.Learn(voters)
 		if s.cluster.IsLeader() {
-			s.tell(ctx, clients, voters)
+			s.notifySeeds(ctx, clients, voters)
 		}
 	})
 }
 
-func (s *Service) tell(ctx context.Context, clients map[string]*peer.Client, voters []string) {
+func (s *Service) notifySeeds(ctx context.Context, clients map[string]*peer.Client, voters []string) {
 	seeds := s.directory.Configured()
 	for address, c := range clients {
 		if !slices.Contains(seeds, address) {
@@ -49,14 +49,14 @@
 			continue
 		}
 		if clients[seed] == nil {
-			clients[seed] = peer.NewClient(seed, s.links.dial)
+			clients[seed] = peer.NewClient(seed, s.transport.dial)
 		}
-		go s.tellOne(ctx, clients[seed], voters)
+		go s.notifySeed(ctx, clients[seed], voters)
 	}
 }
 
-func (s *Service) tellOne(ctx context.Context, c *peer.Client, voters []string) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+func (s *Service) notifySeed(ctx context.Context, c *peer.Client, voters []string) {
+	ctx, cancel := context.WithTimeout(ctx, notifySeedTimeout)
 	defer cancel()
 	if err := c.Call(ctx, peer.MethodTell, peer.Where{Control: voters}, nil); err != nil {
 		s.log.V(logging.Detail).Info("seed not told of the voters", "address", c.Address(), "error", err.Error())
--- a/node/control/elastic.go
+++ b/node/control/selfforming.go
@@ -16,36 +16,36 @@
 const (
 	offerInterval = 300 * time.Millisecond
 	// offerLimit is the age up to which an offer counts: its sender repeats it.
-	offerLimit = 4 * offerInterval
+	offerTTL = 4 * offerInterval
 	// lostAfter is how long a member that hears of no leader waits until it
 	// offers itself, since it may have been removed while it was cut off.
-	lostAfter = 1500 * time.Millisecond
+	noLeaderTimeout = 1500 * time.Millisecond
 	// elasticSilence is how long a voter of a self-forming cluster may be silent
 	// until it is removed. Above the longest election, so that it is not taken
 	// for lost when only the lead changed; well below the time that the users
 	// grant between two losses (4 s today).
-	elasticSilence = 2500 * time.Millisecond
+	selfFormingVoterTimeout = 2500 * time.Millisecond
 )
 
 // offers are the control processes that lately asked to vote, by address: a
 // process whose folder was lost comes back at its address as another replica.
 type offers struct {
-	mu sync.Mutex
-	by map[string]offered
+	mu        sync.Mutex
+	byAddress map[string]timedOffer
 }
 
-type offered struct {
+type timedOffer struct {
 	peer consensus.Peer
 	at   time.Time
 }
 
-func (o *offers) note(p consensus.Peer, now time.Time) {
+func (o *offers) add(p consensus.Peer, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.by == nil {
-		o.by = map[string]offered{}
+	if o.byAddress == nil {
+		o.byAddress = map[string]timedOffer{}
 	}
-	o.by[p.Address] = offered{p, now}
+	o.byAddress[p.Address] = timedOffer{p, now}
 }
 
 // fresh returns the offers that still count, sorted by identity, and forgets
@@ -54,9 +54,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []consensus.Peer
-	for address, of := range o.by {
-		if now.Sub(of.at) > offerLimit {
-			delete(o.by, address)
+	for address, of := range o.byAddress {
+		if now.Sub(of.at) > offerTTL {
+			delete(o.byAddress, address)
 			continue
 		}
 		out = append(out, of.peer)
@@ -77,11 +77,11 @@
 
 // offerRun lets a control process of a self-forming cluster ask for a vote
 // while it has none, or while it hears of no leader.
-func (s *Service) offerRun(ctx context.Context) {
-	control := peer.NewDirectoryControl(s.directory, s.links.dial)
+func (s *Service) runOffers(ctx context.Context) {
+	control := peer.NewDirectoryControl(s.directory, s.transport.dial)
 	defer control.Close()
 	periodic.Run(ctx, s.clock, offerInterval, func() {
-		if !s.wantsVote() {
+		if !s.shouldOffer() {
 			return
 		}
 		call, cancel := context.WithTimeout(ctx, 2*offerInterval)
@@ -93,7 +93,7 @@
 	})
 }
 
-func (s *Service) wantsVote() bool {
+func (s *Service) shouldOffer() bool {
 	if s.cluster.Outage() != nil {
 		return false
 	}
@@ -102,7 +102,7 @@
 		return true
 	}
 	age := s.cluster.StampAge()
-	return !s.cluster.IsLeader() && (age < 0 || age > lostAfter)
+	return !s.cluster.IsLeader() && (age < 0 || age > noLeaderTimeout)
 }
 
 // planElastic returns the next membership of a self-forming cluster, or nil.
@@ -110,9 +110,9 @@
 // voters first. A voter that is dead or silent is removed as long as least voters stay, so
 // that the loss of another one is borne again. Where the loss of data centres would take
 // half of the voters, one of another data centre takes the place of one there.
-func planElastic(st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool, least, most int, sp spread) (*consensus.Membership, string) {
+func planSelfForming(st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool, least, most int, sp voterPlacement) (*consensus.Membership, string) {
 	m := st.Membership
-	gone := lost(st, offers, silent)
+	gone := failedMembers(st, offers, silent)
 	for _, l := range m.Learners {
 		if gone[l.ID] {
 			return dropLearner(m, l.ID), fmt.Sprintf("learner %s is gone: removing it", l.ID)
@@ -127,16 +127,16 @@
 	}
 	for _, l := range m.Learners {
 		pr := st.Progress[l.ID]
-		if pr.Active && pr.Match+promoteLag >= st.Last && pr.Match >= st.SnapshotIndex {
+		if pr.Active && pr.Match+maxPromoteLag >= st.Last && pr.Match >= st.SnapshotIndex {
 			return promote(m, l), fmt.Sprintf("learner %s caught up: promoting it", l.ID)
 		}
 	}
 	if len(m.Voters) > most && len(gone) == 0 {
-		if v, ok := sp.surplus(m.Voters, st.ID); ok {
-			return dropVoter(m, v.ID), fmt.Sprintf("%s holds more voters than may be lost: removing %s", sp.where(v.Address), v.ID)
+		if v, ok := sp.removalCandidate(m.Voters, st.ID); ok {
+			return dropVoter(m, v.ID), fmt.Sprintf("%s holds more voters than may be lost: removing %s", sp.dataCenterOf(v.Address), v.ID)
 		}
 	}
-	p, ok := sp.best(m, offers)
+	p, ok := sp.bestCandidate(m, offers)
 	if !ok {
 		return nil, sp.warning(m.Voters)
 	}
@@ -149,7 +149,7 @@
 
 // lost returns the members that are silent, and those whose address another
 // replica has taken.
-func lost(st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool) map[consensus.NodeID]bool {
+func failedMembers(st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool) map[consensus.NodeID]bool {
 	out := map[consensus.NodeID]bool{}
 	for _, p := range st.Membership.All() {
 		if p.ID == st.ID {
--- a/node/control/elastic_test.go
+++ b/node/control/selfforming_plan_test.go
@@ -13,7 +13,7 @@
 )
 
 // anywhere is for voters of which nobody knows where they are.
-var anywhere = spread{where: func(string) string { return "" }}
+var unknownPlacement = voterPlacement{dataCenterOf: func(string) string { return "" }}
 
 func peerNamed(name string) consensus.Peer {
 	return consensus.Peer{ID: consensus.NodeID(name), Address: name}
@@ -48,7 +48,7 @@
 			for _, p := range st.Membership.All() {
 				st.Progress[p.ID] = consensus.Progress{Active: !silent[p.ID], Match: 100}
 			}
-			next, why := planElastic(st, offers, silent, least, most, anywhere)
+			next, why := planSelfForming(st, offers, silent, least, most, unknownPlacement)
 			if next == nil {
 				checkEnd(t, st, offers, silent, least, most)
 				return
@@ -66,7 +66,7 @@
 }
 
 func checkEnd(t *rapid.T, st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool, least, most int) {
-	gone := lost(st, offers, silent)
+	gone := failedMembers(st, offers, silent)
 	if len(gone) > 0 && len(st.Membership.Voters) > least {
 		t.Fatalf("%v are gone and stay among %v", gone, st.Membership.Voters)
 	}
@@ -82,12 +82,12 @@
 func TestOffersAreForgotten(t *testing.T) {
 	var o offers
 	start := time.Unix(1000, 0)
-	o.note(consensus.Peer{ID: "a/1", Address: "a"}, start)
-	o.note(consensus.Peer{ID: "a/2", Address: "a"}, start)
+	o.add(consensus.Peer{ID: "a/1", Address: "a"}, start)
+	o.add(consensus.Peer{ID: "a/2", Address: "a"}, start)
 	if got := o.fresh(start); len(got) != 1 || got[0].ID != "a/2" {
 		t.Fatalf("got %v", got)
 	}
-	if got := o.fresh(start.Add(offerLimit + 1)); len(got) != 0 {
+	if got := o.fresh(start.Add(offerTTL + 1)); len(got) != 0 {
 		t.Fatalf("got %v", got)
 	}
 }
--- a/node/control/selfforming_test.go
+++ b/node/control/selfforming_test.go
@@ -13,12 +13,12 @@
 
 // formingMachine is one VM of a self-forming cluster. What stands in stored survives a
 // restart; a wipe takes it and gives the next replica another identity.
-type formingMachine struct {
-	address string
-	disk    bool
-	wipes   int
-	first   bool // its folder was there at the first start
-	stored  struct {
+type simMachine struct {
+	address    string
+	disk       bool
+	wipes      int
+	firstStart bool // its folder was there at the first start
+	stored     struct {
 		formed bool
 		hard   consensus.HardState
 		snap   *consensus.Snapshot
@@ -30,34 +30,34 @@
 	applied []string
 }
 
-func (m *formingMachine) peer() consensus.Peer {
+func (m *simMachine) peer() consensus.Peer {
 	return consensus.Peer{ID: consensus.NodeID(fmt.Sprintf("%s/%d", m.address, m.wipes)), Address: m.address}
 }
 
 // formingSystem is a set of machines on a network that loses messages.
-type formingSystem struct {
-	t         *rapid.T
-	seeds     []string
-	machines  []*formingMachine
-	pool      []consensus.Message
-	founded   int
-	acked     []string
-	serial    int
-	proposed  map[string]bool // by the leader of now, to be acknowledged when committed there
-	confirmed string          // term and membership that an entry follows
-	cut       map[string]bool // machines whose messages are lost
+type simCluster struct {
+	t        *rapid.T
+	seeds    []string
+	machines []*simMachine
+	inFlight []consensus.Message
+	founded  int
+	acked    []string
+	serial   int
+	proposed map[string]bool // by the leader of now, to be acknowledged when committed there
+	noopFor  string          // term and membership that an entry follows
+	cut      map[string]bool // machines whose messages are lost
 }
 
 const (
-	formingLosses = 1
-	formingVoters = 2*formingLosses + 1
+	simLosses = 1
+	simVoters = 2*simLosses + 1
 )
 
-func newFormingSystem(t *rapid.T) *formingSystem {
-	s := &formingSystem{t: t, proposed: map[string]bool{}, cut: map[string]bool{}}
+func newSimCluster(t *rapid.T) *simCluster {
+	s := &simCluster{t: t, proposed: map[string]bool{}, cut: map[string]bool{}}
 	n := rapid.IntRange(4, 6).Draw(t, "machines")
 	for i := range n {
-		s.machines = append(s.machines, &formingMachine{address: fmt.Sprint("m", i), disk: i < 3 || rapid.Bool().Draw(t, "disk"), first: true, namer: formation.Namer{FirstStart: true}})
+		s.machines = append(s.machines, &simMachine{address: fmt.Sprint("m", i), disk: i < 3 || rapid.Bool().Draw(t, "disk"), firstStart: true, namer: formation.Namer{FirstStart: true}})
 	}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, n-1), 3, 3, rapid.ID).Draw(t, "seeds") {
 		s.seeds = append(s.seeds, s.machines[i].address)
@@ -68,7 +68,7 @@
 	return s
 }
 
-func (s *formingSystem) start(m *formingMachine) {
+func (s *simCluster) start(m *simMachine) {
 	m.rule = formation.Rule{Self: m.address, Seeds: s.seeds}
 	m.applied = nil
 	if !m.disk {
@@ -77,10 +77,10 @@
 	m.node = consensus.New(consensus.Config{ID: m.peer().ID, ElectionTicks: 10, HeartbeatTicks: 3, MaxBatchBytes: 1 << 20,
 		Rand: rand.New(rand.NewPCG(uint64(s.serial), uint64(len(m.address)+m.wipes))), HardState: m.stored.hard, Snapshot: m.stored.snap, Entries: append([]consensus.Entry(nil), m.stored.log...)})
 	s.serial++
-	s.work(m)
+	s.processReady(m)
 }
 
-func (s *formingSystem) at(address string) *formingMachine {
+func (s *simCluster) at(address string) *simMachine {
 	for _, m := range s.machines {
 		if m.address == address {
 			return m
@@ -90,8 +90,8 @@
 }
 
 // form takes one step of founding.
-func (s *formingSystem) form(m *formingMachine) {
-	if m.node == nil || m.stored.formed || !m.first || m.node.Status().Last > 0 {
+func (s *simCluster) form(m *simMachine) {
+	if m.node == nil || m.stored.formed || !m.firstStart || m.node.Status().Last > 0 {
 		return
 	}
 	step := m.rule.Next()
@@ -113,7 +113,7 @@
 }
 
 // work does what the replica does with a Ready, in its order.
-func (s *formingSystem) work(m *formingMachine) {
+func (s *simCluster) processReady(m *simMachine) {
 	for m.node.HasReady() {
 		rd := m.node.Ready()
 		if rd.Snapshot != nil {
@@ -128,7 +128,7 @@
 			}
 			m.stored.log = append(m.stored.log, e)
 		}
-		s.pool = append(append(s.pool, rd.Early...), rd.Messages...)
+		s.inFlight = append(append(s.inFlight, rd.Early...), rd.Messages...)
 		for _, e := range rd.Committed {
 			if e.Kind != consensus.EntryNormal || len(e.Data) == 0 {
 				continue
@@ -145,31 +145,31 @@
 
 // round lets one unit of time pass and delivers what is on its way, in any order
 // and with losses.
-func (s *formingSystem) round(lossy bool) {
+func (s *simCluster) round(lossy bool) {
 	for _, m := range s.machines {
 		s.form(m)
 		if m.node != nil {
 			m.node.Tick()
-			s.work(m)
+			s.processReady(m)
 		}
 	}
-	pool := s.pool
-	s.pool = nil
+	pool := s.inFlight
+	s.inFlight = nil
 	for _, msg := range pool {
 		to, from := s.byID(msg.To), s.byID(msg.From)
 		if to == nil || from == nil || s.cut[to.address] || s.cut[from.address] || lossy && rapid.IntRange(0, 9).Draw(s.t, "lost") == 0 {
 			continue
 		}
 		to.node.Step(msg)
-		s.work(to)
+		s.processReady(to)
 	}
 	if l := s.leader(); l != nil {
-		s.heal(l)
+		s.repairStep(l)
 	}
 }
 
 // byID finds a running replica; one whose folder was lost is nobody's any more.
-func (s *formingSystem) byID(id consensus.NodeID) *formingMachine {
+func (s *simCluster) byID(id consensus.NodeID) *simMachine {
 	for _, m := range s.machines {
 		if m.node != nil && m.peer().ID == id {
 			return m
@@ -178,8 +178,8 @@
 	return nil
 }
 
-func (s *formingSystem) leader() *formingMachine {
-	var best *formingMachine
+func (s *simCluster) leader() *simMachine {
+	var best *simMachine
 	for _, m := range s.machines {
 		if m.node == nil || m.node.Status().Role != consensus.Leader || s.cut[m.address] {
 			continue
@@ -192,16 +192,16 @@
 }
 
 // heal lets the leader take a step of the plan, with the offers that reach it.
-func (s *formingSystem) heal(l *formingMachine) {
+func (s *simCluster) repairStep(l *simMachine) {
 	st := l.node.Status()
 	if st.MembershipPending {
 		return
 	}
-	if voters := fmt.Sprint(st.Term, st.Membership); s.confirmed != voters { // as repair.confirm does
+	if voters := fmt.Sprint(st.Term, st.Membership); s.noopFor != voters { // as repair.confirm does
 		if _, _, err := l.node.Propose([]byte("confirm")); err == nil {
-			s.confirmed = voters
+			s.noopFor = voters
 		}
-		s.work(l)
+		s.processReady(l)
 		return
 	}
 	var offers []consensus.Peer
@@ -215,16 +215,16 @@
 		m := s.byID(p.ID)
 		silent[p.ID] = m == nil || s.cut[m.address]
 	}
-	if next, _ := planElastic(st, offers, silent, formingVoters, 7, anywhere); next != nil {
+	if next, _ := planSelfForming(st, offers, silent, simVoters, 7, unknownPlacement); next != nil {
 		// A step that is refused now is proposed again in the next round.
 		_ = l.node.ProposeMembership(*next)
-		s.work(l)
+		s.processReady(l)
 	}
 }
 
-func (s *formingSystem) propose() {
+func (s *simCluster) propose() {
 	l := s.leader()
-	if l == nil || len(l.node.Status().Membership.Voters) < formingVoters {
+	if l == nil || len(l.node.Status().Membership.Voters) < simVoters {
 		return
 	}
 	s.serial++
@@ -232,12 +232,12 @@
 	if _, _, err := l.node.Propose([]byte(value)); err == nil {
 		s.proposed[value] = true
 	}
-	s.work(l)
+	s.processReady(l)
 }
 
 // whole reports whether another loss is borne: a leader whose voters all run, are
 // reached and hold everything committed, and are as many as the losses need.
-func (s *formingSystem) whole() bool {
+func (s *simCluster) toleratesLoss() bool {
 	l := s.leader()
 	if l == nil || len(s.cut) > 0 {
 		return false
@@ -248,11 +248,11 @@
 			return false
 		}
 	}
-	return s.confirmed == fmt.Sprint(st.Term, st.Membership) && len(st.Membership.Voters) >= formingVoters && len(st.Membership.Learners) == 0 && !st.MembershipPending
+	return s.noopFor == fmt.Sprint(st.Term, st.Membership) && len(st.Membership.Voters) >= simVoters && len(st.Membership.Learners) == 0 && !st.MembershipPending
 }
 
 // check compares all that was applied anywhere.
-func (s *formingSystem) check() {
+func (s *simCluster) check() {
 	if s.founded > 1 {
 		s.t.Fatalf("%d clusters were founded", s.founded)
 	}
@@ -277,8 +277,8 @@
 // replicas never differ, and when all are back everything acknowledged is there.
 func TestSelfFormingClusterKeepsWhatItAcknowledged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newFormingSystem(t)
-		pick := func() *formingMachine { return s.machines[rapid.IntRange(0, len(s.machines)-1).Draw(t, "machine")] }
+		s := newSimCluster(t)
+		pick := func() *simMachine { return s.machines[rapid.IntRange(0, len(s.machines)-1).Draw(t, "machine")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"rounds": func(t *rapid.T) {
 				for range rapid.IntRange(1, 30).Draw(t, "rounds") {
@@ -302,11 +302,11 @@
 			},
 			"wipe": func(*rapid.T) {
 				m := pick()
-				if !m.disk || !s.whole() {
+				if !m.disk || !s.toleratesLoss() {
 					return
 				}
 				m.wipes++
-				m.first = false
+				m.firstStart = false
 				m.stored.formed, m.stored.hard, m.stored.snap, m.stored.log = false, consensus.HardState{}, nil, nil
 				s.start(m)
 			},
@@ -319,7 +319,7 @@
 			"":     func(*rapid.T) { s.check() },
 		})
 		clear(s.cut)
-		for i := 0; i < 400 && (i < 60 || !s.whole() && s.founded > 0); i++ {
+		for i := 0; i < 400 && (i < 60 || !s.toleratesLoss() && s.founded > 0); i++ {
 			s.round(false)
 		}
 		s.check()
--- a/node/control/service.go
+++ b/node/control/service.go
@@ -51,26 +51,26 @@
 
 // Service is the control role of one process.
 type Service struct {
-	set       *settings.Settings
-	kernel    *kernel.Kernel
-	log       logr.Logger
-	secure    *security.Store
-	ring      *timeline.Ring
-	links     *links
-	server    *peer.Server
-	leases    *leases
-	follow    *follower
-	news      *news
-	repair    *repair
-	puts      puts
-	rollouts  rollouts
-	replica   *replica.Replica
-	handouts  handouts
-	cluster   cluster // the replica, as synchronization and leases see it
-	directory *peer.Directory
-	seeds     []string // among which the founder is chosen; nil when this process may not found
-	clock     clockwork.Clock
-	listen    func(address string) (net.Listener, error)
+	set         *settings.Settings
+	kernel      *kernel.Kernel
+	log         logr.Logger
+	secure      *security.Store
+	ring        *timeline.Ring
+	transport   *transport
+	server      *peer.Server
+	leases      *leases
+	follower    *follower
+	notifier    *changeNotifier
+	repair      *repair
+	puts        pendingPuts
+	rollouts    rolloutTracker
+	replica     *replica.Replica
+	assignments claimAssignments
+	cluster     cluster // the replica, as synchronization and leases see it
+	directory   *peer.Directory
+	seeds       []string // among which the founder is chosen; nil when this process may not found
+	clock       clockwork.Clock
+	listen      func(address string) (net.Listener, error)
 
 	cancel  context.CancelFunc
 	stopped chan struct{}
@@ -78,7 +78,7 @@
 
 // New opens the data folder and prepares the service.
 func New(p Params) (*Service, error) {
-	s := &Service{set: p.Settings, kernel: p.Kernel, log: p.Log, secure: p.Security, ring: p.Ring, handouts: handouts{at: map[wire.AttemptID]time.Time{}}, links: newLinks(p.Dial, p.Log), server: peer.NewServer(), stopped: make(chan struct{})}
+	s := &Service{set: p.Settings, kernel: p.Kernel, log: p.Log, secure: p.Security, ring: p.Ring, assignments: claimAssignments{assignedAt: map[wire.AttemptID]time.Time{}}, transport: newTransport(p.Dial, p.Log), server: peer.NewServer(), stopped: make(chan struct{})}
 	fs, err := disk.OpenDir(p.Settings.Node.DataDir)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -88,7 +88,7 @@
 	}
 	s.replica, err = replica.Open(replica.Options{
 		Name: wire.MemberID(p.Settings.Node.Name), Address: p.Settings.Control.Advertise, FS: fs,
-		Transport: s.links, Log: p.Log, Seed: uint64(time.Now().UnixNano()),
+		Transport: s.transport, Log: p.Log, Seed: uint64(time.Now().UnixNano()),
 	})
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -100,15 +100,15 @@
 		s.directory = peer.NewDirectory(p.Settings.Peers.Control)
 	}
 	if p.Settings.Control.SelfForming {
-		s.seeds, err = startFormation(fs, p.Settings.Peers.FirstStart, s.directory.Configured())
+		s.seeds, err = loadSeeds(fs, p.Settings.Peers.FirstStart, s.directory.Configured())
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
 	}
-	s.links.self = s.replica.Self()
+	s.transport.self = s.replica.Self()
 	s.leases = newLeases(s.cluster, s.clock, p.Settings.Control.Lease, p.Ring)
-	s.follow = newFollower(s)
-	s.news = newNews(s.cluster)
+	s.follower = newFollower(s)
+	s.notifier = newChangeNotifier(s.cluster)
 	s.repair = newRepair(s)
 	peer.Handle(s.server, MethodSync, s.sync)
 	peer.Handle(s.server, MethodRenew, s.renew)
@@ -118,7 +118,7 @@
 	peer.Handle(s.server, MethodIdentity, s.identity)
 	peer.Handle(s.server, MethodRaft, s.raft)
 	peer.Handle(s.server, peer.MethodLead, s.lead)
-	peer.Handle(s.server, MethodPut, s.put)
+	peer.Handle(s.server, MethodPut, s.putConfig)
 	peer.Handle(s.server, MethodConfig, s.config)
 	peer.Handle(s.server, MethodAnnounce, s.announce)
 	peer.Handle(s.server, MethodLeave, s.leave)
@@ -146,23 +146,23 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	shown.Store(s)
+	metricsSource.Store(s)
 	go s.run(ctx)
 	go s.server.Serve(l)
 	go func() {
 		<-ctx.Done()
 		l.Close()
 	}()
-	go s.news.run(ctx)
+	go s.notifier.run(ctx)
 	go s.leases.run(ctx)
-	go s.follow.run(ctx)
+	go s.follower.run(ctx)
 	go s.repair.run(ctx)
-	go newOwnership(s).run(ctx)
-	go s.rolloutRun(ctx)
+	go newOwnerAssigner(s).run(ctx)
+	go s.runRollouts(ctx)
 	if s.set.Control.SelfForming {
-		go s.form(ctx)
-		go s.offerRun(ctx)
-		go s.tellRun(ctx)
+		go s.runFormation(ctx)
+		go s.runOffers(ctx)
+		go s.runSeedNotifier(ctx)
 	}
 	return nil
 }
@@ -188,13 +188,13 @@
 	}
 }
 
-const transferTime = 500 * time.Millisecond
+const transferTimeout = 500 * time.Millisecond
 
 // Stop implements kernel.Stopper. A leader hands over first, so that nobody
 // waits for an election.
 func (s *Service) Stop(ctx context.Context) error {
 	if s.replica.IsLeader() {
-		transferCtx, cancel := context.WithTimeout(ctx, transferTime)
+		transferCtx, cancel := context.WithTimeout(ctx, transferTimeout)
 		defer cancel()
 		if s.replica.TransferLeadership(transferCtx) == nil {
 			s.waitUntilFollower(transferCtx)
@@ -203,7 +203,7 @@
 	s.cancel()
 	<-s.stopped
 	s.server.Close()
-	s.links.close()
+	s.transport.close()
 	return nil
 }
 
@@ -223,7 +223,7 @@
 type Empty = peer.Empty
 
 func (s *Service) raft(_ context.Context, b *RaftBatch) (*Empty, error) {
-	s.links.learn(b.From)
+	s.transport.setAddress(b.From)
 	s.replica.Step(b.Messages)
 	return &Empty{}, nil
 }
@@ -247,7 +247,7 @@
 
 // lead answers only where a quorum confirmed the lead lately.
 func (s *Service) lead(context.Context, *Empty) (*Empty, error) {
-	if _, ok := stampOf(s.cluster); !ok || !s.cluster.IsLeader() {
+	if _, ok := confirmationOf(s.cluster); !ok || !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
 	return &Empty{}, nil
--- a/node/control/owner_test.go
+++ b/node/control/stageowner_test.go
@@ -14,18 +14,18 @@
 )
 
 // leading is a leader whose commands are committed at once.
-type leading struct {
-	cluster // nil: what is not overridden is not called
-	machine *state.Machine
-	handed  int // how often the lead was to be handed over
+type leaderCluster struct {
+	cluster   // nil: what is not overridden is not called
+	machine   *state.Machine
+	transfers int // how often the lead was to be handed over
 }
 
-func (l *leading) TransferLeadership(context.Context) error { l.handed++; return nil }
+func (l *leaderCluster) TransferLeadership(context.Context) error { l.transfers++; return nil }
 
-func (l *leading) View() *state.View { return l.machine.View() }
-func (l *leading) IsLeader() bool    { return true }
+func (l *leaderCluster) View() *state.View { return l.machine.View() }
+func (l *leaderCluster) IsLeader() bool    { return true }
 
-func (l *leading) Propose(_ context.Context, c state.Command) (state.Result, error) {
+func (l *leaderCluster) Propose(_ context.Context, c state.Command) (state.Result, error) {
 	data, err := c.Encode()
 	if err != nil {
 		return state.Result{}, err
@@ -33,7 +33,7 @@
 	return l.machine.Apply(data)
 }
 
-func (l *leading) mustPropose(t *testing.T, c state.Command) {
+func (l *leaderCluster) mustPropose(t *testing.T, c state.Command) {
 	t.Helper()
 	if _, err := l.Propose(context.Background(), c); err != nil {
 		t.Fatal(err)
@@ -44,10 +44,10 @@
 // cluster does: it must not be named before the others had time to join, which
 // they have when a text is accepted.
 func TestFirstOwnerIsNotTheLeader(t *testing.T) {
-	l := &leading{machine: state.New()}
+	l := &leaderCluster{machine: state.New()}
 	set := &settings.Settings{}
 	set.Node.Name = "leader"
-	o := newOwnership(&Service{cluster: l, set: set, log: logr.Discard(), clock: clockwork.NewFakeClock(), leases: &leases{}})
+	o := newOwnerAssigner(&Service{cluster: l, set: set, log: logr.Discard(), clock: clockwork.NewFakeClock(), leases: &leases{}})
 	proxy := func(id wire.MemberID) wire.Member {
 		return wire.Member{ID: id, Role: "proxy+control", Peer: "127.0.0.1:1", Incarnation: 1}
 	}
@@ -66,10 +66,10 @@
 // TestOwnerDoesNotLead elects the owner of the stages: it hands the lead over, once
 // in a while as long as it leads, and the owner stays.
 func TestOwnerDoesNotLead(t *testing.T) {
-	l, clock := &leading{machine: state.New()}, clockwork.NewFakeClock()
+	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
 	set := &settings.Settings{}
 	set.Node.Name = "owner"
-	o := newOwnership(&Service{cluster: l, set: set, log: logr.Discard(), clock: clock, leases: &leases{}})
+	o := newOwnerAssigner(&Service{cluster: l, set: set, log: logr.Discard(), clock: clock, leases: &leases{}})
 	for _, id := range []wire.MemberID{"owner", "other"} {
 		l.mustPropose(t, state.Command{Join: []wire.Member{{ID: id, Role: "proxy+control", Peer: "127.0.0.1:1", Incarnation: 1}}})
 	}
@@ -77,21 +77,21 @@
 	for want := 1; want < 4; want++ {
 		o.step(context.Background())
 		o.step(context.Background())
-		if l.handed != want || l.View().Owner.ID != "owner" {
-			t.Fatalf("handed over %d times, want %d; owner %s", l.handed, want, l.View().Owner.ID)
+		if l.transfers != want || l.View().Owner.ID != "owner" {
+			t.Fatalf("handed over %d times, want %d; owner %s", l.transfers, want, l.View().Owner.ID)
 		}
-		clock.Advance(apartInterval)
+		clock.Advance(transferRetryInterval)
 	}
 }
 
 // TestOwnerThatStartedAgainIsReplacedAtOnce starts all processes again. The leader hears of the new starts before
 // the state holds them: it names none of the old ones, and a new one as soon as it has heard of it.
 func TestOwnerThatStartedAgainIsReplacedAtOnce(t *testing.T) {
-	l, clock := &leading{machine: state.New()}, clockwork.NewFakeClock()
+	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
 	set := &settings.Settings{}
 	set.Node.Name = "leader"
 	lease := newLeases(l, clock, time.Second, nil)
-	o := newOwnership(&Service{cluster: l, set: set, log: logr.Discard(), clock: clock, leases: lease})
+	o := newOwnerAssigner(&Service{cluster: l, set: set, log: logr.Discard(), clock: clock, leases: lease})
 	process := func(id wire.MemberID, incarnation uint64) wire.Member {
 		return wire.Member{ID: id, Role: "proxy+control", Peer: "127.0.0.1:1", Incarnation: incarnation}
 	}
@@ -99,20 +99,20 @@
 		l.mustPropose(t, state.Command{Join: []wire.Member{process(id, 1)}})
 	}
 	l.mustPropose(t, state.Command{Put: &wire.PutRequest{Version: 1}, Owner: &wire.StageOwner{ID: "owner", Incarnation: 1, Epoch: 1}})
-	lease.grantAll(clock.Now())
-	o.since = clock.Now()
+	lease.grantFullLeases(clock.Now())
+	o.leaderSince = clock.Now()
 
-	lease.renew([]Renewal{{Member: process("owner", 2)}})
+	lease.record([]Renewal{{Member: process("owner", 2)}})
 	o.step(t.Context())
 	if got := l.View().Owner; got.Epoch != 1 {
 		t.Fatalf("%+v is named, of which nothing was heard", got)
 	}
-	lease.renew([]Renewal{{Member: process("other", 2)}})
+	lease.record([]Renewal{{Member: process("other", 2)}})
 	o.step(t.Context())
 	if got := l.View().Owner; got.ID != "other" || got.Incarnation != 2 {
 		t.Fatalf("%+v is named, want the new start of other", got)
 	}
-	o.pulse = newPulse(clock, "127.0.0.1:1", func() pulseClient { return alive{} })
+	o.probe = newLivenessProbe(clock, "127.0.0.1:1", func() probeClient { return aliveClient{} })
 	o.step(t.Context())
 	if got := l.View().Owner; got.Epoch != 2 {
 		t.Fatalf("%+v is named again", got)
@@ -120,24 +120,24 @@
 }
 
 // alive is a process that answers.
-type alive struct{}
+type aliveClient struct{}
 
-func (alive) ask(context.Context) error { return nil }
-func (alive) Close()                    {}
+func (aliveClient) ping(context.Context) error { return nil }
+func (aliveClient) Close()                     {}
 
 // TestUnheardProcessIsNamedInTheEnd loses the owner, and no other process is heard of.
 func TestUnheardProcessIsNamedInTheEnd(t *testing.T) {
-	l, clock := &leading{machine: state.New()}, clockwork.NewFakeClock()
+	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
 	set := &settings.Settings{}
 	set.Node.Name = "leader"
-	o := newOwnership(&Service{cluster: l, set: set, log: logr.Discard(), clock: clock, leases: newLeases(l, clock, time.Second, nil)})
+	o := newOwnerAssigner(&Service{cluster: l, set: set, log: logr.Discard(), clock: clock, leases: newLeases(l, clock, time.Second, nil)})
 	l.mustPropose(t, state.Command{Join: []wire.Member{{ID: "other", Role: "proxy", Peer: "127.0.0.1:1", Incarnation: 1}}, Put: &wire.PutRequest{Version: 1}})
-	o.since = clock.Now()
+	o.leaderSince = clock.Now()
 	o.step(t.Context())
 	if got := l.View().Owner.ID; got != "" {
 		t.Fatalf("%s is named at once", got)
 	}
-	clock.Advance(youngLead)
+	clock.Advance(newLeaderGrace)
 	o.step(t.Context())
 	if got := l.View().Owner.ID; got != "other" {
 		t.Fatalf("%q is named", got)
--- a/node/control/sync.go
+++ b/node/control/sync.go
@@ -21,17 +21,17 @@
 
 // sync renews the caller's lease and answers as soon as there is news.
 func (s *Service) sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
-	renewed := s.renewMember(req)
+	renewed := s.renewLease(req)
 	timer := s.clock.NewTimer(min(req.Wait, maxWait))
 	defer timer.Stop()
 	for late := false; ; {
-		changed := s.news.changed()
+		changed := s.notifier.changed()
 		if err := s.cluster.Outage(); err != nil {
 			return nil, errSuspended(err)
 		}
 		reply := s.replyTo(req)
 		reply.Renewed = renewed
-		if late || brings(reply, req) {
+		if late || hasUpdates(reply, req) {
 			return reply, nil
 		}
 		select {
@@ -45,10 +45,10 @@
 }
 
 // holdsNothing reports whether the caller has had no view since it started.
-func holdsNothing(req *wire.SyncRequest) bool { return req.ConfigVersion == 0 && req.MembersSeq == 0 }
+func hasNoView(req *wire.SyncRequest) bool { return req.ConfigVersion == 0 && req.MembersSeq == 0 }
 
 // brings reports whether a reply has something for its caller, or a hint.
-func brings(r *wire.SyncReply, req *wire.SyncRequest) bool {
+func hasUpdates(r *wire.SyncReply, req *wire.SyncRequest) bool {
 	hinted := r.Fence > req.Fence || r.Term > req.Term || r.Owner.Epoch > req.OwnerEpoch
 	return hinted || r.Config != nil || r.Delta != nil || r.Members != nil || r.Evacuations != nil || r.Suspects != nil || r.Rollouts != nil
 }
@@ -57,30 +57,30 @@
 // confirmation a copy of all that is known here would be made for nothing, again for each call of each process
 // that has just started.
 func (s *Service) replyTo(req *wire.SyncRequest) *wire.SyncReply {
-	if age := s.cluster.StampAge(); holdsNothing(req) && !usable(age) {
+	if age := s.cluster.StampAge(); hasNoView(req) && !confirmsInitialView(age) {
 		return &wire.SyncReply{StampAge: age, Control: s.voterAddresses()}
 	}
-	return s.reply(req)
+	return s.fullReply(req)
 }
 
-func (s *Service) renewMember(req *wire.SyncRequest) bool {
+func (s *Service) renewLease(req *wire.SyncRequest) bool {
 	r := Renewal{Member: req.Member, ConfigVersion: req.ConfigVersion, Fault: req.Fault}
 	if s.cluster.IsLeader() {
-		s.leases.renew([]Renewal{r})
+		s.leases.record([]Renewal{r})
 		return true
 	}
-	return s.follow.add(r, req.Wait == 0)
+	return s.follower.add(r, req.Wait == 0)
 }
 
 // usable reports whether a confirmation of that age makes a first view.
-func usable(age time.Duration) bool { return age >= 0 && age <= stampLimit }
+func confirmsInitialView(age time.Duration) bool { return age >= 0 && age <= maxConfirmationAge }
 
 // reply reads the stamp before the view: what is read later is at least as new
 // as the stamp says.
-func (s *Service) reply(req *wire.SyncRequest) *wire.SyncReply {
+func (s *Service) fullReply(req *wire.SyncRequest) *wire.SyncReply {
 	age := s.cluster.StampAge()
 	view := s.cluster.View()
-	r := answer(view, req, age, s.cluster.Leader())
+	r := updatesFor(view, req, age, s.cluster.Leader())
 	r.Control = s.voterAddresses()
 	r.Fence, r.Term = view.Fences[req.Member.ID], s.cluster.Status().Term
 	return r
@@ -88,7 +88,7 @@
 
 // answer holds what the caller lacks of v. It is empty where the caller is
 // ahead of v.
-func answer(v *state.View, req *wire.SyncRequest, age time.Duration, leader consensus.Peer) *wire.SyncReply {
+func updatesFor(v *state.View, req *wire.SyncRequest, age time.Duration, leader consensus.Peer) *wire.SyncReply {
 	r := &wire.SyncReply{Version: v.Config.Version, MembersSeq: v.MembersSeq, Members: v.Delta(req.MembersSeq),
 		Owner: v.Owner, StampAge: age, Leader: wire.MemberID(leader.ID), LeaderPeer: leader.Address, EvacuationsRevision: v.Evacuations.Revision, SuspectsRevision: v.Suspects.Revision, RolloutsRevision: v.Rollouts.Revision}
 	if v.Evacuations.Revision > req.Evacuations {
--- a/node/control/sync_test.go
+++ b/node/control/sync_test.go
@@ -23,27 +23,27 @@
 // world is a simulated cluster: one log, control processes that applied parts
 // of it, members that synchronize, and an oracle that holds what every version
 // and every sequence number stood for.
-type world struct {
-	t       *rapid.T
-	clock   *clockwork.FakeClock
-	log     [][]byte
-	accept  []time.Time // when the entry at this index was committed
-	oracle  *state.Machine
-	texts   map[uint64]string
-	members map[uint64]map[wire.MemberID]wire.Member
-	at      []position // what was accepted after this many entries
-	nodes   []*node
-	leader  int
-	term    uint64
-	procs   []*process
-	moving  bool // the world moves on also between two reads of one answer
+type simulation struct {
+	t          *rapid.T
+	clock      *clockwork.FakeClock
+	log        [][]byte
+	acceptedAt []time.Time // when the entry at this index was committed
+	oracle     *state.Machine
+	texts      map[uint64]string
+	members    map[uint64]map[wire.MemberID]wire.Member
+	positions  []position // what was accepted after this many entries
+	nodes      []*node
+	leader     int
+	term       uint64
+	procs      []*process
+	drifting   bool // the world moves on also between two reads of one answer
 }
 
 type position struct{ version, seq uint64 }
 
 // node is a control process. It implements cluster.
 type node struct {
-	w       *world
+	w       *simulation
 	index   int
 	machine *state.Machine
 	applied int
@@ -55,35 +55,35 @@
 
 // process is a member.
 type process struct {
-	held    *configsync.Holder
-	alive   bool
-	died    time.Time
-	starts  uint64
-	version uint64
-	seq     uint64
-	late    []lateReply
-	source  int
+	held           *configsync.Holder
+	alive          bool
+	died           time.Time
+	starts         uint64
+	version        uint64
+	seq            uint64
+	delayedReplies []delayedReply
+	source         int
 }
 
-type lateReply struct {
+type delayedReply struct {
 	reply *wire.SyncReply
 	asked time.Time
 }
 
 const (
-	testLease = 3 * time.Second
-	nodeCount = 3
-	procCount = 4
+	testLease    = 3 * time.Second
+	nodeCount    = 3
+	processCount = 4
 )
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, clock: clockwork.NewFakeClockAt(time.Unix(1000, 0)), oracle: state.New(),
-		texts: map[uint64]string{0: ""}, members: map[uint64]map[wire.MemberID]wire.Member{0: {}}, at: []position{{}}, term: 1}
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{t: t, clock: clockwork.NewFakeClockAt(time.Unix(1000, 0)), oracle: state.New(),
+		texts: map[uint64]string{0: ""}, members: map[uint64]map[wire.MemberID]wire.Member{0: {}}, positions: []position{{}}, term: 1}
 	for i := range nodeCount {
 		w.nodes = append(w.nodes, &node{w: w, index: i})
 		w.nodes[i].restart()
 	}
-	for i := range procCount {
+	for i := range processCount {
 		w.procs = append(w.procs, &process{})
 		w.start(i, 100)
 	}
@@ -93,24 +93,24 @@
 func (n *node) restart() {
 	n.machine, n.applied, n.stamp, n.changed = state.New(), 0, time.Time{}, make(chan struct{})
 	s := &Service{cluster: n, clock: n.w.clock}
-	s.news = newNews(n)
+	s.notifier = newChangeNotifier(n)
 	s.leases = newLeases(n, n.w.clock, testLease, timeline.NewRing("n", "v", 16))
-	s.follow = &follower{cluster: n, clock: n.w.clock, leases: s.leases, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queued{}, told: map[wire.MemberID]uint64{}, call: n.callLeader}
+	s.follower = &follower{cluster: n, clock: n.w.clock, leases: s.leases, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{}, call: n.callLeader}
 	n.svc = s
 }
 
-func (w *world) start(i int, incarnation uint64) {
+func (w *simulation) start(i int, incarnation uint64) {
 	p := w.procs[i]
 	m := wire.Member{ID: wire.MemberID(fmt.Sprintf("m%d", i)), Role: "agent", Service: "s", Incarnation: incarnation}
 	*p = process{held: configsync.NewHolder(m), alive: true, starts: p.starts + 1, source: i % nodeCount}
 }
 
 // drift lets something happen between two reads.
-func (w *world) drift() {
-	if !w.moving || rapid.IntRange(0, 15).Draw(w.t, "drift") != 7 {
+func (w *simulation) drift() {
+	if !w.drifting || rapid.IntRange(0, 15).Draw(w.t, "drift") != 7 {
 		return
 	}
-	w.moving = false
+	w.drifting = false
 	w.clock.Advance(time.Millisecond)
 	w.change()
 	w.clock.Advance(time.Millisecond)
@@ -120,7 +120,7 @@
 			n.SetStamp(w.clock.Now())
 		}
 	}
-	w.moving = true
+	w.drifting = true
 }
 
 func (n *node) View() *state.View { n.w.drift(); return n.machine.View() }
@@ -188,14 +188,14 @@
 	}
 }
 
-func (w *world) commit(c state.Command) {
+func (w *simulation) commit(c state.Command) {
 	data, err := c.Encode()
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	before := w.oracle.View().Members
 	w.log = append(w.log, data)
-	w.accept = append(w.accept, w.clock.Now())
+	w.acceptedAt = append(w.acceptedAt, w.clock.Now())
 	w.oracle.Apply(data)
 	v := w.oracle.View()
 	for id, m := range v.Members {
@@ -209,10 +209,10 @@
 	}
 	w.texts[v.Config.Version] = v.Config.Text
 	w.members[v.MembersSeq] = maps.Clone(v.Members)
-	w.at = append(w.at, position{v.Config.Version, v.MembersSeq})
+	w.positions = append(w.positions, position{v.Config.Version, v.MembersSeq})
 }
 
-func (w *world) change() {
+func (w *simulation) change() {
 	v := w.oracle.View().Config.Version
 	text := "[service:s]\nkind = plain\n"
 	for i := range 12 {
@@ -222,15 +222,15 @@
 }
 
 // accepted is what had been accepted at time t.
-func (w *world) accepted(t time.Time) position {
+func (w *simulation) accepted(t time.Time) position {
 	k := 0
-	for k < len(w.accept) && !w.accept[k].After(t) {
+	for k < len(w.acceptedAt) && !w.acceptedAt[k].After(t) {
 		k++
 	}
-	return w.at[k]
+	return w.positions[k]
 }
 
-func (w *world) sync(p *process, to int, lost, doubled bool) error {
+func (w *simulation) sync(p *process, to int, lost, doubled bool) error {
 	asked := w.clock.Now()
 	req := p.held.Request(0)
 	reply, err := w.nodes[to].svc.syncNow(&req)
@@ -238,7 +238,7 @@
 		return err
 	}
 	if doubled {
-		p.late = append(p.late, lateReply{reply, asked})
+		p.delayedReplies = append(p.delayedReplies, delayedReply{reply, asked})
 	}
 	if lost {
 		return errors.New("lost")
@@ -249,13 +249,13 @@
 
 // syncNow is sync without holding the answer back.
 func (s *Service) syncNow(req *wire.SyncRequest) (*wire.SyncReply, error) {
-	renewed := s.renewMember(req)
-	reply := s.reply(req)
+	renewed := s.renewLease(req)
+	reply := s.fullReply(req)
 	reply.Renewed = renewed
 	return reply, nil
 }
 
-func (w *world) deliver(p *process, reply *wire.SyncReply, asked time.Time) error {
+func (w *simulation) deliver(p *process, reply *wire.SyncReply, asked time.Time) error {
 	first := p.held.View() == nil
 	_, err := p.held.Take(reply, asked)
 	if v := p.held.View(); v != nil {
@@ -267,7 +267,7 @@
 	return err
 }
 
-func (w *world) check(p *process, v *configsync.View) {
+func (w *simulation) check(p *process, v *configsync.View) {
 	if v.Version < p.version || v.Seq < p.seq {
 		w.t.Fatalf("went back from %d/%d to %d/%d", p.version, p.seq, v.Version, v.Seq)
 	}
@@ -299,8 +299,8 @@
 }
 
 // quiet lets time pass without faults and checks that everybody converges.
-func (w *world) quiet() {
-	w.moving = false
+func (w *simulation) converge() {
+	w.drifting = false
 	for _, n := range w.nodes {
 		n.cut = false
 	}
@@ -310,7 +310,7 @@
 		for _, n := range w.nodes {
 			n.catchUp(len(w.log))
 			for range 12 { // a lost call is repeated
-				if n.svc.follow.step(context.Background()) == nil {
+				if n.svc.follower.step(context.Background()) == nil {
 					break
 				}
 			}
@@ -340,28 +340,28 @@
 
 const staleLimit = 5 * time.Second // an entry's stale_after
 
-func (w *world) syncAny(t *rapid.T, n *node) {
+func (w *simulation) syncAny(t *rapid.T, n *node) {
 	if p := w.proc(t); p.alive {
 		w.sync(p, n.index, rapid.IntRange(0, 4).Draw(t, "lost") == 0, rapid.Bool().Draw(t, "doubled"))
 	}
 }
 
-func (w *world) proc(t *rapid.T) *process { return rapid.SampledFrom(w.procs).Draw(t, "process") }
-func (w *world) node(t *rapid.T) *node    { return rapid.SampledFrom(w.nodes).Draw(t, "control") }
+func (w *simulation) proc(t *rapid.T) *process { return rapid.SampledFrom(w.procs).Draw(t, "process") }
+func (w *simulation) node(t *rapid.T) *node    { return rapid.SampledFrom(w.nodes).Draw(t, "control") }
 
 // TestSynchronization drives control processes and members through faults and
 // checks every published view against the list of accepted versions.
 func TestSynchronization(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		w.moving = true
+		w := newSimulation(t)
+		w.drifting = true
 		t.Repeat(map[string]func(*rapid.T){
 			"change":     func(*rapid.T) { w.change() },
 			"sync":       func(t *rapid.T) { w.syncAny(t, w.node(t)) },
 			"sync again": func(t *rapid.T) { w.syncAny(t, w.node(t)) },
 			"old control": func(t *rapid.T) { // one that follows without having applied all
 				n := w.node(t)
-				n.svc.follow.step(context.Background())
+				n.svc.follower.step(context.Background())
 				w.syncAny(t, n)
 			},
 			"round": func(t *rapid.T) {
@@ -373,8 +373,8 @@
 				}
 			},
 			"late answer": func(t *rapid.T) {
-				if p := w.proc(t); len(p.late) > 0 {
-					l := rapid.SampledFrom(p.late).Draw(t, "answer")
+				if p := w.proc(t); len(p.delayedReplies) > 0 {
+					l := rapid.SampledFrom(p.delayedReplies).Draw(t, "answer")
 					w.deliver(p, l.reply, l.asked)
 				}
 			},
@@ -388,7 +388,7 @@
 				p.held.SetLeaving(rapid.Bool().Draw(t, "leaving"))
 				w.sync(p, w.leader, false, false)
 				lead.svc.leases.step(context.Background())
-				n.svc.follow.step(context.Background())
+				n.svc.follower.step(context.Background())
 				lead.svc.leases.step(context.Background())
 			},
 			"die": func(t *rapid.T) {
@@ -397,7 +397,7 @@
 				}
 			},
 			"restart member": func(t *rapid.T) {
-				i := rapid.IntRange(0, procCount-1).Draw(t, "process")
+				i := rapid.IntRange(0, processCount-1).Draw(t, "process")
 				clock := rapid.SampledFrom([]uint64{0, 1000}).Draw(t, "clock") // it may go back
 				w.start(i, 100+clock+w.procs[i].starts)
 			},
@@ -405,7 +405,7 @@
 				n := w.node(t)
 				n.catchUp(rapid.IntRange(n.applied, len(w.log)).Draw(t, "to"))
 			},
-			"follow":  func(t *rapid.T) { w.node(t).svc.follow.step(context.Background()) },
+			"follow":  func(t *rapid.T) { w.node(t).svc.follower.step(context.Background()) },
 			"leases":  func(t *rapid.T) { w.node(t).svc.leases.step(context.Background()) },
 			"confirm": func(*rapid.T) { w.nodes[w.leader].confirm() },
 			"cut":     func(t *rapid.T) { n := w.node(t); n.cut = !n.cut },
@@ -431,6 +431,6 @@
 				w.clock.Advance(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 			},
 		})
-		w.quiet()
+		w.converge()
 	})
 }
--- a/node/control/system_test.go
+++ b/node/control/system_test.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &counted{Conn: c, n: n, ends: [2]string{own, address}}, nil
+		return &countingConn{Conn: c, n: n, ends: [2]string{own, address}}, nil
 	}
 }
 
@@ -75,15 +75,15 @@
 	n.cut[address] = cut
 }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
 	n    *network
 	ends [2]string
 }
 
-func (c *counted) swallowed() bool { return c.n.isCut(c.ends[:]...) }
+func (c *countingConn) swallowed() bool { return c.n.isCut(c.ends[:]...) }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	if c.swallowed() {
 		return len(p), nil
 	}
@@ -92,7 +92,7 @@
 	return n, err
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if err != nil || !c.swallowed() {
@@ -154,7 +154,7 @@
 func (s *Service) kill() {
 	s.cancel()
 	s.server.Close()
-	s.links.close()
+	s.transport.close()
 	<-s.stopped
 }
 
