--- a/node/control/links.go
+++ b/node/control/transport.go
@@ -16,27 +16,27 @@
 // a connection of its own, so that one that does not read holds up nobody, and entries
 // do not hold up heartbeats: 1 MB to each of six followers takes 0.5 s of a link of 100
 // Mbit/s, and a follower that hears nothing for 0.6 s elects another leader.
-type links struct {
+type transport struct {
 	dial peer.Dialer
 	log  logr.Logger
 	self consensus.Peer
 	ctx  context.Context
 	stop context.CancelFunc
 
-	mu     sync.Mutex
-	queues map[lane]*queue
-	addr   map[consensus.NodeID]string // for replicas that are not in the membership (yet)
+	mu        sync.Mutex
+	queues    map[queueKey]*queue
+	addresses map[consensus.NodeID]string // for replicas that are not in the membership (yet)
 }
 
 // lane is one of the two ways to a replica. Consensus bears that messages of one overtake
 // those of the other; entries among themselves stay in order.
-type lane struct {
-	to  consensus.NodeID
-	log bool // carries entries and snapshots
+type queueKey struct {
+	to   consensus.NodeID
+	bulk bool // carries entries and snapshots
 }
 
-func laneOf(m consensus.Message) lane {
-	return lane{m.To, m.Kind == consensus.MsgAppend || m.Kind == consensus.MsgSnapshot}
+func queueKeyFor(m consensus.Message) queueKey {
+	return queueKey{m.To, m.Kind == consensus.MsgAppend || m.Kind == consensus.MsgSnapshot}
 }
 
 const (
@@ -44,49 +44,49 @@
 	// maxQueued bounds the entries and snapshots that wait for one replica, in
 	// bytes. A leader repeats them while a link is cut; a queue of 7.6 MB became
 	// 70 MB of heap when it was encoded at once. Two full appends fit.
-	maxQueued = 2 << 20
+	maxQueuedBytes = 2 << 20
 	// maxDelivered is the size from which on no further message goes into a call,
 	// in bytes: that of one full append.
-	maxDelivered = 1 << 20
-	sendTimeout  = time.Second
+	maxBatchBytes = 1 << 20
+	sendTimeout   = time.Second
 	// slowestLink is the rate in bytes a second below which a call with entries or a
 	// snapshot is given up: a tenth of a link of 100 Mbit/s.
-	slowestLink = 1.25e6
+	minLinkRate = 1.25e6
 	// confirmInterval bounds, with sendTimeout, how long a silent cut goes unseen.
-	confirmInterval = 500 * time.Millisecond
-	idleLimit       = time.Minute // after which a replica's queue is given up
+	ackInterval      = 500 * time.Millisecond
+	queueIdleTimeout = time.Minute // after which a replica's queue is given up
 )
 
-func newLinks(dial peer.Dialer, log logr.Logger) *links {
+func newTransport(dial peer.Dialer, log logr.Logger) *transport {
 	ctx, stop := context.WithCancel(context.Background())
-	return &links{dial: dial, log: log, ctx: ctx, stop: stop, queues: map[lane]*queue{}, addr: map[consensus.NodeID]string{}}
+	return &transport{dial: dial, log: log, ctx: ctx, stop: stop, queues: map[queueKey]*queue{}, addresses: map[consensus.NodeID]string{}}
 }
 
 // learn remembers where a replica that only sent us messages listens.
-func (l *links) learn(p consensus.Peer) {
+func (l *transport) setAddress(p consensus.Peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.addr[p.ID] = p.Address
+	l.addresses[p.ID] = p.Address
 }
 
 // Send implements replica.Transport.
-func (l *links) Send(peers []consensus.Peer, messages []consensus.Message) {
+func (l *transport) Send(peers []consensus.Peer, messages []consensus.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range peers {
-		l.addr[p.ID] = p.Address
+		l.addresses[p.ID] = p.Address
 	}
 	for _, m := range messages {
-		way := laneOf(m)
+		way := queueKeyFor(m)
 		q := l.queues[way]
 		if q == nil {
-			address := l.addr[m.To]
+			address := l.addresses[m.To]
 			if address == "" {
 				continue
 			}
 			q = newQueue()
 			l.queues[way] = q
-			go l.pump(way, address, q)
+			go l.sendLoop(way, address, q)
 		}
 		q.put(m) // consensus sends again what matters
 	}
@@ -103,8 +103,8 @@
 // put queues a message, unless there is no room. An empty queue takes one of any
 // size.
 func (q *queue) put(m consensus.Message) bool {
-	n := int64(size([]consensus.Message{m}))
-	if waiting := q.bytes.Load(); n > 0 && waiting > 0 && waiting+n > maxQueued {
+	n := int64(payloadBytes([]consensus.Message{m}))
+	if waiting := q.bytes.Load(); n > 0 && waiting > 0 && waiting+n > maxQueuedBytes {
 		return false
 	}
 	q.bytes.Add(n)
@@ -119,20 +119,20 @@
 
 // takeAfter returns the messages of the next call, of which the first was taken
 // already. It does not wait.
-func (q *queue) takeAfter(first consensus.Message) []consensus.Message {
+func (q *queue) nextBatch(first consensus.Message) []consensus.Message {
 	out := []consensus.Message{first}
-	taken := size(out)
-	for len(q.messages) > 0 && taken < maxDelivered { // nobody else takes any
+	taken := payloadBytes(out)
+	for len(q.messages) > 0 && taken < maxBatchBytes { // nobody else takes any
 		m := <-q.messages
 		out = append(out, m)
-		taken += size([]consensus.Message{m})
+		taken += payloadBytes([]consensus.Message{m})
 	}
 	q.bytes.Add(int64(-taken))
 	return out
 }
 
 // size is how many bytes of entries and snapshots the messages hold.
-func size(messages []consensus.Message) int {
+func payloadBytes(messages []consensus.Message) int {
 	n := 0
 	for _, m := range messages {
 		for _, e := range m.Entries {
@@ -145,32 +145,32 @@
 	return n
 }
 
-func (l *links) pump(way lane, address string, q *queue) {
+func (l *transport) sendLoop(way queueKey, address string, q *queue) {
 	client := peer.NewClient(address, l.dial)
 	defer client.Close()
 	var confirmed time.Time // when the other end last answered; zero before it did
 	opened := time.Now()
 	silent := false // it was logged that it does not
-	idle := time.NewTimer(idleLimit)
+	idle := time.NewTimer(queueIdleTimeout)
 	defer idle.Stop()
 	for {
-		idle.Reset(idleLimit)
+		idle.Reset(queueIdleTimeout)
 		select {
 		case <-l.ctx.Done():
 			return
 		case <-idle.C:
-			if l.giveUp(way, q) {
+			if l.removeIfIdle(way, q) {
 				return
 			}
 		case m := <-q.messages:
-			batch := RaftBatch{From: l.self, Messages: q.takeAfter(m)}
+			batch := RaftBatch{From: l.self, Messages: q.nextBatch(m)}
 			began := time.Now()
-			answered, err := l.deliver(client, batch, confirmDue(confirmed, began))
+			answered, err := l.sendBatch(client, batch, ackDue(confirmed, began))
 			switch {
 			case answered && silent:
 				l.log.Info("replica reached again", "replica", way.to, "silent", time.Since(latest(opened, confirmed)))
 			case err != nil && !silent:
-				l.log.Info("replica not reached", "replica", way.to, "address", address, "messages", len(batch.Messages), "bytes", size(batch.Messages), "took", time.Since(began), "error", err.Error())
+				l.log.Info("replica not reached", "replica", way.to, "address", address, "messages", len(batch.Messages), "bytes", payloadBytes(batch.Messages), "took", time.Since(began), "error", err.Error())
 			}
 			silent = err != nil || silent && !answered
 			if answered {
@@ -181,7 +181,7 @@
 }
 
 // confirmDue reports whether the other end is to answer: one that never did may not be there.
-func confirmDue(confirmed, now time.Time) bool { return now.Sub(confirmed) >= confirmInterval }
+func ackDue(confirmed, now time.Time) bool { return now.Sub(confirmed) >= ackInterval }
 
 func latest(a, b time.Time) time.Time {
 	if b.After(a) {
@@ -193,8 +193,8 @@
 // deliver sends a batch and reports whether the other end answered. Lost ones
 // are sent again by consensus. Heartbeats alone go without an answer, except
 // one in confirmInterval, which finds out a link that was cut silently.
-func (l *links) deliver(client *peer.Client, batch RaftBatch, confirm bool) (answered bool, err error) {
-	ctx, cancel := context.WithTimeout(l.ctx, timeoutOf(batch.Messages))
+func (l *transport) sendBatch(client *peer.Client, batch RaftBatch, confirm bool) (answered bool, err error) {
+	ctx, cancel := context.WithTimeout(l.ctx, sendTimeoutFor(batch.Messages))
 	defer cancel()
 	if !confirm && heartbeatsOnly(batch.Messages) {
 		return false, client.Notify(ctx, MethodRaft, batch)
@@ -205,8 +205,8 @@
 
 // timeoutOf leaves a call with many bytes the time that they take: a snapshot that is
 // cut after a fixed time never arrives.
-func timeoutOf(messages []consensus.Message) time.Duration {
-	return sendTimeout + time.Duration(float64(size(messages))/slowestLink*float64(time.Second))
+func sendTimeoutFor(messages []consensus.Message) time.Duration {
+	return sendTimeout + time.Duration(float64(payloadBytes(messages))/minLinkRate*float64(time.Second))
 }
 
 func heartbeatsOnly(messages []consensus.Message) bool {
@@ -219,17 +219,17 @@
 }
 
 // giveUp forgets an idle queue, for instance of a disk that was replaced.
-func (l *links) giveUp(way lane, q *queue) bool {
+func (l *transport) removeIfIdle(way queueKey, q *queue) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(q.messages) > 0 {
 		return false
 	}
 	delete(l.queues, way)
-	if l.queues[lane{way.to, !way.log}] == nil {
-		delete(l.addr, way.to)
+	if l.queues[queueKey{way.to, !way.bulk}] == nil {
+		delete(l.addresses, way.to)
 	}
 	return true
 }
 
-func (l *links) close() { l.stop() }
+func (l *transport) close() { l.stop() }
--- a/node/control/lanes_test.go
+++ b/node/control/transport_priority_test.go
@@ -19,7 +19,7 @@
 	gaveUp    chan struct{} // closed when the sender closes a connection with entries
 }
 
-const readOfEntries = 64 << 10
+const entryBytesRead = 64 << 10
 
 func (r *slowReplica) dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
@@ -32,7 +32,7 @@
 	var call struct {
 		Params RaftBatch `json:"params"`
 	}
-	if json.NewDecoder(&limitedReader{far, readOfEntries, c}).Decode(&call) != nil {
+	if json.NewDecoder(&limitedReader{far, entryBytesRead, c}).Decode(&call) != nil {
 		return
 	}
 	for _, m := range call.Params.Messages {
@@ -83,10 +83,10 @@
 // Behind it, it would come too late, and the replica would elect another leader.
 func TestHeartbeatsPassLargeEntries(t *testing.T) {
 	r := &slowReplica{heartbeat: make(chan struct{}), gaveUp: make(chan struct{})}
-	l := newLinks(r.dial, logr.Discard())
+	l := newTransport(r.dial, logr.Discard())
 	defer l.close()
 	to := consensus.Peer{ID: "a", Address: "127.0.0.1:1"}
-	l.Send([]consensus.Peer{to}, []consensus.Message{{To: to.ID, Kind: consensus.MsgAppend, Entries: []consensus.Entry{{Index: 1, Term: 1, Data: make([]byte, maxDelivered)}}}})
+	l.Send([]consensus.Peer{to}, []consensus.Message{{To: to.ID, Kind: consensus.MsgAppend, Entries: []consensus.Entry{{Index: 1, Term: 1, Data: make([]byte, maxBatchBytes)}}}})
 	l.Send([]consensus.Peer{to}, []consensus.Message{{To: to.ID, Kind: consensus.MsgHeartbeat}})
 	select {
 	case <-r.heartbeat:
--- a/node/control/links_test.go
+++ b/node/control/transport_test.go
@@ -16,7 +16,7 @@
 // it must not grow with the length of the cut.
 func TestQueueOfASilentReplicaIsBounded(t *testing.T) {
 	dialed, ended := make(chan struct{}, 1), make(chan struct{})
-	l := newLinks(func(context.Context, string) (net.Conn, error) {
+	l := newTransport(func(context.Context, string) (net.Conn, error) {
 		select {
 		case dialed <- struct{}{}:
 		default:
@@ -27,7 +27,7 @@
 	defer l.close()
 	defer close(ended)
 	to := consensus.Peer{ID: "a", Address: "127.0.0.1:1"}
-	entries := []consensus.Entry{{Data: make([]byte, maxQueued/4)}}
+	entries := []consensus.Entry{{Data: make([]byte, maxQueuedBytes/4)}}
 	first := consensus.Message{To: to.ID, Kind: consensus.MsgAppend, Entries: entries}
 	l.Send([]consensus.Peer{to}, []consensus.Message{first})
 	<-dialed // the first message is out of the queue and on its way
@@ -35,13 +35,13 @@
 		l.Send([]consensus.Peer{to}, []consensus.Message{first, {To: to.ID, Kind: consensus.MsgHeartbeat}})
 	}
 	l.mu.Lock()
-	q := l.queues[laneOf(first)]
+	q := l.queues[queueKeyFor(first)]
 	l.mu.Unlock()
-	if got := q.bytes.Load(); got > maxQueued {
-		t.Fatalf("%d bytes wait, at most %d should", got, maxQueued)
+	if got := q.bytes.Load(); got > maxQueuedBytes {
+		t.Fatalf("%d bytes wait, at most %d should", got, maxQueuedBytes)
 	}
-	if batch := q.takeAfter(<-q.messages); size(batch) > maxDelivered+len(entries[0].Data) {
-		t.Fatalf("%d bytes in one call", size(batch))
+	if batch := q.nextBatch(<-q.messages); payloadBytes(batch) > maxBatchBytes+len(entries[0].Data) {
+		t.Fatalf("%d bytes in one call", payloadBytes(batch))
 	}
 }
 
@@ -49,11 +49,11 @@
 // still get its turn, alone.
 func TestOneLargeMessageIsSent(t *testing.T) {
 	q := newQueue()
-	large := consensus.Message{Kind: consensus.MsgSnapshot, Snapshot: &consensus.Snapshot{Data: make([]byte, 2*maxQueued)}}
+	large := consensus.Message{Kind: consensus.MsgSnapshot, Snapshot: &consensus.Snapshot{Data: make([]byte, 2*maxQueuedBytes)}}
 	if !q.put(large) || q.put(large) {
 		t.Fatal("an empty queue takes one message of any size, a full one none")
 	}
-	if batch := q.takeAfter(<-q.messages); len(batch) != 1 || q.bytes.Load() != 0 {
+	if batch := q.nextBatch(<-q.messages); len(batch) != 1 || q.bytes.Load() != 0 {
 		t.Fatalf("%d messages taken, %d bytes left", len(batch), q.bytes.Load())
 	}
 }
@@ -65,8 +65,8 @@
 	for _, c := range []struct {
 		confirmed time.Time
 		due       bool
-	}{{time.Time{}, true}, {now, false}, {now.Add(-confirmInterval), true}} {
-		if confirmDue(c.confirmed, now) != c.due {
+	}{{time.Time{}, true}, {now, false}, {now.Add(-ackInterval), true}} {
+		if ackDue(c.confirmed, now) != c.due {
 			t.Errorf("last answer %s: due %v", c.confirmed, !c.due)
 		}
 	}
--- a/node/control/held.go
+++ b/node/control/unsettled.go
@@ -13,31 +13,31 @@
 	// heldAge is how long a claim may be unsettled before entries are asked to
 	// settle it: its call has had its deadline and its extra time by then, and
 	// its gate still remembers it.
-	heldAge   = time.Minute
-	heldBatch = 64
-	heldAgain = 20 * time.Second // a claim is given to another entry after that
-	heldMost  = 16 * heldBatch   // given out at a time
+	minUnsettledAge   = time.Minute
+	claimBatch        = 64
+	reassignAfter     = 20 * time.Second // a claim is given to another entry after that
+	maxAssignedClaims = 16 * claimBatch  // given out at a time
 )
 
 // handouts remembers which unsettled claims an entry was asked to settle. It is
 // the leader's own memory; twice the same claim is harmless.
-type handouts struct {
-	mu sync.Mutex
-	at map[wire.AttemptID]time.Time
+type claimAssignments struct {
+	mu         sync.Mutex
+	assignedAt map[wire.AttemptID]time.Time
 }
 
 // take calls list for the claims that nobody was asked for lately.
-func (h *handouts) take(now time.Time, list func(n int, skip func(wire.AttemptID) bool) ([]wire.ClaimRequest, error)) ([]wire.ClaimRequest, error) {
+func (h *claimAssignments) assign(now time.Time, list func(n int, skip func(wire.AttemptID) bool) ([]wire.ClaimRequest, error)) ([]wire.ClaimRequest, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	maps.DeleteFunc(h.at, func(_ wire.AttemptID, at time.Time) bool { return now.Sub(at) >= heldAgain })
-	n := min(heldBatch, heldMost-len(h.at))
+	maps.DeleteFunc(h.assignedAt, func(_ wire.AttemptID, at time.Time) bool { return now.Sub(at) >= reassignAfter })
+	n := min(claimBatch, maxAssignedClaims-len(h.assignedAt))
 	if n <= 0 {
 		return nil, nil
 	}
-	claims, err := list(n, func(id wire.AttemptID) bool { _, asked := h.at[id]; return asked })
+	claims, err := list(n, func(id wire.AttemptID) bool { _, asked := h.assignedAt[id]; return asked })
 	for _, c := range claims {
-		h.at[c.Attempt] = now
+		h.assignedAt[c.Attempt] = now
 	}
 	return claims, err
 }
@@ -47,8 +47,8 @@
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
-	claims, err := s.handouts.take(s.clock.Now(), func(n int, skip func(wire.AttemptID) bool) ([]wire.ClaimRequest, error) {
-		return s.replica.Held(ctx, heldAge, n, skip)
+	claims, err := s.assignments.assign(s.clock.Now(), func(n int, skip func(wire.AttemptID) bool) ([]wire.ClaimRequest, error) {
+		return s.replica.Held(ctx, minUnsettledAge, n, skip)
 	})
 	if err != nil {
 		return nil, err
--- a/node/memberset/memberset.go
+++ b/node/memberset/memberset.go
@@ -12,7 +12,7 @@
 
 // Set is an immutable set of members by ID. Its zero value is empty.
 type Set struct {
-	by *immutable.Map[wire.MemberID, wire.Member]
+	byID *immutable.Map[wire.MemberID, wire.Member]
 }
 
 // Of returns the set of the members; of two with one ID it is the last.
@@ -26,27 +26,27 @@
 
 // Get returns a member.
 func (s Set) Get(id wire.MemberID) (wire.Member, bool) {
-	if s.by == nil {
+	if s.byID == nil {
 		return wire.Member{}, false
 	}
-	return s.by.Get(id)
+	return s.byID.Get(id)
 }
 
 // Len returns how many members there are.
 func (s Set) Len() int {
-	if s.by == nil {
+	if s.byID == nil {
 		return 0
 	}
-	return s.by.Len()
+	return s.byID.Len()
 }
 
 // All iterates over the members in no order.
 func (s Set) All() iter.Seq[wire.Member] {
 	return func(yield func(wire.Member) bool) {
-		if s.by == nil {
+		if s.byID == nil {
 			return
 		}
-		for it := s.by.Iterator(); !it.Done(); {
+		for it := s.byID.Iterator(); !it.Done(); {
 			if _, m, ok := it.Next(); ok && !yield(m) {
 				return
 			}
@@ -56,16 +56,16 @@
 
 // With returns the set with the member in place of the one with its ID.
 func (s Set) With(m wire.Member) Set {
-	if s.by == nil {
+	if s.byID == nil {
 		return Of(m)
 	}
-	return Set{s.by.Set(m.ID, m)}
+	return Set{s.byID.Set(m.ID, m)}
 }
 
 // Without returns the set without a member.
 func (s Set) Without(id wire.MemberID) Set {
-	if s.by == nil {
+	if s.byID == nil {
 		return s
 	}
-	return Set{s.by.Delete(id)}
+	return Set{s.byID.Delete(id)}
 }
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -33,13 +33,13 @@
 func (c *Client) Received() uint64 { return c.received.Load() }
 
 // countedConn counts the bytes that come.
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	received *atomic.Uint64
 }
 
 // Read implements io.Reader.
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.received.Add(uint64(n))
 	return n, err
@@ -61,14 +61,14 @@
 	if conn := c.connected(); conn != nil {
 		return conn, nil
 	}
-	raw, err := redial(ctx, c.dial, c.address)
+	raw, err := dialWithRetry(ctx, c.dial, c.address)
 	if err != nil {
 		return nil, errors.WithType(errors.Trace(err), ErrUnreachable)
 	}
 	refuse := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this end only calls"}
 	})
-	conn := jsonrpc2.NewConn(context.Background(), newStream(countedConn{raw, &c.received}), refuse, jsonrpc2.SetLogger(silent{}))
+	conn := jsonrpc2.NewConn(context.Background(), newStream(countingConn{raw, &c.received}), refuse, jsonrpc2.SetLogger(discardLogger{}))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conn = conn
@@ -78,14 +78,14 @@
 // firstDial is how long the first attempt to connect may take; each further one has twice as long. The opening
 // packet to a VM that is just starting is lost, and the kernel repeats it after a second only: all replicas are
 // without a leader meanwhile. Above a round trip between regions.
-const firstDial = 200 * time.Millisecond
+const firstDialTimeout = 200 * time.Millisecond
 
 // redial connects, in several attempts while an attempt gets no answer at all. Together they take dialTimeout at
 // most.
-func redial(ctx context.Context, dial Dialer, address string) (net.Conn, error) {
+func dialWithRetry(ctx context.Context, dial Dialer, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	for limit := firstDial; ; limit *= 2 {
+	for limit := firstDialTimeout; ; limit *= 2 {
 		attempt, cancel := context.WithTimeout(ctx, limit)
 		conn, err := dial(attempt, address)
 		unanswered := attempt.Err() != nil
--- a/node/peer/client_test.go
+++ b/node/peer/client_test.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-type word struct {
+type echoMessage struct {
 	Text string `json:"text"`
 }
 
@@ -23,7 +23,7 @@
 	defer l.Close()
 	server := NewServer()
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
-	Handle(server, "echo", func(_ context.Context, w *word) (*word, error) {
+	Handle(server, "echo", func(_ context.Context, w *echoMessage) (*echoMessage, error) {
 		arrived <- struct{}{}
 		<-release
 		return w, nil
@@ -33,12 +33,12 @@
 	client := NewClient(l.Addr().String(), DialTCP)
 	defer client.Close()
 	kept := make(chan error, 1)
-	var got word
-	go func() { kept <- client.Call(context.Background(), "echo", word{"a"}, &got) }()
+	var got echoMessage
+	go func() { kept <- client.Call(context.Background(), "echo", echoMessage{"a"}, &got) }()
 	<-arrived
 	ctx, cancel := context.WithCancel(context.Background())
 	cancelled := make(chan error, 1)
-	go func() { cancelled <- client.Call(ctx, "echo", word{"b"}, nil) }()
+	go func() { cancelled <- client.Call(ctx, "echo", echoMessage{"b"}, nil) }()
 	<-arrived
 	cancel()
 	if err := <-cancelled; !errors.Is(err, context.Canceled) {
@@ -59,11 +59,11 @@
 		return nil, errors.New("refused")
 	})
 	first := make(chan error, 1)
-	go func() { first <- client.Call(context.Background(), "echo", word{}, nil) }()
+	go func() { first <- client.Call(context.Background(), "echo", echoMessage{}, nil) }()
 	<-dialing
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now())
 	defer cancel()
-	if err := client.Call(ctx, "echo", word{}, nil); !errors.Is(err, ErrUnreachable) {
+	if err := client.Call(ctx, "echo", echoMessage{}, nil); !errors.Is(err, ErrUnreachable) {
 		t.Fatalf("second call: %v", err)
 	}
 	close(release)
--- a/node/peer/control.go
+++ b/node/peer/control.go
@@ -25,7 +25,7 @@
 	clients    []*Client // never empty
 	generation uint64    // of the directory, as clients were made
 	current    int
-	search     *search // nil while the leader answers
+	search     *leaderSearch // nil while the leader answers
 }
 
 // NewControl returns a Control over the given addresses.
@@ -38,12 +38,12 @@
 func NewDirectoryControl(directory *Directory, dial Dialer) *Control {
 	c := &Control{clock: clockwork.NewRealClock(), directory: directory, dial: dial}
 	c.ctx, c.close = context.WithCancel(context.Background())
-	c.follow()
+	c.refreshClients()
 	return c
 }
 
 // follow takes over the directory's addresses. The caller holds c.mu or owns c.
-func (c *Control) follow() {
+func (c *Control) refreshClients() {
 	addresses, generation := c.directory.Addresses()
 	if generation == c.generation {
 		return
@@ -77,8 +77,8 @@
 }
 
 const (
-	retryPause = 50 * time.Millisecond
-	callLimit  = 2 * time.Second // a control process that does not answer by then is passed over
+	retryInterval = 50 * time.Millisecond
+	callTimeout   = 2 * time.Second // a control process that does not answer by then is passed over
 )
 
 // ErrNoLeader says that no leader answered a call in time. The call may have
@@ -99,44 +99,44 @@
 	defer c.clock.AfterFunc(SearchLimit, cancel).Stop()
 	var last error
 	taken := false
-	for ctx.Err() == nil && !c.givenUp() {
+	for ctx.Err() == nil && !c.searchExpired() {
 		client := c.pick()
 		last = c.callOnce(ctx, client, method, params, result)
-		if led(last) {
-			c.found()
-			return untaken(last, taken)
+		if isLeaderAnswer(last) {
+			c.leaderFound()
+			return withNotAccepted(last, taken)
 		}
-		taken = taken || !refused(last)
+		taken = taken || !notAccepted(last)
 		if errors.Is(caller.Err(), context.Canceled) {
 			break // the caller left; that says nothing about the leader
 		}
-		c.missed()
-		c.moveOn(client, last)
-		sleep(ctx, retryPause)
+		c.startSearch()
+		c.selectNext(client, last)
+		sleep(ctx, retryInterval)
 	}
 	if last == nil {
 		last = ErrNoLeader
 	}
-	return untaken(errors.WithType(errors.Annotate(last, method), ErrNoLeader), taken)
+	return withNotAccepted(errors.WithType(errors.Annotate(last, method), ErrNoLeader), taken)
 }
 
 // untaken adds ErrNotTaken to a failure of a call that no process took.
-func untaken(err error, taken bool) error {
-	if err == nil || taken || !refused(err) && !errors.Is(err, ErrNoLeader) {
+func withNotAccepted(err error, taken bool) error {
+	if err == nil || taken || !notAccepted(err) && !errors.Is(err, ErrNoLeader) {
 		return err
 	}
 	return errors.WithType(err, ErrNotTaken)
 }
 
 // refused reports whether err proves that the call was not taken.
-func refused(err error) bool {
+func notAccepted(err error) bool {
 	var nl *ErrNotLeader
 	var v *verdict.Error
 	return errors.As(err, &nl) || errors.Is(err, ErrUnreachable) || errors.As(err, &v) && v.Verdict == verdict.NotRun
 }
 
 // led reports whether err, or its absence, is a leader's answer.
-func led(err error) bool {
+func isLeaderAnswer(err error) bool {
 	if err == nil {
 		return true
 	}
@@ -151,9 +151,9 @@
 }
 
 func (c *Control) callOnce(ctx context.Context, client *Client, method string, params, result any) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if s := c.searching(); s != nil {
+	if s := c.currentSearch(); s != nil {
 		defer s.onExpiry(cancel)()
 	}
 	return client.Call(ctx, method, params, result)
@@ -169,17 +169,17 @@
 func (c *Control) pick() *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.follow()
+	c.refreshClients()
 	return c.clients[c.current]
 }
 
 // Next passes over the current control process.
-func (c *Control) Next() { c.moveOn(c.pick(), nil) }
+func (c *Control) Next() { c.selectNext(c.pick(), nil) }
 
 // Current returns the client of the control process in use.
 func (c *Control) Current() *Client { return c.pick() }
 
-func (c *Control) moveOn(from *Client, err error) {
+func (c *Control) selectNext(from *Client, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.clients[c.current] != from {
@@ -205,7 +205,7 @@
 // Close closes all connections.
 func (c *Control) Close() {
 	c.close()
-	c.found()
+	c.leaderFound()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cl := range c.clients {
--- a/node/peer/handover_test.go
+++ b/node/peer/handover_test.go
@@ -8,7 +8,7 @@
 	"caperdrum.org/api/verdict"
 )
 
-type spoken struct {
+type message struct {
 	Text string `json:"text"`
 }
 
@@ -17,21 +17,21 @@
 func TestCallLeaderOutlivesHandover(t *testing.T) {
 	for _, code := range []verdict.Code{verdict.CodeShutdown, verdict.CodeNoQuorum} {
 		t.Run(string(code), func(t *testing.T) {
-			old := serve(t, func() (*spoken, error) { return nil, verdict.New(verdict.MayHaveRun, code, "no longer leading") })
-			next := serve(t, func() (*spoken, error) { return &spoken{"answered"}, nil })
+			old := serve(t, func() (*message, error) { return nil, verdict.New(verdict.MayHaveRun, code, "no longer leading") })
+			next := serve(t, func() (*message, error) { return &message{"answered"}, nil })
 			c := NewControl([]string{old, next}, DialTCP)
 			defer c.Close()
-			var got spoken
-			if err := c.CallLeader(context.Background(), "say", spoken{}, &got); err != nil || got.Text != "answered" {
+			var got message
+			if err := c.CallLeader(context.Background(), "say", message{}, &got); err != nil || got.Text != "answered" {
 				t.Errorf("got %+v, %v", got, err)
 			}
 		})
 	}
 }
 
-func serve(t *testing.T, answer func() (*spoken, error)) string {
+func serve(t *testing.T, answer func() (*message, error)) string {
 	s := NewServer()
-	Handle(s, "say", func(context.Context, *spoken) (*spoken, error) { return answer() })
+	Handle(s, "say", func(context.Context, *message) (*message, error) { return answer() })
 	return listen(t, s)
 }
 
--- a/node/peer/search_test.go
+++ b/node/peer/leader_search_test.go
@@ -11,28 +11,28 @@
 )
 
 // leading is one control process that leads, does not lead, or hangs.
-type leading struct {
+type fakeLeader struct {
 	leads, hangs atomic.Bool
 	asked        atomic.Int64 // calls, without questions for the leader
 	arrived      chan struct{}
 }
 
-func (l *leading) handle(ctx context.Context) (*spoken, error) {
+func (l *fakeLeader) handle(ctx context.Context) (*message, error) {
 	if l.hangs.Load() {
 		<-ctx.Done()
 	}
 	if !l.leads.Load() {
 		return nil, &ErrNotLeader{}
 	}
-	return &spoken{"answered"}, nil
+	return &message{"answered"}, nil
 }
 
-func (l *leading) control(t *testing.T) (*Control, *clockwork.FakeClock) {
+func (l *fakeLeader) control(t *testing.T) (*Control, *clockwork.FakeClock) {
 	l.arrived = make(chan struct{}, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	s := NewServer()
-	Handle(s, MethodLead, func(context.Context, *spoken) (*spoken, error) { return l.handle(ctx) })
-	Handle(s, "say", func(context.Context, *spoken) (*spoken, error) {
+	Handle(s, MethodLead, func(context.Context, *message) (*message, error) { return l.handle(ctx) })
+	Handle(s, "say", func(context.Context, *message) (*message, error) {
 		l.asked.Add(1)
 		select {
 		case l.arrived <- struct{}{}:
@@ -57,19 +57,19 @@
 func TestSearchEnds(t *testing.T) {
 	for _, name := range []string{"does not lead", "hangs"} {
 		t.Run(name, func(t *testing.T) {
-			l := &leading{}
+			l := &fakeLeader{}
 			l.hangs.Store(name == "hangs")
 			c, clock := l.control(t)
 			ended := make(chan error, 1)
-			go func() { ended <- c.CallLeader(context.Background(), "say", spoken{}, nil) }()
+			go func() { ended <- c.CallLeader(context.Background(), "say", message{}, nil) }()
 			<-l.arrived
 			if name == "hangs" {
 				// Another caller misses the leader meanwhile.
 				short, cancel := context.WithTimeout(context.Background(), time.Millisecond)
-				c.CallLeader(short, "say", spoken{}, nil)
+				c.CallLeader(short, "say", message{}, nil)
 				cancel()
 			}
-			for c.searching() == nil {
+			for c.currentSearch() == nil {
 				time.Sleep(time.Millisecond)
 			}
 			clock.Advance(SearchLimit)
@@ -78,18 +78,18 @@
 				t.Fatalf("first call: %v", err)
 			}
 			before := l.asked.Load()
-			if err := c.CallLeader(context.Background(), "say", spoken{}, nil); !errors.Is(err, ErrNotTaken) || l.asked.Load() != before {
+			if err := c.CallLeader(context.Background(), "say", message{}, nil); !errors.Is(err, ErrNotTaken) || l.asked.Load() != before {
 				t.Fatalf("later call: %v after %d calls", err, l.asked.Load()-before)
 			}
 			if name == "hangs" {
 				return
 			}
 			l.leads.Store(true)
-			for c.givenUp() {
+			for c.searchExpired() {
 				time.Sleep(time.Millisecond)
 			}
-			var got spoken
-			if err := c.CallLeader(context.Background(), "say", spoken{}, &got); err != nil || got.Text != "answered" {
+			var got message
+			if err := c.CallLeader(context.Background(), "say", message{}, &got); err != nil || got.Text != "answered" {
 				t.Fatalf("with a leader: %+v, %v", got, err)
 			}
 		})
@@ -99,11 +99,11 @@
 // TestEndedCallIsNoAnswer calls with a context that has ended: no answer was
 // read, so there must be an error.
 func TestEndedCallIsNoAnswer(t *testing.T) {
-	l := &leading{}
+	l := &fakeLeader{}
 	c, _ := l.control(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := c.CallLeader(ctx, "say", spoken{}, nil); !errors.Is(err, ErrNoLeader) {
+	if err := c.CallLeader(ctx, "say", message{}, nil); !errors.Is(err, ErrNoLeader) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/node/peer/peer.go
+++ b/node/peer/peer.go
@@ -53,9 +53,9 @@
 type Server struct {
 	handlers map[string]handler
 
-	mu    sync.Mutex
-	conns map[*jsonrpc2.Conn]struct{}
-	done  bool
+	mu     sync.Mutex
+	conns  map[*jsonrpc2.Conn]struct{}
+	closed bool
 }
 
 // NewServer returns a server without handlers.
@@ -122,20 +122,20 @@
 			return err
 		}
 		s.mu.Lock()
-		if s.done {
+		if s.closed {
 			s.mu.Unlock()
 			c.Close()
 			continue
 		}
 		st := newStream(c)
-		conn := jsonrpc2.NewConn(context.Background(), st, jsonrpc2.AsyncHandler(responder{s, st}), jsonrpc2.SetLogger(silent{}))
+		conn := jsonrpc2.NewConn(context.Background(), st, jsonrpc2.AsyncHandler(responder{s, st}), jsonrpc2.SetLogger(discardLogger{}))
 		s.conns[conn] = struct{}{}
 		s.mu.Unlock()
-		go s.forget(conn)
+		go s.removeWhenClosed(conn)
 	}
 }
 
-func (s *Server) forget(conn *jsonrpc2.Conn) {
+func (s *Server) removeWhenClosed(conn *jsonrpc2.Conn) {
 	<-conn.DisconnectNotify()
 	s.mu.Lock()
 	delete(s.conns, conn)
@@ -145,7 +145,7 @@
 // Close closes all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.done = true
+	s.closed = true
 	conns := s.conns
 	s.conns = map[*jsonrpc2.Conn]struct{}{}
 	s.mu.Unlock()
@@ -166,6 +166,6 @@
 	return h(ctx, params)
 }
 
-type silent struct{}
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/node/peer/stream.go
+++ b/node/peer/stream.go
@@ -13,13 +13,13 @@
 
 // stream carries the objects of one connection.
 type stream struct {
-	conn    boundedConn
+	conn    progressConn
 	decoder *json.Decoder
-	writing sync.Mutex
+	writeMu sync.Mutex
 }
 
 func newStream(c net.Conn) *stream {
-	conn := boundedConn{c}
+	conn := progressConn{c}
 	return &stream{conn: conn, decoder: json.NewDecoder(conn)}
 }
 
@@ -39,8 +39,8 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	_, err = s.conn.Write(append(data, '\n'))
 	return err
 }
@@ -100,10 +100,10 @@
 )
 
 // boundedConn fails writes that make no progress within writeTimeout.
-type boundedConn struct{ net.Conn }
+type progressConn struct{ net.Conn }
 
 // Write implements io.Writer.
-func (c boundedConn) Write(p []byte) (int, error) {
+func (c progressConn) Write(p []byte) (int, error) {
 	sent := 0
 	for sent < len(p) {
 		if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
--- a/node/peer/stream_test.go
+++ b/node/peer/stream_test.go
@@ -12,15 +12,15 @@
 )
 
 // ready is an answer that many callers get and that is encoded already.
-type ready []byte
+type encodedAnswer []byte
 
-func (r ready) MarshalJSON() ([]byte, error) { return r, nil }
+func (r encodedAnswer) MarshalJSON() ([]byte, error) { return r, nil }
 
 // TestAnswersAreEncodedOnce counts the bytes that are allocated for an answer. A control process sends hundreds of
 // the same when all processes start.
 func TestAnswersAreEncodedOnce(t *testing.T) {
 	for _, size := range []int{50_000, 500_000} {
-		answer := ready(`"` + strings.Repeat("x", size) + `"`)
+		answer := encodedAnswer(`"` + strings.Repeat("x", size) + `"`)
 		const rounds = 20
 		allocated := func() uint64 {
 			var m runtime.MemStats
