--- a/node/control/admin.go
+++ b/node/control/admin.go
@@ -7,7 +7,7 @@
 	"caperdrum.org/node/state"
 )
 
-// Methods for front ends of administration that run in other processes.
+// RPC methods that administration front ends in other processes call.
 const (
 	MethodPut      = "control.put"
 	MethodConfig   = "control.config"
@@ -16,8 +16,8 @@
 	MethodOffer    = "control.offer"
 )
 
-// config reads the text in force with a quorum's confirmation. The text itself is left
-// out where the reader holds it: each process does, but for the moments after a change.
+// config is a linearizable read of the operator's configuration text in force. The reply omits the text if
+// the caller already holds it, which is the case except right after a change.
 func (s *Service) config(ctx context.Context, req *wire.ConfigRequest) (*wire.ConfigReply, error) {
 	if err := s.replica.ReadBarrier(ctx); err != nil {
 		return nil, s.leaderError(err)
@@ -30,9 +30,8 @@
 	return reply, nil
 }
 
-// announce renews the leases of announced upstreams and answers when the
-// members hold their records, so that an upstream that is told so may count on
-// every process to hear that it leaves.
+// announce renews the leases of announced upstreams. It returns once the replicated member list contains
+// their records, so that every process will learn when one of them leaves.
 func (s *Service) announce(ctx context.Context, req *wire.AnnounceRequest) (*Empty, error) {
 	if _, ok := confirmationOf(s.cluster); !ok || !s.cluster.IsLeader() {
 		return nil, s.notLeader()
@@ -40,8 +39,8 @@
 	return s.renewAndWait(ctx, req.Upstreams)
 }
 
-// leave marks an upstream as leaving and answers when the members hold the mark.
-// That an upstream is unknown, and needs none, counts only as a quorum's word.
+// leave marks an upstream as leaving and returns once the member list contains the mark. The read barrier
+// ensures that an upstream counts as unknown, and needs no mark, only if a quorum agrees.
 func (s *Service) leave(ctx context.Context, req *wire.LeaveRequest) (*Empty, error) {
 	if err := s.replica.ReadBarrier(ctx); err != nil {
 		return nil, s.leaderError(err)
@@ -49,7 +48,8 @@
 	return s.renewAndWait(ctx, s.leases.leavingRecords(req))
 }
 
-// hold renews leases and returns once the members hold the records.
+// renewAndWait renews leases and returns once the member list contains the records. It fails if this process
+// loses leadership.
 func (s *Service) renewAndWait(ctx context.Context, upstreams []wire.Member) (*Empty, error) {
 	renewals := make([]Renewal, len(upstreams))
 	for i, m := range upstreams {
@@ -82,7 +82,7 @@
 	return true
 }
 
-// offer notes a control process that would vote.
+// offer records a control process that is willing to become a voter.
 func (s *Service) offer(_ context.Context, id *Identity) (*Empty, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
--- a/node/control/cluster.go
+++ b/node/control/cluster.go
@@ -8,12 +8,12 @@
 	"caperdrum.org/node/state"
 )
 
-// cluster is what synchronization and leases need of the replica.
+// cluster is the part of the replica that synchronization and leases use.
 type cluster interface {
 	View() *state.View
 	Status() consensus.Status
 	StampAge() time.Duration
-	// Outage returns why the replica takes no part now, or nil.
+	// Outage returns why the replica has suspended its participation, or nil.
 	Outage() error
 	SetStamp(at time.Time)
 	IsLeader() bool
--- a/node/control/evacuate.go
+++ b/node/control/evacuate.go
@@ -13,9 +13,9 @@
 // MethodEvacuate starts or ends the evacuation of a data centre.
 const MethodEvacuate = "control.evacuate"
 
-// Evacuate carries out an order, and returns once a quorum holds it: what was acknowledged
-// outlives the losses that the settings name. An order that was overtaken since its base was
-// read is refused and changes nothing.
+// Evacuate commits an evacuation order and returns once a quorum has stored it, so that an acknowledged order
+// survives the losses that the settings tolerate. An order is rejected without effect if another one was
+// committed after its base revision.
 func (s *Service) Evacuate(ctx context.Context, o *wire.EvacuationOrder) (*wire.EvacuationResult, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
@@ -26,11 +26,11 @@
 	}
 	res, err := s.cluster.Propose(ctx, state.Command{Evacuate: o})
 	if err != nil {
-		s.log.Info("evacuation not confirmed", "data_center", o.DataCenter, "out", o.Out, "error", err.Error())
+		s.log.Info("evacuation not committed", "data_center", o.DataCenter, "out", o.Out, "error", err.Error())
 		return nil, s.leaderError(err)
 	}
 	r := res.Evacuation
-	s.log.Info("evacuation ordered", "data_center", o.DataCenter, "out", o.Out, "author", o.Author, "base", o.Base,
+	s.log.Info("evacuation committed", "data_center", o.DataCenter, "out", o.Out, "author", o.Author, "base", o.Base,
 		"revision", r.Evacuation.Revision, "changed", r.Changed, "overtaken", r.Overtaken)
 	if r.Overtaken {
 		return nil, errOvertaken(r.Evacuation)
@@ -40,29 +40,29 @@
 }
 
 func errOvertaken(e wire.Evacuation) error {
-	return verdict.New(verdict.NotRun, verdict.CodeStale, "another order for data centre %s came first: it has revision %d now", e.DataCenter, e.Revision)
+	return verdict.New(verdict.NotRun, verdict.CodeStale, "conflicting order for data centre %s: its current revision is %d", e.DataCenter, e.Revision)
 }
 
-// mayEvacuate reports why an order for the data centre is refused. Where the settings do not
-// name the data centres, those count that a member is in or that had an order before.
+// checkEvacuation returns why an order for the data centre must be rejected, or nil. If the settings list no
+// data centres, those are known that contain a member or had an order before.
 func (s *Service) checkEvacuation(dataCenter string) error {
 	v := s.cluster.View()
 	if err := s.checkReadyForOrders(v); err != nil {
 		return err
 	}
 	if !s.knowsDataCenter(v, dataCenter) {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no data centre %q is known", dataCenter)
+		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "unknown data centre %q", dataCenter)
 	}
 	return nil
 }
 
-// mayOrder reports why no order of operators is taken yet.
+// checkReadyForOrders returns why operators' orders cannot be accepted yet, or nil.
 func (s *Service) checkReadyForOrders(v *state.View) error {
 	switch {
 	case v.Config.Version == 0:
 		return verdict.New(verdict.NotRun, verdict.CodeStale, "no configuration yet")
 	case !s.enoughVoters():
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined yet")
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined the cluster")
 	}
 	return nil
 }
@@ -79,5 +79,5 @@
 	return false
 }
 
-// Evacuations returns what this process knows of evacuations.
+// Evacuations returns the evacuations that this process has applied.
 func (s *Service) Evacuations() wire.Evacuations { return s.cluster.View().Evacuations }
--- a/node/control/follower.go
+++ b/node/control/follower.go
@@ -13,13 +13,13 @@
 	"caperdrum.org/node/peer"
 )
 
-// RenewRequest passes members' signs of life from a follower to the leader.
+// RenewRequest carries members' lease renewals from a follower to the leader.
 type RenewRequest struct {
 	Renewals []Renewal `json:"renewals"`
 }
 
-// RenewReply is the leader's stamp: what is committed up to Index was all that
-// had been accepted Age ago.
+// RenewReply is the leader's confirmation: Age ago, a quorum confirmed that nothing beyond Index was
+// committed.
 type RenewReply struct {
 	Index uint64        `json:"index"`
 	Age   time.Duration `json:"age"`
@@ -37,8 +37,8 @@
 	return reply, nil
 }
 
-// stampOf reads the stamp before the index, so that the index is no older than
-// the stamp.
+// confirmationOf reads the confirmation's age before the commit index, so that the index is at least as new
+// as the confirmation. It returns false if the confirmation is missing or too old.
 func confirmationOf(c cluster) (*RenewReply, bool) {
 	age := c.StampAge()
 	index := c.Status().Committed
@@ -47,15 +47,15 @@
 
 const (
 	forwardInterval    = 500 * time.Millisecond
-	minForwardGap      = 50 * time.Millisecond // between two calls to the leader
+	minForwardGap      = 50 * time.Millisecond // pause between two calls to the leader
 	reportedSlack      = 64
 	forwardTimeout     = 2 * forwardInterval
-	maxConfirmationAge = 4 * forwardInterval // age of a leader's stamp that is not passed on
-	maxRenewalAge      = 4 * forwardInterval // age of a renewal that is not passed on: its sender may be dead
+	maxConfirmationAge = 4 * forwardInterval // above this age, a leader's confirmation is not passed on
+	maxRenewalAge      = 4 * forwardInterval // above this age, a renewal is dropped: its sender may be dead
 )
 
-// follower keeps a control process that does not lead useful: it passes
-// renewals on to the leader and takes over the leader's stamp.
+// follower lets a control process that is not the leader serve members: it forwards their lease renewals to
+// the leader and adopts the leader's quorum confirmation.
 type follower struct {
 	cluster cluster
 	clock   clockwork.Clock
@@ -66,7 +66,7 @@
 
 	mu          sync.Mutex
 	pending     map[wire.MemberID]queuedRenewal
-	reported    map[wire.MemberID]uint64 // versions that members reported here
+	reported    map[wire.MemberID]uint64 // configuration versions that members reported to this process
 	lastReached time.Time
 }
 
@@ -78,7 +78,7 @@
 func newFollower(s *Service) *follower {
 	var client *peer.Client
 	return &follower{cluster: s.cluster, clock: s.clock, leases: s.leases, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{},
-		onError: func(err error) { s.log.V(logging.Detail).Info("leader not reached", "error", err.Error()) },
+		onError: func(err error) { s.log.V(logging.Detail).Info("leader unreachable", "error", err.Error()) },
 		call: func(ctx context.Context, address string, req RenewRequest) (*RenewReply, error) {
 			if client == nil || client.Address() != address {
 				if client != nil {
@@ -91,9 +91,9 @@
 		}}
 }
 
-// add queues a renewal and reports whether the leader was reached lately. An
-// urgent one, one that the members do not hold yet, and one with a new version
-// are passed on at once.
+// add queues a renewal and reports whether the leader was reached recently. The renewal is forwarded
+// immediately if it is urgent, its member is not in the member list in this form, or its configuration
+// version is new.
 func (f *follower) add(r Renewal, urgent bool) bool {
 	members := f.cluster.View().Members
 	known, ok := members[r.Member.ID]
@@ -106,15 +106,14 @@
 		}
 	}
 	if len(f.reported) > 2*len(members)+reportedSlack {
-		clear(f.reported) // most of them are gone
+		clear(f.reported) // most entries belong to members that have left
 	}
 	f.reported[r.Member.ID] = r.ConfigVersion
 	f.queue(queuedRenewal{r, f.clock.Now()})
 	return f.clock.Since(f.lastReached) < forwardTimeout
 }
 
-// queue keeps the latest record of each member. Messages may overtake each
-// other.
+// queue keeps the latest record of each member, since messages may be reordered.
 func (f *follower) queue(r queuedRenewal) {
 	if old, ok := f.pending[r.Member.ID]; !ok || !old.Member.Follows(r.Member) {
 		f.pending[r.Member.ID] = r
@@ -143,8 +142,8 @@
 	}
 }
 
-// unconfirmed returns when the leader is to be asked while no confirmation is known that makes a first view:
-// processes that have just started wait for it. Otherwise it returns nil.
+// retryWhileUnconfirmed returns a timer channel while no confirmation is recent enough for an initial view,
+// since processes that have just started wait for it. Otherwise it returns nil.
 func (f *follower) retryWhileUnconfirmed() <-chan time.Time {
 	if confirmsInitialView(f.cluster.StampAge()) {
 		return nil
@@ -181,7 +180,7 @@
 	return out
 }
 
-// putBack queues what could not be passed on.
+// requeue queues renewals again that could not be forwarded.
 func (f *follower) requeue(rs []queuedRenewal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,7 +194,7 @@
 func (f *follower) forwardRenewals(ctx context.Context) error {
 	leader := f.cluster.Leader()
 	if leader.Address == "" {
-		return errors.New("no leader known")
+		return errors.New("no known leader")
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
--- a/node/control/formation.go
+++ b/node/control/formation.go
@@ -17,18 +17,17 @@
 const (
 	formationInterval = 100 * time.Millisecond
 	helloTimeout      = 500 * time.Millisecond
-	// formationFile holds the addresses of the first start for as long as the
-	// process has not joined a cluster, so that a founder that is killed before
-	// it founded goes on after its restart.
+	// formationFile stores the seed addresses of the first start until the process has joined a cluster, so
+	// that a founder that is killed before it created the cluster resumes after a restart.
 	formationFile = "formation"
 )
 
-// errFormationFile says that the list of the first start cannot be read. The
-// file is written whole or not at all, so the disk is damaged.
-var errCorruptFormationFile = errors.New("control: the file of the first start is damaged")
+// errCorruptFormationFile says that the stored seed list cannot be decoded. The file is written atomically,
+// so the disk must be damaged.
+var errCorruptFormationFile = errors.New("control: corrupt formation file")
 
-// startFormation returns the addresses among which the founder is chosen, or
-// nil when this process may not found: it was not there at the first start.
+// loadSeeds returns the seed addresses among which the founder is chosen. It returns nil if this process may
+// not create a cluster, because it did not take part in the first start.
 func loadSeeds(fs disk.FS, firstStart bool, configured []string) ([]string, error) {
 	data, err := fs.ReadFile(formationFile)
 	if err == nil {
@@ -55,8 +54,8 @@
 	return errors.Trace(err)
 }
 
-// form founds the cluster if that is this process's part, and ends once the
-// process belongs to a cluster.
+// runFormation creates the cluster if this process is the founder. It returns once the process belongs to a
+// cluster.
 func (s *Service) runFormation(ctx context.Context) {
 	rule := formation.Rule{Self: s.set.Control.Advertise, Seeds: s.seeds}
 	clients := map[string]*peer.Client{}
@@ -77,7 +76,7 @@
 			}
 			answer := s.hello(ctx, clients[step.Ask], step.Hello)
 			if answer.Known {
-				s.log.Info("seed heard", "address", step.Ask, "has_disk", answer.HasDisk, "founder", answer.Founder, "asked_to_be_named", step.Hello.Address != "")
+				s.log.Info("seed answered", "address", step.Ask, "has_disk", answer.HasDisk, "founder", answer.Founder, "asked_to_be_named", step.Hello.Address != "")
 			}
 			rule.Heard(step.Ask, step.Hello, answer)
 		}
@@ -93,13 +92,13 @@
 	return st.Last > 0 || st.Term > 0
 }
 
-// hello asks a seed whether it can found. No answer says nothing.
+// hello asks a seed whether it can be the founder. Without an answer, it returns an empty one.
 func (s *Service) hello(ctx context.Context, client *peer.Client, question formation.Hello) formation.Answer {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	var answer formation.Answer
 	if err := client.Call(ctx, formation.MethodHello, question, &answer); err != nil {
-		s.log.V(logging.Detail).Info("seed not heard", "address", client.Address(), "error", err.Error())
+		s.log.V(logging.Detail).Info("seed did not answer", "address", client.Address(), "error", err.Error())
 		return formation.Answer{}
 	}
 	return answer
@@ -107,13 +106,13 @@
 
 func (s *Service) initCluster(ctx context.Context) {
 	if err := s.replica.Init(ctx); err != nil {
-		s.log.Error(err, "cluster not founded")
+		s.log.Error(err, "failed to create the cluster")
 		return
 	}
-	s.log.Info("cluster founded", "seeds", s.seeds)
+	s.log.Info("cluster created", "seeds", s.seeds)
 }
 
-// answerHello tells that this process has a disk.
+// answerHello reports that this process has a disk.
 func (s *Service) answerHello(context.Context, *formation.Hello) (*formation.Answer, error) {
 	return &formation.Answer{Known: true, HasDisk: true}, nil
 }
--- a/node/control/leases.go
+++ b/node/control/leases.go
@@ -12,16 +12,15 @@
 	"caperdrum.org/node/state"
 )
 
-// Renewal is one member's sign of life.
+// Renewal is a member's lease renewal. Fault is the member's error with the last configuration text, if any.
 type Renewal struct {
 	Member        wire.Member `json:"member"`
 	ConfigVersion uint64      `json:"config_version"`
 	Fault         string      `json:"fault,omitempty"`
 }
 
-// leases is the leader's memory of when it last heard from each member. It is
-// not replicated: a new leader grants every member one whole lease. Joining,
-// leaving and expiry are replicated.
+// leases tracks on the leader when each member last renewed its lease. This state is not replicated: a new
+// leader grants every member a full lease. Joins, leaves and expiries are replicated.
 type leases struct {
 	cluster cluster
 	clock   clockwork.Clock
@@ -33,8 +32,8 @@
 	pending  map[wire.MemberID]wire.Member
 	wake     chan struct{}
 
-	term     uint64    // of the leadership that leases were granted for
-	lastStep time.Time // of run's goroutine
+	term     uint64    // term in which leases were last granted
+	lastStep time.Time // accessed only by run's goroutine
 }
 
 type lastRenewal struct {
@@ -42,7 +41,7 @@
 	incarnation uint64
 	version     uint64
 	fault       string
-	implicit    bool // at is that of a grant: nothing was heard since
+	implicit    bool // the lease was granted by the leader; the member has not renewed it since
 }
 
 func newLeases(c cluster, clock clockwork.Clock, ttl time.Duration, ring *timeline.Ring) *leases {
@@ -50,8 +49,7 @@
 		pending: map[wire.MemberID]wire.Member{}, wake: make(chan struct{}, 1)}
 }
 
-// renew notes signs of life and queues the members that the state does not
-// hold as they are.
+// record notes renewals, and queues the records that differ from those in the member list.
 func (l *leases) record(rs []Renewal) {
 	members := l.cluster.View().Members
 	now := l.clock.Now()
@@ -62,7 +60,7 @@
 		old := l.renewals[r.Member.ID]
 		held := ok || now.Sub(old.at) <= l.ttl
 		if held && max(old.incarnation, known.Incarnation) > r.Member.Incarnation {
-			continue // a late message of an earlier start, or the VM's clock went back
+			continue // a delayed message of an earlier start, or the VM's clock was set back
 		}
 		l.renewals[r.Member.ID] = lastRenewal{at: now, incarnation: r.Member.Incarnation, version: r.ConfigVersion, fault: r.Fault}
 		waiting, queued := l.pending[r.Member.ID]
@@ -81,13 +79,13 @@
 	}
 }
 
-// lastStart is what a leader knows of the last start of a member.
+// lastStart describes the latest start of a member that a leader knows of.
 type lastStart struct {
-	incarnation uint64 // also of a start that the state does not hold yet
-	heard       bool   // of it, since this process leads
+	incarnation uint64 // may be newer than the one in the member list
+	heard       bool   // whether the member has renewed its lease since this process became the leader
 }
 
-// lastStart returns what is known of the last start of a member with the given record.
+// lastStart returns the latest known start of the member with the given record.
 func (l *leases) lastStart(m wire.Member) lastStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,9 +93,8 @@
 	return lastStart{incarnation: max(m.Incarnation, s.incarnation), heard: known && !s.implicit}
 }
 
-// leaving returns the record by which an announced upstream leaves. None needs
-// one that neither the members hold nor a sign of life has named, and none a start
-// that a later one has replaced.
+// leavingRecords returns the record that marks an announced upstream as leaving. There is none if the
+// upstream is neither in the member list nor about to join, or if the request belongs to an earlier start.
 func (l *leases) leavingRecords(req *wire.LeaveRequest) []wire.Member {
 	l.mu.Lock()
 	m, known := l.pending[req.ID]
@@ -114,11 +111,11 @@
 
 const (
 	expiryInterval = 250 * time.Millisecond
-	// joinGap is the time between two commands of members, so that many that
-	// start at once share few commands and few deltas.
+	// minCommitGap is the pause between two commands that change members, so that processes that start
+	// together share commands and deltas.
 	minCommitGap = 50 * time.Millisecond
-	// standstill is a pause between two steps after which the leader cannot
-	// tell who was silent: it did not listen itself.
+	// stallThreshold is the pause between two steps above which the leader cannot tell which members were
+	// silent, since it did not process renewals itself.
 	stallThreshold = time.Second
 )
 
@@ -151,7 +148,7 @@
 	l.lastStep = now
 	if !l.cluster.IsLeader() {
 		l.term = 0
-		l.takePending() // members renew at the leader
+		l.takePending() // members will renew at the leader
 		return false
 	}
 	if l.term != status.Term || still {
@@ -161,7 +158,7 @@
 	return l.commit(ctx)
 }
 
-// grantAll grants every member a whole lease from now on.
+// grantFullLeases restarts the lease of every member at now.
 func (l *leases) grantFullLeases(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,7 +179,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, stallThreshold/2)
 	defer cancel()
-	l.cluster.Propose(ctx, cmd) // members renew again, so a lost command is made again
+	l.cluster.Propose(ctx, cmd) // a lost command is proposed again, since members keep renewing
 	return true
 }
 
@@ -198,15 +195,15 @@
 }
 
 const (
-	// announcedLease is the lease of an announced upstream: five signs of life
-	// of one every 1.2 s, since they may arrive seconds late.
+	// announcedLease is the lease of an announced upstream. It allows for five heartbeats of an upstream that
+	// sends one every 1.2 s, since they may arrive seconds late.
 	announcedLease = 6 * time.Second
-	// leavingLease is how long the record of one that leaves is kept, so that a
-	// sign of life that is seconds late does not bring it back.
+	// leavingLease is how long the record of a leaving upstream is kept, so that a heartbeat that arrives
+	// seconds late does not add it again.
 	leavingLease = 30 * time.Second
 )
 
-// ttlOf returns how long the member may be silent.
+// ttlOf returns the lease duration of the member.
 func (l *leases) ttlOf(m wire.Member) time.Duration {
 	switch {
 	case m.Direct == "":
@@ -217,10 +214,9 @@
 	return announcedLease
 }
 
-// expired lists the members whose lease has ended. What was seen of them is
-// kept until the removal is in the view, so that a lost command is made again;
-// then it is forgotten, so that the process may come back under any
-// incarnation.
+// expired returns the members whose lease has expired. Their last renewals are kept until the removal is in
+// the view, so that a lost command is proposed again. After that they are deleted, so that the process may
+// rejoin under any incarnation.
 func (l *leases) expired() []state.Removal {
 	now := l.clock.Now()
 	members := l.cluster.View().Members
@@ -245,8 +241,8 @@
 	return out
 }
 
-// report lists the members with what the leader last heard from them. A lease
-// that was granted is no sign of life.
+// report returns the members with what the leader last received from them. A lease granted by the leader does
+// not count as received.
 func (l *leases) report() []wire.MemberStatus {
 	now := l.clock.Now()
 	view := l.cluster.View()
--- a/node/control/ledger.go
+++ b/node/control/ledger.go
@@ -7,7 +7,7 @@
 	"caperdrum.org/node/state"
 )
 
-// claim gives the right to run a keyed call once. It is idempotent by attempt.
+// claim grants the right to run a call with an idempotency key once. It is idempotent per attempt.
 func (s *Service) claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	res, err := s.replica.Propose(ctx, state.Command{Claims: []wire.ClaimRequest{*req}, LedgerLimit: s.set.Control.LedgerMax})
 	if err != nil {
@@ -16,7 +16,7 @@
 	return &res.Claims[0], nil
 }
 
-// settle records what became of a keyed call. The first outcome stands.
+// settle records the outcome of a call with an idempotency key. The first outcome is final.
 func (s *Service) settle(ctx context.Context, req *wire.SettleRequest) (*wire.SettleReply, error) {
 	res, err := s.replica.Propose(ctx, state.Command{Settles: []wire.SettleRequest{*req}})
 	if err != nil {
--- a/node/control/metrics.go
+++ b/node/control/metrics.go
@@ -8,8 +8,8 @@
 	"caperdrum.org/node/consensus"
 )
 
-// shown is the service whose figures the metric "control" shows: the process's own. Tests
-// run several in one process; the last one started counts.
+// metricsSource is the service that the expvar "control" reports on. Where tests run several services in one
+// process, it is the one started last.
 var metricsSource atomic.Pointer[Service]
 
 func init() {
@@ -21,26 +21,26 @@
 	}))
 }
 
-// figures are what this process believes of its cluster, made when they are asked for.
+// metrics is this process's view of its cluster, computed on request.
 type metrics struct {
 	Leads         bool           `json:"leads"`
-	Leader        string         `json:"leader"` // empty: none is known
+	Leader        string         `json:"leader"` // empty if unknown
 	Term          uint64         `json:"term"`
 	Last          uint64         `json:"last"`
 	Committed     uint64         `json:"committed"`
 	Applied       uint64         `json:"applied"`
-	Version       uint64         `json:"version"`      // of the text in force here
-	StampAgeMs    int64          `json:"stamp_age_ms"` // of the last confirmation by a quorum; below zero: never
+	Version       uint64         `json:"version"`      // configuration version in force in this process
+	StampAgeMs    int64          `json:"stamp_age_ms"` // age of the last confirmation by a quorum; negative if there was none
 	Voters        int            `json:"voters"`
 	Learners      int            `json:"learners"`
 	Votes         bool           `json:"votes"`     // this process is a voter
-	Joined        bool           `json:"joined"`    // it belongs to a cluster
-	Suspended     bool           `json:"suspended"` // its disk takes no bytes
+	Joined        bool           `json:"joined"`    // this process belongs to a cluster
+	Suspended     bool           `json:"suspended"` // its disk does not accept writes
 	SnapshotIndex uint64         `json:"snapshot_index"`
-	Owner         string         `json:"owner"` // of the stage queues
+	Owner         string         `json:"owner"` // process that owns the stage queues
 	OwnerEpoch    uint64         `json:"owner_epoch"`
-	Members       map[string]int `json:"members"` // by service, or role, and state
-	Waits         string         `json:"waits"`   // what repair of the voters waits for
+	Members       map[string]int `json:"members"` // counts by service (or role) and state
+	Waits         string         `json:"waits"`   // what the repair of the voter set is waiting for
 
 	Rollouts map[string]rolloutMetrics `json:"rollouts,omitempty"` // by service
 }
@@ -66,14 +66,13 @@
 	return out
 }
 
-// rolloutFigures are what is known of a service's last roll-out. The answers are those that the leader
-// has heard of.
+// rolloutMetrics describes a service's last roll-out. The answers are those reported to this leader.
 type rolloutMetrics struct {
 	Target  string            `json:"target"`
 	State   wire.RolloutState `json:"state"`
 	Share   float64           `json:"share"`
-	Answers uint64            `json:"answers"` // of the target
-	Bad     uint64            `json:"bad"`     // of these
+	Answers uint64            `json:"answers"` // of the target version
+	Bad     uint64            `json:"bad"`     // bad ones among Answers
 	Others  uint64            `json:"others"`  // answers of the other versions
 }
 
--- a/node/control/notifier.go
+++ b/node/control/notifier.go
@@ -5,20 +5,20 @@
 	"sync/atomic"
 )
 
-// news wakes the held-back sync calls when something changed that they are told of. Most commands change
-// nothing of it.
+// changeNotifier wakes sync calls that are waiting (long polls) when something changes that their callers are
+// told of. Most commands change nothing of the kind.
 type changeNotifier struct {
 	cluster cluster
 	last    syncState
 	next    atomic.Pointer[chan struct{}]
 }
 
-// told is by what a sync call sees that there is something new.
+// syncState is what a sync reply depends on: a waiting call returns when it changes.
 type syncState struct {
 	version, seq, fence, term, owner uint64
 	evacuations, suspects, rollouts  uint64 // revisions
-	outage                           bool   // the replica takes no part
-	confirmed                        bool   // what is known makes a first view
+	outage                           bool   // the replica has suspended its participation
+	confirmed                        bool   // the last confirmation is recent enough for an initial view
 }
 
 func syncStateOf(c cluster) syncState {
--- a/node/control/placement.go
+++ b/node/control/placement.go
@@ -7,14 +7,15 @@
 	"caperdrum.org/node/consensus"
 )
 
-// spread says how voters lie in data centres, of which some may be lost at once: what was
-// acknowledged outlives that, and changes go on, while the others hold more than half.
+// voterPlacement describes how voters are distributed over data centres, some of which may fail together.
+// Acknowledged changes survive that, and new ones are accepted, while the remaining data centres contain a
+// majority of the voters.
 type voterPlacement struct {
-	losses       int                         // data centres that may be lost at once
-	dataCenterOf func(address string) string // data centre of a process by its peer address; empty: not known
+	losses       int                         // number of data centres that may fail together
+	dataCenterOf func(address string) string // data centre of the process at a peer address; empty if unknown
 }
 
-// spread reads where processes are from the members.
+// placement derives the location of processes from the member list.
 func (s *Service) placement() voterPlacement {
 	by := map[string]string{}
 	for _, m := range s.cluster.View().Members {
@@ -25,8 +26,8 @@
 	return voterPlacement{s.set.Control.DataCenterLosses, func(address string) string { return by[address] }}
 }
 
-// counts returns how many of the voters each data centre holds. One whose data centre is not
-// known counts as alone in its own.
+// counts returns the number of voters per data centre. A voter whose data centre is unknown counts as the
+// only one in its own.
 func (sp voterPlacement) counts(voters []consensus.Peer) map[string]int {
 	out := map[string]int{}
 	for _, v := range voters {
@@ -39,7 +40,7 @@
 	return out
 }
 
-// worst is how many voters the data centres hold whose loss costs the most.
+// maxLoss returns how many voters are lost if the data centres with the most voters fail.
 func (sp voterPlacement) maxLoss(voters []consensus.Peer) int {
 	var counts []int
 	for _, n := range sp.counts(voters) {
@@ -53,13 +54,13 @@
 	return sum
 }
 
-// crowded reports whether the loss takes half of the voters or more.
+// lossBreaksQuorum reports whether that failure takes half of the voters or more.
 func (sp voterPlacement) lossBreaksQuorum(voters []consensus.Peer) bool {
 	return sp.losses > 0 && 2*sp.maxLoss(voters) >= len(voters)
 }
 
-// improves reports whether the loss takes half of the voters now, and costs less once the
-// process votes in the place of one where most do.
+// improves reports whether the failure takes half of the voters now, and fewer once p has replaced a voter of
+// the largest data centre.
 func (sp voterPlacement) improves(voters []consensus.Peer, p consensus.Peer) bool {
 	if !sp.lossBreaksQuorum(voters) {
 		return false
@@ -69,7 +70,8 @@
 	return ok && sp.maxLoss(without(next, v.ID)) < sp.maxLoss(voters)
 }
 
-// surplus returns a voter of the data centre that holds most of them, other than keep.
+// removalCandidate returns a voter, other than keep, of the data centre with the most voters. It returns
+// false if no data centre has more than one.
 func (sp voterPlacement) removalCandidate(voters []consensus.Peer, keep consensus.NodeID) (consensus.Peer, bool) {
 	counts := sp.counts(voters)
 	best, most := consensus.Peer{}, 0
@@ -81,8 +83,8 @@
 	return best, most > 1
 }
 
-// best returns the process that should vote next: of those that offer themselves, one whose
-// data centre has the fewest members.
+// bestCandidate returns the offered process that should become a voter next: one whose data centre has the
+// fewest members.
 func (sp voterPlacement) bestCandidate(m consensus.Membership, offers []consensus.Peer) (consensus.Peer, bool) {
 	counts := sp.counts(m.All())
 	best, found, least := consensus.Peer{}, false, 0
@@ -97,10 +99,10 @@
 	return best, found
 }
 
-// warning says that the losses are not borne, where they are not; empty where they are.
+// warning returns a text if the voters do not tolerate the failures in the settings, else an empty string.
 func (sp voterPlacement) warning(voters []consensus.Peer) string {
 	if !sp.lossBreaksQuorum(voters) {
 		return ""
 	}
-	return fmt.Sprintf("the loss of %d data centres would take %d of %d voters, and no process elsewhere offers itself", sp.losses, sp.maxLoss(voters), len(voters))
+	return fmt.Sprintf("the failure of %d data centres would take %d of %d voters, and no process in another data centre is available", sp.losses, sp.maxLoss(voters), len(voters))
 }
--- a/node/control/probe.go
+++ b/node/control/probe.go
@@ -12,42 +12,43 @@
 )
 
 const (
-	// pulseSilence is how long a question may stay unanswered until its process counts as
-	// lost, where no other did lately. Above a pause of a collector and a lost packet's first repeat, 200 ms.
+	// baseProbeTimeout is how long a probe may stay unanswered before its process is considered failed, if
+	// none was recently. It is above a garbage collection pause and the first retransmission of a lost packet
+	// (200 ms).
 	baseProbeTimeout = 250 * time.Millisecond
-	// pulseDoubt is how long one may stay unanswered until the next goes over another
-	// connection: one that is open may have gone silent without its process.
+	// probeReconnectAfter is how long a probe may stay unanswered before the next one uses a new connection:
+	// the connection may be dead while the process is alive.
 	probeReconnectAfter = baseProbeTimeout / 2
-	// pulseFailures in a row that come at once, as from an address where nobody listens,
-	// make a process count as lost: a single one may be a connection that was reset.
+	// maxProbeFailures is the number of consecutive immediate failures, such as refused connections, after
+	// which a process is considered failed. A single one may be a connection reset.
 	maxProbeFailures = 2
-	// pulseTimeout ends a question that nobody waits for any more.
+	// probeCallTimeout ends the call of a probe whose answer is no longer needed.
 	probeCallTimeout = 2 * time.Second
 )
 
-// pulse finds out whether a process lives. It asks on whether or not the questions before
-// were answered, so that a silence is noticed pulseSilence after it began, and not after
-// the time limits of questions that follow each other.
+// livenessProbe detects whether a process is alive. It sends probes without waiting for earlier answers, so
+// that a failure is detected baseProbeTimeout after it occurred, rather than after the timeouts of
+// consecutive calls.
 type livenessProbe struct {
 	clock   clockwork.Clock
 	address string
 	connect func() probeClient
-	timeout time.Duration // after which a silence counts as a loss
+	timeout time.Duration // a process that answers no probe for this long is considered failed
 
 	mu       sync.Mutex
 	client   probeClient
-	pending  []time.Time // when the questions were asked that no answer has come after
-	failures int         // in a row
-	err      error       // of the last one
+	pending  []time.Time // send times of the probes that neither they nor a later one got an answer to
+	failures int         // consecutive
+	err      error       // of the last failure; nil after an answer
 }
 
-// pulseClient asks over one connection.
+// probeClient sends probes over one connection.
 type probeClient interface {
 	ping(context.Context) error
 	Close()
 }
 
-// pingClient asks by pings.
+// peerProbeClient probes with the peer protocol's ping.
 type peerProbeClient struct{ *peer.Client }
 
 func (c peerProbeClient) ping(ctx context.Context) error {
@@ -58,7 +59,7 @@
 	return &livenessProbe{clock: clock, address: address, connect: connect, client: connect(), timeout: baseProbeTimeout}
 }
 
-// beat asks once more, without waiting for the answer.
+// send sends a probe without waiting for the answer.
 func (p *livenessProbe) send(ctx context.Context) {
 	at := p.clock.Now()
 	p.mu.Lock()
@@ -76,8 +77,7 @@
 	}()
 }
 
-// note takes in how a question ended. A failure over a connection that was given up says
-// nothing.
+// recordResult records the result of a probe. Failures on a connection that was replaced are ignored.
 func (p *livenessProbe) recordResult(client probeClient, at time.Time, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,15 +91,15 @@
 	}
 }
 
-// lost reports whether the process counts as lost.
+// failed reports whether the process is considered failed.
 func (p *livenessProbe) failed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failures >= maxProbeFailures || len(p.pending) > 0 && p.clock.Since(p.pending[0]) > p.timeout
 }
 
-// silence says for how long no question was answered, and how the last one failed; the error
-// is nil where none has.
+// oldestUnanswered returns the age of the oldest unanswered probe, and the last failure, or nil if there was
+// none.
 func (p *livenessProbe) oldestUnanswered() (time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +109,7 @@
 	return p.clock.Since(p.pending[0]), p.err
 }
 
-// restart forgets what was asked before: this process has not listened itself.
+// reset discards earlier probes, after this process was stalled and may have missed answers.
 func (p *livenessProbe) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/control/probe_backoff.go
+++ b/node/control/probe_backoff.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// suspicionMemory is for how long a silence that was taken for a loss makes the next one wait longer.
+	// backoffWindow is how long a probe timeout lengthens the following ones.
 	backoffWindow = 10 * time.Second
-	// mostDoublings bounds that.
+	// maxBackoffDoublings limits the timeout to baseProbeTimeout << maxBackoffDoublings.
 	maxBackoffDoublings = 3
 )
 
-// suspicions are the silences that were lately taken for losses. An owner that has more work than it can do does
-// not answer either, and its work goes to the next: replaced as soon, each would be replaced in turn, and what it
-// had under way be lost. So patience doubles with each (exponential back-off); a process of which the system knows that
-// it is gone, since nobody listens there, is replaced at once all the same.
+// probeBackoff doubles the probe timeout after each recent one (exponential back-off). An overloaded owner
+// does not answer in time either, and its load moves to its successor: with a constant timeout, owners would
+// be replaced one after the other, each losing its work in progress. A process that is known to have ended,
+// because its port refuses connections, is still replaced immediately.
 type probeBackoff struct{ timeouts []time.Time }
 
-// note notes that a silence was taken for a loss.
+// add records a probe timeout.
 func (s *probeBackoff) add(now time.Time) { s.timeouts = append(s.timeouts, now) }
 
-// patience is how long the next silence may last.
+// timeout returns the probe timeout to use now.
 func (s *probeBackoff) timeout(now time.Time) time.Duration {
 	s.timeouts = slices.DeleteFunc(s.timeouts, func(at time.Time) bool { return now.Sub(at) > backoffWindow })
 	return baseProbeTimeout << min(len(s.timeouts), maxBackoffDoublings)
--- a/node/control/puts.go
+++ b/node/control/puts.go
@@ -14,20 +14,20 @@
 	"caperdrum.org/node/state"
 )
 
-// putLimit bounds how long a change may be under way after its sender has left: twice
-// the time in which operators expect their acknowledgement (5 s).
+// putTimeout limits how long a change continues after its sender has disconnected: twice the time in which
+// operators expect an acknowledgement (5 s).
 const putTimeout = 10 * time.Second
 
-// puts are the changes of the text that are under way at this leader, by version. A
-// change that is sent again meanwhile waits for the first: operators resend what is
-// not acknowledged in time, and each one would go into the log once more.
+// pendingPuts holds the configuration changes in progress at this leader, by version. Operators resend
+// changes that are not acknowledged in time. A resend waits for the change in progress, since it would
+// otherwise be appended to the log again.
 type pendingPuts struct {
 	mu        sync.Mutex
 	byVersion map[uint64]*pendingPut
-	lastValid *optext.Config // the text that was checked last
+	lastValid *optext.Config // the text validated last
 }
 
-// check reads a text, or reports what is wrong with it. It decodes what differs from the last one.
+// check parses and validates a text. It decodes only what differs from the text validated before.
 func (p *pendingPuts) check(text string) (*optext.Config, error) {
 	p.mu.Lock()
 	last := p.lastValid
@@ -42,7 +42,7 @@
 	return next, nil
 }
 
-// underWay is one change. Its result is valid once done is closed.
+// pendingPut is one change. Its result is valid once done is closed.
 type pendingPut struct {
 	hash   uint64
 	done   chan struct{}
@@ -50,8 +50,8 @@
 	err    error
 }
 
-// run makes the change, unless it is under way already, and returns its result. It
-// goes on when ctx ends first, for the next one that sends it.
+// run makes the change, unless it is already in progress, and returns its result. The change continues if ctx
+// ends first, so that a resend can get the result.
 func (p *pendingPuts) run(ctx context.Context, req *wire.PutRequest, change func(ctx context.Context) (*wire.PutResult, error)) (*wire.PutResult, error) {
 	u, first := p.join(req)
 	if first {
@@ -70,8 +70,8 @@
 	}
 }
 
-// join returns the change under way, or begins one. Another text under the same
-// version stands by itself: it comes too late, or comes first.
+// join returns the change in progress, or registers a new one. A different text with the same version is
+// processed separately, and the one committed first takes effect.
 func (p *pendingPuts) join(req *wire.PutRequest) (u *pendingPut, first bool) {
 	hash := xxhash.Sum64String(req.Text)
 	p.mu.Lock()
@@ -98,13 +98,13 @@
 	close(u.done)
 }
 
-// put replaces the text. It is acknowledged only while as many voters hold it
-// as the settings want for the losses to be borne.
+// putConfig replaces the configuration text. It is acknowledged only if the number of voters satisfies the
+// losses that the settings must tolerate.
 func (s *Service) putConfig(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
-	// What is in force stays: a version that is not above it changes nothing.
+	// A version that is not above the one in force changes nothing.
 	if v := s.cluster.View().Config.Version; v >= req.Version && s.enoughVoters() {
 		s.log.Info("change accepted", "version", req.Version, "bytes", len(req.Text), "applied", false, "in_force", v)
 		return &wire.PutResult{Version: v}, nil
@@ -112,8 +112,8 @@
 	return s.puts.run(ctx, req, func(ctx context.Context) (*wire.PutResult, error) { return s.validateAndPut(ctx, req) })
 }
 
-// enoughVoters reports whether the losses that the settings name are borne, as far as the
-// control processes that are there allow it.
+// enoughVoters reports whether the losses in the settings are tolerated, as far as the available control
+// processes allow it.
 func (s *Service) enoughVoters() bool {
 	m := s.cluster.Status().Membership
 	if len(m.Voters) < s.minVoters() {
@@ -139,24 +139,24 @@
 	parsed := s.clock.Since(began)
 	if !s.enoughVoters() {
 		s.log.Info("change refused", "reason", "too few voters", "voters", len(s.cluster.Status().Membership.Voters), "want", s.minVoters(), "version", req.Version)
-		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined yet")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined the cluster")
 	}
 	result, err := s.proposePut(ctx, req)
 	if err != nil {
-		s.log.Info("change not confirmed", "version", req.Version, "bytes", len(req.Text), "parsed", parsed, "took", s.clock.Since(began), "error", err.Error())
+		s.log.Info("change not committed", "version", req.Version, "bytes", len(req.Text), "parsed", parsed, "took", s.clock.Since(began), "error", err.Error())
 		return nil, s.leaderError(err)
 	}
 	s.log.Info("change accepted", "version", req.Version, "bytes", len(req.Text), "parsed", parsed, "took", s.clock.Since(began), "applied", result.Applied, "in_force", result.Version)
 	return result, nil
 }
 
-// CheckRegions reports regions that a text names and that are not known.
+// CheckRegions returns an error if the text names unknown regions.
 func (s *Service) CheckRegions(c *optext.Config) error {
 	return residency.RegionsOf(s.set.Node.RegionsOfDataCenters(), c).Check(c)
 }
 
-// commit proposes the change as the difference to the text in force. Another change
-// may come first; then the difference is made anew.
+// proposePut proposes the change as a delta to the text in force. If another change is committed first, it
+// computes the delta again.
 func (s *Service) proposePut(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
 	for {
 		cmd := state.Command{PutDelta: s.cluster.View().Texts.To(req.Version, req.Text)}
--- a/node/control/quarantine.go
+++ b/node/control/quarantine.go
@@ -9,17 +9,17 @@
 	"caperdrum.org/node/state"
 )
 
-// MethodCrashes takes over what a process has seen of calls that end upstreams.
+// MethodCrashes reports calls under which upstreams crashed.
 const MethodCrashes = "control.crashes"
 
-// crashes returns once a quorum holds the report: what is barred outlives the processes.
+// crashes returns once a quorum has stored the report, so that barred calls stay barred when processes fail.
 func (s *Service) crashes(ctx context.Context, report *wire.CrashReport) (*Empty, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
 	res, err := s.cluster.Propose(ctx, state.Command{Crashes: report})
 	if err != nil {
-		s.log.Info("report of crashes not confirmed", "crashes", len(report.Crashes), "answered", len(report.Answered), "error", err.Error())
+		s.log.Info("crash report not committed", "crashes", len(report.Crashes), "answered", len(report.Answered), "error", err.Error())
 		return nil, s.leaderError(err)
 	}
 	s.logQuarantine(res.Quarantine)
@@ -40,7 +40,7 @@
 	}
 }
 
-// LiftBar ends the quarantine of a call and forgets what it was accused of.
+// LiftBar ends the quarantine of a call and deletes the evidence against it.
 func (s *Service) LiftBar(ctx context.Context, f wire.Fingerprint) error {
 	if !s.cluster.IsLeader() {
 		return s.notLeader()
@@ -50,11 +50,11 @@
 		return s.leaderError(err)
 	}
 	if len(res.Quarantine.Lifted) == 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no call with fingerprint %q is in quarantine", f)
+		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no call with fingerprint %q is quarantined", f)
 	}
 	s.logQuarantine(res.Quarantine)
 	return nil
 }
 
-// Quarantine returns what this process knows of calls that end upstreams.
+// Quarantine returns the suspected and quarantined calls that this process has applied.
 func (s *Service) Quarantine() []wire.QuarantineEntry { return s.cluster.View().Quarantine }
--- a/node/control/repair.go
+++ b/node/control/repair.go
@@ -16,26 +16,25 @@
 	"caperdrum.org/node/state"
 )
 
-// repair lets the leader keep the wanted number of voters: it adds control
-// processes as learners, promotes those that caught up, and removes voters
-// that stay silent once a replacement votes.
+// repair runs on the leader and maintains the configured number of voters: it adds control processes as
+// learners, promotes learners that have caught up, and removes silent voters once their replacements vote.
 type repair struct {
 	s          *Service
 	lastActive map[consensus.NodeID]time.Time
 	status     atomic.Pointer[string]
 	offers     offers
 
-	term, committed uint64 // at the last step
-	noopFor         string // term and membership that an entry follows
+	term, committed uint64 // at the previous step
+	noopFor         string // term and membership after which a no-op entry was committed
 }
 
 const (
 	repairInterval = 500 * time.Millisecond
 	confirmTimeout = time.Second
-	// elasticInterval is shorter: three steps must fit into the time between
-	// two losses, the first of which took a disk.
+	// selfFormingInterval is shorter, since three steps must fit between two losses, the first of which took
+	// a disk.
 	selfFormingInterval = 200 * time.Millisecond
-	voterTimeout        = 5 * time.Second // a voter silent for this long is replaced
+	voterTimeout        = 5 * time.Second // a voter that is silent for longer is replaced
 	maxPromoteLag       = 64              // entries by which a learner may lag when it is promoted
 )
 
@@ -47,7 +46,7 @@
 
 func (r *repair) setStatus(s string) { r.status.Store(&s) }
 
-// Report says what repair waits for; empty when the voter set is whole.
+// Report returns what repair is waiting for. It is empty if the voter set is complete.
 func (r *repair) Report() string { return *r.status.Load() }
 
 func (r *repair) run(ctx context.Context) {
@@ -69,7 +68,7 @@
 			continue
 		}
 		if err := r.step(ctx); err != nil {
-			r.s.log.V(logging.Detail).Info("repair waits", "error", err.Error())
+			r.s.log.V(logging.Detail).Info("repair step failed", "error", err.Error())
 		}
 	}
 }
@@ -79,7 +78,7 @@
 	r.trackActivity(status)
 	need := r.requiredIndex(status)
 	if status.MembershipPending {
-		r.setStatus("a change of the voters is under way")
+		r.setStatus("a membership change is in progress")
 		return nil
 	}
 	if err := r.commitNoop(ctx, status); err != nil {
@@ -100,11 +99,10 @@
 	return errors.Trace(err)
 }
 
-// confirm lets an entry follow each change of the membership. Replicas store how
-// far the log is committed with their next entries only, and use a membership once
-// they know that it is committed. Without an entry behind it, voters that all
-// restart right after the change would still need the votes of the voters before,
-// one of which may have lost its folder.
+// commitNoop commits an empty entry after each membership change. Replicas persist the commit index only
+// together with later entries, and use a membership once they know that it is committed. Without a later
+// entry, voters that all restart right after the change would still need votes of the previous voters, one of
+// which may have lost its data folder.
 func (r *repair) commitNoop(ctx context.Context, status consensus.Status) error {
 	voters := fmt.Sprint(status.Term, status.Membership)
 	if r.noopFor == voters {
@@ -127,8 +125,8 @@
 	return plan(status, r.findSpares(ctx, status), r.silentVoters(), c.Voters, need)
 }
 
-// need returns the entry that a whole voter holds: the last one committed a
-// step ago, as entries of the last moments may be under way.
+// requiredIndex returns the index up to which an up-to-date voter holds the log: the commit index at the
+// previous step, since more recent entries may still be in transit.
 func (r *repair) requiredIndex(status consensus.Status) uint64 {
 	need := r.committed
 	if r.term != status.Term {
@@ -138,8 +136,7 @@
 	return need
 }
 
-// noteSilence tracks since when each other replica's log has stood still
-// without an answer.
+// trackActivity records when each replica was last active: when it answered.
 func (r *repair) trackActivity(status consensus.Status) {
 	now := time.Now()
 	for id, pr := range status.Progress {
@@ -164,8 +161,8 @@
 	return out
 }
 
-// findSpares asks the listed control processes that are not working members
-// who they are, all at once: those that are dead answer nothing.
+// findSpares asks the configured control processes that are not live members for their identity, in parallel,
+// since dead ones do not answer.
 func (r *repair) findSpares(ctx context.Context, status consensus.Status) []consensus.Peer {
 	if countLive(status, r.silentVoters()) >= r.s.set.Control.Voters {
 		return nil
@@ -214,16 +211,15 @@
 	return id.Peer, nil
 }
 
-// plan returns the next membership, or nil, and what repair waits for: nothing
-// only when the wanted number of voters work and hold every entry up to need,
-// with no other member. Each step changes at most one voter. A voter is removed
-// only when there are more than wanted and all that work are whole, so that the
-// number of synced copies among the wanted voters never falls.
+// plan returns the next membership, or nil, and what repair is waiting for. The latter is empty only if there
+// are exactly want live voters that hold every entry up to need, and no other member. Each step changes at
+// most one voter. A voter is removed only if there are more than want and all live ones are up to date, so
+// that the number of synced copies among the wanted voters never decreases.
 func plan(st consensus.Status, spares []consensus.Peer, silent map[consensus.NodeID]bool, want int, need uint64) (*consensus.Membership, string) {
 	m := st.Membership
 	for _, l := range m.Learners {
 		if silent[l.ID] {
-			return dropLearner(m, l.ID), fmt.Sprintf("learner %s is silent: removing it", l.ID)
+			return dropLearner(m, l.ID), fmt.Sprintf("learner %s does not answer: removing it", l.ID)
 		}
 	}
 	if len(m.Voters) > want {
@@ -234,7 +230,7 @@
 	}
 	if len(m.Learners) > 0 {
 		id := m.Learners[0].ID
-		return dropLearner(m, id), fmt.Sprintf("%d voters work: removing learner %s, which is not needed", want, id)
+		return dropLearner(m, id), fmt.Sprintf("%d voters are live: removing surplus learner %s", want, id)
 	}
 	return nil, laggingVoter(st, silent, need)
 }
@@ -249,21 +245,20 @@
 	return working
 }
 
-// missing names a voter that is not silent and lacks entries up to need; empty
-// when there is none.
+// laggingVoter describes a voter that is not silent and lacks entries up to need. It returns an empty string
+// if there is none.
 func laggingVoter(st consensus.Status, silent map[consensus.NodeID]bool, need uint64) string {
 	for _, v := range st.Membership.Voters {
 		match := st.Progress[v.ID].Match
 		if v.ID != st.ID && !silent[v.ID] && match < need {
-			return fmt.Sprintf("voter %s holds entries up to %d, not yet %d", v.ID, match, need)
+			return fmt.Sprintf("voter %s holds entries up to %d of %d", v.ID, match, need)
 		}
 	}
 	return ""
 }
 
-// removeVoter brings a voter set that is too large down: a silent voter goes
-// first, else the one that holds the least, the newest of equals, once all
-// answer.
+// removeVoter reduces a voter set that is too large. It removes a silent voter first. If there is none, and
+// all voters answer, it removes the one that holds the fewest entries; of equals, the one added last.
 func removeVoter(st consensus.Status, silent map[consensus.NodeID]bool, want int, need uint64) (*consensus.Membership, string) {
 	m := st.Membership
 	if why := laggingVoter(st, silent, need); why != "" {
@@ -276,7 +271,7 @@
 			continue
 		}
 		if silent[v.ID] {
-			return dropVoter(m, v.ID), fmt.Sprintf("voter %s is silent and replaced: removing it", v.ID)
+			return dropVoter(m, v.ID), fmt.Sprintf("voter %s does not answer and has been replaced: removing it", v.ID)
 		}
 		if !st.Progress[v.ID].Active {
 			idle = string(v.ID)
@@ -286,29 +281,28 @@
 		}
 	}
 	if idle != "" || last == nil {
-		return nil, fmt.Sprintf("%d voters for %d: waiting to hear from %s", len(m.Voters), want, idle)
+		return nil, fmt.Sprintf("%d voters instead of %d: waiting for an answer from %s", len(m.Voters), want, idle)
 	}
-	return dropVoter(m, last.ID), fmt.Sprintf("%d voters for %d: removing %s", len(m.Voters), want, last.ID)
+	return dropVoter(m, last.ID), fmt.Sprintf("%d voters instead of %d: removing %s", len(m.Voters), want, last.ID)
 }
 
-// addVoter promotes a learner that caught up and was heard from lately, or adds
-// a spare as a learner.
+// addVoter promotes a learner that has caught up and was recently active, or adds a spare as a learner.
 func addVoter(st consensus.Status, spares []consensus.Peer, working, want int) (*consensus.Membership, string) {
 	m := st.Membership
 	for _, l := range m.Learners {
 		pr := st.Progress[l.ID]
 		if pr.Active && pr.Match+maxPromoteLag >= st.Last && pr.Match >= st.SnapshotIndex {
-			return promote(m, l), fmt.Sprintf("learner %s caught up: promoting it", l.ID)
+			return promote(m, l), fmt.Sprintf("learner %s has caught up: promoting it", l.ID)
 		}
 	}
 	if len(m.Learners) > 0 {
-		return nil, fmt.Sprintf("%d of %d voters work: a learner is catching up", working, want)
+		return nil, fmt.Sprintf("%d of %d voters are live: a learner is catching up", working, want)
 	}
 	if len(spares) == 0 {
-		return nil, fmt.Sprintf("%d of %d voters work: no spare control process answers", working, want)
+		return nil, fmt.Sprintf("%d of %d voters are live: no spare control process answers", working, want)
 	}
 	next := consensus.Membership{Voters: m.Voters, Learners: append(append([]consensus.Peer(nil), m.Learners...), spares[0])}
-	return &next, fmt.Sprintf("%d of %d voters work: adding %s as a learner", working, want, spares[0].ID)
+	return &next, fmt.Sprintf("%d of %d voters are live: adding %s as a learner", working, want, spares[0].ID)
 }
 
 func promote(m consensus.Membership, l consensus.Peer) *consensus.Membership {
--- a/node/control/rollout.go
+++ b/node/control/rollout.go
@@ -14,21 +14,21 @@
 	"caperdrum.org/node/state"
 )
 
-// Methods of roll-outs.
+// RPC methods of roll-outs.
 const (
 	MethodStartRollout  = "control.rollout_start"
 	MethodRollout       = "control.rollout"
 	MethodReportRollout = "control.rollout_report"
 )
 
-// MaxRolloutSpan bounds how long a roll-out may take.
+// MaxRolloutSpan limits the duration of a roll-out.
 const MaxRolloutSpan = 24 * time.Hour
 
-// rolloutInterval is how often the leader looks whether a running roll-out goes on.
+// rolloutInterval is how often the leader evaluates running roll-outs.
 const rolloutInterval = 100 * time.Millisecond
 
-// rollouts are what the leader has heard of running roll-outs. A new leader begins with
-// nothing; the processes report all that they have counted.
+// rolloutTracker collects the counts of running roll-outs on the leader. A new leader starts without any,
+// since processes always report all of their counts.
 type rolloutTracker struct {
 	mu        sync.Mutex
 	byService map[string]*trackedRollout // by service
@@ -38,11 +38,11 @@
 	order       uint64
 	judge       *rollout.Judge
 	ends        time.Time // by this process's clock
-	startedLate bool      // the span was over, or nearly so, when this process began to listen
+	startedLate bool      // tracking began when the span was over or nearly so
 }
 
-// StartRollout carries out an order, and returns once a quorum holds it. An order for what runs
-// already joins it.
+// StartRollout commits an order to start a roll-out, and returns once a quorum has stored it. An order that
+// equals the running roll-out joins it.
 func (s *Service) StartRollout(ctx context.Context, o *wire.RolloutOrder) (*wire.RolloutResult, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
@@ -53,14 +53,14 @@
 	}
 	res, err := s.cluster.Propose(ctx, state.Command{StartRollout: o})
 	if err != nil {
-		s.log.Info("roll-out not confirmed", "service", o.Service, "target", o.Target, "error", err.Error())
+		s.log.Info("roll-out not committed", "service", o.Service, "target", o.Target, "error", err.Error())
 		return nil, s.leaderError(err)
 	}
 	r := res.Rollout
-	s.log.Info("roll-out ordered", "service", o.Service, "target", o.Target, "span", o.Span, "author", o.Author, "base", o.Base,
+	s.log.Info("roll-out order committed", "service", o.Service, "target", o.Target, "span", o.Span, "author", o.Author, "base", o.Base,
 		"revision", r.Rollout.Revision, "changed", r.Changed, "refusal", r.Refusal, "replaced", r.Rollout.Replaced)
 	if r.Refusal != wire.RolloutAccepted {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeConflict, "service %s: the roll-out to version %s is %s, revision %d", o.Service, r.Rollout.Target, r.Rollout.State, r.Rollout.Revision)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeConflict, "service %s: conflicting roll-out to version %s is %s at revision %d", o.Service, r.Rollout.Target, r.Rollout.State, r.Rollout.Revision)
 	}
 	if r.Changed {
 		s.ring.Record(timeline.Event{Kind: "rollout-started", Detail: o.Service + " to " + o.Target})
@@ -75,28 +75,28 @@
 	}
 	config, err := s.puts.check(v.Config.Text)
 	if err != nil {
-		return err // an accepted text is valid
+		return err // cannot happen: a committed text is valid
 	}
 	return CheckRollout(config, o)
 }
 
-// CheckRollout reports what is wrong with an order.
+// CheckRollout validates an order against the configuration.
 func CheckRollout(c *optext.Config, o *wire.RolloutOrder) error {
 	service := c.Services[o.Service]
 	switch {
 	case service == nil:
 		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no service %q is configured", o.Service)
 	case service.Upstreams != optext.Announced:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the upstreams of service %s do not announce themselves, so their versions are not known", o.Service)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the upstreams of service %s are not announced, so their versions are unknown", o.Service)
 	case o.Target == "":
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the order names no target version")
+		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the order lacks a target version")
 	case o.Span <= 0 || o.Span > MaxRolloutSpan:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "a span of %s is not above zero and at most %s", o.Span, MaxRolloutSpan)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "invalid span %s: it must be above zero and at most %s", o.Span, MaxRolloutSpan)
 	}
 	return nil
 }
 
-// AbortRollout rolls a running roll-out back.
+// AbortRollout rolls back a running roll-out.
 func (s *Service) AbortRollout(ctx context.Context, service, author string) (*wire.RolloutResult, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
@@ -108,27 +108,27 @@
 	return s.proposeRolloutStep(ctx, &wire.RolloutStep{Service: service, Base: current.Revision, State: wire.RolloutRolledBack, Reason: "aborted by " + author})
 }
 
-// RolloutRead names the service whose roll-out is read.
+// RolloutRead is a request for the roll-out of a service.
 type RolloutRead struct {
 	Service string `json:"service"`
 }
 
-// rollout reads a service's roll-out with a quorum's confirmation.
+// rollout is a linearizable read of a service's roll-out.
 func (s *Service) rollout(ctx context.Context, q *RolloutRead) (*wire.Rollout, error) {
 	if err := s.replica.ReadBarrier(ctx); err != nil {
 		return nil, s.leaderError(err)
 	}
 	r := s.cluster.View().Rollouts.Of(q.Service)
 	if r.Order == 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnknown, "there was no roll-out of service %q", q.Service)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeUnknown, "service %q has had no roll-out", q.Service)
 	}
 	return &r, nil
 }
 
-// Rollouts returns what this process knows of roll-outs.
+// Rollouts returns the roll-outs that this process has applied.
 func (s *Service) Rollouts() wire.Rollouts { return s.cluster.View().Rollouts }
 
-// reportRollout takes in what a process has counted.
+// reportRollout adds a process's counts to the running roll-outs.
 func (s *Service) reportRollout(_ context.Context, report *wire.RolloutReport) (*Empty, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
@@ -144,7 +144,7 @@
 	return &Empty{}, nil
 }
 
-// of returns what is known of a running roll-out.
+// progress returns the state of a running roll-out, which it creates if needed.
 func (l *rolloutTracker) progress(r wire.Rollout, v *state.View, now time.Time) *trackedRollout {
 	j := l.byService[r.Service]
 	if j == nil || j.order != r.Order {
@@ -159,7 +159,7 @@
 	return j
 }
 
-// rolloutRun lets the leader decide about running roll-outs.
+// runRollouts lets the leader advance running roll-outs.
 func (s *Service) runRollouts(ctx context.Context) {
 	periodic.Run(ctx, s.clock, rolloutInterval, func() {
 		view := s.cluster.View()
@@ -175,14 +175,14 @@
 	})
 }
 
-// forget drops what was heard: the next leader, or the next roll-out, begins anew.
+// reset discards all counts. Processes report them again to the next leader.
 func (l *rolloutTracker) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.byService = nil
 }
 
-// decideRollout returns the next decision about a roll-out, or nil.
+// nextRolloutStep returns the next step of a roll-out, or nil.
 func (s *Service) nextRolloutStep(r wire.Rollout, view *state.View) *wire.RolloutStep {
 	if !r.Running() {
 		return nil
@@ -196,7 +196,7 @@
 		countUpstreams(r, view.Members), rollout.Limits{Share: s.set.Control.RolloutShare})
 }
 
-// reporters counts the processes that report what they count.
+// reporters counts the processes that report counts.
 func reporters(members map[wire.MemberID]wire.Member) int {
 	n := 0
 	for _, m := range members {
@@ -207,7 +207,7 @@
 	return n
 }
 
-// upstreamsOf counts the upstreams of both sides of a roll-out.
+// countUpstreams counts the upstreams with the target version and those with other versions.
 func countUpstreams(r wire.Rollout, members map[wire.MemberID]wire.Member) rollout.Upstreams {
 	var up rollout.Upstreams
 	for _, m := range members {
@@ -222,12 +222,12 @@
 	return up
 }
 
-// takeStep proposes a decision. One that is not confirmed is made anew.
+// applyRolloutStep proposes a step. A step that fails to commit is computed again.
 func (s *Service) applyRolloutStep(ctx context.Context, step *wire.RolloutStep) {
 	ctx, cancel := context.WithTimeout(ctx, stallThreshold/2)
 	defer cancel()
 	if _, err := s.proposeRolloutStep(ctx, step); err != nil {
-		s.log.Info("decision about a roll-out not confirmed", "service", step.Service, "state", step.State, "error", err.Error())
+		s.log.Info("roll-out step not committed", "service", step.Service, "state", step.State, "error", err.Error())
 	}
 }
 
@@ -238,9 +238,9 @@
 	}
 	r := res.Rollout
 	if r.Refusal != wire.RolloutAccepted {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeConflict, "the roll-out of service %s has moved on to revision %d", step.Service, r.Rollout.Revision)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeConflict, "the roll-out of service %s has changed: it is at revision %d", step.Service, r.Rollout.Revision)
 	}
-	s.log.Info("roll-out decided", "service", step.Service, "target", r.Rollout.Target, "state", r.Rollout.State, "share", r.Rollout.Share, "revision", r.Rollout.Revision, "reason", step.Reason)
+	s.log.Info("roll-out step committed", "service", step.Service, "target", r.Rollout.Target, "state", r.Rollout.State, "share", r.Rollout.Share, "revision", r.Rollout.Revision, "reason", step.Reason)
 	s.ring.Record(timeline.Event{Kind: timeline.Kind("rollout-" + r.Rollout.State), Detail: step.Service + " to " + r.Rollout.Target + ": " + step.Reason})
 	return r, nil
 }
--- a/node/control/seeds.go
+++ b/node/control/seeds.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	// tellInterval bounds how long a process without a disk does not know the
-	// voters after all processes have lost their memory.
+	// notifySeedsInterval limits how long a process without a disk does not know the voters after all
+	// processes have restarted.
 	notifySeedsInterval = 500 * time.Millisecond
 	notifySeedTimeout   = 400 * time.Millisecond
 )
 
-// tellRun lets the leader tell the seeds where the voters listen. Seeds may be
-// processes that have no disk, and after a loss of power nobody else could tell
-// the others.
+// runSeedNotifier lets the leader send the voters' addresses to the seeds. Seeds may be processes without
+// disks, which forget the addresses in a power failure. Other processes ask the seeds for them.
 func (s *Service) runSeedNotifier(ctx context.Context) {
 	clients := map[string]*peer.Client{}
 	defer func() {
@@ -59,6 +58,6 @@
 	ctx, cancel := context.WithTimeout(ctx, notifySeedTimeout)
 	defer cancel()
 	if err := c.Call(ctx, peer.MethodTell, peer.Where{Control: voters}, nil); err != nil {
-		s.log.V(logging.Detail).Info("seed not told of the voters", "address", c.Address(), "error", err.Error())
+		s.log.V(logging.Detail).Info("failed to send the voters' addresses to a seed", "address", c.Address(), "error", err.Error())
 	}
 }
--- a/node/control/selfforming.go
+++ b/node/control/selfforming.go
@@ -15,20 +15,19 @@
 
 const (
 	offerInterval = 300 * time.Millisecond
-	// offerLimit is the age up to which an offer counts: its sender repeats it.
+	// offerTTL is the age up to which an offer is valid. Its sender repeats it.
 	offerTTL = 4 * offerInterval
-	// lostAfter is how long a member that hears of no leader waits until it
-	// offers itself, since it may have been removed while it was cut off.
+	// noLeaderTimeout is how long a member does not hear of a leader before it offers to vote, since it may
+	// have been removed during a network partition.
 	noLeaderTimeout = 1500 * time.Millisecond
-	// elasticSilence is how long a voter of a self-forming cluster may be silent
-	// until it is removed. Above the longest election, so that it is not taken
-	// for lost when only the lead changed; well below the time that the users
-	// grant between two losses (4 s today).
+	// selfFormingVoterTimeout is how long a voter of a self-forming cluster may be silent before it is
+	// removed. It is above the longest election, so that a leader change does not look like a failure, and
+	// well below the time that operators allow between two losses (4 s).
 	selfFormingVoterTimeout = 2500 * time.Millisecond
 )
 
-// offers are the control processes that lately asked to vote, by address: a
-// process whose folder was lost comes back at its address as another replica.
+// offers holds the control processes that recently offered to vote, by address: a process that lost its data
+// folder returns at the same address as a new replica.
 type offers struct {
 	mu        sync.Mutex
 	byAddress map[string]timedOffer
@@ -48,8 +47,7 @@
 	o.byAddress[p.Address] = timedOffer{p, now}
 }
 
-// fresh returns the offers that still count, sorted by identity, and forgets
-// the others.
+// fresh returns the valid offers, sorted by ID, and deletes the expired ones.
 func (o *offers) fresh(now time.Time) []consensus.Peer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -75,8 +73,8 @@
 	return 0
 }
 
-// offerRun lets a control process of a self-forming cluster ask for a vote
-// while it has none, or while it hears of no leader.
+// runOffers lets a control process of a self-forming cluster offer to vote while it is not a voter, or while
+// it does not hear of a leader.
 func (s *Service) runOffers(ctx context.Context) {
 	control := peer.NewDirectoryControl(s.directory, s.transport.dial)
 	defer control.Close()
@@ -88,7 +86,7 @@
 		err := control.CallLeader(call, MethodOffer, Identity{Name: s.set.Node.Name, Peer: s.replica.Self()}, nil)
 		cancel()
 		if err != nil {
-			s.log.V(logging.Detail).Info("offer not taken", "error", err.Error())
+			s.log.V(logging.Detail).Info("offer not accepted", "error", err.Error())
 		}
 	})
 }
@@ -105,35 +103,35 @@
 	return !s.cluster.IsLeader() && (age < 0 || age > noLeaderTimeout)
 }
 
-// planElastic returns the next membership of a self-forming cluster, or nil.
-// Every process that offers itself votes, up to most, the data centres with the fewest
-// voters first. A voter that is dead or silent is removed as long as least voters stay, so
-// that the loss of another one is borne again. Where the loss of data centres would take
-// half of the voters, one of another data centre takes the place of one there.
+// planSelfForming returns the next membership of a self-forming cluster, or nil, and the reason. Processes
+// that offer to vote become voters, up to most; those in the data centres with the fewest members come first.
+// A failed voter is removed if at least least voters remain, so that another loss is tolerated. If the
+// failure of data centres would take half of the voters, a process of another data centre replaces a voter
+// there.
 func planSelfForming(st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool, least, most int, sp voterPlacement) (*consensus.Membership, string) {
 	m := st.Membership
 	gone := failedMembers(st, offers, silent)
 	for _, l := range m.Learners {
 		if gone[l.ID] {
-			return dropLearner(m, l.ID), fmt.Sprintf("learner %s is gone: removing it", l.ID)
+			return dropLearner(m, l.ID), fmt.Sprintf("learner %s has failed: removing it", l.ID)
 		}
 	}
 	if len(m.Voters) > least {
 		for _, v := range m.Voters {
 			if gone[v.ID] {
-				return dropVoter(m, v.ID), fmt.Sprintf("voter %s is gone: removing it", v.ID)
+				return dropVoter(m, v.ID), fmt.Sprintf("voter %s has failed: removing it", v.ID)
 			}
 		}
 	}
 	for _, l := range m.Learners {
 		pr := st.Progress[l.ID]
 		if pr.Active && pr.Match+maxPromoteLag >= st.Last && pr.Match >= st.SnapshotIndex {
-			return promote(m, l), fmt.Sprintf("learner %s caught up: promoting it", l.ID)
+			return promote(m, l), fmt.Sprintf("learner %s has caught up: promoting it", l.ID)
 		}
 	}
 	if len(m.Voters) > most && len(gone) == 0 {
 		if v, ok := sp.removalCandidate(m.Voters, st.ID); ok {
-			return dropVoter(m, v.ID), fmt.Sprintf("%s holds more voters than may be lost: removing %s", sp.dataCenterOf(v.Address), v.ID)
+			return dropVoter(m, v.ID), fmt.Sprintf("%s contains too many voters: removing %s", sp.dataCenterOf(v.Address), v.ID)
 		}
 	}
 	p, ok := sp.bestCandidate(m, offers)
@@ -147,8 +145,7 @@
 	return nil, sp.warning(m.Voters)
 }
 
-// lost returns the members that are silent, and those whose address another
-// replica has taken.
+// failedMembers returns the members that are silent, and those whose address belongs to another replica now.
 func failedMembers(st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool) map[consensus.NodeID]bool {
 	out := map[consensus.NodeID]bool{}
 	for _, p := range st.Membership.All() {
--- a/node/control/service.go
+++ b/node/control/service.go
@@ -1,5 +1,5 @@
-// Package control is the control role: it runs the replica and answers the
-// other processes' calls for configuration, leases and the ledger.
+// Package control implements the control role. It runs the replica, and serves configuration, leases and the
+// idempotency ledger to the other processes.
 package control
 
 import (
@@ -25,7 +25,7 @@
 	"caperdrum.org/node/settings"
 )
 
-// Methods of the control role.
+// RPC methods of the control role.
 const (
 	MethodSync     = "control.sync"
 	MethodRenew    = "control.renew"
@@ -36,7 +36,7 @@
 	MethodRaft     = "control.raft"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of Service.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
@@ -44,12 +44,12 @@
 	Log      logr.Logger
 	Ring     *timeline.Ring
 	Dial     peer.Dialer
-	// Directory is where other control processes are looked for.
+	// Directory provides the addresses of other control processes. If nil, New creates one from the settings.
 	Directory *peer.Directory `optional:"true"`
 	Security  *security.Store `optional:"true"`
 }
 
-// Service is the control role of one process.
+// Service implements the control role of one process.
 type Service struct {
 	set         *settings.Settings
 	kernel      *kernel.Kernel
@@ -66,9 +66,9 @@
 	rollouts    rolloutTracker
 	replica     *replica.Replica
 	assignments claimAssignments
-	cluster     cluster // the replica, as synchronization and leases see it
+	cluster     cluster // the replica, as synchronization and leases use it
 	directory   *peer.Directory
-	seeds       []string // among which the founder is chosen; nil when this process may not found
+	seeds       []string // candidates for the founder; nil if this process may not create a cluster
 	clock       clockwork.Clock
 	listen      func(address string) (net.Listener, error)
 
@@ -76,7 +76,7 @@
 	stopped chan struct{}
 }
 
-// New opens the data folder and prepares the service.
+// New opens the data folder and creates the service. Start runs it.
 func New(p Params) (*Service, error) {
 	s := &Service{set: p.Settings, kernel: p.Kernel, log: p.Log, secure: p.Security, ring: p.Ring, assignments: claimAssignments{assignedAt: map[wire.AttemptID]time.Time{}}, transport: newTransport(p.Dial, p.Log), server: peer.NewServer(), stopped: make(chan struct{})}
 	fs, err := disk.OpenDir(p.Settings.Node.DataDir)
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// voterAddresses are the peer addresses of the voters that this process knows.
+// voterAddresses returns the peer addresses of the voters known to this process.
 func (s *Service) voterAddresses() []string {
 	var out []string
 	for _, p := range s.cluster.Status().Membership.Voters {
@@ -176,7 +176,7 @@
 	return out
 }
 
-// where tells a process that lost its way where control processes listen.
+// where returns the addresses of the control processes.
 func (s *Service) where(context.Context, *Empty) (*peer.Where, error) {
 	return &peer.Where{Control: s.voterAddresses()}, nil
 }
@@ -190,8 +190,7 @@
 
 const transferTimeout = 500 * time.Millisecond
 
-// Stop implements kernel.Stopper. A leader hands over first, so that nobody
-// waits for an election.
+// Stop implements kernel.Stopper. A leader transfers leadership first, to avoid an election.
 func (s *Service) Stop(ctx context.Context) error {
 	if s.replica.IsLeader() {
 		transferCtx, cancel := context.WithTimeout(ctx, transferTimeout)
@@ -219,7 +218,7 @@
 	Messages []consensus.Message `json:"messages"`
 }
 
-// Empty is a call or an answer without content.
+// Empty is a request or reply without content.
 type Empty = peer.Empty
 
 func (s *Service) raft(_ context.Context, b *RaftBatch) (*Empty, error) {
@@ -228,8 +227,7 @@
 	return &Empty{}, nil
 }
 
-// Identity names a control process's replica, for the leader that wants to add
-// it.
+// Identity is the replica of a control process, for a leader that may add it as a voter.
 type Identity struct {
 	Name string         `json:"name"`
 	Peer consensus.Peer `json:"peer"`
@@ -239,13 +237,13 @@
 	return &Identity{Name: s.set.Node.Name, Peer: s.replica.Self()}, nil
 }
 
-// notLeader returns the error that sends a caller to the leader.
+// notLeader returns an error that redirects the caller to the leader.
 func (s *Service) notLeader() error {
 	l := s.cluster.Leader()
 	return &peer.ErrNotLeader{Leader: wire.MemberID(l.ID), Address: l.Address}
 }
 
-// lead answers only where a quorum confirmed the lead lately.
+// lead succeeds only if this process leads and a quorum has recently confirmed it.
 func (s *Service) lead(context.Context, *Empty) (*Empty, error) {
 	if _, ok := confirmationOf(s.cluster); !ok || !s.cluster.IsLeader() {
 		return nil, s.notLeader()
@@ -253,7 +251,7 @@
 	return &Empty{}, nil
 }
 
-// leaderError replaces ErrNotLeader by one that says who leads.
+// leaderError replaces replica.ErrNotLeader by an error that contains the leader's address.
 func (s *Service) leaderError(err error) error {
 	if errors.Is(err, replica.ErrNotLeader) {
 		return s.notLeader()
--- a/node/control/stageowner.go
+++ b/node/control/stageowner.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// ownerInterval is how often the leader asks the owner of the stage queues whether it
-	// lives. A loss is noticed that much later at most.
+	// probeInterval is how often the leader probes the owner of the stage queues. It adds to the time in
+	// which a failure is detected.
 	probeInterval = 50 * time.Millisecond
-	// ownerPause is a time between two such questions after which the leader cannot tell
-	// whether the owner was silent or it was not listening itself.
+	// probeStall is the pause between two probes above which the leader cannot tell whether the owner did not
+	// answer or the leader itself was stalled.
 	probeStall = baseProbeTimeout / 2
-	// youngLead is for how long a leader names only processes that it has heard of: after a loss of power all
-	// have started again, and the state knows the starts before. Above the time between two signs of life of a
-	// control process through a follower.
+	// newLeaderGrace is how long a new leader assigns ownership only to processes from which it has received
+	// a renewal: after a power failure, the member list contains earlier starts. It is above the interval at
+	// which a control process renews through a follower.
 	newLeaderGrace = 500 * time.Millisecond
-	// apartInterval is how often a leader that owns the stage queues itself tries to
-	// hand the lead over. Above the longest election, so that one has ended.
+	// transferRetryInterval is how often a leader that is also the owner of the stage queues tries to
+	// transfer leadership. It is above the longest election.
 	transferRetryInterval = 2 * time.Second
 )
 
-// ownership lets the leader name one process that owns the queues of all stage
-// upstreams, and name another one when that process is gone or silent. Two that
-// both start calls would fill each other's upstreams.
+// ownerAssigner runs on the leader. It assigns the queues of all stage upstreams to one process, and to
+// another when that one has failed. Two processes that both start calls would overload each other's
+// upstreams.
 type ownerAssigner struct {
 	s            *Service
 	lastStart    func(wire.Member) lastStart
-	leaderSince  time.Time                   // when this process began to lead; zero while it does not
-	probe        *livenessProbe              // of the owner; nil before one was asked
-	lastProbe    time.Time                   // when it was asked last
-	failedAt     map[wire.MemberID]time.Time // that did not answer, and when
-	lastTransfer time.Time                   // of the last try to lead elsewhere than the owner is
+	leaderSince  time.Time                   // when this process became the leader; zero if it is not
+	probe        *livenessProbe              // of the owner; nil before the first probe
+	lastProbe    time.Time                   // time of the last probe
+	failedAt     map[wire.MemberID]time.Time // when probes of a process last failed
+	lastTransfer time.Time                   // time of the last attempt to transfer leadership
 	backoff      probeBackoff
 }
 
@@ -69,10 +69,10 @@
 	}
 }
 
-// step keeps the owner or names another one: a process that has started again has lost the queues, and calls go
-// to it in vain until another is named. Without a text there are no stages:
-// the founder of a cluster is alone for some 100 ms, and would else name itself
-// and take the queues with it when it is lost.
+// step keeps the owner or assigns another one. An owner that has restarted has lost the queues, and calls to
+// it fail until another one is assigned. Without a configuration there are no stages, and no owner is
+// assigned: the founder of a cluster is its only member for some 100 ms, and would become both leader and
+// owner, so that one loss takes both.
 func (o *ownerAssigner) step(ctx context.Context) {
 	view := o.s.cluster.View()
 	if view.Config.Version == 0 {
@@ -98,15 +98,15 @@
 	defer cancel()
 	owner := wire.StageOwner{ID: next.ID, Incarnation: next.Incarnation, Peer: next.Peer, Epoch: view.Owner.Epoch + 1}
 	if _, err := o.s.cluster.Propose(call, state.Command{Owner: &owner}); err != nil {
-		o.s.log.Info("stage owner not named", "owner", next.ID, "error", err.Error())
+		o.s.log.Info("stage owner not assigned", "owner", next.ID, "error", err.Error())
 		return
 	}
-	o.s.log.Info("stage owner named", "owner", next.ID, "epoch", owner.Epoch, "before", view.Owner.ID, "before_leaving", m.Leaving, "before_member", member, "before_started_again", o.lastStart(m).incarnation > view.Owner.Incarnation)
+	o.s.log.Info("stage owner assigned", "owner", next.ID, "epoch", owner.Epoch, "before", view.Owner.ID, "before_leaving", m.Leaving, "before_member", member, "before_started_again", o.lastStart(m).incarnation > view.Owner.Incarnation)
 }
 
-// leadElsewhere hands the lead over when it came to the owner by an election: when one
-// process is both, its loss costs an election before another owner can be named, 0.9 s
-// without stages in place of 0.5 s. The lead moves in some ms, jobs would take longer.
+// transferLeadership transfers leadership after the owner was elected leader. The loss of a process that is
+// both requires an election before another owner can be assigned: 0.9 s without stages, instead of 0.5 s.
+// Transferring leadership takes some milliseconds; transferring the owner's jobs would take longer.
 func (o *ownerAssigner) transferLeadership(ctx context.Context, owner wire.Member) {
 	now := o.s.clock.Now()
 	if owner.ID != wire.MemberID(o.s.set.Node.Name) || now.Sub(o.lastTransfer) < transferRetryInterval {
@@ -116,11 +116,11 @@
 	call, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	if err := o.s.cluster.TransferLeadership(call); err != nil {
-		o.s.log.Info("lead not handed over", "reason", "the owner of the stages leads", "error", err.Error())
+		o.s.log.Info("leadership not transferred", "reason", "the stage owner is the leader", "error", err.Error())
 	}
 }
 
-// answers asks the owner whether it lives, and reports false once it counts as lost.
+// probeOwner probes the owner, and reports whether it is considered alive.
 func (o *ownerAssigner) probeOwner(ctx context.Context, m wire.Member) bool {
 	if m.ID == wire.MemberID(o.s.set.Node.Name) {
 		return true
@@ -136,7 +136,7 @@
 	o.probe.timeout = o.backoff.timeout(now)
 	if o.probe.failed() {
 		silent, err := o.probe.oldestUnanswered()
-		o.s.log.Info("stage owner lost", "owner", m.ID, "silent", silent, "patience", o.probe.timeout, "error", err)
+		o.s.log.Info("stage owner failed", "owner", m.ID, "silent", silent, "patience", o.probe.timeout, "error", err)
 		if err == nil {
 			o.backoff.add(now)
 		}
@@ -147,7 +147,7 @@
 	return true
 }
 
-// watch begins to ask the process at an address.
+// startProbe starts probing the process at an address.
 func (o *ownerAssigner) startProbe(address string) {
 	if o.probe != nil {
 		o.probe.close()
@@ -156,7 +156,7 @@
 	o.probe = newLivenessProbe(o.s.clock, address, connect)
 }
 
-// ownerAvoided is how long a process that did not answer is named last.
+// failedOwnerPenalty is how long a process that failed as owner is chosen only if there is no other.
 const failedOwnerPenalty = 10 * time.Second
 
 func (o *ownerAssigner) recentlyFailed(id wire.MemberID) bool {
@@ -166,10 +166,9 @@
 
 func (o *ownerAssigner) heardFrom(m wire.Member) bool { return o.lastStart(m).heard }
 
-// nextOwner picks the owner among the proxies that are not leaving: one that
-// lately answered before one that did not, one that plays control, which has
-// the larger VM, before another, not the leader if there is a choice, so
-// that one loss does not take both, and one that was heard of before others.
+// nextOwner chooses the owner among the proxies that are not leaving. In this order, it prefers processes
+// that have not failed as owner recently, those with the control role (which have larger VMs), those other
+// than the leader (so that one loss does not take both), and those from which a renewal was received.
 func nextOwner(members map[wire.MemberID]wire.Member, leader wire.MemberID, avoided func(wire.MemberID) bool, heard func(wire.Member) bool) (wire.Member, bool) {
 	var best wire.Member
 	bestRank, found := uint64(0), false
--- a/node/control/status.go
+++ b/node/control/status.go
@@ -7,11 +7,11 @@
 	"caperdrum.org/node/consensus"
 )
 
-// Init forms a new cluster with this process as its only voter; the others of
-// the list are added by repair.
+// Init creates a new cluster with this process as its only voter. Repair adds the other control processes of
+// the settings.
 func (s *Service) Init(ctx context.Context) error { return s.replica.Init(ctx) }
 
-// Status reports on this process's replica.
+// Status returns the state of this process's replica.
 func (s *Service) Status() wire.ControlStatus {
 	st := s.replica.Status()
 	v := s.replica.View()
@@ -34,5 +34,5 @@
 	return out
 }
 
-// Members reports the members; versions and ages are known to the leader only.
+// Members returns the member list. Configuration versions and ages are known only to the leader.
 func (s *Service) Members() []wire.MemberStatus { return s.leases.report() }
--- a/node/control/sync.go
+++ b/node/control/sync.go
@@ -10,16 +10,16 @@
 	"caperdrum.org/node/state"
 )
 
-// maxWait bounds how long a sync call is held back.
+// maxWait limits how long a sync call waits for changes.
 const maxWait = 5 * time.Second
 
-// errSuspended sends the caller to another control process: this one hears of no
-// changes while its replica takes no part, and its callers would wait for nothing.
+// errSuspended redirects the caller to another control process. While the replica is suspended, this one
+// learns of no changes.
 func errSuspended(cause error) error {
-	return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "this control process takes no part: %v", cause)
+	return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "this control process is suspended: %v", cause)
 }
 
-// sync renews the caller's lease and answers as soon as there is news.
+// sync renews the caller's lease. It answers as soon as there are changes (long poll).
 func (s *Service) sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
 	renewed := s.renewLease(req)
 	timer := s.clock.NewTimer(min(req.Wait, maxWait))
@@ -44,18 +44,17 @@
 	}
 }
 
-// holdsNothing reports whether the caller has had no view since it started.
+// hasNoView reports whether the caller has had no view since it started.
 func hasNoView(req *wire.SyncRequest) bool { return req.ConfigVersion == 0 && req.MembersSeq == 0 }
 
-// brings reports whether a reply has something for its caller, or a hint.
+// hasUpdates reports whether the reply contains updates or hints that are new to the caller.
 func hasUpdates(r *wire.SyncReply, req *wire.SyncRequest) bool {
 	hinted := r.Fence > req.Fence || r.Term > req.Term || r.Owner.Epoch > req.OwnerEpoch
 	return hinted || r.Config != nil || r.Delta != nil || r.Members != nil || r.Evacuations != nil || r.Suspects != nil || r.Rollouts != nil
 }
 
-// replyTo returns what the caller can take over: a first view has to be confirmed by a quorum. Until there is a
-// confirmation a copy of all that is known here would be made for nothing, again for each call of each process
-// that has just started.
+// replyTo returns what the caller can apply. An initial view must be confirmed by a quorum. Before that, the
+// reply contains no state, since each call of each starting process would copy all of it in vain.
 func (s *Service) replyTo(req *wire.SyncRequest) *wire.SyncReply {
 	if age := s.cluster.StampAge(); hasNoView(req) && !confirmsInitialView(age) {
 		return &wire.SyncReply{StampAge: age, Control: s.voterAddresses()}
@@ -72,11 +71,11 @@
 	return s.follower.add(r, req.Wait == 0)
 }
 
-// usable reports whether a confirmation of that age makes a first view.
+// confirmsInitialView reports whether a confirmation of that age is recent enough for an initial view.
 func confirmsInitialView(age time.Duration) bool { return age >= 0 && age <= maxConfirmationAge }
 
-// reply reads the stamp before the view: what is read later is at least as new
-// as the stamp says.
+// fullReply reads the confirmation's age before the view, so that the view is at least as new as the
+// confirmation.
 func (s *Service) fullReply(req *wire.SyncRequest) *wire.SyncReply {
 	age := s.cluster.StampAge()
 	view := s.cluster.View()
@@ -86,8 +85,7 @@
 	return r
 }
 
-// answer holds what the caller lacks of v. It is empty where the caller is
-// ahead of v.
+// updatesFor returns the parts of v that the caller lacks: none if the caller is ahead of v.
 func updatesFor(v *state.View, req *wire.SyncRequest, age time.Duration, leader consensus.Peer) *wire.SyncReply {
 	r := &wire.SyncReply{Version: v.Config.Version, MembersSeq: v.MembersSeq, Members: v.Delta(req.MembersSeq),
 		Owner: v.Owner, StampAge: age, Leader: wire.MemberID(leader.ID), LeaderPeer: leader.Address, EvacuationsRevision: v.Evacuations.Revision, SuspectsRevision: v.Suspects.Revision, RolloutsRevision: v.Rollouts.Revision}
--- a/node/control/transport.go
+++ b/node/control/transport.go
@@ -12,10 +12,10 @@
 	"caperdrum.org/node/peer"
 )
 
-// links sends consensus messages. Each replica has two queues, each with a goroutine and
-// a connection of its own, so that one that does not read holds up nobody, and entries
-// do not hold up heartbeats: 1 MB to each of six followers takes 0.5 s of a link of 100
-// Mbit/s, and a follower that hears nothing for 0.6 s elects another leader.
+// transport sends consensus messages. Each replica has two queues, each with its own goroutine and
+// connection, so that a stalled replica does not delay others, and entries do not delay heartbeats: sending 1
+// MB to each of six followers takes 0.5 s on a link of 100 Mbit/s, and a follower that receives nothing for
+// 0.6 s starts an election.
 type transport struct {
 	dial peer.Dialer
 	log  logr.Logger
@@ -25,14 +25,14 @@
 
 	mu        sync.Mutex
 	queues    map[queueKey]*queue
-	addresses map[consensus.NodeID]string // for replicas that are not in the membership (yet)
+	addresses map[consensus.NodeID]string // also of replicas that are not, or not yet, in the membership
 }
 
-// lane is one of the two ways to a replica. Consensus bears that messages of one overtake
-// those of the other; entries among themselves stay in order.
+// queueKey identifies one of the two queues of a replica. Messages may be reordered between the queues, which
+// consensus tolerates; entries and snapshots stay in order.
 type queueKey struct {
 	to   consensus.NodeID
-	bulk bool // carries entries and snapshots
+	bulk bool // entries and snapshots; false for all other messages
 }
 
 func queueKeyFor(m consensus.Message) queueKey {
@@ -41,20 +41,20 @@
 
 const (
 	queueLength = 1024
-	// maxQueued bounds the entries and snapshots that wait for one replica, in
-	// bytes. A leader repeats them while a link is cut; a queue of 7.6 MB became
-	// 70 MB of heap when it was encoded at once. Two full appends fit.
+	// maxQueuedBytes limits the entries and snapshots that are queued for a replica. The leader repeats them
+	// while the replica is unreachable; encoding a queue of 7.6 MB at once took 70 MB of heap. It is large
+	// enough for two full append messages.
 	maxQueuedBytes = 2 << 20
-	// maxDelivered is the size from which on no further message goes into a call,
-	// in bytes: that of one full append.
+	// maxBatchBytes is the size from which no further message is added to a call: that of one full append
+	// message.
 	maxBatchBytes = 1 << 20
 	sendTimeout   = time.Second
-	// slowestLink is the rate in bytes a second below which a call with entries or a
-	// snapshot is given up: a tenth of a link of 100 Mbit/s.
+	// minLinkRate is the rate in bytes per second below which a call with entries or a snapshot times out: a
+	// tenth of a link of 100 Mbit/s.
 	minLinkRate = 1.25e6
-	// confirmInterval bounds, with sendTimeout, how long a silent cut goes unseen.
+	// ackInterval plus sendTimeout is the time in which a dead connection is detected.
 	ackInterval      = 500 * time.Millisecond
-	queueIdleTimeout = time.Minute // after which a replica's queue is given up
+	queueIdleTimeout = time.Minute // after which an idle queue is removed
 )
 
 func newTransport(dial peer.Dialer, log logr.Logger) *transport {
@@ -62,7 +62,7 @@
 	return &transport{dial: dial, log: log, ctx: ctx, stop: stop, queues: map[queueKey]*queue{}, addresses: map[consensus.NodeID]string{}}
 }
 
-// learn remembers where a replica that only sent us messages listens.
+// setAddress stores the address of a replica that has sent a message.
 func (l *transport) setAddress(p consensus.Peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,20 +88,19 @@
 			l.queues[way] = q
 			go l.sendLoop(way, address, q)
 		}
-		q.put(m) // consensus sends again what matters
+		q.put(m) // if it is dropped, consensus sends it again as needed
 	}
 }
 
 // queue holds the messages to one replica.
 type queue struct {
 	messages chan consensus.Message
-	bytes    atomic.Int64 // of the entries and snapshots among them
+	bytes    atomic.Int64 // of the queued entries and snapshots
 }
 
 func newQueue() *queue { return &queue{messages: make(chan consensus.Message, queueLength)} }
 
-// put queues a message, unless there is no room. An empty queue takes one of any
-// size.
+// put queues a message, or returns false if the queue is full. An empty queue accepts a message of any size.
 func (q *queue) put(m consensus.Message) bool {
 	n := int64(payloadBytes([]consensus.Message{m}))
 	if waiting := q.bytes.Load(); n > 0 && waiting > 0 && waiting+n > maxQueuedBytes {
@@ -117,12 +116,12 @@
 	}
 }
 
-// takeAfter returns the messages of the next call, of which the first was taken
-// already. It does not wait.
+// nextBatch returns the messages of the next call, starting with first, which was already taken from the
+// queue. It does not block.
 func (q *queue) nextBatch(first consensus.Message) []consensus.Message {
 	out := []consensus.Message{first}
 	taken := payloadBytes(out)
-	for len(q.messages) > 0 && taken < maxBatchBytes { // nobody else takes any
+	for len(q.messages) > 0 && taken < maxBatchBytes { // there is no other receiver
 		m := <-q.messages
 		out = append(out, m)
 		taken += payloadBytes([]consensus.Message{m})
@@ -131,7 +130,7 @@
 	return out
 }
 
-// size is how many bytes of entries and snapshots the messages hold.
+// payloadBytes returns the size of the entries and snapshots in the messages.
 func payloadBytes(messages []consensus.Message) int {
 	n := 0
 	for _, m := range messages {
@@ -148,9 +147,9 @@
 func (l *transport) sendLoop(way queueKey, address string, q *queue) {
 	client := peer.NewClient(address, l.dial)
 	defer client.Close()
-	var confirmed time.Time // when the other end last answered; zero before it did
+	var confirmed time.Time // when the replica last answered; zero if it never did
 	opened := time.Now()
-	silent := false // it was logged that it does not
+	silent := false // whether its failure to answer was logged
 	idle := time.NewTimer(queueIdleTimeout)
 	defer idle.Stop()
 	for {
@@ -168,9 +167,9 @@
 			answered, err := l.sendBatch(client, batch, ackDue(confirmed, began))
 			switch {
 			case answered && silent:
-				l.log.Info("replica reached again", "replica", way.to, "silent", time.Since(latest(opened, confirmed)))
+				l.log.Info("replica reachable again", "replica", way.to, "silent", time.Since(latest(opened, confirmed)))
 			case err != nil && !silent:
-				l.log.Info("replica not reached", "replica", way.to, "address", address, "messages", len(batch.Messages), "bytes", payloadBytes(batch.Messages), "took", time.Since(began), "error", err.Error())
+				l.log.Info("replica unreachable", "replica", way.to, "address", address, "messages", len(batch.Messages), "bytes", payloadBytes(batch.Messages), "took", time.Since(began), "error", err.Error())
 			}
 			silent = err != nil || silent && !answered
 			if answered {
@@ -180,7 +179,7 @@
 	}
 }
 
-// confirmDue reports whether the other end is to answer: one that never did may not be there.
+// ackDue reports whether an answer is required: always from a replica that has never answered.
 func ackDue(confirmed, now time.Time) bool { return now.Sub(confirmed) >= ackInterval }
 
 func latest(a, b time.Time) time.Time {
@@ -190,9 +189,9 @@
 	return a
 }
 
-// deliver sends a batch and reports whether the other end answered. Lost ones
-// are sent again by consensus. Heartbeats alone go without an answer, except
-// one in confirmInterval, which finds out a link that was cut silently.
+// sendBatch sends a batch and reports whether the replica answered. Consensus sends lost messages again. A
+// batch of heartbeats alone is sent as a notification, except once per ackInterval, to detect a dead
+// connection.
 func (l *transport) sendBatch(client *peer.Client, batch RaftBatch, confirm bool) (answered bool, err error) {
 	ctx, cancel := context.WithTimeout(l.ctx, sendTimeoutFor(batch.Messages))
 	defer cancel()
@@ -203,8 +202,8 @@
 	return err == nil, err
 }
 
-// timeoutOf leaves a call with many bytes the time that they take: a snapshot that is
-// cut after a fixed time never arrives.
+// sendTimeoutFor adds the transfer time of large messages: a snapshot would never arrive within a fixed
+// timeout.
 func sendTimeoutFor(messages []consensus.Message) time.Duration {
 	return sendTimeout + time.Duration(float64(payloadBytes(messages))/minLinkRate*float64(time.Second))
 }
@@ -218,7 +217,7 @@
 	return true
 }
 
-// giveUp forgets an idle queue, for instance of a disk that was replaced.
+// removeIfIdle removes a queue that is empty, for example that of a replica whose disk was replaced.
 func (l *transport) removeIfIdle(way queueKey, q *queue) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/node/control/unsettled.go
+++ b/node/control/unsettled.go
@@ -10,23 +10,22 @@
 )
 
 const (
-	// heldAge is how long a claim may be unsettled before entries are asked to
-	// settle it: its call has had its deadline and its extra time by then, and
-	// its gate still remembers it.
+	// minUnsettledAge is how long a claim may be unsettled before another entry is asked to settle it. By
+	// then the call's deadline and its extra time are over, but its gate still remembers the call.
 	minUnsettledAge   = time.Minute
 	claimBatch        = 64
-	reassignAfter     = 20 * time.Second // a claim is given to another entry after that
-	maxAssignedClaims = 16 * claimBatch  // given out at a time
+	reassignAfter     = 20 * time.Second // after this, a claim may be assigned to another entry
+	maxAssignedClaims = 16 * claimBatch  // assigned at any time
 )
 
-// handouts remembers which unsettled claims an entry was asked to settle. It is
-// the leader's own memory; twice the same claim is harmless.
+// claimAssignments tracks which unsettled claims were assigned to an entry. It is local to the leader;
+// assigning a claim twice is harmless.
 type claimAssignments struct {
 	mu         sync.Mutex
 	assignedAt map[wire.AttemptID]time.Time
 }
 
-// take calls list for the claims that nobody was asked for lately.
+// assign calls list for claims that were not assigned recently, and records them as assigned.
 func (h *claimAssignments) assign(now time.Time, list func(n int, skip func(wire.AttemptID) bool) ([]wire.ClaimRequest, error)) ([]wire.ClaimRequest, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -42,7 +41,7 @@
 	return claims, err
 }
 
-// held gives an entry claims to settle whose own entry may have died.
+// held assigns unsettled claims to the calling entry. The entry that made them may have failed.
 func (s *Service) held(ctx context.Context, _ *Empty) (*wire.HeldReply, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
