--- a/node/configsync/clock_test.go
+++ b/node/configsync/clock_test.go
@@ -11,10 +11,10 @@
 	"caperdrum.org/node/settings"
 )
 
-// TestStampIsKeptOnTheSteadyClock takes a confirmation with a reading of the
+// TestConfirmationKeepsTheMonotonicClock takes a confirmation with a reading of the
 // steady clock, as the system's clock gives it. Its age follows that clock: a
 // time of day that was set back would make a key look confirmed for longer.
-func TestStampIsKeptOnTheSteadyClock(t *testing.T) {
+func TestConfirmationKeepsTheMonotonicClock(t *testing.T) {
 	h := NewHolder(wire.Member{ID: "m"})
 	asked := time.Now()
 	if _, err := h.Take(&wire.SyncReply{StampAge: time.Second}, asked); err != nil {
--- a/node/configsync/loop_test.go
+++ b/node/configsync/loop_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestTrafficPokesOncePerVersion keeps busy traffic from cutting each call
+// TestTrafficTriggersOneSyncPerVersion keeps busy traffic from cutting each call
 // short before its answer.
-func TestTrafficPokesOncePerVersion(t *testing.T) {
+func TestTrafficTriggersOneSyncPerVersion(t *testing.T) {
 	s := &Service{holder: NewHolder(wire.Member{}), clock: clockwork.NewFakeClock(), wake: make(chan struct{}, 1)}
 	poked := func() bool {
 		select {
@@ -84,8 +84,8 @@
 func (a *scriptedSource) Received() uint64 { return 0 }
 func (a *scriptedSource) Close()           {}
 
-// TestFarewellWaitsUntilItIsRecorded answers twice without the record.
-func TestFarewellWaitsUntilItIsRecorded(t *testing.T) {
+// TestDeregisterWaitsUntilRecorded answers twice without the record.
+func TestDeregisterWaitsUntilRecorded(t *testing.T) {
 	src := &scriptedSource{replies: []wire.SyncReply{{Renewed: true}, {Renewed: true}, {Renewed: true, Recorded: true}}}
 	s := &Service{holder: NewHolder(wire.Member{}), clock: clockwork.NewRealClock(), sources: []source{src}}
 	s.deregister(context.Background())
@@ -94,10 +94,10 @@
 	}
 }
 
-// TestSilentControlIsShunnedWhileOthersAnswer lets the only answering control
+// TestSilentControlIsAvoidedWhileOthersAnswer lets the only answering control
 // processes have no leader: the silent one is not asked again until shunTime
 // has passed, and all are asked when none answers.
-func TestSilentControlIsShunnedWhileOthersAnswer(t *testing.T) {
+func TestSilentControlIsAvoidedWhileOthersAnswer(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	s := &Service{clock: clock, sources: []source{&scriptedSource{address: "a"}, &scriptedSource{address: "b"}, &scriptedSource{address: "c"}}, unanswered: map[string]time.Time{}}
 	var asked []int
--- a/node/control/bench_test.go
+++ b/node/control/bench_test.go
@@ -11,7 +11,7 @@
 	"caperdrum.org/node/configsync"
 )
 
-// processorTime is what this process has used so far.
+// processorTime returns the CPU time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
@@ -23,11 +23,10 @@
 	benchIdle    = 5 * time.Second
 )
 
-// BenchmarkMembers measures, with three control processes and many members in
-// this process: the time from a change's acceptance until it is in force on
-// all, bytes and processor time per member while nothing happens, and the time
-// until a change is in force when the leader is cut off silently. Processor
-// times include the members' own work.
+// BenchmarkMembers runs three control processes and many members in this process. It measures the time from
+// the acceptance of a change until it is in force in all members, bytes and CPU time per member while idle,
+// the cost of a restart of a third of the members, and the time until a change is in force after the leader
+// was partitioned. CPU times include the members' own work.
 //
 //	go test ./node/control -run - -bench Members -benchtime 1x
 func BenchmarkMembers(b *testing.B) {
@@ -68,7 +67,7 @@
 	b.ReportMetric(float64(bytes)/benchIdle.Seconds()/n, "idle-B/s/member")
 }
 
-// restartStorm restarts a third of the members at once.
+// restartStorm restarts a third of the members at the same time.
 func restartStorm(b *testing.B, s *system) {
 	n := len(s.members)
 	commands, bytes, cpu := s.leader().replica.Status().Committed, s.network.bytes.Load(), processorTime()
@@ -105,14 +104,13 @@
 	b.ReportMetric(ms(accepted.Sub(lost)), "cut-accept-ms")
 	b.ReportMetric(ms(slices.MaxFunc(at, time.Time.Compare).Sub(lost)), "cut-inforce-ms")
 	if got := len(s.leader().replica.View().Members); got != len(s.members) {
-		b.Fatalf("%d of %d members are left", got, len(s.members))
+		b.Fatalf("%d of %d members remain", got, len(s.members))
 	}
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// BenchmarkChange measures bytes and processor time of one change of one
-// customer among 25,000, per member.
+// BenchmarkChange measures bytes and CPU time per member for a change of one customer among 25,000.
 func BenchmarkChange(b *testing.B) {
 	const n = 25_000
 	s := startSystem(b, 1, 4)
@@ -128,7 +126,7 @@
 	b.ReportMetric(float64(s.network.bytes.Load()-bytes)/float64(b.N*len(s.members)), "B/change/member")
 }
 
-// startOf returns the incarnation of a member in a view; zero where it is none.
+// startOf returns the incarnation of a member in a view, or zero if it is not a member.
 func startOf(v *configsync.View, id wire.MemberID) uint64 {
 	m, _ := v.Members.Get(id)
 	return m.Incarnation
--- a/node/control/follower_test.go
+++ b/node/control/follower_test.go
@@ -16,11 +16,11 @@
 	"caperdrum.org/node/state"
 )
 
-// following is a cluster of which another process leads.
+// followerCluster is a cluster in which another process is the leader.
 type followerCluster struct {
 	hintCluster
 	mu      sync.Mutex
-	stamped time.Time // zero: never
+	stamped time.Time // zero if never
 }
 
 func (f *followerCluster) Leader() consensus.Peer                    { return consensus.Peer{ID: "a", Address: "a:1"} }
@@ -41,12 +41,13 @@
 	return time.Since(f.stamped)
 }
 
-// TestConfirmationIsAskedForUntilThereIsOne starts all processes at once: a control process that does not lead
-// has a confirmation soon after its leader, since all others wait for it, and asks no more often than before from then on.
+// TestConfirmationIsAskedForUntilThereIsOne starts all processes at the same time. A follower must get a
+// confirmation soon after its leader has one, since all other processes wait for it, and must then return to
+// its normal call rate.
 func TestConfirmationIsAskedForUntilThereIsOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
-			confirmed = 1230 * time.Millisecond // of the leader itself, after the start
+			confirmed = 1230 * time.Millisecond // when the leader has a confirmation, after the start
 			later     = 10 * time.Second
 		)
 		c := &followerCluster{hintCluster: hintCluster{machine: state.New()}}
@@ -69,7 +70,7 @@
 		}()
 		time.Sleep(confirmed + 2*minForwardGap)
 		if age := c.StampAge(); age < 0 {
-			t.Errorf("no confirmation %s after the leader had one", 2*minForwardGap)
+			t.Errorf("no confirmation %s after the leader got one", 2*minForwardGap)
 		}
 		before := calls.Load()
 		time.Sleep(later)
--- a/node/control/largetext_test.go
+++ b/node/control/largetext_test.go
@@ -10,7 +10,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// routes is an operators' text with n routes.
+// routes returns a configuration text with n routes.
 func routes(n int) string {
 	var b strings.Builder
 	b.WriteString("[service:s]\nkind = plain\nupstreams = announced\nmax_connections = 72\n")
@@ -20,22 +20,18 @@
 	return b.String()
 }
 
-// TestLargeTextMovesOnlyWhatChanges. Users saw that a configuration could not be read
-// back: no process answered in time, minutes after it had been acknowledged, and a
-// later change was never acknowledged.
+// TestLargeTextMovesOnlyWhatChanges guards against a large configuration that keeps the leader from leading.
+// Users could not read a configuration minutes after it was acknowledged, and a later change was never
+// acknowledged.
 //
-// Their text had grown to some 4,200 routes, 750 kB. Each change went into the log as
-// a whole text, and each resend of a change that was still under way as one more. Six
-// followers at 1 MB each kept the leader's link busy for 0.6 s; they heard no heartbeat
-// for an election timeout and elected another leader, which got the next resend. While that
-// went on nobody led for long enough to confirm a read.
+// Their text had 4,200 routes (750 kB). Each change, and each resend of a change in progress, was appended to
+// the log as a whole text. Sending 1 MB to each of six followers kept the leader's link busy for 0.6 s, so that
+// they received no heartbeat within the election timeout and elected another leader, which got the next resend.
+// No leader lasted long enough to confirm a read. Logs showed eight commands of 756 kB within 34 s, each
+// followed by the loss of leadership 0.5 to 0.75 s later; before the text had that size, one leader lasted 31 s.
 //
-// It was proved by logging who leads, why a lead ends and how large each command is: eight
-// commands of 756 kB within 34 s, each followed by the loss of the lead 0.5 to 0.75 s later,
-// and one leader for 31 s before there were that many routes.
-//
-// Here a change of one route is sent five times at once, as resends are, and all
-// processes together may move a tenth of the text.
+// The test sends a change of one route five times at once, as resends do. All processes together may transfer a
+// tenth of the text.
 func TestLargeTextMovesOnlyWhatChanges(t *testing.T) {
 	const resends = 5
 	s := startSystem(t, 3, 1)
@@ -57,9 +53,9 @@
 	wg.Wait()
 	s.inForce(2)
 	if got := leader.replica.View().Config.Text; got != next {
-		t.Errorf("the text in force has %d bytes and is not the one that was put", len(got))
+		t.Errorf("the text in force (%d bytes) differs from the one that was put", len(got))
 	}
 	if moved, most := s.network.bytes.Load()-before, int64(len(text)/10); moved > most {
-		t.Errorf("%d bytes were moved for a change of one route, at most %d should", moved, most)
+		t.Errorf("transferred %d bytes for a change of one route, want at most %d", moved, most)
 	}
 }
--- a/node/control/leases_test.go
+++ b/node/control/leases_test.go
@@ -10,16 +10,16 @@
 	"caperdrum.org/node/state"
 )
 
-// TestLeasesThatNobodyListenedTo lists times in which the leader could not
-// hear members; none of them may be removed after it.
-func TestLeasesThatNobodyListenedTo(t *testing.T) {
+// TestStalledLeaderExpiresNoLease covers periods in which the leader processed no renewals. No member may be
+// removed because of them.
+func TestStalledLeaderExpiresNoLease(t *testing.T) {
 	cases := map[string]func(w *simulation){
-		"the leader stood still": func(w *simulation) { w.clock.Advance(10 * time.Second) },
-		"the lead was lost and won in between": func(w *simulation) {
+		"the leader was stalled": func(w *simulation) { w.clock.Advance(10 * time.Second) },
+		"leadership was lost and regained": func(w *simulation) {
 			lead := w.nodes[0].svc.leases
 			for range 20 {
 				w.clock.Advance(expiryInterval)
-				lead.lastStep = w.clock.Now() // busy elsewhere
+				lead.lastStep = w.clock.Now() // the process is not stalled
 			}
 			w.term++
 		},
@@ -47,8 +47,7 @@
 	}
 }
 
-// TestRestartStormIsBatched restarts many members at once: their joins share a
-// command.
+// TestRestartStormIsBatched restarts many members at once: their joins must share a command.
 func TestRestartStormIsBatched(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
@@ -61,8 +60,8 @@
 	}
 }
 
-// TestClockThatWentBack restarts a member under a lower incarnation: it is a
-// member again once the lease of the earlier start has ended.
+// TestClockThatWentBack restarts a member with a lower incarnation. It must become a member again once the
+// lease of its earlier start has expired.
 func TestClockThatWentBack(t *testing.T) {
 	w := newSimulation(nil)
 	w.commit(state.Command{Join: []wire.Member{{ID: "m0", Incarnation: 9}}})
@@ -75,13 +74,13 @@
 	}
 	lead.step(context.Background())
 	if m := w.oracle.View().Members["m0"]; m.Incarnation != 5 {
-		t.Fatalf("the members hold %+v", m)
+		t.Fatalf("the member list contains %+v", m)
 	}
 }
 
-// TestGrantIsNoSignOfLife lets a new leader grant leases: until a member renews,
-// it is reported as not heard from.
-func TestGrantIsNoSignOfLife(t *testing.T) {
+// TestGrantedLeaseIsNotReportedAsSeen lets a new leader grant leases. Until a member renews its lease, it
+// must be reported as not seen.
+func TestGrantedLeaseIsNotReportedAsSeen(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	both := []Renewal{{Member: wire.Member{ID: "m0", Incarnation: 1}}, {Member: wire.Member{ID: "m1", Incarnation: 1}}}
@@ -100,10 +99,10 @@
 	}
 }
 
-// TestLateSignOfLifeDoesNotBringALeavingUpstreamBack lets an announced upstream
-// leave, and a sign of life arrive that it sent before. The record is kept as
-// leaving for longer than a sign of life may be late, and then removed.
-func TestLateSignOfLifeDoesNotBringALeavingUpstreamBack(t *testing.T) {
+// TestLateHeartbeatDoesNotRestoreALeavingUpstream delivers a heartbeat of an announced upstream after it has
+// left. Its record must stay in the list as leaving for longer than a heartbeat may be delayed, and must then
+// be removed.
+func TestLateHeartbeatDoesNotRestoreALeavingUpstream(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	ready := wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", false)
@@ -120,17 +119,16 @@
 	}
 	pass(leavingLease - time.Second)
 	if m, held := w.oracle.View().Members["m0"]; !held || !m.Leaving {
-		t.Fatalf("the members hold %+v, %v", m, held)
+		t.Fatalf("the member list contains %+v, %v", m, held)
 	}
 	pass(2 * time.Second)
 	if _, held := w.oracle.View().Members["m0"]; held {
-		t.Fatal("an upstream that left is kept for ever")
+		t.Fatal("an upstream that left is never removed")
 	}
 }
 
-// TestUpstreamThatLeavesIsFoundWhereverItIs has upstreams leave whose signs of life
-// the members hold, or are about to. Nothing is made up for an unknown one, or
-// for a process of our own.
+// TestUpstreamThatLeavesIsFoundWhereverItIs lets upstreams leave that are in the member list, or whose join
+// is pending. No record may be created for an unknown upstream, or for one of our own processes.
 func TestUpstreamThatLeavesIsFoundWhereverItIs(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
@@ -152,8 +150,8 @@
 	}
 }
 
-// TestSilentUpstreamIsRemoved gives an announced upstream a longer lease than a
-// process of our own, since its signs of life may be late.
+// TestSilentUpstreamIsRemoved checks that an announced upstream has a longer lease than our own processes,
+// since its heartbeats may be late.
 func TestSilentUpstreamIsRemoved(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
@@ -168,14 +166,13 @@
 	}
 	lead.step(context.Background())
 	if _, held := w.oracle.View().Members["m0"]; held {
-		t.Fatal("kept although it is silent")
+		t.Fatal("kept although it does not renew its lease")
 	}
 }
 
-// TestUpstreamThatStartsAgainReplacesItself lets an upstream leave, or crash, and start
-// again under its id. The later start is a member at once, and whatever comes late of the
-// earlier one changes nothing: at this leader, at the next one, and at one that
-// begins with a snapshot.
+// TestUpstreamThatStartsAgainReplacesItself lets an upstream leave, or crash, and start again with the same
+// ID. The later start must become a member immediately, and late messages of the earlier one must change
+// nothing: at this leader, at the next one, and at one that was restored from a snapshot.
 func TestUpstreamThatStartsAgainReplacesItself(t *testing.T) {
 	const first, second = 1_700_000_000_000, 1_700_000_005_000
 	record := func(started uint64, leaving bool) wire.Member {
@@ -184,7 +181,7 @@
 	for name, before := range map[string][]wire.Member{
 		"it crashed": {record(first, false)},
 		"it left":    {record(first, false), record(first, true)},
-		"it did not say when it started, and left": {record(0, false), record(0, true)},
+		"it left without having sent its start time": {record(0, false), record(0, true)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newSimulation(nil)
@@ -196,10 +193,10 @@
 			check := func(when string) {
 				t.Helper()
 				if m := w.oracle.View().Members["m0"]; !reflect.DeepEqual(m, record(second, false)) {
-					t.Fatalf("%s: the members hold %+v", when, m)
+					t.Fatalf("%s: the member list contains %+v", when, m)
 				}
 			}
-			check("after its second start")
+			check("after the second start")
 			late := func(l *leases, when string) {
 				t.Helper()
 				for _, m := range []wire.Member{record(first, false), record(first, true), record(0, true)} {
@@ -207,11 +204,11 @@
 					l.step(context.Background())
 				}
 				if got := l.leavingRecords(&wire.LeaveRequest{ID: "m0", Incarnation: first}); len(got) != 0 {
-					t.Fatalf("%s: a late word of its leaving makes it leave: %+v", when, got)
+					t.Fatalf("%s: a late leave request has an effect: %+v", when, got)
 				}
 				check(when)
 			}
-			late(lead, "late signs of life")
+			late(lead, "late heartbeats")
 			w.term++
 			lead.step(context.Background())
 			late(lead, "after another election")
@@ -229,8 +226,8 @@
 	}
 }
 
-// TestUpstreamWhoseClockWentBack lets an upstream start again with a clock that is behind
-// that of its start before: it is taken once the earlier start's lease has ended.
+// TestUpstreamWhoseClockWentBack restarts an upstream whose clock was set back. It must become a member once
+// the lease of its earlier start has expired.
 func TestUpstreamWhoseClockWentBack(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
@@ -245,13 +242,13 @@
 		lead.step(context.Background())
 	}
 	if m := w.oracle.View().Members["m0"]; m.Incarnation != 3000 {
-		t.Fatalf("the members hold %+v", m)
+		t.Fatalf("the member list contains %+v", m)
 	}
 }
 
-// TestOnlyWhatSignsOfLifeChangeIsReplicated numbers signs of life of an upstream that is cold, is
-// cold no more, and leaves: each of these is replicated once, in spite of late ones.
-func TestOnlyWhatSignsOfLifeChangeIsReplicated(t *testing.T) {
+// TestOnlyChangedHeartbeatsAreReplicated sends numbered heartbeats of an upstream that is cold, becomes warm,
+// and leaves. Each change must be replicated once, and late heartbeats must be ignored.
+func TestOnlyChangedHeartbeatsAreReplicated(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	beat := func(number uint64, cold, leaving bool) wire.Member {
@@ -267,7 +264,7 @@
 		{beat(4, false, false), 2, false},
 		{beat(3, true, false), 2, false}, // late
 		{beat(5, false, false), 2, false},
-		{beat(6, true, false), 3, true}, // it came back
+		{beat(6, true, false), 3, true}, // it returned
 		{beat(7, false, true), 4, false},
 		{beat(8, false, false), 4, false}, // sent before it left
 	} {
@@ -279,6 +276,6 @@
 		}
 	}
 	if m := w.oracle.View().Members["m0"]; !m.Leaving {
-		t.Fatalf("%+v does not leave", m)
+		t.Fatalf("%+v is not leaving", m)
 	}
 }
--- a/node/control/ledger_bench_test.go
+++ b/node/control/ledger_bench_test.go
@@ -21,8 +21,8 @@
 
 func (noTransport) Send([]consensus.Peer, []consensus.Message) {}
 
-// openReplica starts the only voter of a cluster on the disk that holds
-// CAPERDRUM_BENCH_DIR, or the temporary folder.
+// openReplica starts the only voter of a cluster. Its data is in the folder CAPERDRUM_BENCH_DIR, or in the
+// temporary folder if that is not set.
 func openReplica(b *testing.B) (*replica.Replica, string) {
 	dir, err := os.MkdirTemp(os.Getenv("CAPERDRUM_BENCH_DIR"), "claims")
 	if err != nil {
@@ -50,7 +50,7 @@
 	return r, dir
 }
 
-// fileBytes is the size of all files in the folder.
+// fileBytes returns the total size of the files in a folder.
 func fileBytes(b *testing.B, dir string) (n int64) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return n
 }
 
-// BenchmarkClaims has many callers claim at once: each claim as a log entry of
-// its own, or all that wait as one entry.
+// BenchmarkClaims lets many callers make claims concurrently: each as its own log entry, or all waiting ones
+// as one entry.
 func BenchmarkClaims(b *testing.B) {
 	for _, callers := range []int{1, 32, 256} {
 		for _, batched := range []bool{false, true} {
@@ -112,7 +112,7 @@
 	wg.Wait()
 }
 
-// batch proposes all claims that wait while one proposal is under way.
+// batch proposes all claims that accumulated during the previous proposal.
 type batch struct {
 	r       *replica.Replica
 	mu      sync.Mutex
--- a/node/control/longpoll_test.go
+++ b/node/control/longpoll_test.go
@@ -17,9 +17,9 @@
 	"caperdrum.org/node/state"
 )
 
-// hinting is a cluster whose fences and term change by hand.
+// hintCluster is a cluster whose fencing tokens and term the test sets.
 type hintCluster struct {
-	cluster // nil: what is not overridden is not called
+	cluster // nil: methods that are not overridden must not be called
 	machine *state.Machine
 	view    atomic.Pointer[state.View]
 	term    atomic.Uint64
@@ -49,9 +49,8 @@
 	h.view.Store(h.machine.View())
 }
 
-// TestHintEndsHold shows that a held-back answer comes at once, without a step
-// of the clock, when a token is drawn for the caller or the term changes, and
-// not when one is drawn for somebody else.
+// TestHintEndsHold checks that a long poll returns immediately, without advancing the clock, when a fencing
+// token is issued to the caller or the term changes, but not when one is issued to another process.
 func TestHintEndsHold(t *testing.T) {
 	h := &hintCluster{machine: state.New()}
 	h.view.Store(h.machine.View())
@@ -84,28 +83,27 @@
 	held.TakeHint(&wire.SyncReply{Term: 1})
 	ask()
 	h.drawToken(t, "b")
-	s.notifier.check() // of no concern here: the answer stays held back
+	s.notifier.check() // irrelevant to the caller: the call keeps waiting
 	h.drawToken(t, "a")
 	take(2, 1)
 	ask()
 	h.term.Store(2)
 	take(2, 2)
 	if held.TakeHint(&wire.SyncReply{Fence: 1, Term: 1}) {
-		t.Fatal("a hint went back")
+		t.Fatal("a hint decreased")
 	}
 	ask()
 	select {
 	case r := <-answers:
-		t.Fatalf("an answer without news: %+v", r)
+		t.Fatalf("a reply without updates: %+v", r)
 	default:
 	}
 	clock.Advance(time.Second)
 	<-answers
 }
 
-// TestOutageEndsHold lets the disk of a control process fail while a
-// synchronization is held back there: the caller is sent elsewhere at once,
-// without a step of the clock, and so is the next one.
+// TestOutageEndsHold lets the disk of a control process fail during a long poll. That call, and the next one,
+// must be redirected immediately, without advancing the clock.
 func TestOutageEndsHold(t *testing.T) {
 	h := &hintCluster{machine: state.New()}
 	h.view.Store(h.machine.View())
@@ -132,8 +130,8 @@
 	}
 }
 
-// unconfirmed is a control process that has started again: it knows what its log says, and no quorum has
-// confirmed it yet.
+// unconfirmedCluster is a restarted control process: it has restored its log, which no quorum has confirmed
+// yet.
 type unconfirmedCluster struct {
 	*hintCluster
 	age atomic.Int64
@@ -141,9 +139,10 @@
 
 func (u *unconfirmedCluster) StampAge() time.Duration { return time.Duration(u.age.Load()) }
 
-// TestFirstViewWaitsForAConfirmation has processes that hold nothing ask again and again while no quorum has
-// confirmed what is known: nothing is sent that they could not use, and all that wait get it with the first
-// confirmation. A call that does not wait is answered at once, since its caller hears where the voters are.
+// TestFirstViewWaitsForAConfirmation lets processes without a view call sync repeatedly before a quorum has
+// confirmed the state. No reply may contain state that they cannot use, and all waiting calls must get it
+// with the first confirmation. A call that does not wait is answered immediately, since its caller needs the
+// voters' addresses.
 func TestFirstViewWaitsForAConfirmation(t *testing.T) {
 	u := &unconfirmedCluster{hintCluster: &hintCluster{machine: state.New()}}
 	u.age.Store(-1)
@@ -184,16 +183,16 @@
 		clock.Advance(wait)
 		for range processes {
 			if r := <-replies; r.Config != nil || r.Members != nil {
-				t.Fatal("something is sent that no quorum has confirmed")
+				t.Fatal("a reply contains unconfirmed state")
 			}
 		}
 	}
 	ask(patience)
 	u.age.Store(0)
-	s.notifier.check() // without a step of the clock
+	s.notifier.check() // without advancing the clock
 	for range processes {
 		if r := <-replies; r.Config == nil || r.Members == nil || len(r.Members.Changed) != 100 {
-			t.Fatalf("with the confirmation comes %+v", r)
+			t.Fatalf("the reply after the confirmation is %+v", r)
 		}
 	}
 }
--- a/node/control/placement_test.go
+++ b/node/control/placement_test.go
@@ -11,13 +11,13 @@
 	"caperdrum.org/node/consensus"
 )
 
-// inNames reads a data centre from an address such as north/3.
+// placementByAddress takes the data centre from the address: north/3 is in north.
 func placementByAddress(losses int) voterPlacement {
 	return voterPlacement{losses, func(address string) string { return strings.Split(address, "/")[0] }}
 }
 
-// bestWorst is the least number of voters that the loss can take where up to most of the
-// processes vote, an odd number of them: the processes of the data centres are taken in turn.
+// optimalMaxLoss returns the lowest possible maxLoss with up to most voters, and their number. It picks
+// processes from the data centres in turn.
 func optimalMaxLoss(perDataCenter []int, losses, most int) (worst, voters int) {
 	took := make([]int, len(perDataCenter))
 	for took := took; voters < most; {
@@ -40,10 +40,9 @@
 	return worst, voters
 }
 
-// TestVotersOutliveTheLossOfDataCenters lets clusters of every shape grow from any founder, with
-// voters that lie together at first, and follows the plan to its end: any data centres that the
-// settings allow to be lost together leave more than half of the voters, wherever that can be,
-// and a cluster that cannot be spread says so.
+// TestVotersOutliveTheLossOfDataCenters follows the plan to its end in clusters of every shape, from voters
+// that are initially in few data centres. The loss of as many data centres as the settings allow must leave a
+// majority of the voters wherever that is possible. Where it is not, the plan must report it.
 func TestVotersOutliveTheLossOfDataCenters(t *testing.T) {
 	const most = 7
 	rapid.Check(t, func(t *rapid.T) {
@@ -77,10 +76,10 @@
 		worst, n := optimalMaxLoss(sizes, losses, most)
 		borne := 2*worst < n
 		if borne && sp.lossBreaksQuorum(voters) {
-			t.Fatalf("of %v, the loss of %d data centres takes half of %v", sizes, losses, voters)
+			t.Fatalf("with processes %v, the loss of %d data centres takes half of %v", sizes, losses, voters)
 		}
 		if sp.lossBreaksQuorum(voters) == (why == "") {
-			t.Fatalf("voters %v: says %q", voters, why)
+			t.Fatalf("voters %v: reports %q", voters, why)
 		}
 	})
 }
--- a/node/control/probe_backoff_test.go
+++ b/node/control/probe_backoff_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestOverloadedOwnersAreNotReplacedInTurn has each owner answer late for as long as there is more work than it
-// can do: a few are replaced, and not all of them, one after the other.
+// TestOverloadedOwnersAreNotReplacedInTurn lets each owner answer late during an overload. Only a few may be
+// replaced.
 func TestOverloadedOwnersAreNotReplacedInTurn(t *testing.T) {
 	const (
 		overload = 8 * time.Second
-		longest  = 900 * time.Millisecond // that an overloaded owner does not answer
+		longest  = 900 * time.Millisecond // for which an overloaded owner does not answer
 	)
 	var s probeBackoff
 	now := time.Unix(1000, 0)
@@ -26,13 +26,13 @@
 	}
 }
 
-// TestPatienceComesBack has owners be lost one at a time: each loss is noticed as soon as the first.
-func TestPatienceComesBack(t *testing.T) {
+// TestProbeTimeoutRecovers loses owners one at a time: each failure must be detected as quickly as the first.
+func TestProbeTimeoutRecovers(t *testing.T) {
 	var s probeBackoff
 	now := time.Unix(1000, 0)
 	for range 5 {
 		if got := s.timeout(now); got != baseProbeTimeout {
-			t.Fatalf("patience %s", got)
+			t.Fatalf("timeout %s", got)
 		}
 		s.add(now)
 		if got := s.timeout(now.Add(time.Second)); got != 2*baseProbeTimeout {
@@ -44,6 +44,6 @@
 		s.add(now)
 	}
 	if got := s.timeout(now); got != baseProbeTimeout<<maxBackoffDoublings {
-		t.Fatalf("after ten losses: %s", got)
+		t.Fatalf("after ten failures: %s", got)
 	}
 }
--- a/node/control/probe_test.go
+++ b/node/control/probe_test.go
@@ -9,7 +9,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// silentClient leaves questions to the test.
+// silentClient lets the test answer the probes.
 type silentClient struct {
 	asked  chan struct{}
 	answer chan error
@@ -27,7 +27,7 @@
 
 func (c *silentClient) Close() {}
 
-// pulseBed is a pulse whose questions a test answers.
+// probeHarness is a livenessProbe whose probes the test answers.
 type probeHarness struct {
 	*livenessProbe
 	t       *testing.T
@@ -47,14 +47,14 @@
 
 func (b *probeHarness) newest() *silentClient { return b.clients[len(b.clients)-1] }
 
-// asks asks once and lets the time to the next question pass.
+// sendAndAdvance sends a probe and advances the clock to the next one.
 func (b *probeHarness) sendAndAdvance() {
 	b.send(b.t.Context())
 	<-b.newest().asked
 	b.clock.Advance(probeInterval)
 }
 
-// unanswered waits until as many questions are unanswered.
+// waitUnanswered waits until the given number of probes is unanswered.
 func (b *probeHarness) waitUnanswered(want int) {
 	for {
 		b.mu.Lock()
@@ -67,24 +67,24 @@
 	}
 }
 
-// TestPulseOfSilentProcess asks a process that does not answer: it counts as lost after
-// pulseSilence and one interval, and not before a lost packet's first repeat.
-func TestPulseOfSilentProcess(t *testing.T) {
+// TestProbeOfSilentProcess probes a process that does not answer. It must be considered failed within
+// baseProbeTimeout and one interval, but not before the first retransmission of a lost packet.
+func TestProbeOfSilentProcess(t *testing.T) {
 	b := newProbeHarness(t)
 	began := b.clock.Now()
 	for !b.failed() {
 		if b.sendAndAdvance(); b.clock.Since(began) > time.Second {
-			t.Fatal("it does not count as lost")
+			t.Fatal("it is not considered failed")
 		}
 	}
 	if took := b.clock.Since(began); took <= 200*time.Millisecond || took > baseProbeTimeout+probeInterval {
-		t.Fatalf("lost after %s", took)
+		t.Fatalf("considered failed after %s", took)
 	}
 }
 
-// TestPulseOfSlowAnswers answers each question 200 ms late, as a link does that loses a
-// packet a time: the process is not lost.
-func TestPulseOfSlowAnswers(t *testing.T) {
+// TestProbeOfSlowAnswers delays each answer by 200 ms, as a link does that loses one packet at a time. The
+// process must not be considered failed.
+func TestProbeOfSlowAnswers(t *testing.T) {
 	b := newProbeHarness(t)
 	at := []time.Time{}
 	for range 100 {
@@ -95,14 +95,14 @@
 			at = at[1:]
 		}
 		if b.failed() {
-			t.Fatal("it counts as lost")
+			t.Fatal("it is considered failed")
 		}
 	}
 }
 
-// TestPulseOverAnotherConnection lets the connection go silent and not the process: the
-// next questions go over another one, and the process is not lost.
-func TestPulseOverAnotherConnection(t *testing.T) {
+// TestProbeOverAnotherConnection lets the connection die while the process is alive. The next probes must use
+// another connection, and the process must not be considered failed.
+func TestProbeOverAnotherConnection(t *testing.T) {
 	b := newProbeHarness(t)
 	for len(b.clients) == 1 {
 		b.sendAndAdvance()
@@ -110,13 +110,13 @@
 	b.newest().answer <- nil
 	b.waitUnanswered(0)
 	if b.failed() {
-		t.Fatal("it counts as lost")
+		t.Fatal("it is considered failed")
 	}
 }
 
-// TestPulseOfClosedPort fails questions at once: one failure is no loss, two are, and an
-// answer between them forgets the first.
-func TestPulseOfClosedPort(t *testing.T) {
+// TestProbeOfClosedPort lets probes fail immediately. One failure is not enough, two are, and an answer
+// between them resets the count.
+func TestProbeOfClosedPort(t *testing.T) {
 	refused := errors.New("connection refused")
 	b := newProbeHarness(t)
 	for _, step := range []struct {
@@ -125,7 +125,7 @@
 	}{{refused, false}, {nil, false}, {refused, false}, {refused, true}} {
 		b.recordResult(b.newest(), b.clock.Now(), step.err)
 		if b.failed() != step.lost {
-			t.Fatalf("after %v: lost %v", step.err, !step.lost)
+			t.Fatalf("after %v: failed %v", step.err, !step.lost)
 		}
 		if _, err := b.oldestUnanswered(); err != step.err {
 			t.Fatalf("the last failure is %v, want %v", err, step.err)
@@ -133,14 +133,14 @@
 	}
 }
 
-// TestPulseAfterAPause restarts after a pause of the process that asks: what it did not
-// hear meanwhile is no silence.
-func TestPulseAfterAPause(t *testing.T) {
+// TestProbeAfterAStall resets the probe after a stall of the probing process, which must not count as silence
+// of the probed one.
+func TestProbeAfterAStall(t *testing.T) {
 	b := newProbeHarness(t)
 	b.sendAndAdvance()
 	b.clock.Advance(time.Minute)
 	b.reset()
 	if b.failed() {
-		t.Fatal("it counts as lost")
+		t.Fatal("it is considered failed")
 	}
 }
--- a/node/control/puts_test.go
+++ b/node/control/puts_test.go
@@ -16,13 +16,13 @@
 	"caperdrum.org/node/state"
 )
 
-// proposed is a cluster of one that shows what is proposed, and lets the test do
-// something before it is applied.
+// recordingCluster is a cluster with one voter. It records the sizes of proposed commands, and calls before
+// ahead of applying each.
 type recordingCluster struct {
-	cluster // nil: what is not overridden is not called
+	cluster // nil: methods that are not overridden must not be called
 	t       *testing.T
 	machine *state.Machine
-	view    atomic.Pointer[state.View] // of the machine, for other goroutines
+	view    atomic.Pointer[state.View] // the machine's view, for other goroutines
 	sizes   []int
 	before  func()
 }
@@ -63,15 +63,15 @@
 	return res
 }
 
-// TestChangeOfOneRouteIsAShortCommand changes one route of many: its command in the log
-// has the size of the change, and an older version needs none.
+// TestChangeOfOneRouteIsAShortCommand changes one route of many. The command must be about as large as the
+// change, and an older version must not be proposed.
 func TestChangeOfOneRouteIsAShortCommand(t *testing.T) {
 	s, p := newRecordingCluster(t)
 	text := routes(1000)
 	mustPut(t, s, 5, text)
 	next := strings.Replace(text, "goal = 1.2s", "goal = 1.3s", 1)
 	if res := mustPut(t, s, 9, next); !res.Applied || p.View().Config.Text != next {
-		t.Fatalf("answered %+v, %d bytes in force", res, len(p.View().Config.Text))
+		t.Fatalf("result %+v, %d bytes in force", res, len(p.View().Config.Text))
 	}
 	if got := p.sizes[len(p.sizes)-1]; got > 1024 {
 		t.Fatalf("a command of %d bytes", got)
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestAnotherChangeComesFirst has another change committed between the making of a
-// difference and its turn: it is made anew.
+// TestAnotherChangeComesFirst commits another change between the computation of a delta and its proposal. The
+// delta must be computed again.
 func TestAnotherChangeComesFirst(t *testing.T) {
 	s, p := newRecordingCluster(t)
 	text := routes(100)
@@ -100,12 +100,12 @@
 	}
 	next := strings.Replace(text, "goal = 1.2s", "goal = 1.3s", 1)
 	if res := mustPut(t, s, 3, next); !res.Applied || p.View().Config.Version != 3 || p.View().Config.Text != next {
-		t.Fatalf("answered %+v, version %d in force", res, p.View().Config.Version)
+		t.Fatalf("result %+v, version %d in force", res, p.View().Config.Version)
 	}
 }
 
-// TestResendJoinsTheChangeUnderWay sends a change again while it is under way, and
-// once more after its first sender has left: it is proposed once, and all who wait are told.
+// TestResendJoinsTheChangeUnderWay sends a change again while it is in progress, after its first sender has
+// disconnected. It must be proposed once, and all waiting senders must get the result.
 func TestResendJoinsTheChangeUnderWay(t *testing.T) {
 	synctest.Test(t, resendJoins)
 }
@@ -125,14 +125,14 @@
 	<-proposing
 	leave()
 	if err := <-first; err == nil {
-		t.Fatal("its sender left and was told that it is in force")
+		t.Fatal("the sender disconnected, and its call succeeded")
 	}
 	u, begins := s.puts.join(req)
 	if begins {
-		t.Fatal("a resend begins the change anew")
+		t.Fatal("a resend starts the change again")
 	}
 	go put(context.Background(), again)
-	synctest.Wait() // it waits for the change, or would begin another one after it
+	synctest.Wait() // until it waits for the change; otherwise it could start another one after it
 	close(goOn)
 	if err := <-again; err != nil {
 		t.Fatal(err)
--- a/node/control/repair_test.go
+++ b/node/control/repair_test.go
@@ -30,35 +30,35 @@
 	return strings.Join(out, " ")
 }
 
-// TestPlanSteps lists single steps of plan. The leader is a; all others answer
-// and hold every entry unless the case says otherwise.
+// TestPlanSteps checks single steps of plan. The leader is a; all others answer and hold every entry unless
+// the case says otherwise.
 func TestPlanSteps(t *testing.T) {
 	cases := []struct {
 		name, voters, learners, silent, idle, behind, spares string
-		lag                                                  uint64 // of those behind
+		lag                                                  uint64 // of those in behind
 		want                                                 int
-		next, nextLearners                                   string // empty next: no step
-		done                                                 bool   // the report is empty
+		next, nextLearners                                   string // next is empty if there is no step
+		done                                                 bool   // whether the report is empty
 	}{
 		{name: "whole", voters: "a b c", want: 3, done: true},
 		{name: "one silent, no spare", voters: "a b c", silent: "c", want: 3},
 		{name: "one silent, a spare", voters: "a b c", silent: "c", spares: "d", want: 3, next: "a b c", nextLearners: "d"},
-		{name: "wiped disk back at its address", voters: "a b c", silent: "c", spares: "c2", want: 3, next: "a b c", nextLearners: "c2"},
-		{name: "wiped disk caught up", voters: "a b c", learners: "c2", silent: "c", want: 3, next: "a b c c2"},
-		{name: "wiped disk votes", voters: "a b c c2", silent: "c", want: 3, next: "a b c2"},
+		{name: "wiped disk returned at its address", voters: "a b c", silent: "c", spares: "c2", want: 3, next: "a b c", nextLearners: "c2"},
+		{name: "replica of a wiped disk has caught up", voters: "a b c", learners: "c2", silent: "c", want: 3, next: "a b c c2"},
+		{name: "replica of a wiped disk votes", voters: "a b c c2", silent: "c", want: 3, next: "a b c2"},
 		{name: "learner far behind", voters: "a b c", learners: "d", silent: "c", behind: "d", lag: maxPromoteLag + 1, want: 3},
-		{name: "learner nearly there", voters: "a b c", learners: "d", silent: "c", behind: "d", lag: maxPromoteLag, want: 3, next: "a b c d"},
-		{name: "learner not heard from lately", voters: "a b c", learners: "d", silent: "c", idle: "d", want: 3},
-		{name: "spare died as a learner", voters: "a b c", learners: "d", silent: "c d", spares: "e", want: 3, next: "a b c"},
-		{name: "promoted voter misses entries", voters: "a b c d", silent: "c", behind: "d", lag: 1, want: 3},
-		{name: "voter misses entries", voters: "a b d", behind: "d", lag: 1, want: 3},
-		{name: "two of five silent, the one spare votes", voters: "a b c d e f", silent: "d e", want: 5, next: "a b c e f"},
+		{name: "learner nearly caught up", voters: "a b c", learners: "d", silent: "c", behind: "d", lag: maxPromoteLag, want: 3, next: "a b c d"},
+		{name: "learner not recently active", voters: "a b c", learners: "d", silent: "c", idle: "d", want: 3},
+		{name: "spare failed as a learner", voters: "a b c", learners: "d", silent: "c d", spares: "e", want: 3, next: "a b c"},
+		{name: "promoted voter lacks entries", voters: "a b c d", silent: "c", behind: "d", lag: 1, want: 3},
+		{name: "voter lacks entries", voters: "a b d", behind: "d", lag: 1, want: 3},
+		{name: "two of five silent, the only spare votes", voters: "a b c d e f", silent: "d e", want: 5, next: "a b c e f"},
 		{name: "two of five silent, one replaced, no spare", voters: "a b c e f", silent: "e", want: 5},
 		{name: "two of five silent, one replaced, a spare", voters: "a b c e f", silent: "e", spares: "g", want: 5, next: "a b c e f", nextLearners: "g"},
-		{name: "back before its replacement votes", voters: "a b c", learners: "d", want: 3, next: "a b c"},
-		{name: "back after its replacement votes", voters: "a b c d", want: 3, next: "a b c"},
-		{name: "back after its replacement votes, misses entries", voters: "a b c d", behind: "c", lag: 1, want: 3},
-		{name: "too many, one not heard from lately", voters: "a b c d", idle: "c", want: 3},
+		{name: "returned before its replacement votes", voters: "a b c", learners: "d", want: 3, next: "a b c"},
+		{name: "returned after its replacement votes", voters: "a b c d", want: 3, next: "a b c"},
+		{name: "returned after its replacement votes, lacks entries", voters: "a b c d", behind: "c", lag: 1, want: 3},
+		{name: "too many, one not recently active", voters: "a b c d", idle: "c", want: 3},
 		{name: "fewer than wanted", voters: "a", spares: "b c", want: 3, next: "a", nextLearners: "b"},
 	}
 	for _, c := range cases {
@@ -86,8 +86,8 @@
 	}
 }
 
-// planModel is a set of control VMs. Each runs at most one identity; a wiped
-// disk gives the VM a new one that holds nothing.
+// planModel is a set of control VMs. Each runs at most one replica; a wiped disk gives the VM a new, empty
+// one.
 type planModel struct {
 	want    int
 	vms     []*modelVM
@@ -131,7 +131,7 @@
 
 func hasQuorum(up int, ms consensus.Membership) bool { return up > len(ms.Voters)/2 }
 
-// leader is the voter that works and holds most.
+// leader returns the live voter that holds the most entries.
 func (m *planModel) leader() *modelVM {
 	var best *modelVM
 	for _, p := range m.members.Voters {
@@ -169,7 +169,7 @@
 	}
 }
 
-// noteSilence lets the leader find out who is silent.
+// updateSilence lets the leader detect which members are silent.
 func (m *planModel) updateSilence() {
 	clear(m.silent)
 	for _, p := range m.members.All() {
@@ -201,18 +201,17 @@
 	next, why := plan(st, spares, m.silent, m.want, m.last)
 	if next == nil {
 		if why == "" && hold < min(up, m.want) {
-			t.Fatalf("reported done with %d of %d voters whole", hold, m.want)
+			t.Fatalf("reported complete with %d of %d voters up to date", hold, m.want)
 		}
 		return why
 	}
 	m.check(t, *next, hold)
 	m.members = *next
-	m.write(1) // the change itself
+	m.write(1) // the entry of the membership change
 	return why
 }
 
-// spareable reports whether the other voters' disks are a quorum and hold what
-// is committed.
+// canLose reports whether the other voters' disks form a quorum and hold what is committed.
 func (m *planModel) canLose(lost *modelVM) bool {
 	disks, hold := 0, 0
 	for _, p := range m.members.Voters {
@@ -241,18 +240,17 @@
 	up, after := m.liveVoters(next)
 	switch {
 	case changed > 1:
-		t.Fatalf("%d voters changed at once", changed)
+		t.Fatalf("%d voters changed in one step", changed)
 	case after < min(hold, m.want):
-		t.Fatalf("%d voters held the state, now %d", hold, after)
+		t.Fatalf("%d voters held the state, now %d do", hold, after)
 	case len(next.Voters) < len(m.members.Voters) && after < up:
-		t.Fatalf("a copy was given up while %d of %d that work were whole", after, up)
+		t.Fatalf("a copy was removed while %d of %d live voters were up to date", after, up)
 	case !hasQuorum(up, next):
-		t.Fatalf("%d of %d voters work: no quorum", up, len(next.Voters))
+		t.Fatalf("%d of %d voters are live: no quorum", up, len(next.Voters))
 	}
 }
 
-// TestPlanKeepsCopiesAndQuorum runs plan while VMs die, come back, are wiped
-// and catch up.
+// TestPlanKeepsCopiesAndQuorum runs plan while VMs fail, return, are wiped and catch up.
 func TestPlanKeepsCopiesAndQuorum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &planModel{want: rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "want"), silent: map[consensus.NodeID]bool{}, last: lastEntry}
@@ -279,7 +277,7 @@
 			"wipe": func(*rapid.T) {
 				v := any()
 				if !m.canLose(v) {
-					return // more disks lost than a membership bears
+					return // more disks lost than the membership tolerates
 				}
 				v.wipes++
 				v.id, v.match = consensus.NodeID(fmt.Sprintf("%s-%d", v.id[:1], v.wipes)), 0
@@ -289,8 +287,7 @@
 	})
 }
 
-// quiet lets all VMs run. Plan must reach the wanted set: the disks that are
-// left are a quorum.
+// converge runs all VMs. Plan must reach the wanted set, since the remaining disks form a quorum.
 func (m *planModel) converge(t *rapid.T) {
 	for _, v := range m.vms {
 		v.up = true
@@ -304,6 +301,6 @@
 	m.updateSilence()
 	up, hold := m.liveVoters(m.members)
 	if why != "" || up != m.want || hold != m.want || len(m.members.Voters) != m.want || len(m.members.Learners) != 0 {
-		t.Fatalf("not settled: %q, voters %q, learners %q", why, idsOf(m.members.Voters), idsOf(m.members.Learners))
+		t.Fatalf("not converged: %q, voters %q, learners %q", why, idsOf(m.members.Voters), idsOf(m.members.Learners))
 	}
 }
--- a/node/control/selfforming_plan_test.go
+++ b/node/control/selfforming_plan_test.go
@@ -12,19 +12,18 @@
 	"caperdrum.org/node/consensus"
 )
 
-// anywhere is for voters of which nobody knows where they are.
+// unknownPlacement is for voters whose data centres are unknown.
 var unknownPlacement = voterPlacement{dataCenterOf: func(string) string { return "" }}
 
 func peerNamed(name string) consensus.Peer {
 	return consensus.Peer{ID: consensus.NodeID(name), Address: name}
 }
 
-// TestElasticPlanKeepsAQuorum draws voters, learners, offers and silence, and
-// follows the plan to its end: every step changes one voter at most, the voters
-// never fall below the least number or exceed the most and those that are gone,
-// the leader stays, and at the end nobody that is gone is left as long as the
-// least number allows.
-func TestElasticPlanKeepsAQuorum(t *testing.T) {
+// TestSelfFormingPlanKeepsAQuorum draws voters, learners, offers and silent members, and follows the plan to
+// its end. Each step must change at most one voter, the number of voters must stay between the minimum and
+// the maximum (plus failed ones), and the leader must stay. At the end, no failed member may be left, except
+// to keep the minimum.
+func TestSelfFormingPlanKeepsAQuorum(t *testing.T) {
 	const least, most = 3, 7
 	rapid.Check(t, func(t *rapid.T) {
 		st := consensus.Status{ID: "v0", Last: 100, Progress: map[consensus.NodeID]consensus.Progress{}}
@@ -36,7 +35,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "fate") * min(i, 1) {
 			case 1:
 				silent[p.ID] = true
-			case 2: // its folder was lost
+			case 2: // it lost its data folder
 				offers = append(offers, consensus.Peer{ID: p.ID + "-new", Address: p.Address})
 			}
 		}
@@ -68,17 +67,16 @@
 func checkEnd(t *rapid.T, st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool, least, most int) {
 	gone := failedMembers(st, offers, silent)
 	if len(gone) > 0 && len(st.Membership.Voters) > least {
-		t.Fatalf("%v are gone and stay among %v", gone, st.Membership.Voters)
+		t.Fatalf("failed members %v remain among %v", gone, st.Membership.Voters)
 	}
 	for _, o := range offers {
 		if !st.Membership.Has(o.ID) && len(st.Membership.Voters) < most {
-			t.Fatalf("%s offers itself and does not vote", o.ID)
+			t.Fatalf("%s has offered to vote and is not a voter", o.ID)
 		}
 	}
 }
 
-// TestOffersAreForgotten lets an offer grow old, and a second replica take the
-// address of the first.
+// TestOffersAreForgotten lets an offer expire, and a second replica take the address of the first.
 func TestOffersAreForgotten(t *testing.T) {
 	var o offers
 	start := time.Unix(1000, 0)
@@ -92,7 +90,7 @@
 	}
 }
 
-// TestNextOwner lists who is named for each set of processes.
+// TestNextOwner checks which owner is chosen from each set of processes.
 func TestNextOwner(t *testing.T) {
 	proxy := func(id, role string, leaving bool) wire.Member {
 		return wire.Member{ID: wire.MemberID(id), Role: role, Peer: id, Leaving: leaving}
@@ -103,16 +101,16 @@
 		want    wire.MemberID
 		heard   []wire.MemberID
 	}{
-		"nobody":                              {nil, "", "", nil},
-		"an agent owns nothing":               {[]wire.Member{{ID: "agent", Role: "agent"}}, "", "", nil},
-		"control before others":               {[]wire.Member{proxy("a", "proxy", false), proxy("b", "proxy+control", false)}, "", "b", nil},
-		"not the leader, if there is another": {[]wire.Member{proxy("leader", "proxy+control", false), proxy("b", "proxy+control", false)}, "", "b", nil},
-		"the leader before a smaller VM":      {[]wire.Member{proxy("leader", "proxy+control", false), proxy("b", "proxy", false)}, "", "leader", nil},
-		"not one that leaves":                 {[]wire.Member{proxy("a", "proxy+control", true), proxy("b", "proxy", false)}, "", "b", nil},
-		"one that was silent comes last":      {[]wire.Member{proxy("a", "proxy+control", false), proxy("b", "proxy", false)}, "a", "b", nil},
-		"one that was heard of":               {[]wire.Member{proxy("a", "proxy+control", false), proxy("b", "proxy+control", false)}, "", "a", []wire.MemberID{"a"}},
-		"another that was heard of":           {[]wire.Member{proxy("a", "proxy+control", false), proxy("b", "proxy+control", false)}, "", "b", []wire.MemberID{"b"}},
-		"the larger VM, heard of or not":      {[]wire.Member{proxy("a", "proxy+control", false), proxy("b", "proxy", false)}, "", "a", []wire.MemberID{"b"}},
+		"nobody":                                       {nil, "", "", nil},
+		"an agent is never chosen":                     {[]wire.Member{{ID: "agent", Role: "agent"}}, "", "", nil},
+		"control before others":                        {[]wire.Member{proxy("a", "proxy", false), proxy("b", "proxy+control", false)}, "", "b", nil},
+		"not the leader, if there is another":          {[]wire.Member{proxy("leader", "proxy+control", false), proxy("b", "proxy+control", false)}, "", "b", nil},
+		"the leader before a smaller VM":               {[]wire.Member{proxy("leader", "proxy+control", false), proxy("b", "proxy", false)}, "", "leader", nil},
+		"not a process that is leaving":                {[]wire.Member{proxy("a", "proxy+control", true), proxy("b", "proxy", false)}, "", "b", nil},
+		"a recently failed one is last":                {[]wire.Member{proxy("a", "proxy+control", false), proxy("b", "proxy", false)}, "a", "b", nil},
+		"one that has renewed":                         {[]wire.Member{proxy("a", "proxy+control", false), proxy("b", "proxy+control", false)}, "", "a", []wire.MemberID{"a"}},
+		"another that has renewed":                     {[]wire.Member{proxy("a", "proxy+control", false), proxy("b", "proxy+control", false)}, "", "b", []wire.MemberID{"b"}},
+		"the larger VM, whether it has renewed or not": {[]wire.Member{proxy("a", "proxy+control", false), proxy("b", "proxy", false)}, "", "a", []wire.MemberID{"b"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -122,7 +120,7 @@
 			}
 			got, _ := nextOwner(members, "leader", func(id wire.MemberID) bool { return id == c.avoid }, func(m wire.Member) bool { return slices.Contains(c.heard, m.ID) })
 			if got.ID != c.want {
-				t.Fatalf("named %q, want %q", got.ID, c.want)
+				t.Fatalf("chose %q, want %q", got.ID, c.want)
 			}
 		})
 	}
--- a/node/control/selfforming_test.go
+++ b/node/control/selfforming_test.go
@@ -11,13 +11,13 @@
 	"caperdrum.org/node/formation"
 )
 
-// formingMachine is one VM of a self-forming cluster. What stands in stored survives a
-// restart; a wipe takes it and gives the next replica another identity.
+// simMachine is one VM of a self-forming cluster. The fields in stored survive a restart. A wipe clears them,
+// and the next replica gets a new identity.
 type simMachine struct {
 	address    string
 	disk       bool
 	wipes      int
-	firstStart bool // its folder was there at the first start
+	firstStart bool // its data folder existed at the first start
 	stored     struct {
 		formed bool
 		hard   consensus.HardState
@@ -26,7 +26,7 @@
 	}
 	rule    formation.Rule
 	namer   formation.Namer
-	node    *consensus.Node // nil while it is down, or has no disk
+	node    *consensus.Node // nil if it is not running or has no disk
 	applied []string
 }
 
@@ -34,7 +34,7 @@
 	return consensus.Peer{ID: consensus.NodeID(fmt.Sprintf("%s/%d", m.address, m.wipes)), Address: m.address}
 }
 
-// formingSystem is a set of machines on a network that loses messages.
+// simCluster is a set of machines connected by a lossy network.
 type simCluster struct {
 	t        *rapid.T
 	seeds    []string
@@ -43,8 +43,8 @@
 	founded  int
 	acked    []string
 	serial   int
-	proposed map[string]bool // by the leader of now, to be acknowledged when committed there
-	noopFor  string          // term and membership that an entry follows
+	proposed map[string]bool // by the current leader; acknowledged once committed there
+	noopFor  string          // term and membership after which a no-op entry was proposed
 	cut      map[string]bool // machines whose messages are lost
 }
 
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// form takes one step of founding.
+// form takes one step of the cluster's formation.
 func (s *simCluster) form(m *simMachine) {
 	if m.node == nil || m.stored.formed || !m.firstStart || m.node.Status().Last > 0 {
 		return
@@ -112,7 +112,7 @@
 	}
 }
 
-// work does what the replica does with a Ready, in its order.
+// processReady handles a Ready in the same order as the replica.
 func (s *simCluster) processReady(m *simMachine) {
 	for m.node.HasReady() {
 		rd := m.node.Ready()
@@ -143,8 +143,7 @@
 	}
 }
 
-// round lets one unit of time pass and delivers what is on its way, in any order
-// and with losses.
+// round advances time by one tick and delivers the messages in flight, some of which are lost.
 func (s *simCluster) round(lossy bool) {
 	for _, m := range s.machines {
 		s.form(m)
@@ -168,7 +167,7 @@
 	}
 }
 
-// byID finds a running replica; one whose folder was lost is nobody's any more.
+// byID returns a running replica, or nil if its data folder was lost.
 func (s *simCluster) byID(id consensus.NodeID) *simMachine {
 	for _, m := range s.machines {
 		if m.node != nil && m.peer().ID == id {
@@ -191,13 +190,13 @@
 	return best
 }
 
-// heal lets the leader take a step of the plan, with the offers that reach it.
+// repairStep lets the leader take one step of the plan, with the offers that reach it.
 func (s *simCluster) repairStep(l *simMachine) {
 	st := l.node.Status()
 	if st.MembershipPending {
 		return
 	}
-	if voters := fmt.Sprint(st.Term, st.Membership); s.noopFor != voters { // as repair.confirm does
+	if voters := fmt.Sprint(st.Term, st.Membership); s.noopFor != voters { // like repair.commitNoop
 		if _, _, err := l.node.Propose([]byte("confirm")); err == nil {
 			s.noopFor = voters
 		}
@@ -216,7 +215,7 @@
 		silent[p.ID] = m == nil || s.cut[m.address]
 	}
 	if next, _ := planSelfForming(st, offers, silent, simVoters, 7, unknownPlacement); next != nil {
-		// A step that is refused now is proposed again in the next round.
+		// A rejected step is proposed again in the next round.
 		_ = l.node.ProposeMembership(*next)
 		s.processReady(l)
 	}
@@ -235,8 +234,8 @@
 	s.processReady(l)
 }
 
-// whole reports whether another loss is borne: a leader whose voters all run, are
-// reached and hold everything committed, and are as many as the losses need.
+// toleratesLoss reports whether another loss is tolerated: there is a leader, and enough voters, all of which
+// are running, reachable and up to date.
 func (s *simCluster) toleratesLoss() bool {
 	l := s.leader()
 	if l == nil || len(s.cut) > 0 {
@@ -251,10 +250,10 @@
 	return s.noopFor == fmt.Sprint(st.Term, st.Membership) && len(st.Membership.Voters) >= simVoters && len(st.Membership.Learners) == 0 && !st.MembershipPending
 }
 
-// check compares all that was applied anywhere.
+// check compares the entries that the replicas have applied.
 func (s *simCluster) check() {
 	if s.founded > 1 {
-		s.t.Fatalf("%d clusters were founded", s.founded)
+		s.t.Fatalf("%d clusters were created", s.founded)
 	}
 	var longest []string
 	for _, m := range s.machines {
@@ -271,10 +270,10 @@
 	}
 }
 
-// TestSelfFormingClusterKeepsWhatItAcknowledged forms a cluster from seeds, some
-// of which may have no disk, and lets machines restart, be cut off, lose their
-// folders one at a time and lose power together. No second cluster is founded,
-// replicas never differ, and when all are back everything acknowledged is there.
+// TestSelfFormingClusterKeepsWhatItAcknowledged forms a cluster from seeds, some of which may have no disk.
+// Machines restart, are partitioned, lose their data folders one at a time, and lose power together. No
+// second cluster may be created, replicas must never diverge, and when all machines have returned, every
+// acknowledged entry must exist.
 func TestSelfFormingClusterKeepsWhatItAcknowledged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimCluster(t)
@@ -328,7 +327,7 @@
 		}
 		l := s.leader()
 		if l == nil {
-			t.Fatal("nobody leads although all are back")
+			t.Fatal("no leader although all machines have returned")
 		}
 		held := map[string]bool{}
 		for _, v := range l.applied {
@@ -336,7 +335,7 @@
 		}
 		for _, v := range s.acked {
 			if !held[v] {
-				t.Fatalf("%s was acknowledged and is gone; the leader holds %v", v, l.applied)
+				t.Fatalf("%s was acknowledged and is lost; the leader holds %v", v, l.applied)
 			}
 		}
 	})
--- a/node/control/stageowner_test.go
+++ b/node/control/stageowner_test.go
@@ -13,11 +13,11 @@
 	"caperdrum.org/node/state"
 )
 
-// leading is a leader whose commands are committed at once.
+// leaderCluster is a leader whose commands are committed immediately.
 type leaderCluster struct {
-	cluster   // nil: what is not overridden is not called
+	cluster   // nil: methods that are not overridden must not be called
 	machine   *state.Machine
-	transfers int // how often the lead was to be handed over
+	transfers int // number of leadership transfers requested
 }
 
 func (l *leaderCluster) TransferLeadership(context.Context) error { l.transfers++; return nil }
@@ -40,9 +40,8 @@
 	}
 }
 
-// TestFirstOwnerIsNotTheLeader lets the leader join first, as the founder of a
-// cluster does: it must not be named before the others had time to join, which
-// they have when a text is accepted.
+// TestFirstOwnerIsNotTheLeader lets the leader join first, as the founder of a cluster does. It must not be
+// assigned before the others had time to join, which is when a configuration is accepted.
 func TestFirstOwnerIsNotTheLeader(t *testing.T) {
 	l := &leaderCluster{machine: state.New()}
 	set := &settings.Settings{}
@@ -54,17 +53,17 @@
 	l.mustPropose(t, state.Command{Join: []wire.Member{proxy("leader")}})
 	o.step(context.Background())
 	if got := l.View().Owner.ID; got != "" {
-		t.Fatalf("%s is named although there is no stage yet", got)
+		t.Fatalf("%s is assigned although there is no stage yet", got)
 	}
 	l.mustPropose(t, state.Command{Join: []wire.Member{proxy("other")}, Put: &wire.PutRequest{Version: 1}})
 	o.step(context.Background())
 	if got := l.View().Owner.ID; got != "other" {
-		t.Fatalf("%q is named, want the process that does not lead", got)
+		t.Fatalf("%q is assigned, want the process that is not the leader", got)
 	}
 }
 
-// TestOwnerDoesNotLead elects the owner of the stages: it hands the lead over, once
-// in a while as long as it leads, and the owner stays.
+// TestOwnerDoesNotLead makes the stage owner the leader. It must try to transfer leadership periodically
+// until it succeeds, and must stay the owner.
 func TestOwnerDoesNotLead(t *testing.T) {
 	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
 	set := &settings.Settings{}
@@ -78,14 +77,15 @@
 		o.step(context.Background())
 		o.step(context.Background())
 		if l.transfers != want || l.View().Owner.ID != "owner" {
-			t.Fatalf("handed over %d times, want %d; owner %s", l.transfers, want, l.View().Owner.ID)
+			t.Fatalf("%d transfers, want %d; owner %s", l.transfers, want, l.View().Owner.ID)
 		}
 		clock.Advance(transferRetryInterval)
 	}
 }
 
-// TestOwnerThatStartedAgainIsReplacedAtOnce starts all processes again. The leader hears of the new starts before
-// the state holds them: it names none of the old ones, and a new one as soon as it has heard of it.
+// TestOwnerThatStartedAgainIsReplacedAtOnce restarts all processes. The leader gets renewals of the new
+// starts before the member list contains them. It must not assign an earlier start, and must assign a new one
+// as soon as that has renewed its lease.
 func TestOwnerThatStartedAgainIsReplacedAtOnce(t *testing.T) {
 	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
 	set := &settings.Settings{}
@@ -105,28 +105,28 @@
 	lease.record([]Renewal{{Member: process("owner", 2)}})
 	o.step(t.Context())
 	if got := l.View().Owner; got.Epoch != 1 {
-		t.Fatalf("%+v is named, of which nothing was heard", got)
+		t.Fatalf("%+v is assigned without a renewal", got)
 	}
 	lease.record([]Renewal{{Member: process("other", 2)}})
 	o.step(t.Context())
 	if got := l.View().Owner; got.ID != "other" || got.Incarnation != 2 {
-		t.Fatalf("%+v is named, want the new start of other", got)
+		t.Fatalf("%+v is assigned, want the new start of other", got)
 	}
 	o.probe = newLivenessProbe(clock, "127.0.0.1:1", func() probeClient { return aliveClient{} })
 	o.step(t.Context())
 	if got := l.View().Owner; got.Epoch != 2 {
-		t.Fatalf("%+v is named again", got)
+		t.Fatalf("%+v is assigned again", got)
 	}
 }
 
-// alive is a process that answers.
+// aliveClient is a process that answers all probes.
 type aliveClient struct{}
 
 func (aliveClient) ping(context.Context) error { return nil }
 func (aliveClient) Close()                     {}
 
-// TestUnheardProcessIsNamedInTheEnd loses the owner, and no other process is heard of.
-func TestUnheardProcessIsNamedInTheEnd(t *testing.T) {
+// TestUnheardProcessIsEventuallyAssigned loses the owner, and no other process renews its lease.
+func TestUnheardProcessIsEventuallyAssigned(t *testing.T) {
 	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
 	set := &settings.Settings{}
 	set.Node.Name = "leader"
@@ -135,11 +135,11 @@
 	o.leaderSince = clock.Now()
 	o.step(t.Context())
 	if got := l.View().Owner.ID; got != "" {
-		t.Fatalf("%s is named at once", got)
+		t.Fatalf("%s is assigned immediately", got)
 	}
 	clock.Advance(newLeaderGrace)
 	o.step(t.Context())
 	if got := l.View().Owner.ID; got != "other" {
-		t.Fatalf("%q is named", got)
+		t.Fatalf("%q is assigned", got)
 	}
 }
--- a/node/control/sync_test.go
+++ b/node/control/sync_test.go
@@ -20,9 +20,8 @@
 	"caperdrum.org/node/state"
 )
 
-// world is a simulated cluster: one log, control processes that applied parts
-// of it, members that synchronize, and an oracle that holds what every version
-// and every sequence number stood for.
+// simulation is a simulated cluster: one log, control processes that have applied parts of it, members that
+// synchronize, and an oracle that knows the state at every version and sequence number.
 type simulation struct {
 	t          *rapid.T
 	clock      *clockwork.FakeClock
@@ -31,12 +30,12 @@
 	oracle     *state.Machine
 	texts      map[uint64]string
 	members    map[uint64]map[wire.MemberID]wire.Member
-	positions  []position // what was accepted after this many entries
+	positions  []position // positions after this many entries
 	nodes      []*node
 	leader     int
 	term       uint64
 	procs      []*process
-	drifting   bool // the world moves on also between two reads of one answer
+	drifting   bool // the state may change between two reads for one reply
 }
 
 type position struct{ version, seq uint64 }
@@ -49,7 +48,7 @@
 	applied int
 	stamp   time.Time
 	svc     *Service
-	cut     bool // from the leader
+	cut     bool // partitioned from the leader
 	changed chan struct{}
 }
 
@@ -105,7 +104,7 @@
 	*p = process{held: configsync.NewHolder(m), alive: true, starts: p.starts + 1, source: i % nodeCount}
 }
 
-// drift lets something happen between two reads.
+// drift may change the state between two reads.
 func (w *simulation) drift() {
 	if !w.drifting || rapid.IntRange(0, 15).Draw(w.t, "drift") != 7 {
 		return
@@ -180,7 +179,7 @@
 	}
 }
 
-// confirm gives the leader a quorum's stamp.
+// confirm gives the leader a confirmation by a quorum.
 func (n *node) confirm() {
 	if n.IsLeader() && !n.cut {
 		n.catchUp(len(n.w.log))
@@ -221,7 +220,7 @@
 	w.commit(state.Command{Change: &wire.ChangeRequest{Number: v + 1, Text: text, ChangeID: fmt.Sprint("c", v+1)}})
 }
 
-// accepted is what had been accepted at time t.
+// accepted returns the position at time t.
 func (w *simulation) accepted(t time.Time) position {
 	k := 0
 	for k < len(w.acceptedAt) && !w.acceptedAt[k].After(t) {
@@ -247,7 +246,7 @@
 	return w.deliver(p, reply, asked)
 }
 
-// syncNow is sync without holding the answer back.
+// syncNow is sync without waiting for changes.
 func (s *Service) syncNow(req *wire.SyncRequest) (*wire.SyncReply, error) {
 	renewed := s.renewLease(req)
 	reply := s.fullReply(req)
@@ -260,7 +259,7 @@
 	_, err := p.held.Take(reply, asked)
 	if v := p.held.View(); v != nil {
 		if first && err != nil {
-			w.t.Fatal("the first view was published without a quorum's confirmation")
+			w.t.Fatal("the initial view was published without a confirmation by a quorum")
 		}
 		w.check(p, v)
 	}
@@ -273,7 +272,7 @@
 	}
 	p.version, p.seq = v.Version, v.Seq
 	if text, known := w.texts[v.Version]; !known || text != v.Text {
-		w.t.Fatalf("version %d holds a text that was not accepted under it", v.Version)
+		w.t.Fatalf("the text of version %d differs from the accepted one", v.Version)
 	}
 	if want, err := optext.Parse("t", []byte(v.Text)); err != nil || v.Version > 0 && !reflect.DeepEqual(want, v.Config) {
 		w.t.Fatalf("version %d was parsed wrongly: %v", v.Version, err)
@@ -287,18 +286,18 @@
 	}
 	for _, m := range v.ByService["s"] {
 		if held[m.ID].Leaving {
-			w.t.Fatalf("%s is leaving and offered", m.ID)
+			w.t.Fatalf("%s is leaving and is listed", m.ID)
 		}
 	}
 	now := w.clock.Now()
 	if age := p.held.StampAge(now); age < time.Hour {
 		if must := w.accepted(now.Add(-age).Add(-1)); v.Version < must.version || v.Seq < must.seq {
-			w.t.Fatalf("stamped %v ago with %d/%d, but %v had been accepted", age, v.Version, v.Seq, must)
+			w.t.Fatalf("confirmed %v ago at %d/%d, but %v had been accepted", age, v.Version, v.Seq, must)
 		}
 	}
 }
 
-// quiet lets time pass without faults and checks that everybody converges.
+// converge advances time without faults, and checks that all members converge.
 func (w *simulation) converge() {
 	w.drifting = false
 	for _, n := range w.nodes {
@@ -309,7 +308,7 @@
 		w.nodes[w.leader].confirm()
 		for _, n := range w.nodes {
 			n.catchUp(len(w.log))
-			for range 12 { // a lost call is repeated
+			for range 12 { // lost calls are repeated
 				if n.svc.follower.step(context.Background()) == nil {
 					break
 				}
@@ -338,7 +337,7 @@
 	}
 }
 
-const staleLimit = 5 * time.Second // an entry's stale_after
+const staleLimit = 5 * time.Second // stale_after of an entry
 
 func (w *simulation) syncAny(t *rapid.T, n *node) {
 	if p := w.proc(t); p.alive {
@@ -349,8 +348,8 @@
 func (w *simulation) proc(t *rapid.T) *process { return rapid.SampledFrom(w.procs).Draw(t, "process") }
 func (w *simulation) node(t *rapid.T) *node    { return rapid.SampledFrom(w.nodes).Draw(t, "control") }
 
-// TestSynchronization drives control processes and members through faults and
-// checks every published view against the list of accepted versions.
+// TestSynchronization injects faults into control processes and members, and compares every published view
+// with the accepted versions.
 func TestSynchronization(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t)
@@ -359,7 +358,7 @@
 			"change":     func(*rapid.T) { w.change() },
 			"sync":       func(t *rapid.T) { w.syncAny(t, w.node(t)) },
 			"sync again": func(t *rapid.T) { w.syncAny(t, w.node(t)) },
-			"old control": func(t *rapid.T) { // one that follows without having applied all
+			"old control": func(t *rapid.T) { // a follower that may lag
 				n := w.node(t)
 				n.svc.follower.step(context.Background())
 				w.syncAny(t, n)
@@ -379,7 +378,7 @@
 				}
 			},
 			"leaving": func(t *rapid.T) { w.proc(t).held.SetLeaving(rapid.Bool().Draw(t, "leaving")) },
-			"leaving overtakes": func(t *rapid.T) { // an earlier record that waits at a follower
+			"leaving overtakes": func(t *rapid.T) { // an earlier record that is queued at a follower
 				p, n, lead := w.proc(t), w.node(t), w.nodes[w.leader]
 				if !p.alive {
 					return
@@ -398,7 +397,7 @@
 			},
 			"restart member": func(t *rapid.T) {
 				i := rapid.IntRange(0, processCount-1).Draw(t, "process")
-				clock := rapid.SampledFrom([]uint64{0, 1000}).Draw(t, "clock") // it may go back
+				clock := rapid.SampledFrom([]uint64{0, 1000}).Draw(t, "clock") // may be set back
 				w.start(i, 100+clock+w.procs[i].starts)
 			},
 			"apply": func(t *rapid.T) {
--- a/node/control/system_test.go
+++ b/node/control/system_test.go
@@ -20,7 +20,7 @@
 	"caperdrum.org/node/state"
 )
 
-// system is a cluster over real TCP with its members, all in this process.
+// system is a cluster and its members, connected by TCP, in this process.
 type system struct {
 	tb        testing.TB
 	addresses []string
@@ -31,12 +31,12 @@
 
 type member struct {
 	*configsync.Service
-	cancel context.CancelFunc // ends it without a farewell
-	at     sync.Map           // version to the time it came into force here
+	cancel context.CancelFunc // stops it without deregistering
+	at     sync.Map           // time at which each version came into force in this member
 }
 
-// network counts bytes and cuts addresses off: a cut connection swallows what
-// is written and never answers.
+// network counts bytes and partitions addresses: a partitioned connection discards written data and never
+// answers.
 type network struct {
 	mu    sync.Mutex
 	cut   map[string]bool
@@ -102,8 +102,8 @@
 	}
 }
 
-// listenAnywhere binds a port once: one that is closed and bound again may be taken by
-// another test in between.
+// listenAnywhere listens on a free port. The listener stays open, since another test could take the port in
+// between.
 func listenAnywhere(tb testing.TB) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -139,18 +139,18 @@
 	if err := s.controls[0].Init(context.Background()); err != nil {
 		tb.Fatal(err)
 	}
-	s.wait("all vote", func() bool {
+	s.wait("all control processes are voters", func() bool {
 		l := s.leader()
 		return l != nil && len(l.replica.Status().Membership.Voters) == controls && l.repair.Report() == ""
 	})
 	for i := range members {
 		s.addMember(i)
 	}
-	s.wait("all members are known to all", func() bool { return s.known(members) })
+	s.wait("all members know each other", func() bool { return s.known(members) })
 	return s
 }
 
-// kill stops the process without telling anybody.
+// kill stops the process without notifying others.
 func (s *Service) kill() {
 	s.cancel()
 	s.server.Close()
@@ -188,7 +188,7 @@
 	s.tb.Helper()
 	for end := time.Now().Add(waitLimit); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.tb.Fatalf("waited %s in vain: %s", waitLimit, what)
+			s.tb.Fatalf("timed out after %s waiting for: %s", waitLimit, what)
 		}
 	}
 }
@@ -212,8 +212,7 @@
 	}
 }
 
-// apply changes the text, at whichever control process leads, and returns the
-// version and when it was accepted.
+// apply changes the configuration at the current leader, and returns the version and when it was accepted.
 func (s *system) apply(text string) (uint64, time.Time) {
 	s.tb.Helper()
 	var version uint64
@@ -236,8 +235,7 @@
 	return version, time.Now()
 }
 
-// inForce waits until all members hold the version, and returns when the last
-// and each of them did.
+// inForce waits until the version is in force in all members, and returns when it came into force in each.
 func (s *system) inForce(version uint64) []time.Time {
 	s.tb.Helper()
 	var out []time.Time
@@ -248,7 +246,7 @@
 		})
 		at, ok := m.at.Load(version)
 		if !ok {
-			at = time.Now() // it went straight to a later version
+			at = time.Now() // it skipped this version
 		}
 		out = append(out, at.(time.Time))
 	}
@@ -268,8 +266,8 @@
 	return string(text)
 }
 
-// TestLeavingWhileControlIsLost cuts the leader off silently, and at the same
-// time stops a member that last talked to it.
+// TestLeavingWhileControlIsLost partitions the leader, and lets a member that last used it leave at the same
+// time.
 func TestLeavingWhileControlIsLost(t *testing.T) {
 	s := startSystem(t, 3, 6)
 	version, _ := s.apply(customers(3, 0, 1))
@@ -278,7 +276,7 @@
 	gone := s.members[0]
 	s.members = s.members[1:]
 	gone.SetLeaving(true)
-	s.wait("nobody is sent to the leaving member", func() bool { return s.known(5) })
+	s.wait("the leaving member is no longer listed", func() bool { return s.known(5) })
 	version, _ = s.apply(customers(3, 0, 2))
 	s.inForce(version)
 	for _, m := range s.members {
@@ -288,10 +286,10 @@
 	}
 }
 
-// TestFarewellIsRecorded stops a member in order: its leaving is in the members
-// when Stop returns. The leader reads with a quorum's confirmation, since a
-// follower may have applied the record, and answered, before the leader has.
-func TestFarewellIsRecorded(t *testing.T) {
+// TestDeregistrationIsRecorded stops a member gracefully. The member list must contain its leaving record
+// when Stop returns. The leader is read after a read barrier, since a follower may have applied the record,
+// and answered, before the leader.
+func TestDeregistrationIsRecorded(t *testing.T) {
 	s := startSystem(t, 3, 3)
 	gone := s.members[0]
 	s.members = s.members[1:]
@@ -303,6 +301,6 @@
 		t.Fatal(err)
 	}
 	if m := leader.View().Members["m0"]; !m.Leaving {
-		t.Fatalf("Stop returned, but the members hold %+v", m)
+		t.Fatalf("Stop returned, but the member list contains %+v", m)
 	}
 }
--- a/node/control/transport_priority_test.go
+++ b/node/control/transport_priority_test.go
@@ -12,10 +12,9 @@
 	"caperdrum.org/node/consensus"
 )
 
-// slowReplica takes calls with entries as slowly as a loaded link: it reads their
-// first bytes and no more.
+// slowReplica reads only the first bytes of calls with entries, like a replica behind a loaded link.
 type slowReplica struct {
-	heartbeat chan struct{} // closed when one has come whole
+	heartbeat chan struct{} // closed when a heartbeat has been read completely
 	gaveUp    chan struct{} // closed when the sender closes a connection with entries
 }
 
@@ -42,7 +41,7 @@
 	}
 }
 
-// watchedConn tells when a connection that holds entries is closed by its sender.
+// watchedConn reports when the sender closes a connection that carries entries.
 type watchedConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -59,7 +58,7 @@
 	return c.Conn.Close()
 }
 
-// limitedReader hangs once it has read left bytes.
+// limitedReader blocks after left bytes.
 type limitedReader struct {
 	net.Conn
 	left int
@@ -78,9 +77,9 @@
 	return n, err
 }
 
-// TestHeartbeatsPassLargeEntries sends a large entry to a replica behind a loaded
-// link, and then a heartbeat: the heartbeat arrives while the entry is on its way.
-// Behind it, it would come too late, and the replica would elect another leader.
+// TestHeartbeatsPassLargeEntries sends a large entry, and then a heartbeat, over a loaded link. The heartbeat
+// must arrive while the entry is still being sent. Otherwise it could arrive too late, and the replica would
+// start an election.
 func TestHeartbeatsPassLargeEntries(t *testing.T) {
 	r := &slowReplica{heartbeat: make(chan struct{}), gaveUp: make(chan struct{})}
 	l := newTransport(r.dial, logr.Discard())
@@ -91,6 +90,6 @@
 	select {
 	case <-r.heartbeat:
 	case <-r.gaveUp:
-		t.Fatal("the heartbeat waits until the entry has been given up")
+		t.Fatal("the heartbeat was delayed until the entry timed out")
 	}
 }
--- a/node/control/transport_test.go
+++ b/node/control/transport_test.go
@@ -11,9 +11,8 @@
 	"caperdrum.org/node/consensus"
 )
 
-// TestQueueOfASilentReplicaIsBounded sends the entries of a log again and again to
-// a replica that cannot be reached, as a leader does through a cut: what waits for
-// it must not grow with the length of the cut.
+// TestQueueOfASilentReplicaIsBounded sends log entries repeatedly to an unreachable replica, as a leader
+// does. Its queue must not grow with the duration of the outage.
 func TestQueueOfASilentReplicaIsBounded(t *testing.T) {
 	dialed, ended := make(chan struct{}, 1), make(chan struct{})
 	l := newTransport(func(context.Context, string) (net.Conn, error) {
@@ -30,7 +29,7 @@
 	entries := []consensus.Entry{{Data: make([]byte, maxQueuedBytes/4)}}
 	first := consensus.Message{To: to.ID, Kind: consensus.MsgAppend, Entries: entries}
 	l.Send([]consensus.Peer{to}, []consensus.Message{first})
-	<-dialed // the first message is out of the queue and on its way
+	<-dialed // the first message has been taken from the queue
 	for range 100 {
 		l.Send([]consensus.Peer{to}, []consensus.Message{first, {To: to.ID, Kind: consensus.MsgHeartbeat}})
 	}
@@ -38,28 +37,27 @@
 	q := l.queues[queueKeyFor(first)]
 	l.mu.Unlock()
 	if got := q.bytes.Load(); got > maxQueuedBytes {
-		t.Fatalf("%d bytes wait, at most %d should", got, maxQueuedBytes)
+		t.Fatalf("%d bytes are queued, want at most %d", got, maxQueuedBytes)
 	}
 	if batch := q.nextBatch(<-q.messages); payloadBytes(batch) > maxBatchBytes+len(entries[0].Data) {
 		t.Fatalf("%d bytes in one call", payloadBytes(batch))
 	}
 }
 
-// TestOneLargeMessageIsSent queues a snapshot above the limit of a queue: it must
-// still get its turn, alone.
+// TestOneLargeMessageIsSent queues a snapshot above the limit of a queue: it must be sent, alone.
 func TestOneLargeMessageIsSent(t *testing.T) {
 	q := newQueue()
 	large := consensus.Message{Kind: consensus.MsgSnapshot, Snapshot: &consensus.Snapshot{Data: make([]byte, 2*maxQueuedBytes)}}
 	if !q.put(large) || q.put(large) {
-		t.Fatal("an empty queue takes one message of any size, a full one none")
+		t.Fatal("an empty queue must accept a message of any size, a full one none")
 	}
 	if batch := q.nextBatch(<-q.messages); len(batch) != 1 || q.bytes.Load() != 0 {
-		t.Fatalf("%d messages taken, %d bytes left", len(batch), q.bytes.Load())
+		t.Fatalf("%d messages taken, %d bytes remain", len(batch), q.bytes.Load())
 	}
 }
 
-// TestNewLinkAsksForAnAnswer lists when a link asks the other end to answer: at once while
-// that never has, and then once in confirmInterval.
+// TestNewLinkAsksForAnAnswer checks when an answer is required: always before the first one, and then once
+// per ackInterval.
 func TestNewLinkAsksForAnAnswer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
--- a/node/peer/client_test.go
+++ b/node/peer/client_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestDialHoldsUpNobodyPastItsDeadline calls an address that a dialer hangs on.
-func TestDialHoldsUpNobodyPastItsDeadline(t *testing.T) {
+// TestDialDelaysNobodyPastTheirDeadline calls an address that a dialer hangs on.
+func TestDialDelaysNobodyPastTheirDeadline(t *testing.T) {
 	dialing, release := make(chan struct{}), make(chan struct{})
 	client := NewClient("x", func(context.Context, string) (net.Conn, error) {
 		close(dialing)
