--- a/node/configsync/configsync.go
+++ b/node/configsync/configsync.go
@@ -1,9 +1,8 @@
-// Package configsync keeps an entry or an agent up to date: it renews the
-// process's lease, fetches configuration and members from the control
-// processes, and publishes both as immutable views.
+// Package configsync keeps an entry or an agent up to date: it renews the process's lease, fetches
+// configuration and members from the control processes, and publishes both as immutable views.
 //
-// A version once held is never replaced by a lower one. The first view is
-// published only when a quorum has confirmed it.
+// A view is never replaced by one with a lower version. The initial view is published only once a quorum has
+// confirmed it.
 package configsync
 
 import (
@@ -29,22 +28,21 @@
 	"caperdrum.org/node/settings"
 )
 
-// MethodSync is the control role's method that this package calls.
+// MethodSync is the control role's RPC method for synchronization.
 const MethodSync = "control.sync"
 
-// Params are what the service needs.
+// Params are the dependencies of Service.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
 	Log      logr.Logger
 	Ring     *timeline.Ring
 	Dial     peer.Dialer
-	// Directory is where control processes are looked for; without one it is
-	// what the settings say.
+	// Directory provides the addresses of the control processes. If nil, New creates one from the settings.
 	Directory *peer.Directory `optional:"true"`
 }
 
-// Service holds the current view.
+// Service synchronizes the current view with the control processes.
 type Service struct {
 	holder  *Holder
 	log     logr.Logger
@@ -54,38 +52,38 @@
 	dial    peer.Dialer
 
 	directory           *peer.Directory
-	directoryGeneration uint64   // of the directory, as sources were made
-	sourceLists         int      // of addresses that sources were made of so far
-	sources             []source // for synchronization, which any control process answers
+	directoryGeneration uint64   // of the directory when sources was built
+	sourceLists         int      // how often sources was built
+	sources             []source // for synchronization, which any control process serves
 	current             int
 
-	unanswered       map[string]time.Time      // by address of a source that did not answer last time: when
+	unanswered       map[string]time.Time      // time of the failed call, by address, if the last call there got no answer
 	unreachableSince atomic.Pointer[time.Time] // since when no control process that reaches the leader has answered; nil while one does
 
 	listeners        []func(*View)
 	hintListeners    []func()
-	applied          atomic.Bool // every listener has seen a view
-	confirmationLate bool        // it was logged that no quorum has confirmed the view lately; of run's goroutine
+	applied          atomic.Bool // every listener has processed a view
+	confirmationLate bool        // the lack of a recent confirmation was logged; accessed only by run's goroutine
 	wake             chan struct{}
 	unresponsive     chan string   // addresses of processes that do not answer
-	highestSeen      atomic.Uint64 // highest version heard of from others
+	highestSeen      atomic.Uint64 // highest version reported by other processes
 
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// source is one control process, as synchronization sees it.
+// source is a control process that serves synchronization.
 type source interface {
 	Call(ctx context.Context, method string, params, result any) error
 	Address() string
-	// Received returns how many bytes have come from it so far.
+	// Received returns the number of bytes received from it so far.
 	Received() uint64
 	Close()
 }
 
 var versionVar = expvar.NewInt("config_version")
 
-// shown is the service whose figures the metric "configuration" shows; see package control.
+// metricsSource is the service that the expvar "configuration" reports on; see package control.
 var metricsSource atomic.Pointer[Service]
 
 func init() {
@@ -103,7 +101,7 @@
 	}))
 }
 
-// New returns the service; Start begins to synchronize.
+// New returns a service. Start begins the synchronization.
 func New(p Params) *Service {
 	m := p.Settings.Member()
 	m.Incarnation = uint64(time.Now().UnixNano())
@@ -116,7 +114,7 @@
 	return s
 }
 
-// follow takes over the directory's addresses and keeps open what is in use.
+// refreshSources adopts changes of the directory, and keeps the connections to addresses that remain.
 func (s *Service) refreshSources() {
 	addresses, generation := s.directory.Addresses()
 	if generation == s.directoryGeneration {
@@ -153,14 +151,14 @@
 	}
 }
 
-// spreadLists is how many lists of control processes a process that holds nothing begins anew with: that of its
-// settings, and the first that it hears of. From then on it goes through all addresses in turn: lists of control
-// processes that no quorum confirms may differ, and it would go back and forth between two.
+// maxInitialLists is how many address lists a process without a view picks its initial source from by hash:
+// that of the settings, and the first one it receives. After that it tries all addresses in turn. Lists from
+// control processes without a confirmation may differ, and it could alternate between two sources for ever.
 const maxInitialLists = 2
 
-// first picks the control process that a process which holds nothing begins with: the one that it is itself,
-// which has all that it needs at hand, or one of all by its hash. After a start of all, the seeds alone would send
-// all processes their first views.
+// initialSource picks the control process to start with while there is no view: this process itself if it is
+// one, since that has the state locally, else one by hash. If all processes start at the same time, the seeds
+// alone would otherwise have to send the initial views to all of them.
 func (s *Service) initialSource(addresses []string) int {
 	self := s.Self()
 	if i := slices.Index(addresses, self.Peer); i >= 0 && strings.Contains(self.Role, string(settings.Control)) {
@@ -169,28 +167,28 @@
 	return hashIndex(self.ID, len(addresses))
 }
 
-// spread picks the control process to begin with, so that not all members
-// begin with the same.
+// hashIndex picks one of n control processes by the member's ID, so that members are distributed over them.
 func hashIndex(id wire.MemberID, n int) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return int(h.Sum32() % uint32(n))
 }
 
-// Control returns the client of the control processes.
+// Control returns the client for calls to the leader.
 func (s *Service) Control() *peer.Control { return s.control }
 
-// View returns the current view, or nil before the first one.
+// View returns the current view, or nil before the initial one.
 func (s *Service) View() *View { return s.holder.View() }
 
-// StampAge returns how long ago a quorum confirmed what this process holds.
+// StampAge returns how long ago a quorum confirmed the current view.
 func (s *Service) StampAge() time.Duration { return s.holder.StampAge(s.clock.Now()) }
 
-// Steady returns for how long a quorum has confirmed what this process holds without a gap above
-// LongestGap; zero while there is one.
+// Steady returns for how long quorums have confirmed the view without a gap above LongestGap. It is zero
+// during such a gap.
 func (s *Service) Steady() time.Duration { return s.holder.Steady(s.clock.Now()) }
 
-// Silent returns for how long no control process that reaches the leader has answered this process; zero while one does.
+// Silent returns for how long no control process that reaches the leader has answered. It is zero while one
+// does.
 func (s *Service) Silent() time.Duration {
 	since := s.unreachableSince.Load()
 	if since == nil {
@@ -202,21 +200,21 @@
 // Self returns this process's member record.
 func (s *Service) Self() wire.Member { return s.holder.Self() }
 
-// SetLeaving announces that this process takes no new work, or takes it again.
+// SetLeaving announces that this process accepts no new work, or accepts it again.
 func (s *Service) SetLeaving(leaving bool) {
 	if s.holder.SetLeaving(leaving) {
 		s.Poke()
 	}
 }
 
-// SetHolds announces what the upstream beside this process holds.
+// SetHolds announces what the local upstream holds.
 func (s *Service) SetHolds(holds string) {
 	if s.holder.SetHolds(holds) {
 		s.Poke()
 	}
 }
 
-// Poke makes the next synchronization happen at once.
+// Poke triggers a synchronization without delay.
 func (s *Service) Poke() {
 	select {
 	case s.wake <- struct{}{}:
@@ -224,9 +222,9 @@
 	}
 }
 
-// Suspect tells that the process at a peer address does not answer. A synchronization that
-// is held back on the same VM is made elsewhere at once: what happens because of that loss
-// would be heard of a second later.
+// Suspect reports that the process at a peer address does not answer. If a long poll is waiting at a control
+// process on the same VM, it is ended and another control process is asked: otherwise, this process would
+// learn of changes due to the loss of that VM a second late.
 func (s *Service) Suspect(address string) {
 	select {
 	case s.unresponsive <- address:
@@ -234,15 +232,15 @@
 	}
 }
 
-// sameVM reports whether two addresses are of one VM.
+// sameVM reports whether two addresses have the same host.
 func sameVM(a, b string) bool {
 	hostA, _, errA := net.SplitHostPort(a)
 	hostB, _, errB := net.SplitHostPort(b)
 	return errA == nil && errB == nil && hostA == hostB
 }
 
-// Saw tells that another process holds the given version. Each version pokes
-// once, however much traffic carries it.
+// Saw reports that another process holds the given version. It triggers one synchronization per version,
+// regardless of how much traffic carries it.
 func (s *Service) Saw(version uint64) {
 	v := s.View()
 	if v == nil || version <= v.Version {
@@ -260,8 +258,8 @@
 	}
 }
 
-// OnChange registers f, which is called with every new view, one at a time.
-// It must be called before Start.
+// OnChange registers a listener that is called with every new view, one at a time. It must be called before
+// Start.
 func (s *Service) OnChange(f func(*View)) { s.listeners = append(s.listeners, f) }
 
 // Start implements kernel.Starter.
@@ -273,8 +271,8 @@
 	return nil
 }
 
-// Stop implements kernel.Stopper. It tells the control processes that this
-// one is gone, and returns when they have recorded it or farewellTime is over.
+// Stop implements kernel.Stopper. It announces that this process is leaving, and returns when a control
+// process has recorded it or after deregisterTimeout.
 func (s *Service) Stop(ctx context.Context) error {
 	s.cancel()
 	<-s.done
@@ -287,14 +285,14 @@
 	return nil
 }
 
-func (s *Service) publish(v *View, before *View, how updateTiming) {
+func (s *Service) publish(v *View, before *View, timing updateTiming) {
 	old, evacuations, suspects := uint64(0), uint64(0), uint64(0)
 	if before != nil {
 		old, evacuations, suspects = before.Version, before.Evacuations.Revision, before.Suspects.Revision
 	}
 	if v.Version != old {
 		versionVar.Set(int64(v.Version))
-		s.log.Info("configuration in force", "version", v.Version, "before", old, "bytes", len(v.Text), "whole", how.whole, "arrived", how.arrived, "parsed", how.parsed, "stamp_age", logging.Age(s.StampAge()))
+		s.log.Info("configuration in force", "version", v.Version, "before", old, "bytes", len(v.Text), "whole", timing.whole, "arrived", timing.arrived, "parsed", timing.parsed, "stamp_age", logging.Age(s.StampAge()))
 		s.ring.Record(timeline.Event{Kind: "config-in-force", Detail: "version " + strconv.FormatUint(v.Version, 10)})
 	}
 	if v.Evacuations.Revision != evacuations {
@@ -302,7 +300,7 @@
 		s.ring.Record(timeline.Event{Kind: "evacuations-in-force", Detail: strings.Join(v.Evacuations.Out(), " ")})
 	}
 	if v.Suspects.Revision != suspects {
-		s.log.Info("suspects known", "revision", v.Suspects.Revision, "calls", len(v.Suspects.List), "barred", v.Suspects.Barred(), "stamp_age", logging.Age(s.StampAge()))
+		s.log.Info("suspected calls updated", "revision", v.Suspects.Revision, "calls", len(v.Suspects.List), "barred", v.Suspects.Barred(), "stamp_age", logging.Age(s.StampAge()))
 	}
 	for _, f := range s.listeners {
 		f(v)
@@ -310,6 +308,6 @@
 	s.applied.Store(true)
 }
 
-// TakenOver reports whether every service of this process has seen a view. A
-// moment before, View returns one that, say, routing does not know yet.
+// TakenOver reports whether every listener has processed a view. Before that, View may already return one
+// that other services of this process have not applied.
 func (s *Service) TakenOver() bool { return s.applied.Load() }
--- a/node/configsync/hint.go
+++ b/node/configsync/hint.go
@@ -2,14 +2,14 @@
 
 import "caperdrum.org/api/wire"
 
-// Hint is what answers said of the control processes beyond the view. It need
-// not be current: it only tells when to ask the leader.
+// Hint is information from replies beyond the view. It need not be current: it only tells when to ask the
+// leader.
 type Hint struct {
-	Fence uint64 // highest token heard of for this process's upstream
-	Term  uint64 // highest term heard of: another one means another leadership
+	Fence uint64 // highest fencing token seen for this process's upstream
+	Term  uint64 // highest term seen; a new term means that leadership may have changed
 }
 
-// TakeHint takes over an answer's hints and reports whether one grew.
+// TakeHint merges a reply's hint and reports whether the hint has increased.
 func (h *Holder) TakeHint(reply *wire.SyncReply) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -18,18 +18,18 @@
 	return h.hint != old
 }
 
-// Hint returns the hints taken so far.
+// Hint returns the merged hint.
 func (h *Holder) Hint() Hint {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hint
 }
 
-// Hint returns what answers said beyond the view.
+// Hint returns the merged hint of all replies.
 func (s *Service) Hint() Hint { return s.holder.Hint() }
 
-// OnHint registers f, which must not block and is called when a hint grew. It
-// must be called before Start.
+// OnHint registers a listener that is called when the hint has increased, and must not block. It must be
+// called before Start.
 func (s *Service) OnHint(f func()) { s.hintListeners = append(s.hintListeners, f) }
 
 func (s *Service) applyHint(reply *wire.SyncReply) {
--- a/node/configsync/holder.go
+++ b/node/configsync/holder.go
@@ -11,46 +11,46 @@
 	"caperdrum.org/node/logging"
 )
 
-// LongestGap is between two confirmations of a view that counts as confirmed all the while:
-// three synchronizations, and longer than an election takes.
+// LongestGap is the longest time between two confirmations for which a view counts as continuously confirmed:
+// three synchronizations, and longer than an election.
 const LongestGap = maxConfirmationAge
 
 const (
-	maxConfirmationAge = 3 * time.Second // a control process with an older stamp is passed over
+	maxConfirmationAge = 3 * time.Second // replies with an older confirmation are rejected
 	neverConfirmed     = logging.Never
 )
 
-// Errors that make the process ask another control process.
+// Errors after which another control process is asked.
 var (
-	errStale = errors.New("configsync: the control process has no fresh confirmation by a quorum")
-	// errUnconfirmed sends a process that holds nothing to another control process, at which it waits.
-	errUnconfirmed = errors.New("configsync: no quorum has confirmed what the control process knows")
-	errOlderState  = errors.New("configsync: the control process is behind what is held here")
-	errNotRenewed  = errors.New("configsync: the lease could not be renewed there")
+	errStale = errors.New("configsync: the control process has no recent confirmation by a quorum")
+	// errUnconfirmed sends a process without a view to another control process, where it waits.
+	errUnconfirmed = errors.New("configsync: the control process's state is not confirmed by a quorum")
+	errOlderState  = errors.New("configsync: the control process's state is older than the current view")
+	errNotRenewed  = errors.New("configsync: the control process could not renew the lease")
 )
 
-// Holder is the part of Service that decides what is held. It has no goroutine
-// and reads no clock. Take must not run twice at the same time.
+// Holder is the state of Service: it decides which replies are applied. It has no goroutine and does not read
+// the clock. Take must not be called concurrently.
 type Holder struct {
 	mu      sync.Mutex
 	member  wire.Member
-	textErr error // of the last text; the next one must come whole
+	textErr error // error with the last text; the next one must be complete, not a delta
 	hint    Hint
 
 	view      atomic.Pointer[View]
-	confirmed atomic.Pointer[confirmation] // the last one by a quorum
+	confirmed atomic.Pointer[confirmation] // last one by a quorum
 }
 
-// confirmation is one of what is held, by a quorum. Times have their monotonic reading.
+// confirmation says when a quorum confirmed the view. Its times include a monotonic clock reading.
 type confirmation struct {
 	at    time.Time
-	since time.Time // when the first one was after which there was no gap above LongestGap
+	since time.Time // time of the first confirmation since the last gap above LongestGap
 }
 
 // NewHolder returns a Holder for the process with the given record.
 func NewHolder(m wire.Member) *Holder { return &Holder{member: m} }
 
-// View returns the current view, or nil before the first one.
+// View returns the current view, or nil before the initial one.
 func (h *Holder) View() *View { return h.view.Load() }
 
 // Self returns the process's member record.
@@ -60,7 +60,7 @@
 	return h.member
 }
 
-// SetLeaving changes the record and reports whether it was another before.
+// SetLeaving updates the record and reports whether it changed.
 func (h *Holder) SetLeaving(leaving bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,8 +72,7 @@
 	return true
 }
 
-// SetHolds changes what the record says the upstream holds, and reports whether
-// it was another before.
+// SetHolds updates what the record says the upstream holds, and reports whether it changed.
 func (h *Holder) SetHolds(holds string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,7 +84,7 @@
 	return true
 }
 
-// Request returns the next call to a control process, to be held there for wait.
+// Request returns the next request. The control process may delay its reply by wait.
 func (h *Holder) Request(wait time.Duration) wire.SyncRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,7 +102,7 @@
 	return req
 }
 
-// StampAge returns how long before now a quorum confirmed what is held.
+// StampAge returns how long before now a quorum confirmed the view.
 func (h *Holder) StampAge(now time.Time) time.Duration {
 	at := h.confirmed.Load()
 	if at == nil {
@@ -112,8 +111,8 @@
 	return now.Sub(at.at)
 }
 
-// Steady returns for how long before now the view has been confirmed without a gap; zero when
-// the last confirmation is longer ago than LongestGap.
+// Steady returns for how long before now the view has been confirmed without a gap. It is zero if the last
+// confirmation is older than LongestGap.
 func (h *Holder) Steady(now time.Time) time.Duration {
 	at := h.confirmed.Load()
 	if at == nil || now.Sub(at.at) > LongestGap {
@@ -122,13 +121,12 @@
 	return now.Sub(at.since)
 }
 
-// Take takes over what an answer to a call made at asked brings, and returns
-// the new view, or nil when nothing changed. A nil error says that the quorum's
-// confirmation was taken over too. A newer text or member list counts also
-// without one, since it was committed, but not as the first view.
+// Take applies the reply to a request made at asked. It returns the new view, or nil if nothing changed. A nil
+// error means that the confirmation by a quorum was applied as well. A newer text or member list is applied
+// without one, since it was committed, but not as the initial view.
 //
-// The stamp's age was measured after the call began, so asked minus the age is
-// no later than the confirmation.
+// The confirmation's age was measured after the request was made, so asked minus the age is no later than the
+// confirmation.
 func (h *Holder) Take(reply *wire.SyncReply, asked time.Time) (*View, error) {
 	fresh := reply.StampAge >= 0 && reply.StampAge <= maxConfirmationAge
 	old := h.View()
@@ -152,7 +150,7 @@
 		return nil, errOlderState
 	}
 	if next.behind(reply) {
-		return nil, errors.Annotate(errIncompleteUpdate, "the answer does not bring all that it knows of")
+		return nil, errors.Annotate(errIncompleteUpdate, "the reply lacks updates that its versions require")
 	}
 	if reply.Owner.Epoch > next.Owner.Epoch {
 		next.Owner = reply.Owner
@@ -189,7 +187,7 @@
 	}
 }
 
-// next returns a confirmation that follows c, which may be nil.
+// next returns the confirmation that follows c, which may be nil.
 func (c *confirmation) next(at time.Time) *confirmation {
 	if c == nil || at.Sub(c.at) > LongestGap {
 		return &confirmation{at: at, since: at}
--- a/node/configsync/loop.go
+++ b/node/configsync/loop.go
@@ -12,44 +12,43 @@
 )
 
 const (
-	syncWait       = time.Second            // how long an answer is held back; also the interval of lease renewal
-	answerGrace    = 400 * time.Millisecond // how long an answer may take besides
-	maxAnswerGrace = 4 * time.Second        // of grace, which grows while no control process answers
-	// answerLimit bounds an answer whose bytes keep coming: 12 MB over a link of 10 Mbit/s.
+	syncWait       = time.Second            // how long a reply may be delayed; also the interval of lease renewals
+	answerGrace    = 400 * time.Millisecond // how long an answer may take beyond that
+	maxAnswerGrace = 4 * time.Second        // limit of the grace period, which grows while no control process answers
+	// maxAnswerTime limits a reply that is being received: 12 MB over a link of 10 Mbit/s.
 	maxAnswerTime = 10 * time.Second
-	unrenewedWait = 250 * time.Millisecond // hold at control processes that cannot renew the lease
+	unrenewedWait = 250 * time.Millisecond // wait at control processes that cannot renew the lease
 	minPause      = 25 * time.Millisecond
 	maxPause      = 400 * time.Millisecond
-	minPollTime   = 50 * time.Millisecond // a call is not cut short sooner
-	avoidTime     = 3 * time.Second       // a control process that did not answer is asked last for this long
-	// farewellTime bounds how long a stopping process waits until its leaving
-	// is recorded; after that its lease ends by itself.
+	minPollTime   = 50 * time.Millisecond // a call is not aborted earlier
+	avoidTime     = 3 * time.Second       // for this long, a control process that did not answer is used last
+	// deregisterTimeout is how long a stopping process waits until its leaving is recorded. After that, its
+	// lease expires.
 	deregisterTimeout = 1500 * time.Millisecond
 )
 
-// pace is how the next synchronization is done. After a failure the next
-// control process is asked for an answer at once, so that several that hang are
-// passed over within the lease.
+// syncPlan says how to make the next synchronization. After a failure, the next control process is asked to
+// reply without delay, so that several hanging ones can be skipped within the lease.
 type syncPlan struct {
 	wait  time.Duration
 	grace time.Duration
 	pause time.Duration
-	fails int // in a row, without any answer
+	fails int // consecutive failures
 }
 
 func initialPlan() syncPlan { return syncPlan{wait: 0, grace: answerGrace, pause: 0} }
 
-// after returns the pace after a synchronization with n control processes to
-// choose from, and whether to move on to the next one.
+// after returns the plan that follows a synchronization, with n control processes to choose from, and whether
+// to switch to the next one.
 func (p syncPlan) after(err error, n int) (next syncPlan, moveOn bool) {
 	switch {
 	case err == nil:
 		return syncPlan{wait: syncWait, grace: answerGrace}, false
 	case errors.Is(err, errNotRenewed) || errors.Is(err, errUnconfirmed):
-		// News still arrives through it. Others may reach the leader, or have its confirmation.
+		// This one still delivers updates. Others may reach the leader, or have its confirmation.
 		return syncPlan{wait: jitter(unrenewedWait), grace: answerGrace}, true
 	case errors.Is(err, errIncompleteUpdate) || errors.Is(err, errTextMismatch):
-		// The list or the text comes whole next time.
+		// The next request asks for the complete list or text.
 		return syncPlan{wait: 0, grace: answerGrace, pause: jitter(minPause), fails: p.fails + 1}, p.fails > 0
 	}
 	next = syncPlan{wait: 0, grace: answerGrace, pause: jitter(minPause), fails: p.fails + 1}
@@ -74,7 +73,7 @@
 			s.recordUnreachable(began.Add(p.wait))
 		}
 		if err != nil && ctx.Err() == nil {
-			s.log.V(logging.Detail).Info("control process not used", "address", src.Address(), "error", err.Error())
+			s.log.V(logging.Detail).Info("synchronization failed", "address", src.Address(), "error", err.Error())
 		}
 		s.logConfirmationAge(src, p, err)
 		var moveOn bool
@@ -86,26 +85,24 @@
 	}
 }
 
-// lateAfter is the age of the last confirmation by a quorum from which on it is
-// logged: twice what synchronization takes when all is well, below the ages at which
-// readiness and keys end.
+// lateConfirmationAge is the age from which a late confirmation is logged: twice the normal duration of a
+// synchronization, and below the ages at which the process is no longer ready and keys expire.
 const lateConfirmationAge = 2 * syncWait
 
-// logLate says once that no quorum has confirmed the view lately, and once that it
-// has again.
+// logConfirmationAge logs when the last confirmation becomes late, and when there is a recent one again.
 func (s *Service) logConfirmationAge(src source, p syncPlan, err error) {
 	age := s.StampAge()
 	switch late := age > lateConfirmationAge; {
 	case late && !s.confirmationLate && age < neverConfirmed:
-		s.log.Info("configuration not confirmed lately", "stamp_age", age, "asked", src.Address(), "fails", p.fails, "error", err)
+		s.log.Info("configuration not recently confirmed", "stamp_age", age, "asked", src.Address(), "fails", p.fails, "error", err)
 	case !late && s.confirmationLate:
 		s.log.Info("configuration confirmed again", "stamp_age", age, "asked", src.Address(), "fails", p.fails)
 	}
 	s.confirmationLate = age > lateConfirmationAge && age < neverConfirmed
 }
 
-// moveOn picks the next control process. While others answer, one that did not
-// is left alone, so that a member does not hang on it again during an election.
+// nextSource selects the next control process. Those that recently did not answer are skipped while others
+// answer, so that a member does not hang on the same one again during an election.
 func (s *Service) nextSource(err error) {
 	n := len(s.sources)
 	address := s.sources[s.current].Address()
@@ -124,8 +121,9 @@
 	s.current = (s.current + 1) % n
 }
 
-// noteSilence notes that a synchronization had no answer of a control process that reaches the leader. It was due at
-// the given time at the latest. A control process that is cut off together with this one answers, but knows nothing.
+// recordUnreachable records that a synchronization got no answer from a control process that reaches the
+// leader, by due at the latest. A control process that is partitioned together with this one does answer, but
+// does not reach the leader.
 func (s *Service) recordUnreachable(due time.Time) {
 	since := s.clock.Now()
 	if due.Before(since) {
@@ -134,7 +132,7 @@
 	s.unreachableSince.CompareAndSwap(nil, &since)
 }
 
-// answered reports whether a synchronization that failed was answered.
+// gotAnswer reports whether a failed synchronization got an answer.
 func gotAnswer(err error) bool {
 	for _, known := range []error{errNotRenewed, errStale, errUnconfirmed, errOlderState, errIncompleteUpdate, errTextMismatch} {
 		if errors.Is(err, known) {
@@ -162,11 +160,11 @@
 	var reply wire.SyncReply
 	answer := make(chan error, 1)
 	go func() { answer <- src.Call(ctx, MethodSync, req, &reply) }()
-	late := s.clock.NewTimer(p.wait + p.grace)
-	defer late.Stop()
+	deadline := s.clock.NewTimer(p.wait + p.grace)
+	defer deadline.Stop()
 	received := src.Received()
-	var cut <-chan time.Time
-	poke := s.wake
+	var abort <-chan time.Time
+	wake := s.wake
 	for {
 		select {
 		case err := <-answer:
@@ -174,38 +172,38 @@
 				return err
 			}
 			return s.accept(&reply, asked)
-		case <-late.Chan():
+		case <-deadline.Chan():
 			if now := src.Received(); now > received && s.clock.Since(asked) < maxAnswerTime {
-				received = now // a long answer is on its way
-				late.Reset(p.grace)
+				received = now // a long reply is being received
+				deadline.Reset(p.grace)
 				continue
 			}
-			src.Close() // it may be cut silently
+			src.Close() // the connection may be dead
 			return errors.Errorf("configsync: no answer within %s", s.clock.Since(asked))
 		case <-ctx.Done():
 			return ctx.Err()
 		case address := <-s.unresponsive:
 			if sameVM(address, src.Address()) {
-				s.log.Info("synchronization leaves a VM", "asked", src.Address(), "silent_there", address, "held_for", s.clock.Since(asked))
+				s.log.Info("synchronization switches to another VM", "asked", src.Address(), "silent_there", address, "held_for", s.clock.Since(asked))
 				src.Close()
 				return errors.Errorf("configsync: the process at %s does not answer", address)
 			}
-		case <-poke:
-			poke = nil
-			if p.wait > 0 { // an answer that is not held back comes soon
-				cut = s.clock.After(max(0, minPollTime-s.clock.Since(asked)))
+		case <-wake:
+			wake = nil
+			if p.wait > 0 { // without a wait, the reply will arrive soon
+				abort = s.clock.After(max(0, minPollTime-s.clock.Since(asked)))
 			}
-		case <-cut:
-			return nil // asked anew at once
+		case <-abort:
+			return nil // the caller sends a new request immediately
 		}
 	}
 }
 
-// arrival is how a new view came, for its log line.
+// updateTiming describes how a new view was received, for the log.
 type updateTiming struct {
-	whole   bool          // the text, not a difference to the one before
-	arrived time.Duration // from the call to its answer
-	parsed  time.Duration // and from there until the view stood
+	whole   bool          // a complete text instead of a delta
+	arrived time.Duration // from the request to the reply
+	parsed  time.Duration // from the reply until the view was complete
 }
 
 func (s *Service) accept(reply *wire.SyncReply, asked time.Time) error {
@@ -215,11 +213,11 @@
 	if confirmed || before == nil && len(s.directory.Learned()) == 0 {
 		s.directory.Learn(reply.Control)
 	}
-	how := updateTiming{whole: reply.Config != nil, arrived: s.clock.Since(asked)}
+	timing := updateTiming{whole: reply.Config != nil, arrived: s.clock.Since(asked)}
 	changed, err := s.holder.Take(reply, asked)
-	how.parsed = s.clock.Since(asked) - how.arrived
+	timing.parsed = s.clock.Since(asked) - timing.arrived
 	if changed != nil {
-		s.publish(changed, before, how)
+		s.publish(changed, before, timing)
 	}
 	if err == nil && !reply.Renewed {
 		return errNotRenewed
@@ -230,8 +228,7 @@
 	return err
 }
 
-// farewell asks one control process after the other until the leaving record
-// is in the members.
+// deregister asks one control process after another until one has recorded that this process is leaving.
 func (s *Service) deregister(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, deregisterTimeout)
 	defer cancel()
@@ -242,7 +239,7 @@
 		s.current = (s.current + 1) % len(s.sources)
 		s.sleep(ctx, jitter(minPause))
 	}
-	s.log.Info("leaving not recorded", "reason", "no control process confirmed it", "waited", deregisterTimeout)
+	s.log.Info("leaving was not recorded", "reason", "no control process confirmed it", "waited", deregisterTimeout)
 }
 
 func (s *Service) deregisterAt(ctx context.Context, src source) bool {
@@ -254,7 +251,7 @@
 		if src.Call(ctx, MethodSync, s.holder.Request(unrenewedWait), &reply) != nil {
 			return false
 		}
-		s.holder.Take(&reply, asked) // moves the request on; nobody is told any more
+		s.holder.Take(&reply, asked) // advances the next request; listeners are no longer called
 		if reply.Recorded {
 			return true
 		}
--- a/node/configsync/member_update.go
+++ b/node/configsync/member_update.go
@@ -6,7 +6,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// Kinds of lists of a view.
+// Kinds of lists in a view.
 const (
 	agents = iota
 	announced
@@ -14,11 +14,11 @@
 	listKinds
 )
 
-// peerList is the name of the one list of peers.
+// peerList is the name of the only list of peers.
 const peerList = "proxies"
 
-// placesOf returns the lists in which a member stands, by kind; an empty name is none. Those that get calls
-// are not leaving, and their data centres are not evacuated.
+// listsOf returns the names of the lists that contain a member, by kind; an empty name stands for none.
+// Members that are leaving, or in an evacuated data centre, are not in the lists of those that get calls.
 func listsOf(m wire.Member, evacuated []string) (places [listKinds]string) {
 	if m.Peer != "" {
 		places[peers] = peerList
@@ -34,12 +34,12 @@
 	return places
 }
 
-// update changes a view's members one by one.
+// memberUpdate applies changes of single members to a view.
 type memberUpdate struct {
 	v         *View
 	evacuated []string
 	lists     [listKinds]lists
-	owned     [listKinds]map[string]bool // lists that belong to this update
+	owned     [listKinds]map[string]bool // lists that were copied for this update
 }
 
 func (u *memberUpdate) put(m wire.Member) {
@@ -66,9 +66,10 @@
 	}
 }
 
-// exclude makes Announced of the lists that touched names, or of all where it is nil: without upstreams that
-// a roll-out has decided against. Those of a version that was replaced stay while there are no others: they
-// have served well. Those of one that was rolled back never do.
+// filterAnnounced rebuilds the lists of Announced named in touched, or all of them if it is nil, without the
+// upstreams of versions that roll-outs exclude. Upstreams of a replaced version stay while there are no
+// others, since that version has proved itself. Upstreams of a version that was rolled back are always
+// removed.
 func (v *View) filterAnnounced(touched map[string]bool) {
 	if touched == nil {
 		v.Announced = cloneLists(v.announced)
--- a/node/configsync/text.go
+++ b/node/configsync/text.go
@@ -8,13 +8,13 @@
 	"caperdrum.org/node/textdelta"
 )
 
-// errText says that a text or a delta does not have the hash it should have.
+// errTextMismatch says that a text or delta does not match its hash.
 var errTextMismatch = textdelta.ErrMismatch
 
-// textName names the text in errors.
+// textName is the name of the text in error messages.
 const textName = "configuration"
 
-// takeText takes over a whole text, if it is newer.
+// applyText replaces the text by a complete one, if that is newer.
 func (v *View) applyText(c *wire.ConfigText) error {
 	if c == nil || c.Version <= v.Version {
 		return nil
@@ -30,13 +30,13 @@
 	return nil
 }
 
-// takeDelta applies a difference to the text held.
+// applyDelta applies a delta to the current text.
 func (v *View) applyDelta(d *wire.ConfigDelta) error {
 	if d == nil || d.Version <= v.Version {
 		return nil
 	}
 	if d.Base != v.Version {
-		return errors.Annotatef(errTextMismatch, "a delta from version %d on top of %d", d.Base, v.Version)
+		return errors.Annotatef(errTextMismatch, "a delta from version %d does not apply to version %d", d.Base, v.Version)
 	}
 	text, ends, err := textdelta.Apply(v.Text, v.ends, d)
 	if err != nil {
--- a/node/configsync/view.go
+++ b/node/configsync/view.go
@@ -10,8 +10,8 @@
 	"caperdrum.org/node/memberset"
 )
 
-// View is an immutable picture of the configuration and the members. Version
-// is zero, and Config empty, until the first change was accepted.
+// View is an immutable snapshot of the configuration and the members. Version is zero, and Config empty,
+// until the first change was accepted.
 type View struct {
 	Config    *optext.Config
 	Version   uint64
@@ -19,35 +19,37 @@
 	Hash      uint64 // xxhash64 of Text
 	Seq       uint64
 	Members   memberset.Set
-	Peers     []wire.Member            // proxies, sorted by id
-	ByService map[string][]wire.Member // agents that are not leaving, by service, sorted by id
+	Peers     []wire.Member            // proxies, sorted by ID
+	ByService map[string][]wire.Member // agents that are not leaving, by service, sorted by ID
 	Owner     wire.StageOwner
 	Announced map[string][]wire.Member // announced upstreams that are not leaving, likewise
-	// Evacuations name the data centres whose upstreams are in neither ByService nor Announced.
+	// Evacuations contains the evacuated data centres. Their upstreams are in neither ByService nor
+	// Announced.
 	Evacuations wire.Evacuations
-	// Suspects are calls that end upstreams.
+	// Suspects contains calls under which upstreams crashed.
 	Suspects wire.Suspects
-	// Rollouts of services; upstreams of versions that they exclude are not in Announced.
+	// Rollouts contains the roll-outs of services. Upstreams of versions that they exclude are not in
+	// Announced.
 	Rollouts wire.Rollouts
 
-	announced lists // as Announced, with upstreams of versions that Rollouts exclude
+	announced lists // like Announced, but including versions that Rollouts exclude
 
-	ends []int // where the sections of Text end
+	ends []int // end offsets of the sections of Text
 }
 
 func emptyView() View {
 	return View{Config: &optext.Config{}}
 }
 
-// errGap says that a member delta does not follow what is held.
-var errIncompleteUpdate = errors.New("configsync: the member delta does not follow the list held")
+// errIncompleteUpdate says that a reply cannot be applied to the current view.
+var errIncompleteUpdate = errors.New("configsync: the member delta does not apply to the current list")
 
 func (v *View) applyMembers(d *wire.MembersDelta) error {
 	if d == nil || d.To <= v.Seq {
 		return nil
 	}
 	if !d.Whole && d.From != v.Seq {
-		return errors.Annotatef(errIncompleteUpdate, "from %d to %d, held %d", d.From, d.To, v.Seq)
+		return errors.Annotatef(errIncompleteUpdate, "from %d to %d, current %d", d.From, d.To, v.Seq)
 	}
 	if d.Whole {
 		v.Members, v.Seq = memberset.Of(d.Changed...), d.To
@@ -59,8 +61,8 @@
 	return nil
 }
 
-// change takes over single members. What it costs does not grow with the members, but for the
-// copies of the lists that change.
+// applyMemberChanges applies changes of single members. Its cost is independent of the number of members,
+// except for copying the lists that change.
 func (v *View) applyMemberChanges(changed []wire.Member, removed []wire.MemberID) {
 	u := memberUpdate{v: v, evacuated: v.Evacuations.Out(), owned: [listKinds]map[string]bool{{}, {}, {}}}
 	u.lists = [listKinds]lists{agents: cloneLists(v.ByService), announced: cloneLists(v.announced), peers: {peerList: v.Peers}}
@@ -74,8 +76,8 @@
 	v.filterAnnounced(u.owned[announced])
 }
 
-// takeEvacuations takes over newer evacuations. What lies at upstreams of such a data centre
-// may still be fetched from there; they get no new calls, as if they were leaving.
+// applyEvacuations applies newer evacuations. Upstreams in an evacuated data centre get no new calls, as if
+// they were leaving, but data may still be fetched from them.
 func (v *View) applyEvacuations(e *wire.Evacuations) {
 	if e == nil || e.Revision <= v.Evacuations.Revision {
 		return
@@ -98,25 +100,25 @@
 	v.rebuildLists()
 }
 
-// ahead reports whether the view holds something newer than an answer's sender knows.
+// ahead reports whether the view contains something newer than the sender of a reply knows.
 func (v *View) ahead(r *wire.SyncReply) bool {
 	return r.Version < v.Version || r.MembersSeq < v.Seq || r.EvacuationsRevision < v.Evacuations.Revision ||
 		r.SuspectsRevision < v.Suspects.Revision || r.RolloutsRevision < v.Rollouts.Revision
 }
 
-// behind reports whether an answer's sender knows something newer than the view holds.
+// behind reports whether the sender of a reply knows something newer than the view contains.
 func (v *View) behind(r *wire.SyncReply) bool {
 	return r.Version > v.Version || r.MembersSeq > v.Seq || r.EvacuationsRevision > v.Evacuations.Revision ||
 		r.SuspectsRevision > v.Suspects.Revision || r.RolloutsRevision > v.Rollouts.Revision
 }
 
-// differs reports whether something that processes follow is another in old.
+// differs reports whether the view differs from old in something that processes react to.
 func (v *View) differs(old *View) bool {
 	return v.Version != old.Version || v.Seq != old.Seq || v.Owner != old.Owner || v.Evacuations.Revision != old.Evacuations.Revision ||
 		v.Suspects.Revision != old.Suspects.Revision || v.Rollouts.Revision != old.Rollouts.Revision
 }
 
-// index makes the lists anew.
+// rebuildLists computes all lists from Members.
 func (v *View) rebuildLists() {
 	v.ByService, v.announced, v.Peers = lists{}, lists{}, nil
 	evacuated := v.Evacuations.Out()
--- a/node/control/leases.go
+++ b/node/control/leases.go
@@ -58,13 +58,13 @@
 	for _, r := range rs {
 		known, ok := members[r.Member.ID]
 		old := l.renewals[r.Member.ID]
-		held := ok || now.Sub(old.at) <= l.ttl
-		if held && max(old.incarnation, known.Incarnation) > r.Member.Incarnation {
+		valid := ok || now.Sub(old.at) <= l.ttl
+		if valid && max(old.incarnation, known.Incarnation) > r.Member.Incarnation {
 			continue // a delayed message of an earlier start, or the VM's clock was set back
 		}
 		l.renewals[r.Member.ID] = lastRenewal{at: now, incarnation: r.Member.Incarnation, version: r.ConfigVersion, fault: r.Fault}
-		waiting, queued := l.pending[r.Member.ID]
-		if queued && !r.Member.Follows(waiting) {
+		pendingMember, queued := l.pending[r.Member.ID]
+		if queued && !r.Member.Follows(pendingMember) {
 			continue
 		}
 		if queued || !ok || r.Member.Changes(known) {
@@ -144,14 +144,14 @@
 func (l *leases) step(ctx context.Context) bool {
 	status := l.cluster.Status()
 	now := l.clock.Now()
-	still := now.Sub(l.lastStep) > stallThreshold
+	stalled := now.Sub(l.lastStep) > stallThreshold
 	l.lastStep = now
 	if !l.cluster.IsLeader() {
 		l.term = 0
 		l.takePending() // members will renew at the leader
 		return false
 	}
-	if l.term != status.Term || still {
+	if l.term != status.Term || stalled {
 		l.term = status.Term
 		l.grantFullLeases(now)
 	}
--- a/node/control/placement.go
+++ b/node/control/placement.go
@@ -28,10 +28,10 @@
 
 // counts returns the number of voters per data centre. A voter whose data centre is unknown counts as the
 // only one in its own.
-func (sp voterPlacement) counts(voters []consensus.Peer) map[string]int {
+func (vp voterPlacement) counts(voters []consensus.Peer) map[string]int {
 	out := map[string]int{}
 	for _, v := range voters {
-		dc := sp.dataCenterOf(v.Address)
+		dc := vp.dataCenterOf(v.Address)
 		if dc == "" {
 			dc = "at " + v.Address
 		}
@@ -41,42 +41,42 @@
 }
 
 // maxLoss returns how many voters are lost if the data centres with the most voters fail.
-func (sp voterPlacement) maxLoss(voters []consensus.Peer) int {
+func (vp voterPlacement) maxLoss(voters []consensus.Peer) int {
 	var counts []int
-	for _, n := range sp.counts(voters) {
+	for _, n := range vp.counts(voters) {
 		counts = append(counts, n)
 	}
 	slices.Sort(counts)
 	sum := 0
-	for _, n := range counts[max(0, len(counts)-sp.losses):] {
+	for _, n := range counts[max(0, len(counts)-vp.losses):] {
 		sum += n
 	}
 	return sum
 }
 
 // lossBreaksQuorum reports whether that failure takes half of the voters or more.
-func (sp voterPlacement) lossBreaksQuorum(voters []consensus.Peer) bool {
-	return sp.losses > 0 && 2*sp.maxLoss(voters) >= len(voters)
+func (vp voterPlacement) lossBreaksQuorum(voters []consensus.Peer) bool {
+	return vp.losses > 0 && 2*vp.maxLoss(voters) >= len(voters)
 }
 
 // improves reports whether the failure takes half of the voters now, and fewer once p has replaced a voter of
 // the largest data centre.
-func (sp voterPlacement) improves(voters []consensus.Peer, p consensus.Peer) bool {
-	if !sp.lossBreaksQuorum(voters) {
+func (vp voterPlacement) improves(voters []consensus.Peer, p consensus.Peer) bool {
+	if !vp.lossBreaksQuorum(voters) {
 		return false
 	}
 	next := append(slices.Clone(voters), p)
-	v, ok := sp.removalCandidate(next, p.ID)
-	return ok && sp.maxLoss(without(next, v.ID)) < sp.maxLoss(voters)
+	v, ok := vp.removalCandidate(next, p.ID)
+	return ok && vp.maxLoss(without(next, v.ID)) < vp.maxLoss(voters)
 }
 
 // removalCandidate returns a voter, other than keep, of the data centre with the most voters. It returns
 // false if no data centre has more than one.
-func (sp voterPlacement) removalCandidate(voters []consensus.Peer, keep consensus.NodeID) (consensus.Peer, bool) {
-	counts := sp.counts(voters)
+func (vp voterPlacement) removalCandidate(voters []consensus.Peer, keep consensus.NodeID) (consensus.Peer, bool) {
+	counts := vp.counts(voters)
 	best, most := consensus.Peer{}, 0
 	for _, v := range voters {
-		if n := counts[sp.dataCenterOf(v.Address)]; v.ID != keep && n > most {
+		if n := counts[vp.dataCenterOf(v.Address)]; v.ID != keep && n > most {
 			best, most = v, n
 		}
 	}
@@ -85,14 +85,14 @@
 
 // bestCandidate returns the offered process that should become a voter next: one whose data centre has the
 // fewest members.
-func (sp voterPlacement) bestCandidate(m consensus.Membership, offers []consensus.Peer) (consensus.Peer, bool) {
-	counts := sp.counts(m.All())
+func (vp voterPlacement) bestCandidate(m consensus.Membership, offers []consensus.Peer) (consensus.Peer, bool) {
+	counts := vp.counts(m.All())
 	best, found, least := consensus.Peer{}, false, 0
 	for _, p := range offers {
 		if m.Has(p.ID) || m.HasLearner(p.ID) {
 			continue
 		}
-		if n := counts[sp.dataCenterOf(p.Address)]; !found || n < least {
+		if n := counts[vp.dataCenterOf(p.Address)]; !found || n < least {
 			best, found, least = p, true, n
 		}
 	}
@@ -100,9 +100,9 @@
 }
 
 // warning returns a text if the voters do not tolerate the failures in the settings, else an empty string.
-func (sp voterPlacement) warning(voters []consensus.Peer) string {
-	if !sp.lossBreaksQuorum(voters) {
+func (vp voterPlacement) warning(voters []consensus.Peer) string {
+	if !vp.lossBreaksQuorum(voters) {
 		return ""
 	}
-	return fmt.Sprintf("the failure of %d data centres would take %d of %d voters, and no process in another data centre is available", sp.losses, sp.maxLoss(voters), len(voters))
+	return fmt.Sprintf("the failure of %d data centres would take %d of %d voters, and no process in another data centre is available", vp.losses, vp.maxLoss(voters), len(voters))
 }
--- a/node/control/placement_test.go
+++ b/node/control/placement_test.go
@@ -48,7 +48,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		losses := rapid.IntRange(1, 2).Draw(t, "losses")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 5), 1, 6).Draw(t, "processes")
-		sp := placementByAddress(losses)
+		vp := placementByAddress(losses)
 		var all []consensus.Peer
 		for dc, n := range sizes {
 			for i := range n {
@@ -64,7 +64,7 @@
 			for _, p := range st.Membership.All() {
 				st.Progress[p.ID] = consensus.Progress{Active: true, Match: 100}
 			}
-			if next, why = planSelfForming(st, all, nil, 3, most, sp); next == nil {
+			if next, why = planSelfForming(st, all, nil, 3, most, vp); next == nil {
 				break
 			}
 			if len(next.Voters) > most+1 || !next.Has(st.ID) || step > 60 {
@@ -75,10 +75,10 @@
 		voters := st.Membership.Voters
 		worst, n := optimalMaxLoss(sizes, losses, most)
 		borne := 2*worst < n
-		if borne && sp.lossBreaksQuorum(voters) {
+		if borne && vp.lossBreaksQuorum(voters) {
 			t.Fatalf("with processes %v, the loss of %d data centres takes half of %v", sizes, losses, voters)
 		}
-		if sp.lossBreaksQuorum(voters) == (why == "") {
+		if vp.lossBreaksQuorum(voters) == (why == "") {
 			t.Fatalf("voters %v: reports %q", voters, why)
 		}
 	})
--- a/node/control/puts.go
+++ b/node/control/puts.go
@@ -122,9 +122,9 @@
 	if !s.set.Control.SelfForming {
 		return true
 	}
-	sp := s.placement()
-	p, ok := sp.bestCandidate(m, s.repair.offers.fresh(s.clock.Now()))
-	return !sp.lossBreaksQuorum(m.Voters) || !ok || !sp.improves(m.Voters, p)
+	vp := s.placement()
+	p, ok := vp.bestCandidate(m, s.repair.offers.fresh(s.clock.Now()))
+	return !vp.lossBreaksQuorum(m.Voters) || !ok || !vp.improves(m.Voters, p)
 }
 
 func (s *Service) validateAndPut(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
--- a/node/control/selfforming.go
+++ b/node/control/selfforming.go
@@ -52,12 +52,12 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []consensus.Peer
-	for address, of := range o.byAddress {
-		if now.Sub(of.at) > offerTTL {
+	for address, offer := range o.byAddress {
+		if now.Sub(offer.at) > offerTTL {
 			delete(o.byAddress, address)
 			continue
 		}
-		out = append(out, of.peer)
+		out = append(out, offer.peer)
 	}
 	slices.SortFunc(out, func(a, b consensus.Peer) int { return compareIDs(a.ID, b.ID) })
 	return out
@@ -108,17 +108,17 @@
 // A failed voter is removed if at least least voters remain, so that another loss is tolerated. If the
 // failure of data centres would take half of the voters, a process of another data centre replaces a voter
 // there.
-func planSelfForming(st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool, least, most int, sp voterPlacement) (*consensus.Membership, string) {
+func planSelfForming(st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool, least, most int, vp voterPlacement) (*consensus.Membership, string) {
 	m := st.Membership
-	gone := failedMembers(st, offers, silent)
+	failed := failedMembers(st, offers, silent)
 	for _, l := range m.Learners {
-		if gone[l.ID] {
+		if failed[l.ID] {
 			return dropLearner(m, l.ID), fmt.Sprintf("learner %s has failed: removing it", l.ID)
 		}
 	}
 	if len(m.Voters) > least {
 		for _, v := range m.Voters {
-			if gone[v.ID] {
+			if failed[v.ID] {
 				return dropVoter(m, v.ID), fmt.Sprintf("voter %s has failed: removing it", v.ID)
 			}
 		}
@@ -129,20 +129,20 @@
 			return promote(m, l), fmt.Sprintf("learner %s has caught up: promoting it", l.ID)
 		}
 	}
-	if len(m.Voters) > most && len(gone) == 0 {
-		if v, ok := sp.removalCandidate(m.Voters, st.ID); ok {
-			return dropVoter(m, v.ID), fmt.Sprintf("%s contains too many voters: removing %s", sp.dataCenterOf(v.Address), v.ID)
+	if len(m.Voters) > most && len(failed) == 0 {
+		if v, ok := vp.removalCandidate(m.Voters, st.ID); ok {
+			return dropVoter(m, v.ID), fmt.Sprintf("%s contains too many voters: removing %s", vp.dataCenterOf(v.Address), v.ID)
 		}
 	}
-	p, ok := sp.bestCandidate(m, offers)
+	p, ok := vp.bestCandidate(m, offers)
 	if !ok {
-		return nil, sp.warning(m.Voters)
+		return nil, vp.warning(m.Voters)
 	}
-	room := len(m.Voters)+len(m.Learners) < most+len(gone)
-	if room || len(m.Learners) == 0 && len(m.Voters) == most && sp.improves(m.Voters, p) {
+	hasRoom := len(m.Voters)+len(m.Learners) < most+len(failed)
+	if hasRoom || len(m.Learners) == 0 && len(m.Voters) == most && vp.improves(m.Voters, p) {
 		return &consensus.Membership{Voters: m.Voters, Learners: append(slices.Clone(m.Learners), p)}, fmt.Sprintf("adding %s as a learner", p.ID)
 	}
-	return nil, sp.warning(m.Voters)
+	return nil, vp.warning(m.Voters)
 }
 
 // failedMembers returns the members that are silent, and those whose address belongs to another replica now.
--- a/node/control/transport.go
+++ b/node/control/transport.go
@@ -77,16 +77,16 @@
 		l.addresses[p.ID] = p.Address
 	}
 	for _, m := range messages {
-		way := queueKeyFor(m)
-		q := l.queues[way]
+		key := queueKeyFor(m)
+		q := l.queues[key]
 		if q == nil {
 			address := l.addresses[m.To]
 			if address == "" {
 				continue
 			}
 			q = newQueue()
-			l.queues[way] = q
-			go l.sendLoop(way, address, q)
+			l.queues[key] = q
+			go l.sendLoop(key, address, q)
 		}
 		q.put(m) // if it is dropped, consensus sends it again as needed
 	}
@@ -144,12 +144,12 @@
 	return n
 }
 
-func (l *transport) sendLoop(way queueKey, address string, q *queue) {
+func (l *transport) sendLoop(key queueKey, address string, q *queue) {
 	client := peer.NewClient(address, l.dial)
 	defer client.Close()
-	var confirmed time.Time // when the replica last answered; zero if it never did
+	var lastAnswer time.Time // when the replica last answered; zero if it never did
 	opened := time.Now()
-	silent := false // whether its failure to answer was logged
+	unreachable := false // whether its failure to answer was logged
 	idle := time.NewTimer(queueIdleTimeout)
 	defer idle.Stop()
 	for {
@@ -158,29 +158,29 @@
 		case <-l.ctx.Done():
 			return
 		case <-idle.C:
-			if l.removeIfIdle(way, q) {
+			if l.removeIfIdle(key, q) {
 				return
 			}
 		case m := <-q.messages:
 			batch := RaftBatch{From: l.self, Messages: q.nextBatch(m)}
 			began := time.Now()
-			answered, err := l.sendBatch(client, batch, ackDue(confirmed, began))
+			answered, err := l.sendBatch(client, batch, ackDue(lastAnswer, began))
 			switch {
-			case answered && silent:
-				l.log.Info("replica reachable again", "replica", way.to, "silent", time.Since(latest(opened, confirmed)))
-			case err != nil && !silent:
-				l.log.Info("replica unreachable", "replica", way.to, "address", address, "messages", len(batch.Messages), "bytes", payloadBytes(batch.Messages), "took", time.Since(began), "error", err.Error())
+			case answered && unreachable:
+				l.log.Info("replica reachable again", "replica", key.to, "silent", time.Since(latest(opened, lastAnswer)))
+			case err != nil && !unreachable:
+				l.log.Info("replica unreachable", "replica", key.to, "address", address, "messages", len(batch.Messages), "bytes", payloadBytes(batch.Messages), "took", time.Since(began), "error", err.Error())
 			}
-			silent = err != nil || silent && !answered
+			unreachable = err != nil || unreachable && !answered
 			if answered {
-				confirmed = time.Now()
+				lastAnswer = time.Now()
 			}
 		}
 	}
 }
 
 // ackDue reports whether an answer is required: always from a replica that has never answered.
-func ackDue(confirmed, now time.Time) bool { return now.Sub(confirmed) >= ackInterval }
+func ackDue(lastAnswer, now time.Time) bool { return now.Sub(lastAnswer) >= ackInterval }
 
 func latest(a, b time.Time) time.Time {
 	if b.After(a) {
@@ -218,15 +218,15 @@
 }
 
 // removeIfIdle removes a queue that is empty, for example that of a replica whose disk was replaced.
-func (l *transport) removeIfIdle(way queueKey, q *queue) bool {
+func (l *transport) removeIfIdle(key queueKey, q *queue) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(q.messages) > 0 {
 		return false
 	}
-	delete(l.queues, way)
-	if l.queues[queueKey{way.to, !way.bulk}] == nil {
-		delete(l.addresses, way.to)
+	delete(l.queues, key)
+	if l.queues[queueKey{key.to, !key.bulk}] == nil {
+		delete(l.addresses, key.to)
 	}
 	return true
 }
