--- a/node/configsync/clock_test.go
+++ b/node/configsync/clock_test.go
@@ -11,9 +11,9 @@
 	"caperdrum.org/node/settings"
 )
 
-// TestConfirmationKeepsTheMonotonicClock takes a confirmation with a reading of the
-// steady clock, as the system's clock gives it. Its age follows that clock: a
-// time of day that was set back would make a key look confirmed for longer.
+// TestConfirmationKeepsTheMonotonicClock applies a confirmation whose time has a monotonic clock reading, as
+// time.Now returns it. Its age must follow that reading: if the wall clock is set back, a key would otherwise
+// look confirmed for longer.
 func TestConfirmationKeepsTheMonotonicClock(t *testing.T) {
 	h := NewHolder(wire.Member{ID: "m"})
 	asked := time.Now()
@@ -24,12 +24,11 @@
 		t.Fatalf("confirmed %v ago", age)
 	}
 	if at := h.confirmed.Load(); at.at.Round(0) == at.at {
-		t.Fatal("the confirmation has lost its reading of the steady clock")
+		t.Fatal("the confirmation has lost its monotonic clock reading")
 	}
 }
 
-// TestOwnersEpochBringsAView takes a newer owner, and then an older one from a
-// control process that lags.
+// TestOwnersEpochBringsAView applies a newer owner, and then an older one from a control process that lags.
 func TestOwnersEpochBringsAView(t *testing.T) {
 	h := NewHolder(wire.Member{ID: "m"})
 	now := time.Now()
@@ -48,11 +47,11 @@
 	}
 }
 
-// TestAgeOfAConfirmationCountsSuspension: a process that wakes up must not take a key for one that was
-// confirmed a moment ago.
+// TestAgeOfAConfirmationCountsSuspension checks that the clock includes the time in which the machine was
+// suspended. After a wake-up, a process must not treat a key as recently confirmed.
 func TestAgeOfAConfirmationCountsSuspension(t *testing.T) {
 	s := New(Params{Settings: &settings.Settings{Peers: settings.Peers{Control: []string{"127.0.0.1:1"}}}, Log: logr.Discard()})
 	if _, counts := s.clock.(*boottime.Clock); !counts {
-		t.Fatalf("confirmations age by a %T", s.clock)
+		t.Fatalf("the age of confirmations is measured by a %T", s.clock)
 	}
 }
--- a/node/configsync/confirmation_test.go
+++ b/node/configsync/confirmation_test.go
@@ -7,8 +7,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestSteady lists when a view was confirmed, and for how long it counts as confirmed without a
-// gap a moment after the last of them.
+// TestSteady checks, for lists of confirmation times, for how long the view then counts as continuously
+// confirmed.
 func TestSteady(t *testing.T) {
 	const moment = 100 * time.Millisecond
 	cases := map[string]struct {
@@ -16,13 +16,13 @@
 		wait time.Duration   // after the last of them
 		want time.Duration
 	}{
-		"never":                           {nil, moment, 0},
-		"once":                            {[]time.Duration{0}, moment, moment},
-		"again and again":                 {[]time.Duration{0, time.Second, 3 * time.Second}, moment, 3*time.Second + moment},
-		"not for the longest gap":         {[]time.Duration{0, time.Second}, LongestGap, time.Second + LongestGap},
-		"not for longer":                  {[]time.Duration{0, time.Second}, LongestGap + 1, 0},
-		"again after a gap":               {[]time.Duration{0, time.Second, 5 * time.Second, 6 * time.Second}, moment, time.Second + moment},
-		"a late answer ends no gap twice": {[]time.Duration{0, 5 * time.Second, time.Second, 6 * time.Second}, moment, time.Second + moment},
+		"never":                          {nil, moment, 0},
+		"once":                           {[]time.Duration{0}, moment, moment},
+		"repeatedly":                     {[]time.Duration{0, time.Second, 3 * time.Second}, moment, 3*time.Second + moment},
+		"no confirmation for LongestGap": {[]time.Duration{0, time.Second}, LongestGap, time.Second + LongestGap},
+		"no confirmation for longer":     {[]time.Duration{0, time.Second}, LongestGap + 1, 0},
+		"again after a gap":              {[]time.Duration{0, time.Second, 5 * time.Second, 6 * time.Second}, moment, time.Second + moment},
+		"an older confirmation does not close a gap": {[]time.Duration{0, 5 * time.Second, time.Second, 6 * time.Second}, moment, time.Second + moment},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/configsync/evacuations_test.go
+++ b/node/configsync/evacuations_test.go
@@ -17,7 +17,7 @@
 	return e
 }
 
-// upstreamsIn are one announced upstream and one behind an agent in each data centre.
+// upstreamsIn returns an announced upstream and one behind an agent in each data centre.
 func upstreamsIn(dataCenters ...string) *wire.MembersDelta {
 	d := &wire.MembersDelta{To: 1, Whole: true}
 	for _, dc := range dataCenters {
@@ -27,8 +27,8 @@
 	return d
 }
 
-// TestEvacuatedUpstreamsGetNoCalls follows a data centre out and back: with the first view of a
-// process that has just started, and with a change alone.
+// TestEvacuatedUpstreamsGetNoCalls evacuates data centres and ends the evacuations, in the initial view and
+// in updates without other changes.
 func TestEvacuatedUpstreamsGetNoCalls(t *testing.T) {
 	h := NewHolder(wire.Member{ID: "m"})
 	take := func(r wire.SyncReply) *View {
@@ -47,15 +47,15 @@
 	}
 	expect(take(wire.SyncReply{Members: upstreamsIn("north", "south"), Evacuations: evacuationsOf(2, "north"), EvacuationsRevision: 2}), 1)
 	if got := h.Request(0).Evacuations; got != 2 {
-		t.Fatalf("asks for what follows revision %d", got)
+		t.Fatalf("requests updates after revision %d", got)
 	}
 	expect(take(wire.SyncReply{Evacuations: evacuationsOf(3, "north", "south"), EvacuationsRevision: 3}), 0)
 	expect(take(wire.SyncReply{Evacuations: evacuationsOf(4), EvacuationsRevision: 4}), 2)
 	if _, err := h.Take(&wire.SyncReply{MembersSeq: 1, Evacuations: evacuationsOf(3, "north"), EvacuationsRevision: 3}, time.Unix(1000, 0)); !errors.Is(err, errOlderState) {
-		t.Fatalf("a control process that is behind: %v", err)
+		t.Fatalf("a control process with an older state: %v", err)
 	}
 	expect(h.View(), 2)
 	if _, err := h.Take(&wire.SyncReply{MembersSeq: 1, EvacuationsRevision: 9}, time.Unix(1000, 0)); !errors.Is(err, errIncompleteUpdate) {
-		t.Fatalf("news that are not brought: %v", err)
+		t.Fatalf("a reply without its updates: %v", err)
 	}
 }
--- a/node/configsync/firstview_bench_test.go
+++ b/node/configsync/firstview_bench_test.go
@@ -14,7 +14,7 @@
 	"caperdrum.org/node/peer"
 )
 
-// fleetText is the text of a deployment with so many customers.
+// fleetText returns the configuration text of a deployment with the given number of customers.
 func fleetText(customers int) string {
 	var b strings.Builder
 	b.WriteString("[service:pool]\nkind = engine\nupstreams = announced\nmax_connections = 450\nengine_slots = 16\nengine_tokens = 549213\n")
--- a/node/configsync/holder_test.go
+++ b/node/configsync/holder_test.go
@@ -10,9 +10,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestAnswersThatAreRefused lists answers after which the process must ask
-// another control process, or for a whole list or text, and must not count as
-// confirmed.
+// TestAnswersThatAreRefused checks replies after which the process must ask another control process, or for a
+// complete list or text, and must not count as confirmed.
 func TestAnswersThatAreRefused(t *testing.T) {
 	text := "[data_center:a]\n"
 	whole := func(version uint64) *wire.ConfigText {
@@ -22,16 +21,16 @@
 		reply wire.SyncReply
 		want  error
 	}{
-		"a cluster that lost versions":     {wire.SyncReply{Version: 4, MembersSeq: 7}, errOlderState},
-		"a cluster that lost members":      {wire.SyncReply{Version: 5, MembersSeq: 6}, errOlderState},
-		"a delta over a gap":               {wire.SyncReply{Version: 5, MembersSeq: 9, Members: &wire.MembersDelta{From: 8, To: 9}}, errIncompleteUpdate},
-		"news that are not brought":        {wire.SyncReply{Version: 6, MembersSeq: 7}, errIncompleteUpdate},
-		"a text that was changed":          {wire.SyncReply{Version: 6, MembersSeq: 7, Config: &wire.ConfigText{Version: 6, Text: "x"}}, errTextMismatch},
-		"a delta on top of another text":   {wire.SyncReply{Version: 6, MembersSeq: 7, Delta: &wire.ConfigDelta{Base: 4, Version: 6}}, errTextMismatch},
-		"an old stamp":                     {wire.SyncReply{Version: 5, MembersSeq: 7, StampAge: maxConfirmationAge + 1}, errStale},
-		"no stamp":                         {wire.SyncReply{Version: 5, MembersSeq: 7, StampAge: -1}, errStale},
-		"a newer text under an old stamp":  {wire.SyncReply{Version: 6, MembersSeq: 7, Config: whole(6), StampAge: maxConfirmationAge + 1}, errStale},
-		"an older text with its own stamp": {wire.SyncReply{Version: 4, MembersSeq: 7, Config: whole(4)}, errOlderState},
+		"a cluster that lost versions":          {wire.SyncReply{Version: 4, MembersSeq: 7}, errOlderState},
+		"a cluster that lost members":           {wire.SyncReply{Version: 5, MembersSeq: 6}, errOlderState},
+		"a delta that leaves a gap":             {wire.SyncReply{Version: 5, MembersSeq: 9, Members: &wire.MembersDelta{From: 8, To: 9}}, errIncompleteUpdate},
+		"a reply without its updates":           {wire.SyncReply{Version: 6, MembersSeq: 7}, errIncompleteUpdate},
+		"a corrupt text":                        {wire.SyncReply{Version: 6, MembersSeq: 7, Config: &wire.ConfigText{Version: 6, Text: "x"}}, errTextMismatch},
+		"a delta from another text":             {wire.SyncReply{Version: 6, MembersSeq: 7, Delta: &wire.ConfigDelta{Base: 4, Version: 6}}, errTextMismatch},
+		"an old confirmation":                   {wire.SyncReply{Version: 5, MembersSeq: 7, StampAge: maxConfirmationAge + 1}, errStale},
+		"no confirmation":                       {wire.SyncReply{Version: 5, MembersSeq: 7, StampAge: -1}, errStale},
+		"a newer text with an old confirmation": {wire.SyncReply{Version: 6, MembersSeq: 7, Config: whole(6), StampAge: maxConfirmationAge + 1}, errStale},
+		"an older text with its confirmation":   {wire.SyncReply{Version: 4, MembersSeq: 7, Config: whole(4)}, errOlderState},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -46,13 +45,13 @@
 				t.Fatalf("got %v, want %v", err, c.want)
 			}
 			if asksWhole := h.Request(0).ConfigHash == 0; asksWhole != (c.want == errTextMismatch) {
-				t.Fatalf("asks for the whole text: %v", asksWhole)
+				t.Fatalf("requests the complete text: %v", asksWhole)
 			}
 			if age := h.StampAge(start.Add(time.Second)); age != time.Second {
 				t.Fatalf("counts as confirmed %v ago", age)
 			}
 			if v := h.View(); v.Version < 5 || v.Seq != 7 {
-				t.Fatalf("went to %d/%d", v.Version, v.Seq)
+				t.Fatalf("changed to %d/%d", v.Version, v.Seq)
 			}
 		})
 	}
--- a/node/configsync/listeners_test.go
+++ b/node/configsync/listeners_test.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestTakenOver shows that a view which a listener has not finished with does
-// not count as taken over, though View returns it already.
+// TestTakenOver checks that a view that a listener is still processing does not count as taken over, although
+// View already returns it.
 func TestTakenOver(t *testing.T) {
 	s := &Service{clock: clockwork.NewFakeClock(), holder: NewHolder(wire.Member{ID: "a"}), log: logr.Discard(), ring: timeline.NewRing("a", "v", 16)}
 	calls := 0
--- a/node/configsync/lists_test.go
+++ b/node/configsync/lists_test.go
@@ -9,9 +9,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestListsFollowMembers changes members one by one, in every way that places them in other lists, beside
-// evacuations and roll-outs: a view holds what one made anew of the same members holds, and views of before
-// do not change.
+// TestListsFollowMembers changes members one by one, together with evacuations and roll-outs. The view must
+// equal one that is built from the same members, and earlier views must not change.
 func TestListsFollowMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := emptyView()
@@ -56,12 +55,12 @@
 		anew.rebuildLists()
 		for name, lists := range map[string][2]any{"announced": {v.Announced, anew.Announced}, "agents": {lists(v.ByService), lists(anew.ByService)}, "peers": {v.Peers, anew.Peers}} {
 			if fmt.Sprint(lists[0]) != fmt.Sprint(lists[1]) {
-				t.Fatalf("%s: %v, made anew %v", name, lists[0], lists[1])
+				t.Fatalf("%s: %v, rebuilt %v", name, lists[0], lists[1])
 			}
 		}
 		for _, s := range before {
 			if now := fmt.Sprint(s.view.Announced, s.view.ByService, s.view.Peers); now != s.was {
-				t.Fatalf("a view of before changed from %s to %s", s.was, now)
+				t.Fatalf("an earlier view changed from %s to %s", s.was, now)
 			}
 		}
 	})
--- a/node/configsync/loop_test.go
+++ b/node/configsync/loop_test.go
@@ -13,13 +13,13 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestHangingControlsArePassedOverWithinTheLease lets the control process in
-// use and the one after it accept calls and never answer.
+// TestHangingControlsArePassedOverWithinTheLease lets the current control process and the one after it accept
+// calls and never answer. The lease must be renewed in time.
 func TestHangingControlsArePassedOverWithinTheLease(t *testing.T) {
 	const lease, controls = 3 * time.Second, 3
 	hang := errors.New("no answer")
 	p, _ := initialPlan().after(nil, controls)
-	silent := p.wait // the last renewal was made when the held-back call began
+	silent := p.wait // the lease was last renewed at the start of the long poll
 	for range controls - 1 {
 		silent += p.wait + p.grace
 		var moveOn bool
@@ -31,16 +31,15 @@
 	if silent >= lease {
 		t.Fatalf("no renewal for %s of a lease of %s", silent, lease)
 	}
-	for range 100 { // nobody answers for long
+	for range 100 { // a long time without any answer
 		p, _ = p.after(hang, controls)
 		if p.pause > maxPause || p.wait+p.grace > maxAnswerGrace {
-			t.Fatalf("pace %+v", p)
+			t.Fatalf("plan %+v", p)
 		}
 	}
 }
 
-// TestTrafficTriggersOneSyncPerVersion keeps busy traffic from cutting each call
-// short before its answer.
+// TestTrafficTriggersOneSyncPerVersion guards against busy traffic that aborts each call before its answer.
 func TestTrafficTriggersOneSyncPerVersion(t *testing.T) {
 	s := &Service{holder: NewHolder(wire.Member{}), clock: clockwork.NewFakeClock(), wake: make(chan struct{}, 1)}
 	poked := func() bool {
@@ -62,13 +61,12 @@
 	}{{3, false}, {5, true}, {5, false}, {4, false}, {6, true}} {
 		s.Saw(c.version)
 		if poked() != c.want {
-			t.Fatalf("step %d: version %d poked: %v", i, c.version, !c.want)
+			t.Fatalf("step %d: version %d triggered a synchronization: %v", i, c.version, !c.want)
 		}
 	}
 }
 
-// answers is a control process that gives the answers in turn, then the last
-// one again.
+// scriptedSource is a control process that returns the replies in turn, and then repeats the last one.
 type scriptedSource struct {
 	address string
 	replies []wire.SyncReply
@@ -84,7 +82,7 @@
 func (a *scriptedSource) Received() uint64 { return 0 }
 func (a *scriptedSource) Close()           {}
 
-// TestDeregisterWaitsUntilRecorded answers twice without the record.
+// TestDeregisterWaitsUntilRecorded returns two replies without the record, and then one with it.
 func TestDeregisterWaitsUntilRecorded(t *testing.T) {
 	src := &scriptedSource{replies: []wire.SyncReply{{Renewed: true}, {Renewed: true}, {Renewed: true, Recorded: true}}}
 	s := &Service{holder: NewHolder(wire.Member{}), clock: clockwork.NewRealClock(), sources: []source{src}}
@@ -94,9 +92,9 @@
 	}
 }
 
-// TestSilentControlIsAvoidedWhileOthersAnswer lets the only answering control
-// processes have no leader: the silent one is not asked again until shunTime
-// has passed, and all are asked when none answers.
+// TestSilentControlIsAvoidedWhileOthersAnswer has one silent control process, while the others answer without
+// a leader. The silent one must not be asked again until avoidTime has passed. If none answers, all must be
+// asked.
 func TestSilentControlIsAvoidedWhileOthersAnswer(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	s := &Service{clock: clock, sources: []source{&scriptedSource{address: "a"}, &scriptedSource{address: "b"}, &scriptedSource{address: "c"}}, unanswered: map[string]time.Time{}}
@@ -115,7 +113,7 @@
 	}
 }
 
-// hanging is a control process that takes calls and never answers.
+// hangingSource is a control process that accepts calls and never answers.
 type hangingSource struct {
 	address string
 	asked   chan struct{}
@@ -130,9 +128,9 @@
 func (h *hangingSource) Received() uint64 { return 0 }
 func (h *hangingSource) Close()           {}
 
-// TestSuspectedVMIsLeft holds a synchronization back at a VM on which another process does
-// not answer: it ends without a step of the clock, and the control process there is asked
-// last. What is said of other VMs changes nothing.
+// TestSuspectedVMIsLeft starts a long poll at a VM on which another process does not answer. The poll must
+// end without advancing the clock, and the control process there must be asked last. Reports about other VMs
+// must have no effect.
 func TestSuspectedVMIsLeft(t *testing.T) {
 	src := &hangingSource{address: "10.0.0.1:7101", asked: make(chan struct{}, 1)}
 	s := &Service{holder: NewHolder(wire.Member{}), clock: clockwork.NewFakeClock(), wake: make(chan struct{}, 1), unresponsive: make(chan string), unanswered: map[string]time.Time{}, sources: []source{src, &scriptedSource{address: "10.0.0.2:7101"}}}
@@ -143,7 +141,7 @@
 	s.unresponsive <- "not an address"
 	select {
 	case err := <-ended:
-		t.Fatalf("ended by another VM's silence: %v", err)
+		t.Fatalf("ended by a report about another VM: %v", err)
 	default:
 	}
 	s.unresponsive <- "10.0.0.1:7000"
--- a/node/configsync/outage_test.go
+++ b/node/configsync/outage_test.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/node/peer"
 )
 
-// TestSilenceOfControl lets synchronizations end in each way: control counts as silent from the time on at which the
-// first answer was due that did not come, until a control process answers that reaches the leader.
+// TestSilenceOfControl ends synchronizations in each way. Control must count as silent from the time at which
+// the first missing answer was due, until a control process that reaches the leader answers.
 func TestSilenceOfControl(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	s := &Service{holder: NewHolder(wire.Member{ID: "m"}), log: logr.Discard(), clock: clock, directory: peer.NewDirectory([]string{"c1"})}
@@ -28,19 +28,19 @@
 	due := clock.Now().Add(syncWait)
 	clock.Advance(syncWait + answerGrace)
 	s.recordUnreachable(due)
-	want("held back, then given up", answerGrace)
+	want("long poll timed out", answerGrace)
 	clock.Advance(time.Second)
 	s.recordUnreachable(clock.Now())
-	want("not answered again", answerGrace+time.Second)
+	want("no answer again", answerGrace+time.Second)
 
 	if err := s.accept(&wire.SyncReply{StampAge: -1}, clock.Now()); !errors.Is(err, errUnconfirmed) {
 		t.Fatal(err)
 	}
-	want("answered without a confirmation", answerGrace+time.Second)
+	want("answer without a confirmation", answerGrace+time.Second)
 	if err := s.accept(&wire.SyncReply{}, clock.Now()); !errors.Is(err, errNotRenewed) {
 		t.Fatal(err)
 	}
-	want("answered by one that does not reach the leader", answerGrace+time.Second)
+	want("answer of one that does not reach the leader", answerGrace+time.Second)
 	if err := s.accept(&wire.SyncReply{Renewed: true}, clock.Now()); err != nil {
 		t.Fatal(err)
 	}
@@ -48,5 +48,5 @@
 
 	s.recordUnreachable(clock.Now().Add(syncWait))
 	clock.Advance(time.Millisecond)
-	want("reset before the answer was due", time.Millisecond)
+	want("connection reset before the answer was due", time.Millisecond)
 }
--- a/node/configsync/rollouts_test.go
+++ b/node/configsync/rollouts_test.go
@@ -7,8 +7,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestViewExcludesVersions decides roll-outs: upstreams of versions that were rolled back or replaced are in no
-// list that gets calls. Replaced ones stay while there are no others.
+// TestViewExcludesVersions completes and rolls back roll-outs. Upstreams of versions that were rolled back or
+// replaced must not be in the lists of those that get calls. Replaced ones stay while there are no others.
 func TestViewExcludesVersions(t *testing.T) {
 	upstream := func(version string) wire.Member {
 		m := wire.AnnouncedUpstream(wire.MemberID("i-"+version), "desk", "10.0.0.1:80", "north", false)
--- a/node/configsync/slow_answer_test.go
+++ b/node/configsync/slow_answer_test.go
@@ -18,11 +18,9 @@
 	"caperdrum.org/node/peer"
 )
 
-// TestAnswerThatComesSlowly lets a control process answer with a large text over a
-// slow link, in parts that each come well within the grace of an answer. An answer
-// that is on its way is not given up: begun anew at the next control process it would
-// take as long again, and meanwhile this process hears neither of members that leave
-// nor of a confirmation.
+// TestAnswerThatComesSlowly sends a large reply over a slow link, in parts that each arrive within the grace
+// period. The reply must not be abandoned: it would take as long at the next control process, and meanwhile
+// this process would learn neither of leaving members nor of confirmations.
 func TestAnswerThatComesSlowly(t *testing.T) {
 	const parts, between = 8, answerGrace * 3 / 4
 	clock := clockwork.NewFakeClock()
@@ -50,7 +48,7 @@
 	answer := fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%s,"result":%s}`, call.ID, reply)
 	for i := range parts {
 		if _, err := far.Write(answer[len(answer)*i/parts : len(answer)*(i+1)/parts]); err != nil {
-			t.Fatalf("part %d of %d: the call was given up: %v, %v", i+1, parts, err, <-done)
+			t.Fatalf("part %d of %d: the call was abandoned: %v, %v", i+1, parts, err, <-done)
 		}
 		if i < parts-1 {
 			clock.Advance(between)
@@ -60,11 +58,11 @@
 		t.Fatal(err)
 	}
 	if v := s.View(); v == nil || v.Version != 1 {
-		t.Fatalf("held: %+v", v)
+		t.Fatalf("view: %+v", v)
 	}
 }
 
-// TestAnswerThatStopsIsGivenUp lets the first part of an answer come and no more.
+// TestAnswerThatStopsIsGivenUp sends only the first part of a reply.
 func TestAnswerThatStopsIsGivenUp(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	near, far := net.Pipe()
@@ -84,12 +82,12 @@
 		select {
 		case err := <-done:
 			if err == nil {
-				t.Fatal("half an answer was taken")
+				t.Fatal("a partial reply was accepted")
 			}
 			return
 		default:
 			clock.Advance(answerGrace / 2)
-			time.Sleep(time.Millisecond) // lets the other goroutine run; decides nothing
+			time.Sleep(time.Millisecond) // lets the other goroutine run; the result does not depend on it
 		}
 	}
 }
--- a/node/configsync/source_test.go
+++ b/node/configsync/source_test.go
@@ -12,8 +12,9 @@
 	"caperdrum.org/node/peer"
 )
 
-// TestFirstViewsComeFromAllVoters starts deployments of three seeds and seven voters, which have no confirmation
-// yet: once processes have heard of the voters they ask all of them for their first views, each about as often.
+// TestFirstViewsComeFromAllVoters starts deployments with three seeds and seven voters without a
+// confirmation. Once processes know the voters, they must request their initial views from all of them, in
+// about equal numbers.
 func TestFirstViewsComeFromAllVoters(t *testing.T) {
 	seeds := []string{"10.1.0.1:7740", "10.2.0.1:7740", "10.3.0.1:7740"}
 	voters := append([]string{"10.4.0.1:7740", "10.5.0.1:7740", "10.6.0.1:7740", "10.1.0.2:7740"}, seeds...)
@@ -33,14 +34,15 @@
 		most := processes*3/(2*len(voters)) + 1
 		for _, address := range voters {
 			if n := asked[address]; n == 0 || n > most {
-				t.Errorf("%d processes: %d of them ask %s, at most %d should", processes, n, address, most)
+				t.Errorf("%d processes: %d of them ask %s, want at most %d", processes, n, address, most)
 			}
 		}
 	}
 }
 
-// TestAllControlProcessesAreAskedInTheEnd lets control processes that no quorum confirms name different voters, each
-// its own: a process that holds nothing comes to each of them all the same, and so to one that has a confirmation.
+// TestAllControlProcessesAreAskedInTheEnd lets control processes without a confirmation each return a
+// different list of voters. A process without a view must still ask each of them eventually, and so find one
+// with a confirmation.
 func TestAllControlProcessesAreAskedInTheEnd(t *testing.T) {
 	seeds := []string{"10.1.0.1:7740", "10.2.0.1:7740", "10.3.0.1:7740", "10.4.0.1:7740", "10.5.0.1:7740"}
 	for i := range 200 {
@@ -61,24 +63,25 @@
 	}
 }
 
-// starting is a process that holds nothing and knows the seeds.
+// newUnsynced returns a service without a view that knows the seeds.
 func newUnsynced(m wire.Member, seeds []string) *Service {
 	s := &Service{holder: NewHolder(m), log: logr.Discard(), clock: clockwork.NewFakeClock(), directory: peer.NewDirectory(seeds), unanswered: map[string]time.Time{}}
 	s.refreshSources()
 	return s
 }
 
-// TestControlProcessBeginsWithItself starts a voter, and a process that has the address of one without being one.
+// TestControlProcessBeginsWithItself starts a voter, and a process that has a voter's address but not its
+// role.
 func TestControlProcessBeginsWithItself(t *testing.T) {
 	seeds := []string{"10.1.0.1:7740", "10.2.0.1:7740", "10.3.0.1:7740"}
 	for _, address := range seeds {
 		s := newUnsynced(wire.Member{ID: "voter", Peer: address, Role: "proxy+control"}, seeds)
 		if got := s.sources[s.current].Address(); got != address {
-			t.Errorf("%s begins with %s", address, got)
+			t.Errorf("%s starts with %s", address, got)
 		}
 		other := newUnsynced(wire.Member{ID: "voter", Peer: address, Role: "proxy"}, seeds)
 		if other.current != hashIndex("voter", len(seeds)) {
-			t.Errorf("a process without the role begins with address %d", other.current)
+			t.Errorf("a process without the role starts with address %d", other.current)
 		}
 	}
 }
--- a/node/configsync/suspects_test.go
+++ b/node/configsync/suspects_test.go
@@ -9,8 +9,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestSuspectsComeWithViews gets calls in quarantine with the first view of a process, and alone. A control process that
-// is behind takes no bar back.
+// TestSuspectsComeWithViews receives quarantined calls with the initial view, and in updates without other
+// changes. A control process with an older state must not lift a bar.
 func TestSuspectsComeWithViews(t *testing.T) {
 	h := NewHolder(wire.Member{ID: "m"})
 	news := func(revision uint64, barred bool) *wire.Suspects {
@@ -24,15 +24,15 @@
 		t.Fatal(err, h.View().Suspects)
 	}
 	if got := h.Request(0).Suspects; got != 2 {
-		t.Fatalf("asks for what follows revision %d", got)
+		t.Fatalf("requests updates after revision %d", got)
 	}
 	if err := take(wire.SyncReply{Suspects: news(3, true), SuspectsRevision: 3}); err != nil || h.View().Suspects.Barred() != 1 {
 		t.Fatal(err, h.View().Suspects)
 	}
 	if err := take(wire.SyncReply{Suspects: news(2, false), SuspectsRevision: 2}); !errors.Is(err, errOlderState) || h.View().Suspects.Barred() != 1 {
-		t.Fatalf("a control process that is behind: %v", err)
+		t.Fatalf("a control process with an older state: %v", err)
 	}
 	if err := take(wire.SyncReply{SuspectsRevision: 9}); !errors.Is(err, errIncompleteUpdate) {
-		t.Fatalf("news that are not brought: %v", err)
+		t.Fatalf("a reply without its updates: %v", err)
 	}
 }
--- a/node/configsync/text_test.go
+++ b/node/configsync/text_test.go
@@ -37,8 +37,8 @@
 	return "# operators' text\n" + strings.Join(rapid.Permutation(sections).Draw(t, "order"), "")
 }
 
-// TestDeltaParsesLikeTheWholeText compares the sections' parser with the whole
-// one after each of a row of valid texts.
+// TestDeltaParsesLikeTheWholeText compares incremental parsing with parsing the complete text, for a sequence
+// of valid texts.
 func TestDeltaParsesLikeTheWholeText(t *testing.T) {
 	texts := rapid.Custom(drawValidText).Filter(func(s string) bool {
 		_, err := optext.Parse("t", []byte(s))
@@ -65,7 +65,7 @@
 			if made := history.Delta(n, v.Hash); made != nil {
 				d = made
 				deltas++
-			} else { // as if it had been worth it
+			} else { // use a delta even where History would not
 				d.Pieces = pieces(next)
 			}
 			if err := v.applyDelta(d); err != nil {
--- a/node/memberset/memberset.go
+++ b/node/memberset/memberset.go
@@ -1,5 +1,5 @@
-// Package memberset holds the members of a cluster as an immutable set: one that differs in a few members
-// shares the rest, so that a change costs the same in a small cluster and in a large one.
+// Package memberset provides an immutable set of the members of a cluster. Sets that differ in a few members
+// share the rest, so that the cost of a change does not depend on the size of the cluster.
 package memberset
 
 import (
@@ -15,7 +15,7 @@
 	byID *immutable.Map[wire.MemberID, wire.Member]
 }
 
-// Of returns the set of the members; of two with one ID it is the last.
+// Of returns the set of the given members. If several have the same ID, the last one counts.
 func Of(members ...wire.Member) Set {
 	b := immutable.NewMapBuilder[wire.MemberID, wire.Member](nil)
 	for _, m := range members {
@@ -24,7 +24,7 @@
 	return Set{b.Map()}
 }
 
-// Get returns a member.
+// Get returns the member with the given ID.
 func (s Set) Get(id wire.MemberID) (wire.Member, bool) {
 	if s.byID == nil {
 		return wire.Member{}, false
@@ -32,7 +32,7 @@
 	return s.byID.Get(id)
 }
 
-// Len returns how many members there are.
+// Len returns the number of members.
 func (s Set) Len() int {
 	if s.byID == nil {
 		return 0
@@ -40,7 +40,7 @@
 	return s.byID.Len()
 }
 
-// All iterates over the members in no order.
+// All iterates over the members in unspecified order.
 func (s Set) All() iter.Seq[wire.Member] {
 	return func(yield func(wire.Member) bool) {
 		if s.byID == nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// With returns the set with the member in place of the one with its ID.
+// With returns the set with m added, or replaced if the set contains a member with its ID.
 func (s Set) With(m wire.Member) Set {
 	if s.byID == nil {
 		return Of(m)
@@ -62,7 +62,7 @@
 	return Set{s.byID.Set(m.ID, m)}
 }
 
-// Without returns the set without a member.
+// Without returns the set without the member with the given ID.
 func (s Set) Without(id wire.MemberID) Set {
 	if s.byID == nil {
 		return s
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -11,28 +11,27 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Client calls one address over one connection, which it opens when needed
-// and again after a failure.
+// Client calls one address over one connection, which it opens on demand and reopens after a failure.
 type Client struct {
 	address string
 	dial    Dialer
-	dialing chan struct{} // holds a token while somebody dials
+	dialing chan struct{} // semaphore: contains a token during a dial
 
 	mu       sync.Mutex
 	conn     *jsonrpc2.Conn
 	received atomic.Uint64
 }
 
-// NewClient returns a client; it does not connect yet.
+// NewClient returns a client. It connects on the first call.
 func NewClient(address string, dial Dialer) *Client {
 	return &Client{address: address, dial: dial, dialing: make(chan struct{}, 1)}
 }
 
-// Received returns how many bytes have come from the address so far. While it grows an
-// answer is on its way.
+// Received returns the number of bytes received from the address so far. It grows while an answer is being
+// received.
 func (c *Client) Received() uint64 { return c.received.Load() }
 
-// countedConn counts the bytes that come.
+// countingConn counts received bytes.
 type countingConn struct {
 	net.Conn
 	received *atomic.Uint64
@@ -45,7 +44,7 @@
 	return n, err
 }
 
-// Address returns the address the client calls.
+// Address returns the address that the client calls.
 func (c *Client) Address() string { return c.address }
 
 func (c *Client) connection(ctx context.Context) (*jsonrpc2.Conn, error) {
@@ -66,7 +65,7 @@
 		return nil, errors.WithType(errors.Trace(err), ErrUnreachable)
 	}
 	refuse := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this end only calls"}
+		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this end does not accept calls"}
 	})
 	conn := jsonrpc2.NewConn(context.Background(), newStream(countingConn{raw, &c.received}), refuse, jsonrpc2.SetLogger(discardLogger{}))
 	c.mu.Lock()
@@ -75,13 +74,12 @@
 	return conn, nil
 }
 
-// firstDial is how long the first attempt to connect may take; each further one has twice as long. The opening
-// packet to a VM that is just starting is lost, and the kernel repeats it after a second only: all replicas are
-// without a leader meanwhile. Above a round trip between regions.
+// firstDialTimeout limits the first attempt to connect; each further attempt has twice as long. The SYN to a
+// VM that is just starting is lost, and the kernel retransmits it only after a second, during which all
+// replicas would be without a leader. The value is above a round trip between regions.
 const firstDialTimeout = 200 * time.Millisecond
 
-// redial connects, in several attempts while an attempt gets no answer at all. Together they take dialTimeout at
-// most.
+// dialWithRetry connects. It repeats an attempt that gets no answer at all, within dialTimeout in total.
 func dialWithRetry(ctx context.Context, dial Dialer, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -110,9 +108,9 @@
 	return c.conn
 }
 
-// Call sends params and decodes the answer into result. When ctx's deadline
-// passes first the connection is dropped, since it may be cut silently. When
-// ctx is cancelled it is kept for the other calls.
+// Call sends params and decodes the answer into result. If ctx's deadline expires, the connection is closed,
+// since it may be dead. If ctx is cancelled, it is kept for other calls. The error is ErrUnreachable if the
+// call was not sent, or *ErrNotLeader or *verdict.Error if the server returned one.
 func (c *Client) Call(ctx context.Context, method string, params, result any) error {
 	conn, err := c.connection(ctx)
 	if err != nil {
--- a/node/peer/client_test.go
+++ b/node/peer/client_test.go
@@ -13,8 +13,8 @@
 	Text string `json:"text"`
 }
 
-// TestCancelledCallKeepsTheConnection cancels one of two calls that share a
-// connection; the other one gets its answer.
+// TestCancelledCallKeepsTheConnection cancels one of two calls that share a connection. The other one must
+// still get its answer.
 func TestCancelledCallKeepsTheConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestDialDelaysNobodyPastTheirDeadline calls an address that a dialer hangs on.
+// TestDialDelaysNobodyPastTheirDeadline calls an address whose dial hangs.
 func TestDialDelaysNobodyPastTheirDeadline(t *testing.T) {
 	dialing, release := make(chan struct{}), make(chan struct{})
 	client := NewClient("x", func(context.Context, string) (net.Conn, error) {
--- a/node/peer/control.go
+++ b/node/peer/control.go
@@ -12,29 +12,27 @@
 	"caperdrum.org/api/verdict"
 )
 
-// Control calls the control processes. It remembers which one leads and finds
-// the new leader after a change.
+// Control calls the control processes. It remembers the leader, and finds the new one after a change.
 type Control struct {
 	clock     clockwork.Clock
-	ctx       context.Context // ends with Close
+	ctx       context.Context // cancelled by Close
 	close     context.CancelFunc
 	directory *Directory
 	dial      Dialer
 
 	mu         sync.Mutex
 	clients    []*Client // never empty
-	generation uint64    // of the directory, as clients were made
+	generation uint64    // of the directory when clients was built
 	current    int
 	search     *leaderSearch // nil while the leader answers
 }
 
-// NewControl returns a Control over the given addresses.
+// NewControl returns a Control for a fixed list of addresses.
 func NewControl(addresses []string, dial Dialer) *Control {
 	return NewDirectoryControl(NewDirectory(addresses), dial)
 }
 
-// NewDirectoryControl returns a Control that follows the directory, which must
-// not be empty.
+// NewDirectoryControl returns a Control for the addresses in the directory, which must not be empty.
 func NewDirectoryControl(directory *Directory, dial Dialer) *Control {
 	c := &Control{clock: clockwork.NewRealClock(), directory: directory, dial: dial}
 	c.ctx, c.close = context.WithCancel(context.Background())
@@ -42,7 +40,7 @@
 	return c
 }
 
-// follow takes over the directory's addresses. The caller holds c.mu or owns c.
+// refreshClients adopts changes of the directory. The caller holds c.mu or has exclusive access to c.
 func (c *Control) refreshClients() {
 	addresses, generation := c.directory.Addresses()
 	if generation == c.generation {
@@ -65,7 +63,7 @@
 	}
 }
 
-// reuse takes the client of the address out of old, or makes one.
+// reuse removes the client of the address from old, or creates one.
 func (c *Control) reuse(old *[]*Client, address string) *Client {
 	for i, cl := range *old {
 		if cl.address == address {
@@ -78,20 +76,20 @@
 
 const (
 	retryInterval = 50 * time.Millisecond
-	callTimeout   = 2 * time.Second // a control process that does not answer by then is passed over
+	callTimeout   = 2 * time.Second // a control process that does not answer within this time is skipped
 )
 
-// ErrNoLeader says that no leader answered a call in time. The call may have
-// reached one, and may take effect.
+// ErrNoLeader says that no leader answered a call in time. The call may have been received, and may still
+// take effect.
 const ErrNoLeader = errors.ConstError("peer: no leader answered")
 
-// ErrNotTaken says, beside ErrNoLeader, that no process took the call: it has no
-// effect, now or later.
-const ErrNotTaken = errors.ConstError("peer: call not taken")
+// ErrNotTaken says, in addition to another error, that no process accepted the call: it has no effect, now or
+// later.
+const ErrNotTaken = errors.ConstError("peer: call not accepted")
 
-// CallLeader repeats an idempotent call until the leader has answered it, ctx
-// has ended or SearchLimit is over. Once no leader has been found for
-// SearchLimit it fails at once, with ErrNoLeader as in the other two cases.
+// CallLeader repeats an idempotent call until the leader answers, ctx ends or SearchLimit expires. If a search
+// for the leader has already taken SearchLimit, it fails immediately. Without an answer of the leader, the error
+// is ErrNoLeader. If no process accepted the call, it is ErrNotTaken as well.
 func (c *Control) CallLeader(ctx context.Context, method string, params, result any) error {
 	caller := ctx
 	ctx, cancel := context.WithCancel(caller)
@@ -108,7 +106,7 @@
 		}
 		taken = taken || !notAccepted(last)
 		if errors.Is(caller.Err(), context.Canceled) {
-			break // the caller left; that says nothing about the leader
+			break // the caller gave up, which says nothing about the leader
 		}
 		c.startSearch()
 		c.selectNext(client, last)
@@ -120,7 +118,7 @@
 	return withNotAccepted(errors.WithType(errors.Annotate(last, method), ErrNoLeader), taken)
 }
 
-// untaken adds ErrNotTaken to a failure of a call that no process took.
+// withNotAccepted adds ErrNotTaken to the error of a call that no process accepted.
 func withNotAccepted(err error, taken bool) error {
 	if err == nil || taken || !notAccepted(err) && !errors.Is(err, ErrNoLeader) {
 		return err
@@ -128,14 +126,14 @@
 	return errors.WithType(err, ErrNotTaken)
 }
 
-// refused reports whether err proves that the call was not taken.
+// notAccepted reports whether err proves that the call was not accepted.
 func notAccepted(err error) bool {
 	var nl *ErrNotLeader
 	var v *verdict.Error
 	return errors.As(err, &nl) || errors.Is(err, ErrUnreachable) || errors.As(err, &v) && v.Verdict == verdict.NotRun
 }
 
-// led reports whether err, or its absence, is a leader's answer.
+// isLeaderAnswer reports whether err (or nil) is an answer of the leader.
 func isLeaderAnswer(err error) bool {
 	if err == nil {
 		return true
@@ -144,8 +142,8 @@
 	return errors.As(err, &v) && !leadershipEnded(v)
 }
 
-// leadershipEnded reports whether the called process stopped leading while it
-// held the call. The next leader can answer it, since it is idempotent.
+// leadershipEnded reports whether the called process lost leadership during the call. The next leader can
+// serve the call, since it is idempotent.
 func leadershipEnded(v *verdict.Error) bool {
 	return v.Code == verdict.CodeShutdown || v.Code == verdict.CodeNoQuorum
 }
@@ -173,7 +171,7 @@
 	return c.clients[c.current]
 }
 
-// Next passes over the current control process.
+// Next switches to the next control process.
 func (c *Control) Next() { c.selectNext(c.pick(), nil) }
 
 // Current returns the client of the control process in use.
@@ -183,7 +181,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.clients[c.current] != from {
-		return // somebody else did
+		return // another caller already switched
 	}
 	var nl *ErrNotLeader
 	if errors.As(err, &nl) && nl.Address != "" {
@@ -193,7 +191,7 @@
 				return
 			}
 		}
-		if nl.Address != from.address { // it became a voter lately
+		if nl.Address != from.address { // it recently became a voter
 			c.clients = append(c.clients, NewClient(nl.Address, c.dial))
 			c.current = len(c.clients) - 1
 			return
--- a/node/peer/dial_test.go
+++ b/node/peer/dial_test.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// TestFirstPacketIsLost has the opening packets of two connections get no answer, as to a VM that is just
-// starting: the call is made over the third, within one time limit of its own.
+// TestFirstPacketIsLost leaves the first two connection attempts without an answer, as a VM does that is just
+// starting. The call must succeed with the third attempt, within its own time limit.
 func TestFirstPacketIsLost(t *testing.T) {
 	s := NewServer()
 	Handle(s, MethodPing, Ping)
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestRefusalIsNotRepeated has nobody listen, and a caller that gives up: neither is tried again.
+// TestRefusalIsNotRepeated dials a closed port, and lets a caller give up. Neither attempt may be repeated.
 func TestRefusalIsNotRepeated(t *testing.T) {
 	attempts := 0
 	refused := func(context.Context, string) (net.Conn, error) {
--- a/node/peer/directory.go
+++ b/node/peer/directory.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Directory holds the peer addresses at which control processes are thought to
-// listen: those that the cluster named last, then those of the settings.
+// Directory holds the peer addresses of the control processes: those that the cluster announced last,
+// followed by those of the settings.
 type Directory struct {
 	mu         sync.Mutex
 	configured []string
@@ -16,7 +16,7 @@
 	generation uint64
 }
 
-// NewDirectory returns a directory of the addresses in the settings.
+// NewDirectory returns a directory with the addresses of the settings.
 func NewDirectory(configured []string) *Directory {
 	d := &Directory{}
 	d.Configure(configured)
@@ -31,8 +31,7 @@
 	d.refresh()
 }
 
-// Learn replaces the addresses that the cluster named. An empty list says
-// nothing.
+// Learn replaces the addresses announced by the cluster. An empty list is ignored.
 func (d *Directory) Learn(addresses []string) {
 	if len(addresses) == 0 {
 		return
@@ -64,40 +63,39 @@
 	return slices.Clone(d.configured)
 }
 
-// Addresses returns all addresses and a number that grows when they change.
+// Addresses returns all addresses, and a generation number that grows when they change.
 func (d *Directory) Addresses() ([]string, uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.addresses), d.generation
 }
 
-// Learned returns the addresses that the cluster named last.
+// Learned returns the addresses that the cluster announced last.
 func (d *Directory) Learned() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.learned)
 }
 
-// MethodWhere asks any process where control processes listen.
+// MethodWhere asks any process for the addresses of the control processes.
 const MethodWhere = "peer.where"
 
-// Where answers MethodWhere; it is empty where nothing is known.
+// Where is the reply to MethodWhere and the request of MethodTell. It is empty if no addresses are known.
 type Where struct {
 	Control []string `json:"control"`
 }
 
-// MethodTell tells a process that others know where control processes listen.
+// MethodTell sends a process the addresses of the control processes.
 const MethodTell = "peer.tell"
 
-// MethodPing asks any process whether it answers.
+// MethodPing checks whether a process answers.
 const MethodPing = "peer.ping"
 
-// Empty is a call or an answer without content.
+// Empty is a request or reply without content.
 type Empty struct{}
 
-// Ping answers MethodPing.
+// Ping handles MethodPing.
 func Ping(context.Context, *Empty) (*Empty, error) { return &Empty{}, nil }
 
-// Told answers MethodTell where nothing can be learned: a control process knows
-// the voters itself.
+// Told handles MethodTell by ignoring it, for a control process, which knows the voters itself.
 func Told(context.Context, *Where) (*Empty, error) { return &Empty{}, nil }
--- a/node/peer/handover_test.go
+++ b/node/peer/handover_test.go
@@ -12,8 +12,8 @@
 	Text string `json:"text"`
 }
 
-// TestCallLeaderOutlivesHandover answers a call first from a process that
-// stops leading while it holds the call, then from its successor.
+// TestCallLeaderOutlivesHandover lets a process lose leadership during a call. The call must be answered by
+// its successor.
 func TestCallLeaderOutlivesHandover(t *testing.T) {
 	for _, code := range []verdict.Code{verdict.CodeShutdown, verdict.CodeNoQuorum} {
 		t.Run(string(code), func(t *testing.T) {
--- a/node/peer/leader_search.go
+++ b/node/peer/leader_search.go
@@ -9,19 +9,19 @@
 	"github.com/juju/errors"
 )
 
-// MethodLead is the control role's method that only a leader answers of which
-// a quorum has confirmed lately that it leads.
+// MethodLead is the control role's RPC method that succeeds only on a leader that a quorum has recently
+// confirmed.
 const MethodLead = "control.lead"
 
 const (
-	// SearchLimit bounds the search for a leader. It is a little above the
-	// worst fail-over: a caller is better told to come back than held.
+	// SearchLimit limits the search for a leader. It is slightly above the longest fail-over: after that, it
+	// is better to let the caller retry later than to keep it waiting.
 	SearchLimit   = 2500 * time.Millisecond
-	probeInterval = 200 * time.Millisecond // between two questions for the leader, on average
+	probeInterval = 200 * time.Millisecond // average pause between two probes
 )
 
-// search is the time since the leader was last heard of. Its context ends with
-// DeadlineExceeded after SearchLimit, and with Canceled once there is a leader.
+// leaderSearch is a search for the leader. Its context ends with DeadlineExceeded after SearchLimit, and with
+// Canceled once there is a leader.
 type leaderSearch struct {
 	ctx  context.Context
 	stop context.CancelFunc
@@ -29,8 +29,7 @@
 
 func (s *leaderSearch) expired() bool { return errors.Is(s.ctx.Err(), context.DeadlineExceeded) }
 
-// onExpiry calls f if the search expires before the returned function is
-// called.
+// onExpiry calls f if the search expires before stop is called.
 func (s *leaderSearch) onExpiry(f func()) (stop func() bool) {
 	return context.AfterFunc(s.ctx, func() {
 		if s.expired() {
@@ -45,13 +44,13 @@
 	return c.search
 }
 
-// givenUp reports whether no leader was found for SearchLimit.
+// searchExpired reports whether the current search has taken SearchLimit without finding a leader.
 func (c *Control) searchExpired() bool {
 	s := c.currentSearch()
 	return s != nil && s.expired()
 }
 
-// found notes that a leader answered.
+// leaderFound ends the search, since a leader has answered.
 func (c *Control) leaderFound() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,9 +60,8 @@
 	}
 }
 
-// missed notes that a call was not answered by a leader. From then on one
-// goroutine asks for the leader, so that the end of the search is noticed
-// without any caller's help.
+// startSearch starts a search, unless there is one, after a call was not answered by a leader. One goroutine
+// probes for the leader until the search ends, so that it ends without any further calls.
 func (c *Control) startSearch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +74,7 @@
 	go c.probe(s)
 }
 
-// probe asks for the leader until one was found.
+// probe asks the control processes in turn until one is the leader.
 func (c *Control) probe(s *leaderSearch) {
 	for c.currentSearch() == s {
 		client := c.pick()
--- a/node/peer/leader_search_test.go
+++ b/node/peer/leader_search_test.go
@@ -10,10 +10,10 @@
 	"github.com/juju/errors"
 )
 
-// leading is one control process that leads, does not lead, or hangs.
+// fakeLeader is a control process that is the leader, is not the leader, or hangs.
 type fakeLeader struct {
 	leads, hangs atomic.Bool
-	asked        atomic.Int64 // calls, without questions for the leader
+	asked        atomic.Int64 // number of calls, without probes for the leader
 	arrived      chan struct{}
 }
 
@@ -51,9 +51,8 @@
 	return c, clock
 }
 
-// TestSearchEnds has callers without a deadline of their own. They are answered
-// once no leader was found for SearchLimit, later ones at once and without a
-// call, and calls pass again once there is a leader.
+// TestSearchEnds makes calls without a deadline. They must fail when no leader was found for SearchLimit,
+// later ones must fail immediately without being sent, and calls must succeed again once there is a leader.
 func TestSearchEnds(t *testing.T) {
 	for _, name := range []string{"does not lead", "hangs"} {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +63,7 @@
 			go func() { ended <- c.CallLeader(context.Background(), "say", message{}, nil) }()
 			<-l.arrived
 			if name == "hangs" {
-				// Another caller misses the leader meanwhile.
+				// Meanwhile, another caller fails to reach the leader.
 				short, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 				c.CallLeader(short, "say", message{}, nil)
 				cancel()
@@ -73,7 +72,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			clock.Advance(SearchLimit)
-			// A call that hangs may have been taken; one that is refused was not.
+			// A call that hangs may have been accepted; a rejected one was not.
 			if err := <-ended; !errors.Is(err, ErrNoLeader) || errors.Is(err, ErrNotTaken) != (name == "does not lead") {
 				t.Fatalf("first call: %v", err)
 			}
@@ -96,8 +95,7 @@
 	}
 }
 
-// TestEndedCallIsNoAnswer calls with a context that has ended: no answer was
-// read, so there must be an error.
+// TestEndedCallIsNoAnswer calls with a cancelled context. Since no answer was read, there must be an error.
 func TestEndedCallIsNoAnswer(t *testing.T) {
 	l := &fakeLeader{}
 	c, _ := l.control(t)
--- a/node/peer/peer.go
+++ b/node/peer/peer.go
@@ -1,6 +1,5 @@
-// Package peer carries typed calls between caperdrum's processes as JSON-RPC
-// 2.0 over TCP. Request bodies and token streams do not travel here: JSON-RPC
-// cannot stream under back-pressure, so those use HTTP.
+// Package peer carries typed calls between caperdrum's processes as JSON-RPC 2.0 over TCP. Request bodies and
+// token streams use HTTP instead, since JSON-RPC cannot stream with back-pressure.
 package peer
 
 import (
@@ -23,8 +22,8 @@
 	codeNotLeader = -32001
 )
 
-// ErrNotLeader says that the called control process does not lead. Leader and
-// Address name the one that does, if it is known.
+// ErrNotLeader says that the called control process is not the leader. Leader and Address identify the
+// leader, if it is known.
 type ErrNotLeader struct {
 	Leader  wire.MemberID `json:"leader"`
 	Address string        `json:"address"`
@@ -33,15 +32,15 @@
 // Error implements error.
 func (e *ErrNotLeader) Error() string { return "not the leader; the leader is " + string(e.Leader) }
 
-// ErrUnreachable says that a call was never sent.
+// ErrUnreachable says that a call was not sent.
 const ErrUnreachable = errors.ConstError("peer: unreachable")
 
-// Dialer opens connections. Tests replace it to cut links.
+// Dialer opens connections. Tests replace it to simulate network partitions.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
 const dialTimeout = time.Second
 
-// DialTCP is the Dialer without encryption.
+// DialTCP is a Dialer without encryption.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	return d.DialContext(ctx, "tcp", address)
@@ -49,7 +48,7 @@
 
 type handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Server answers calls. Handlers are added before Serve.
+// Server serves calls. Handlers must be added before Serve is called.
 type Server struct {
 	handlers map[string]handler
 
@@ -63,8 +62,8 @@
 	return &Server{handlers: map[string]handler{}, conns: map[*jsonrpc2.Conn]struct{}{}}
 }
 
-// Handle adds a typed handler. An error of type *verdict.Error or
-// *ErrNotLeader reaches the caller as it is; another one as its message.
+// Handle adds a typed handler. The caller receives an error of type *verdict.Error or *ErrNotLeader with its
+// type, and others as their message.
 func Handle[Req, Resp any](s *Server, method string, h func(context.Context, *Req) (*Resp, error)) {
 	s.handlers[method] = func(ctx context.Context, params json.RawMessage) (any, error) {
 		req := new(Req)
--- a/node/peer/stream.go
+++ b/node/peer/stream.go
@@ -11,7 +11,7 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// stream carries the objects of one connection.
+// stream reads and writes the JSON objects of one connection.
 type stream struct {
 	conn    progressConn
 	decoder *json.Decoder
@@ -26,7 +26,8 @@
 // ReadObject implements jsonrpc2.ObjectStream.
 func (s *stream) ReadObject(v any) error { return s.decoder.Decode(v) }
 
-// WriteObject implements jsonrpc2.ObjectStream. What encodes itself is not gone over once more.
+// WriteObject implements jsonrpc2.ObjectStream. The output of a json.Marshaler is not validated and compacted
+// again.
 func (s *stream) WriteObject(v any) error {
 	m, ok := v.(json.Marshaler)
 	if !ok {
@@ -48,9 +49,9 @@
 // Close implements jsonrpc2.ObjectStream.
 func (s *stream) Close() error { return s.conn.Close() }
 
-// responder answers the calls of one connection. It encodes an answer once: package jsonrpc2 encodes the result, the
-// response around it and the message around that, each time over all of its bytes, which is most of what a control
-// process does when many processes start.
+// responder handles the calls of one connection. It encodes each response only once. Package jsonrpc2 encodes
+// the result, the response around it and the message around that, each time processing all bytes, which
+// dominates the work of a control process when many processes start.
 type responder struct {
 	server *Server
 	stream *stream
@@ -72,11 +73,11 @@
 	}
 	data, err := encodeResponse(req.ID, result, err)
 	if r.stream.write(data, err) != nil {
-		conn.Close() // the caller would wait for an answer that cannot come
+		conn.Close() // otherwise, the caller would wait for an answer that will not come
 	}
 }
 
-// encodeResponse encodes how a call ended. A result that cannot be encoded is an error to its caller.
+// encodeResponse encodes the outcome of a call. If the result cannot be encoded, the caller gets an error.
 func encodeResponse(id jsonrpc2.ID, result any, err error) ([]byte, error) {
 	if err == nil {
 		var data []byte
@@ -92,14 +93,13 @@
 }
 
 const (
-	// writeTimeout bounds a write without progress: a peer that was cut off
-	// silently acknowledges nothing, and the kernel would keep a writer with a
-	// full send buffer waiting for many minutes.
+	// writeTimeout limits a write without progress. A partitioned peer acknowledges nothing, and the kernel
+	// would block a writer with a full send buffer for many minutes.
 	writeTimeout = 2 * time.Second
 	writeChunk   = 64 << 10
 )
 
-// boundedConn fails writes that make no progress within writeTimeout.
+// progressConn fails writes that make no progress within writeTimeout.
 type progressConn struct{ net.Conn }
 
 // Write implements io.Writer.
@@ -112,7 +112,7 @@
 		n, err := c.Conn.Write(p[sent:min(len(p), sent+writeChunk)])
 		sent += n
 		if err != nil {
-			c.Close() // part of a message may have been sent
+			c.Close() // a message may have been sent in part
 			return sent, err
 		}
 	}
--- a/node/peer/stream_test.go
+++ b/node/peer/stream_test.go
@@ -11,13 +11,13 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// ready is an answer that many callers get and that is encoded already.
+// encodedAnswer is an answer that is already encoded, since many callers get the same.
 type encodedAnswer []byte
 
 func (r encodedAnswer) MarshalJSON() ([]byte, error) { return r, nil }
 
-// TestAnswersAreEncodedOnce counts the bytes that are allocated for an answer. A control process sends hundreds of
-// the same when all processes start.
+// TestAnswersAreEncodedOnce measures the bytes allocated for an answer. A control process sends the same
+// answer hundreds of times when all processes start.
 func TestAnswersAreEncodedOnce(t *testing.T) {
 	for _, size := range []int{50_000, 500_000} {
 		answer := encodedAnswer(`"` + strings.Repeat("x", size) + `"`)
@@ -33,27 +33,27 @@
 				t.Fatal(err)
 			}
 		}
-		const most = 4 // times the answer's size: a buffer that grows, and a copy of what it holds
+		const most = 4 // times the answer's size: a growing buffer, and a copy of its contents
 		if got := float64(allocated()-before) / float64(rounds*size); got > most {
-			t.Errorf("%d bytes: %.1f times their size is allocated, at most %d should", size, got, most)
+			t.Errorf("%d bytes: allocated %.1f times that size, want at most %d", size, got, most)
 		}
 	}
 }
 
-// TestResponseObjects checks what a caller is sent against package jsonrpc2's reading of it.
+// TestResponseObjects decodes responses with package jsonrpc2.
 func TestResponseObjects(t *testing.T) {
 	id := jsonrpc2.ID{Num: 7}
 	for name, c := range map[string]struct {
 		result any
 		err    error
-		want   string // of the result, or of the error's message
+		want   string // expected result, or error message
 	}{
-		"a result":                    {&Where{Control: []string{"a"}}, nil, `{"control":["a"]}`},
-		"an empty result":             {&Empty{}, nil, `{}`},
-		"no result":                   {(*Where)(nil), nil, `null`},
-		"an error of the protocol":    {nil, &jsonrpc2.Error{Code: 5, Message: "no"}, "no"},
-		"any other error":             {nil, fmt.Errorf("failed: %w", errors.New("disk")), "failed: disk"},
-		"a result that has no coding": {func() {}, nil, "json: unsupported type: func()"},
+		"a result":                        {&Where{Control: []string{"a"}}, nil, `{"control":["a"]}`},
+		"an empty result":                 {&Empty{}, nil, `{}`},
+		"no result":                       {(*Where)(nil), nil, `null`},
+		"a protocol error":                {nil, &jsonrpc2.Error{Code: 5, Message: "no"}, "no"},
+		"any other error":                 {nil, fmt.Errorf("failed: %w", errors.New("disk")), "failed: disk"},
+		"a result that cannot be encoded": {func() {}, nil, "json: unsupported type: func()"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			data, err := encodeResponse(id, c.result, c.err)
