--- a/node/control/admin.go
+++ b/node/control/admin.go
@@ -16,9 +16,9 @@
 	MethodOffer    = "control.offer"
 )
 
-// config is a linearizable read of the operator's configuration text in force. The reply omits the text if
+// readConfig is a linearizable read of the operator's configuration text in force. The reply omits the text if
 // the caller already holds it, which is the case except right after a change.
-func (s *Service) config(ctx context.Context, req *wire.ConfigRequest) (*wire.ConfigReply, error) {
+func (s *Service) readConfig(ctx context.Context, req *wire.ConfigRequest) (*wire.ConfigReply, error) {
 	if err := s.replica.ReadBarrier(ctx); err != nil {
 		return nil, s.leaderError(err)
 	}
@@ -82,8 +82,8 @@
 	return true
 }
 
-// offer records a control process that is willing to become a voter.
-func (s *Service) offer(_ context.Context, id *Identity) (*Empty, error) {
+// acceptOffer records a control process that is willing to become a voter.
+func (s *Service) acceptOffer(_ context.Context, id *Identity) (*Empty, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
--- a/node/control/ledger.go
+++ b/node/control/ledger.go
@@ -7,8 +7,8 @@
 	"caperdrum.org/node/state"
 )
 
-// claim grants the right to run a call with an idempotency key once. It is idempotent per attempt.
-func (s *Service) claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
+// claimKey grants the right to run a call with an idempotency key once. It is idempotent per attempt.
+func (s *Service) claimKey(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	res, err := s.replica.Propose(ctx, state.Command{Claims: []wire.ClaimRequest{*req}, LedgerLimit: s.set.Control.LedgerMax})
 	if err != nil {
 		return nil, s.leaderError(err)
@@ -16,8 +16,8 @@
 	return &res.Claims[0], nil
 }
 
-// settle records the outcome of a call with an idempotency key. The first outcome is final.
-func (s *Service) settle(ctx context.Context, req *wire.SettleRequest) (*wire.SettleReply, error) {
+// settleClaim records the outcome of a call with an idempotency key. The first outcome is final.
+func (s *Service) settleClaim(ctx context.Context, req *wire.SettleRequest) (*wire.SettleReply, error) {
 	res, err := s.replica.Propose(ctx, state.Command{Settles: []wire.SettleRequest{*req}})
 	if err != nil {
 		return nil, s.leaderError(err)
--- a/node/control/rollout.go
+++ b/node/control/rollout.go
@@ -113,8 +113,8 @@
 	Service string `json:"service"`
 }
 
-// rollout is a linearizable read of a service's roll-out.
-func (s *Service) rollout(ctx context.Context, q *RolloutRead) (*wire.Rollout, error) {
+// readRollout is a linearizable read of a service's roll-out.
+func (s *Service) readRollout(ctx context.Context, q *RolloutRead) (*wire.Rollout, error) {
 	if err := s.replica.ReadBarrier(ctx); err != nil {
 		return nil, s.leaderError(err)
 	}
--- a/node/control/service.go
+++ b/node/control/service.go
@@ -112,24 +112,24 @@
 	s.repair = newRepair(s)
 	peer.Handle(s.server, MethodSync, s.sync)
 	peer.Handle(s.server, MethodRenew, s.renew)
-	peer.Handle(s.server, MethodClaim, s.claim)
-	peer.Handle(s.server, MethodSettle, s.settle)
-	peer.Handle(s.server, MethodHeld, s.held)
+	peer.Handle(s.server, MethodClaim, s.claimKey)
+	peer.Handle(s.server, MethodSettle, s.settleClaim)
+	peer.Handle(s.server, MethodHeld, s.assignUnsettled)
 	peer.Handle(s.server, MethodIdentity, s.identity)
-	peer.Handle(s.server, MethodRaft, s.raft)
-	peer.Handle(s.server, peer.MethodLead, s.lead)
+	peer.Handle(s.server, MethodRaft, s.receiveMessages)
+	peer.Handle(s.server, peer.MethodLead, s.checkLeader)
 	peer.Handle(s.server, MethodPut, s.putConfig)
-	peer.Handle(s.server, MethodConfig, s.config)
+	peer.Handle(s.server, MethodConfig, s.readConfig)
 	peer.Handle(s.server, MethodAnnounce, s.announce)
 	peer.Handle(s.server, MethodLeave, s.leave)
-	peer.Handle(s.server, MethodOffer, s.offer)
+	peer.Handle(s.server, MethodOffer, s.acceptOffer)
 	peer.Handle(s.server, MethodEvacuate, s.Evacuate)
-	peer.Handle(s.server, MethodCrashes, s.crashes)
+	peer.Handle(s.server, MethodCrashes, s.reportCrashes)
 	peer.Handle(s.server, MethodStartRollout, s.StartRollout)
-	peer.Handle(s.server, MethodRollout, s.rollout)
+	peer.Handle(s.server, MethodRollout, s.readRollout)
 	peer.Handle(s.server, MethodReportRollout, s.reportRollout)
 	peer.Handle(s.server, formation.MethodHello, s.answerHello)
-	peer.Handle(s.server, peer.MethodWhere, s.where)
+	peer.Handle(s.server, peer.MethodWhere, s.controlAddresses)
 	peer.Handle(s.server, peer.MethodTell, peer.Told)
 	peer.Handle(s.server, peer.MethodPing, peer.Ping)
 	return s, nil
@@ -176,8 +176,8 @@
 	return out
 }
 
-// where returns the addresses of the control processes.
-func (s *Service) where(context.Context, *Empty) (*peer.Where, error) {
+// controlAddresses returns the addresses of the control processes.
+func (s *Service) controlAddresses(context.Context, *Empty) (*peer.Where, error) {
 	return &peer.Where{Control: s.voterAddresses()}, nil
 }
 
@@ -221,7 +221,7 @@
 // Empty is a request or reply without content.
 type Empty = peer.Empty
 
-func (s *Service) raft(_ context.Context, b *RaftBatch) (*Empty, error) {
+func (s *Service) receiveMessages(_ context.Context, b *RaftBatch) (*Empty, error) {
 	s.transport.setAddress(b.From)
 	s.replica.Step(b.Messages)
 	return &Empty{}, nil
@@ -243,8 +243,8 @@
 	return &peer.ErrNotLeader{Leader: wire.MemberID(l.ID), Address: l.Address}
 }
 
-// lead succeeds only if this process leads and a quorum has recently confirmed it.
-func (s *Service) lead(context.Context, *Empty) (*Empty, error) {
+// checkLeader succeeds only if this process leads and a quorum has recently confirmed it.
+func (s *Service) checkLeader(context.Context, *Empty) (*Empty, error) {
 	if _, ok := confirmationOf(s.cluster); !ok || !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
--- a/node/control/unsettled.go
+++ b/node/control/unsettled.go
@@ -41,8 +41,8 @@
 	return claims, err
 }
 
-// held assigns unsettled claims to the calling entry. The entry that made them may have failed.
-func (s *Service) held(ctx context.Context, _ *Empty) (*wire.HeldReply, error) {
+// assignUnsettled assigns unsettled claims to the calling entry. The entry that made them may have failed.
+func (s *Service) assignUnsettled(ctx context.Context, _ *Empty) (*wire.HeldReply, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
