--- a/node/configsync/configsync.go
+++ b/node/configsync/configsync.go
@@ -48,7 +48,7 @@
 	log     logr.Logger
 	ring    *timeline.Ring
 	clock   clockwork.Clock
-	control *peer.Control // for calls to the leader
+	control *peer.LeaderClient // for calls to the leader
 	dial    peer.Dialer
 
 	directory           *peer.Directory
@@ -76,8 +76,8 @@
 type source interface {
 	Call(ctx context.Context, method string, params, result any) error
 	Address() string
-	// Received returns the number of bytes received from it so far.
-	Received() uint64
+	// BytesReceived returns the number of bytes received from it so far.
+	BytesReceived() uint64
 	Close()
 }
 
@@ -109,7 +109,7 @@
 		p.Directory = peer.NewDirectory(p.Settings.Peers.Control)
 	}
 	s := &Service{holder: NewHolder(m), log: p.Log, ring: p.Ring, clock: boottime.System(), wake: make(chan struct{}, 1), unresponsive: make(chan string, 1), done: make(chan struct{}),
-		control: peer.NewDirectoryControl(p.Directory, p.Dial), dial: p.Dial, directory: p.Directory, unanswered: map[string]time.Time{}}
+		control: peer.NewDirectoryLeaderClient(p.Directory, p.Dial), dial: p.Dial, directory: p.Directory, unanswered: map[string]time.Time{}}
 	s.refreshSources()
 	return s
 }
@@ -175,7 +175,7 @@
 }
 
 // Control returns the client for calls to the leader.
-func (s *Service) Control() *peer.Control { return s.control }
+func (s *Service) Control() *peer.LeaderClient { return s.control }
 
 // View returns the current view, or nil before the initial one.
 func (s *Service) View() *View { return s.holder.View() }
--- a/node/configsync/loop.go
+++ b/node/configsync/loop.go
@@ -162,7 +162,7 @@
 	go func() { answer <- src.Call(ctx, MethodSync, req, &reply) }()
 	deadline := s.clock.NewTimer(p.wait + p.grace)
 	defer deadline.Stop()
-	received := src.Received()
+	received := src.BytesReceived()
 	var abort <-chan time.Time
 	wake := s.wake
 	for {
@@ -173,7 +173,7 @@
 			}
 			return s.accept(&reply, asked)
 		case <-deadline.Chan():
-			if now := src.Received(); now > received && s.clock.Since(asked) < maxAnswerTime {
+			if now := src.BytesReceived(); now > received && s.clock.Since(asked) < maxAnswerTime {
 				received = now // a long reply is being received
 				deadline.Reset(p.grace)
 				continue
--- a/node/configsync/loop_test.go
+++ b/node/configsync/loop_test.go
@@ -78,9 +78,9 @@
 	a.calls++
 	return nil
 }
-func (a *scriptedSource) Address() string  { return a.address }
-func (a *scriptedSource) Received() uint64 { return 0 }
-func (a *scriptedSource) Close()           {}
+func (a *scriptedSource) Address() string       { return a.address }
+func (a *scriptedSource) BytesReceived() uint64 { return 0 }
+func (a *scriptedSource) Close()                {}
 
 // TestDeregisterWaitsUntilRecorded returns two replies without the record, and then one with it.
 func TestDeregisterWaitsUntilRecorded(t *testing.T) {
@@ -124,9 +124,9 @@
 	<-ctx.Done()
 	return ctx.Err()
 }
-func (h *hangingSource) Address() string  { return h.address }
-func (h *hangingSource) Received() uint64 { return 0 }
-func (h *hangingSource) Close()           {}
+func (h *hangingSource) Address() string       { return h.address }
+func (h *hangingSource) BytesReceived() uint64 { return 0 }
+func (h *hangingSource) Close()                {}
 
 // TestSuspectedVMIsLeft starts a long poll at a VM on which another process does not answer. The poll must
 // end without advancing the clock, and the control process there must be asked last. Reports about other VMs
--- a/node/control/seeds.go
+++ b/node/control/seeds.go
@@ -57,7 +57,7 @@
 func (s *Service) notifySeed(ctx context.Context, c *peer.Client, voters []string) {
 	ctx, cancel := context.WithTimeout(ctx, notifySeedTimeout)
 	defer cancel()
-	if err := c.Call(ctx, peer.MethodTell, peer.Where{Control: voters}, nil); err != nil {
+	if err := c.Call(ctx, peer.MethodAnnounceControl, peer.ControlAddresses{Control: voters}, nil); err != nil {
 		s.log.V(logging.Detail).Info("failed to send the voters' addresses to a seed", "address", c.Address(), "error", err.Error())
 	}
 }
--- a/node/control/selfforming.go
+++ b/node/control/selfforming.go
@@ -76,7 +76,7 @@
 // runOffers lets a control process of a self-forming cluster offer to vote while it is not a voter, or while
 // it does not hear of a leader.
 func (s *Service) runOffers(ctx context.Context) {
-	control := peer.NewDirectoryControl(s.directory, s.transport.dial)
+	control := peer.NewDirectoryLeaderClient(s.directory, s.transport.dial)
 	defer control.Close()
 	periodic.Run(ctx, s.clock, offerInterval, func() {
 		if !s.shouldOffer() {
--- a/node/control/service.go
+++ b/node/control/service.go
@@ -117,7 +117,7 @@
 	peer.Handle(s.server, MethodHeld, s.assignUnsettled)
 	peer.Handle(s.server, MethodIdentity, s.identity)
 	peer.Handle(s.server, MethodRaft, s.receiveMessages)
-	peer.Handle(s.server, peer.MethodLead, s.checkLeader)
+	peer.Handle(s.server, peer.MethodCheckLeader, s.checkLeader)
 	peer.Handle(s.server, MethodPut, s.putConfig)
 	peer.Handle(s.server, MethodConfig, s.readConfig)
 	peer.Handle(s.server, MethodAnnounce, s.announce)
@@ -129,8 +129,8 @@
 	peer.Handle(s.server, MethodRollout, s.readRollout)
 	peer.Handle(s.server, MethodReportRollout, s.reportRollout)
 	peer.Handle(s.server, formation.MethodHello, s.answerHello)
-	peer.Handle(s.server, peer.MethodWhere, s.controlAddresses)
-	peer.Handle(s.server, peer.MethodTell, peer.Told)
+	peer.Handle(s.server, peer.MethodControlAddresses, s.controlAddresses)
+	peer.Handle(s.server, peer.MethodAnnounceControl, peer.IgnoreControlAddresses)
 	peer.Handle(s.server, peer.MethodPing, peer.Ping)
 	return s, nil
 }
@@ -177,8 +177,8 @@
 }
 
 // controlAddresses returns the addresses of the control processes.
-func (s *Service) controlAddresses(context.Context, *Empty) (*peer.Where, error) {
-	return &peer.Where{Control: s.voterAddresses()}, nil
+func (s *Service) controlAddresses(context.Context, *Empty) (*peer.ControlAddresses, error) {
+	return &peer.ControlAddresses{Control: s.voterAddresses()}, nil
 }
 
 func (s *Service) run(ctx context.Context) {
--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -35,7 +35,7 @@
 
 // Service calls the leader.
 type Service struct {
-	control *peer.Control
+	control *peer.LeaderClient
 	view    func() *configsync.View
 
 	mu   sync.Mutex
--- a/node/controlclient/controlclient_test.go
+++ b/node/controlclient/controlclient_test.go
@@ -27,7 +27,7 @@
 		return &control.Empty{}, answer(r)
 	})
 	go server.Serve(l)
-	c := peer.NewControl([]string{l.Addr().String()}, peer.DialTCP)
+	c := peer.NewLeaderClient([]string{l.Addr().String()}, peer.DialTCP)
 	t.Cleanup(func() {
 		c.Close()
 		l.Close()
--- a/node/discovery/discovery.go
+++ b/node/discovery/discovery.go
@@ -57,8 +57,8 @@
 	s := &Service{p: p, namer: formation.Namer{FirstStart: p.Settings.Peers.FirstStart}}
 	if !p.Settings.Has(settings.Control) {
 		s.server = peer.NewServer()
-		peer.Handle(s.server, peer.MethodWhere, s.where)
-		peer.Handle(s.server, peer.MethodTell, s.told)
+		peer.Handle(s.server, peer.MethodControlAddresses, s.where)
+		peer.Handle(s.server, peer.MethodAnnounceControl, s.told)
 		peer.Handle(s.server, peer.MethodPing, peer.Ping)
 		peer.Handle(s.server, formation.MethodHello, s.hello)
 	}
@@ -68,11 +68,11 @@
 // Server is this process's peer server; nil where the control role has one.
 func (s *Service) Server() *peer.Server { return s.server }
 
-func (s *Service) where(context.Context, *peer.Empty) (*peer.Where, error) {
-	return &peer.Where{Control: s.p.Directory.Learned()}, nil
+func (s *Service) where(context.Context, *peer.Empty) (*peer.ControlAddresses, error) {
+	return &peer.ControlAddresses{Control: s.p.Directory.Learned()}, nil
 }
 
-func (s *Service) told(_ context.Context, w *peer.Where) (*peer.Empty, error) {
+func (s *Service) told(_ context.Context, w *peer.ControlAddresses) (*peer.Empty, error) {
 	s.p.Directory.Learn(w.Control)
 	return &peer.Empty{}, nil
 }
@@ -128,8 +128,8 @@
 	defer cancel()
 	client := peer.NewClient(seed, s.p.Dial)
 	defer client.Close()
-	var where peer.Where
-	if err := client.Call(ctx, peer.MethodWhere, peer.Empty{}, &where); err != nil {
+	var where peer.ControlAddresses
+	if err := client.Call(ctx, peer.MethodControlAddresses, peer.Empty{}, &where); err != nil {
 		s.p.Log.V(logging.Detail).Info("seed not heard", "address", seed, "error", err.Error())
 		return
 	}
--- a/node/ledger/run.go
+++ b/node/ledger/run.go
@@ -141,7 +141,7 @@
 		// The claim may stand, but its attempt was never submitted and never
 		// will be. Whoever finds the claim has the gate confirm that; since the
 		// gate may be gone by then, it is released from here as well.
-		if !errors.Is(err, peer.ErrNotTaken) {
+		if !errors.Is(err, peer.ErrNotAccepted) {
 			r.unrecorded(wire.SettleRequest{ClaimKey: claim.ClaimKey, Attempt: claim.Attempt, Outcome: wire.Outcome{Verdict: verdict.NotRun}})
 		}
 		return nil, verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "the key could not be claimed: %v", err)
--- a/node/ledger/service.go
+++ b/node/ledger/service.go
@@ -77,7 +77,7 @@
 }
 
 // leader is the control interface over the peer links.
-type leader struct{ control *peer.Control }
+type leader struct{ control *peer.LeaderClient }
 
 func (l leader) Claim(ctx context.Context, r wire.ClaimRequest) (wire.ClaimReply, error) {
 	var reply wire.ClaimReply
--- a/node/order/demand.go
+++ b/node/order/demand.go
@@ -28,7 +28,7 @@
 type Demand struct {
 	self    wire.MemberID
 	sync    *configsync.Service
-	control *peer.Control
+	control *peer.LeaderClient
 	cancel  context.CancelFunc
 	kick    chan struct{}
 
@@ -44,7 +44,7 @@
 // NewDemand returns the service.
 func NewDemand(p DemandParams) *Demand {
 	d := &Demand{self: wire.MemberID(p.Settings.Node.Name), sync: p.Sync, kick: make(chan struct{}, 1),
-		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), misses: map[string]int64{}}
+		control: peer.NewLeaderClient(p.Settings.Peers.Control, p.Dial), misses: map[string]int64{}}
 	p.Routing.OnEmpty(d.miss)
 	return d
 }
--- a/node/order/service.go
+++ b/node/order/service.go
@@ -38,7 +38,7 @@
 	ring    *timeline.Ring
 	sync    *configsync.Service
 	gate    *gate.Service
-	control *peer.Control
+	control *peer.LeaderClient
 	engine  *engine
 	cancel  context.CancelFunc
 	done    chan struct{}
@@ -75,7 +75,7 @@
 // New returns the service.
 func New(p Params) *Service {
 	s := &Service{set: p.Settings.Agent, log: p.Log, ring: p.Ring, sync: p.Sync, gate: p.Gate,
-		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), engine: newEngine(p.Settings.Agent.Upstream),
+		control: peer.NewLeaderClient(p.Settings.Peers.Control, p.Dial), engine: newEngine(p.Settings.Agent.Upstream),
 		done: make(chan struct{}), hurry: make(chan struct{}, 1), carrier: NewCarrier(wire.MemberID(p.Settings.Node.Name))}
 	version := uint64(0)
 	p.Sync.OnChange(func(v *configsync.View) {
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -27,9 +27,9 @@
 	return &Client{address: address, dial: dial, dialing: make(chan struct{}, 1)}
 }
 
-// Received returns the number of bytes received from the address so far. It grows while an answer is being
+// BytesReceived returns the number of bytes received from the address so far. It grows while an answer is being
 // received.
-func (c *Client) Received() uint64 { return c.received.Load() }
+func (c *Client) BytesReceived() uint64 { return c.received.Load() }
 
 // countingConn counts received bytes.
 type countingConn struct {
--- a/node/peer/control.go
+++ b/node/peer/control.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/api/verdict"
 )
 
-// Control calls the control processes. It remembers the leader, and finds the new one after a change.
-type Control struct {
+// LeaderClient calls the control processes. It remembers the leader, and finds the new one after a change.
+type LeaderClient struct {
 	clock     clockwork.Clock
 	ctx       context.Context // cancelled by Close
 	close     context.CancelFunc
@@ -27,21 +27,21 @@
 	search     *leaderSearch // nil while the leader answers
 }
 
-// NewControl returns a Control for a fixed list of addresses.
-func NewControl(addresses []string, dial Dialer) *Control {
-	return NewDirectoryControl(NewDirectory(addresses), dial)
+// NewLeaderClient returns a LeaderClient for a fixed list of addresses.
+func NewLeaderClient(addresses []string, dial Dialer) *LeaderClient {
+	return NewDirectoryLeaderClient(NewDirectory(addresses), dial)
 }
 
-// NewDirectoryControl returns a Control for the addresses in the directory, which must not be empty.
-func NewDirectoryControl(directory *Directory, dial Dialer) *Control {
-	c := &Control{clock: clockwork.NewRealClock(), directory: directory, dial: dial}
+// NewDirectoryLeaderClient returns a LeaderClient for the addresses in the directory, which must not be empty.
+func NewDirectoryLeaderClient(directory *Directory, dial Dialer) *LeaderClient {
+	c := &LeaderClient{clock: clockwork.NewRealClock(), directory: directory, dial: dial}
 	c.ctx, c.close = context.WithCancel(context.Background())
 	c.refreshClients()
 	return c
 }
 
 // refreshClients adopts changes of the directory. The caller holds c.mu or has exclusive access to c.
-func (c *Control) refreshClients() {
+func (c *LeaderClient) refreshClients() {
 	addresses, generation := c.directory.Addresses()
 	if generation == c.generation {
 		return
@@ -64,7 +64,7 @@
 }
 
 // reuse removes the client of the address from old, or creates one.
-func (c *Control) reuse(old *[]*Client, address string) *Client {
+func (c *LeaderClient) reuse(old *[]*Client, address string) *Client {
 	for i, cl := range *old {
 		if cl.address == address {
 			*old = slices.Delete(*old, i, i+1)
@@ -83,18 +83,18 @@
 // take effect.
 const ErrNoLeader = errors.ConstError("peer: no leader answered")
 
-// ErrNotTaken says, in addition to another error, that no process accepted the call: it has no effect, now or
+// ErrNotAccepted says, in addition to another error, that no process accepted the call: it has no effect, now or
 // later.
-const ErrNotTaken = errors.ConstError("peer: call not accepted")
+const ErrNotAccepted = errors.ConstError("peer: call not accepted")
 
-// CallLeader repeats an idempotent call until the leader answers, ctx ends or SearchLimit expires. If a search
-// for the leader has already taken SearchLimit, it fails immediately. Without an answer of the leader, the error
-// is ErrNoLeader. If no process accepted the call, it is ErrNotTaken as well.
-func (c *Control) CallLeader(ctx context.Context, method string, params, result any) error {
+// CallLeader repeats an idempotent call until the leader answers, ctx ends or SearchTimeout expires. If a search
+// for the leader has already taken SearchTimeout, it fails immediately. Without an answer of the leader, the error
+// is ErrNoLeader. If no process accepted the call, it is ErrNotAccepted as well.
+func (c *LeaderClient) CallLeader(ctx context.Context, method string, params, result any) error {
 	caller := ctx
 	ctx, cancel := context.WithCancel(caller)
 	defer cancel()
-	defer c.clock.AfterFunc(SearchLimit, cancel).Stop()
+	defer c.clock.AfterFunc(SearchTimeout, cancel).Stop()
 	var last error
 	taken := false
 	for ctx.Err() == nil && !c.searchExpired() {
@@ -118,12 +118,12 @@
 	return withNotAccepted(errors.WithType(errors.Annotate(last, method), ErrNoLeader), taken)
 }
 
-// withNotAccepted adds ErrNotTaken to the error of a call that no process accepted.
+// withNotAccepted adds ErrNotAccepted to the error of a call that no process accepted.
 func withNotAccepted(err error, taken bool) error {
 	if err == nil || taken || !notAccepted(err) && !errors.Is(err, ErrNoLeader) {
 		return err
 	}
-	return errors.WithType(err, ErrNotTaken)
+	return errors.WithType(err, ErrNotAccepted)
 }
 
 // notAccepted reports whether err proves that the call was not accepted.
@@ -148,7 +148,7 @@
 	return v.Code == verdict.CodeShutdown || v.Code == verdict.CodeNoQuorum
 }
 
-func (c *Control) callOnce(ctx context.Context, client *Client, method string, params, result any) error {
+func (c *LeaderClient) callOnce(ctx context.Context, client *Client, method string, params, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if s := c.currentSearch(); s != nil {
@@ -164,7 +164,7 @@
 	}
 }
 
-func (c *Control) pick() *Client {
+func (c *LeaderClient) pick() *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refreshClients()
@@ -172,12 +172,12 @@
 }
 
 // Next switches to the next control process.
-func (c *Control) Next() { c.selectNext(c.pick(), nil) }
+func (c *LeaderClient) Next() { c.selectNext(c.pick(), nil) }
 
 // Current returns the client of the control process in use.
-func (c *Control) Current() *Client { return c.pick() }
+func (c *LeaderClient) Current() *Client { return c.pick() }
 
-func (c *Control) selectNext(from *Client, err error) {
+func (c *LeaderClient) selectNext(from *Client, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.clients[c.current] != from {
@@ -201,7 +201,7 @@
 }
 
 // Close closes all connections.
-func (c *Control) Close() {
+func (c *LeaderClient) Close() {
 	c.close()
 	c.leaderFound()
 	c.mu.Lock()
--- a/node/peer/directory.go
+++ b/node/peer/directory.go
@@ -77,16 +77,17 @@
 	return slices.Clone(d.learned)
 }
 
-// MethodWhere asks any process for the addresses of the control processes.
-const MethodWhere = "peer.where"
+// MethodControlAddresses asks any process for the addresses of the control processes.
+const MethodControlAddresses = "peer.where"
 
-// Where is the reply to MethodWhere and the request of MethodTell. It is empty if no addresses are known.
-type Where struct {
+// ControlAddresses is the reply to MethodControlAddresses and the request of MethodAnnounceControl. It is
+// empty if no addresses are known.
+type ControlAddresses struct {
 	Control []string `json:"control"`
 }
 
-// MethodTell sends a process the addresses of the control processes.
-const MethodTell = "peer.tell"
+// MethodAnnounceControl sends a process the addresses of the control processes.
+const MethodAnnounceControl = "peer.tell"
 
 // MethodPing checks whether a process answers.
 const MethodPing = "peer.ping"
@@ -97,5 +98,6 @@
 // Ping handles MethodPing.
 func Ping(context.Context, *Empty) (*Empty, error) { return &Empty{}, nil }
 
-// Told handles MethodTell by ignoring it, for a control process, which knows the voters itself.
-func Told(context.Context, *Where) (*Empty, error) { return &Empty{}, nil }
+// IgnoreControlAddresses handles MethodAnnounceControl by ignoring it, for a control process, which knows the
+// voters itself.
+func IgnoreControlAddresses(context.Context, *ControlAddresses) (*Empty, error) { return &Empty{}, nil }
--- a/node/peer/handover_test.go
+++ b/node/peer/handover_test.go
@@ -19,7 +19,7 @@
 		t.Run(string(code), func(t *testing.T) {
 			old := serve(t, func() (*message, error) { return nil, verdict.New(verdict.MayHaveRun, code, "no longer leading") })
 			next := serve(t, func() (*message, error) { return &message{"answered"}, nil })
-			c := NewControl([]string{old, next}, DialTCP)
+			c := NewLeaderClient([]string{old, next}, DialTCP)
 			defer c.Close()
 			var got message
 			if err := c.CallLeader(context.Background(), "say", message{}, &got); err != nil || got.Text != "answered" {
--- a/node/peer/leader_search.go
+++ b/node/peer/leader_search.go
@@ -9,18 +9,18 @@
 	"github.com/juju/errors"
 )
 
-// MethodLead is the control role's RPC method that succeeds only on a leader that a quorum has recently
+// MethodCheckLeader is the control role's RPC method that succeeds only on a leader that a quorum has recently
 // confirmed.
-const MethodLead = "control.lead"
+const MethodCheckLeader = "control.lead"
 
 const (
-	// SearchLimit limits the search for a leader. It is slightly above the longest fail-over: after that, it
+	// SearchTimeout limits the search for a leader. It is slightly above the longest fail-over: after that, it
 	// is better to let the caller retry later than to keep it waiting.
-	SearchLimit   = 2500 * time.Millisecond
+	SearchTimeout = 2500 * time.Millisecond
 	probeInterval = 200 * time.Millisecond // average pause between two probes
 )
 
-// leaderSearch is a search for the leader. Its context ends with DeadlineExceeded after SearchLimit, and with
+// leaderSearch is a search for the leader. Its context ends with DeadlineExceeded after SearchTimeout, and with
 // Canceled once there is a leader.
 type leaderSearch struct {
 	ctx  context.Context
@@ -38,20 +38,20 @@
 	})
 }
 
-func (c *Control) currentSearch() *leaderSearch {
+func (c *LeaderClient) currentSearch() *leaderSearch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.search
 }
 
-// searchExpired reports whether the current search has taken SearchLimit without finding a leader.
-func (c *Control) searchExpired() bool {
+// searchExpired reports whether the current search has taken SearchTimeout without finding a leader.
+func (c *LeaderClient) searchExpired() bool {
 	s := c.currentSearch()
 	return s != nil && s.expired()
 }
 
 // leaderFound ends the search, since a leader has answered.
-func (c *Control) leaderFound() {
+func (c *LeaderClient) leaderFound() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.search != nil {
@@ -62,20 +62,20 @@
 
 // startSearch starts a search, unless there is one, after a call was not answered by a leader. One goroutine
 // probes for the leader until the search ends, so that it ends without any further calls.
-func (c *Control) startSearch() {
+func (c *LeaderClient) startSearch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.search != nil || c.ctx.Err() != nil {
 		return
 	}
 	s := &leaderSearch{}
-	s.ctx, s.stop = clockwork.WithTimeout(context.Background(), c.clock, SearchLimit)
+	s.ctx, s.stop = clockwork.WithTimeout(context.Background(), c.clock, SearchTimeout)
 	c.search = s
 	go c.probe(s)
 }
 
 // probe asks the control processes in turn until one is the leader.
-func (c *Control) probe(s *leaderSearch) {
+func (c *LeaderClient) probe(s *leaderSearch) {
 	for c.currentSearch() == s {
 		client := c.pick()
 		err := c.probeLeader(client)
@@ -88,8 +88,8 @@
 	}
 }
 
-func (c *Control) probeLeader(client *Client) error {
+func (c *LeaderClient) probeLeader(client *Client) error {
 	ctx, cancel := context.WithTimeout(c.ctx, callTimeout)
 	defer cancel()
-	return client.Call(ctx, MethodLead, struct{}{}, nil)
+	return client.Call(ctx, MethodCheckLeader, struct{}{}, nil)
 }
--- a/node/peer/leader_search_test.go
+++ b/node/peer/leader_search_test.go
@@ -27,11 +27,11 @@
 	return &message{"answered"}, nil
 }
 
-func (l *fakeLeader) control(t *testing.T) (*Control, *clockwork.FakeClock) {
+func (l *fakeLeader) control(t *testing.T) (*LeaderClient, *clockwork.FakeClock) {
 	l.arrived = make(chan struct{}, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	s := NewServer()
-	Handle(s, MethodLead, func(context.Context, *message) (*message, error) { return l.handle(ctx) })
+	Handle(s, MethodCheckLeader, func(context.Context, *message) (*message, error) { return l.handle(ctx) })
 	Handle(s, "say", func(context.Context, *message) (*message, error) {
 		l.asked.Add(1)
 		select {
@@ -42,7 +42,7 @@
 	})
 	address := listen(t, s)
 	clock := clockwork.NewFakeClock()
-	c := NewControl([]string{address}, DialTCP)
+	c := NewLeaderClient([]string{address}, DialTCP)
 	c.clock = clock
 	t.Cleanup(func() {
 		c.Close()
@@ -51,7 +51,7 @@
 	return c, clock
 }
 
-// TestSearchEnds makes calls without a deadline. They must fail when no leader was found for SearchLimit,
+// TestSearchEnds makes calls without a deadline. They must fail when no leader was found for SearchTimeout,
 // later ones must fail immediately without being sent, and calls must succeed again once there is a leader.
 func TestSearchEnds(t *testing.T) {
 	for _, name := range []string{"does not lead", "hangs"} {
@@ -71,13 +71,13 @@
 			for c.currentSearch() == nil {
 				time.Sleep(time.Millisecond)
 			}
-			clock.Advance(SearchLimit)
+			clock.Advance(SearchTimeout)
 			// A call that hangs may have been accepted; a rejected one was not.
-			if err := <-ended; !errors.Is(err, ErrNoLeader) || errors.Is(err, ErrNotTaken) != (name == "does not lead") {
+			if err := <-ended; !errors.Is(err, ErrNoLeader) || errors.Is(err, ErrNotAccepted) != (name == "does not lead") {
 				t.Fatalf("first call: %v", err)
 			}
 			before := l.asked.Load()
-			if err := c.CallLeader(context.Background(), "say", message{}, nil); !errors.Is(err, ErrNotTaken) || l.asked.Load() != before {
+			if err := c.CallLeader(context.Background(), "say", message{}, nil); !errors.Is(err, ErrNotAccepted) || l.asked.Load() != before {
 				t.Fatalf("later call: %v after %d calls", err, l.asked.Load()-before)
 			}
 			if name == "hangs" {
--- a/node/peer/stream_test.go
+++ b/node/peer/stream_test.go
@@ -48,9 +48,9 @@
 		err    error
 		want   string // expected result, or error message
 	}{
-		"a result":                        {&Where{Control: []string{"a"}}, nil, `{"control":["a"]}`},
+		"a result":                        {&ControlAddresses{Control: []string{"a"}}, nil, `{"control":["a"]}`},
 		"an empty result":                 {&Empty{}, nil, `{}`},
-		"no result":                       {(*Where)(nil), nil, `null`},
+		"no result":                       {(*ControlAddresses)(nil), nil, `null`},
 		"a protocol error":                {nil, &jsonrpc2.Error{Code: 5, Message: "no"}, "no"},
 		"any other error":                 {nil, fmt.Errorf("failed: %w", errors.New("disk")), "failed: disk"},
 		"a result that cannot be encoded": {func() {}, nil, "json: unsupported type: func()"},
--- a/node/stagework/link.go
+++ b/node/stagework/link.go
@@ -199,7 +199,7 @@
 // since reports whether the owner has sent anything since the last call.
 func (w *watched) since(client *peer.Client) bool {
 	before := *w
-	w.client, w.received = client, client.Received()
+	w.client, w.received = client, client.BytesReceived()
 	return before.client == client && w.received > before.received
 }
 
