--- a/ctl/capacity/members.go
+++ b/ctl/capacity/members.go
@@ -78,7 +78,7 @@
 	for i := range n {
 		ms.list = append(ms.list, ms.begin(i))
 	}
-	return waitFor(ctx, "all members known to all", func() bool { return ms.all(func(v *configsync.View) bool { return len(v.ByService["llm"]) == n }) })
+	return waitFor(ctx, "all members known to all", func() bool { return ms.all(func(v *configsync.View) bool { return len(v.Agents["llm"]) == n }) })
 }
 
 func (ms *members) all(ok func(*configsync.View) bool) bool {
--- a/node/configsync/clock_test.go
+++ b/node/configsync/clock_test.go
@@ -17,7 +17,7 @@
 func TestConfirmationKeepsTheMonotonicClock(t *testing.T) {
 	h := NewHolder(wire.Member{ID: "m"})
 	asked := time.Now()
-	if _, err := h.Take(&wire.SyncReply{StampAge: time.Second}, asked); err != nil {
+	if _, err := h.Apply(&wire.SyncReply{StampAge: time.Second}, asked); err != nil {
 		t.Fatal(err)
 	}
 	if age := h.StampAge(asked.Add(2 * time.Second)); age != 3*time.Second {
@@ -34,7 +34,7 @@
 	now := time.Now()
 	for _, epoch := range []uint64{1, 3, 2} {
 		reply := &wire.SyncReply{Owner: wire.StageOwner{ID: "o", Epoch: epoch}}
-		changed, err := h.Take(reply, now)
+		changed, err := h.Apply(reply, now)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/node/configsync/configsync.go
+++ b/node/configsync/configsync.go
@@ -94,7 +94,7 @@
 		}
 		out := map[string]any{"stamp_age_ms": s.StampAge().Milliseconds()}
 		if v := s.View(); v != nil {
-			out["version"], out["bytes"], out["members_seq"], out["members"], out["owner_epoch"] = v.Version, len(v.Text), v.Seq, v.Members.Len(), v.Owner.Epoch
+			out["version"], out["bytes"], out["members_seq"], out["members"], out["owner_epoch"] = v.Version, len(v.Text), v.MembersSeq, v.Members.Len(), v.Owner.Epoch
 			out["evacuated"] = v.Evacuations.Out()
 		}
 		return out
@@ -174,8 +174,8 @@
 	return int(h.Sum32() % uint32(n))
 }
 
-// Control returns the client for calls to the leader.
-func (s *Service) Control() *peer.LeaderClient { return s.control }
+// LeaderClient returns the client for calls to the leader.
+func (s *Service) LeaderClient() *peer.LeaderClient { return s.control }
 
 // View returns the current view, or nil before the initial one.
 func (s *Service) View() *View { return s.holder.View() }
@@ -183,13 +183,13 @@
 // StampAge returns how long ago a quorum confirmed the current view.
 func (s *Service) StampAge() time.Duration { return s.holder.StampAge(s.clock.Now()) }
 
-// Steady returns for how long quorums have confirmed the view without a gap above LongestGap. It is zero
-// during such a gap.
-func (s *Service) Steady() time.Duration { return s.holder.Steady(s.clock.Now()) }
+// ConfirmedFor returns for how long quorums have confirmed the view without a gap above MaxConfirmationGap.
+// It is zero during such a gap.
+func (s *Service) ConfirmedFor() time.Duration { return s.holder.ConfirmedFor(s.clock.Now()) }
 
-// Silent returns for how long no control process that reaches the leader has answered. It is zero while one
-// does.
-func (s *Service) Silent() time.Duration {
+// ControlUnreachableFor returns for how long no control process that reaches the leader has answered. It is
+// zero while one does.
+func (s *Service) ControlUnreachableFor() time.Duration {
 	since := s.unreachableSince.Load()
 	if since == nil {
 		return 0
@@ -203,29 +203,29 @@
 // SetLeaving announces that this process accepts no new work, or accepts it again.
 func (s *Service) SetLeaving(leaving bool) {
 	if s.holder.SetLeaving(leaving) {
-		s.Poke()
+		s.SyncNow()
 	}
 }
 
 // SetHolds announces what the local upstream holds.
 func (s *Service) SetHolds(holds string) {
 	if s.holder.SetHolds(holds) {
-		s.Poke()
+		s.SyncNow()
 	}
 }
 
-// Poke triggers a synchronization without delay.
-func (s *Service) Poke() {
+// SyncNow triggers a synchronization without delay.
+func (s *Service) SyncNow() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Suspect reports that the process at a peer address does not answer. If a long poll is waiting at a control
-// process on the same VM, it is ended and another control process is asked: otherwise, this process would
-// learn of changes due to the loss of that VM a second late.
-func (s *Service) Suspect(address string) {
+// ReportUnresponsive reports that the process at a peer address does not answer. If a long poll is waiting at
+// a control process on the same VM, it is ended and another control process is asked: otherwise, this process
+// would learn of changes due to the loss of that VM a second late.
+func (s *Service) ReportUnresponsive(address string) {
 	select {
 	case s.unresponsive <- address:
 	default:
@@ -239,9 +239,9 @@
 	return errA == nil && errB == nil && hostA == hostB
 }
 
-// Saw reports that another process holds the given version. It triggers one synchronization per version,
-// regardless of how much traffic carries it.
-func (s *Service) Saw(version uint64) {
+// ObserveVersion reports that another process holds the given version. It triggers one synchronization per
+// version, regardless of how much traffic carries it.
+func (s *Service) ObserveVersion(version uint64) {
 	v := s.View()
 	if v == nil || version <= v.Version {
 		return
@@ -252,7 +252,7 @@
 			return
 		}
 		if s.highestSeen.CompareAndSwap(old, version) {
-			s.Poke()
+			s.SyncNow()
 			return
 		}
 	}
@@ -308,6 +308,6 @@
 	s.applied.Store(true)
 }
 
-// TakenOver reports whether every listener has processed a view. Before that, View may already return one
+// ViewApplied reports whether every listener has processed a view. Before that, View may already return one
 // that other services of this process have not applied.
-func (s *Service) TakenOver() bool { return s.applied.Load() }
+func (s *Service) ViewApplied() bool { return s.applied.Load() }
--- a/node/configsync/confirmation_test.go
+++ b/node/configsync/confirmation_test.go
@@ -16,12 +16,12 @@
 		wait time.Duration   // after the last of them
 		want time.Duration
 	}{
-		"never":                          {nil, moment, 0},
-		"once":                           {[]time.Duration{0}, moment, moment},
-		"repeatedly":                     {[]time.Duration{0, time.Second, 3 * time.Second}, moment, 3*time.Second + moment},
-		"no confirmation for LongestGap": {[]time.Duration{0, time.Second}, LongestGap, time.Second + LongestGap},
-		"no confirmation for longer":     {[]time.Duration{0, time.Second}, LongestGap + 1, 0},
-		"again after a gap":              {[]time.Duration{0, time.Second, 5 * time.Second, 6 * time.Second}, moment, time.Second + moment},
+		"never":                                  {nil, moment, 0},
+		"once":                                   {[]time.Duration{0}, moment, moment},
+		"repeatedly":                             {[]time.Duration{0, time.Second, 3 * time.Second}, moment, 3*time.Second + moment},
+		"no confirmation for MaxConfirmationGap": {[]time.Duration{0, time.Second}, MaxConfirmationGap, time.Second + MaxConfirmationGap},
+		"no confirmation for longer":             {[]time.Duration{0, time.Second}, MaxConfirmationGap + 1, 0},
+		"again after a gap":                      {[]time.Duration{0, time.Second, 5 * time.Second, 6 * time.Second}, moment, time.Second + moment},
 		"an older confirmation does not close a gap": {[]time.Duration{0, 5 * time.Second, time.Second, 6 * time.Second}, moment, time.Second + moment},
 	}
 	for name, c := range cases {
@@ -31,11 +31,11 @@
 			now := start
 			for _, at := range c.at {
 				now = start.Add(at)
-				if _, err := h.Take(&wire.SyncReply{StampAge: 0}, now); err != nil {
+				if _, err := h.Apply(&wire.SyncReply{StampAge: 0}, now); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if got := h.Steady(now.Add(c.wait)); got != c.want {
+			if got := h.ConfirmedFor(now.Add(c.wait)); got != c.want {
 				t.Fatalf("confirmed without a gap for %v, want %v", got, c.want)
 			}
 		})
--- a/node/configsync/evacuations_test.go
+++ b/node/configsync/evacuations_test.go
@@ -34,14 +34,14 @@
 	take := func(r wire.SyncReply) *View {
 		t.Helper()
 		r.MembersSeq = 1
-		if _, err := h.Take(&r, time.Unix(1000, 0)); err != nil {
+		if _, err := h.Apply(&r, time.Unix(1000, 0)); err != nil {
 			t.Fatal(err)
 		}
 		return h.View()
 	}
 	expect := func(v *View, want int) {
 		t.Helper()
-		if announced, agents := len(v.Announced["llm"]), len(v.ByService["llm"]); announced != want || agents != want || v.Members.Len() != 4 {
+		if announced, agents := len(v.Announced["llm"]), len(v.Agents["llm"]); announced != want || agents != want || v.Members.Len() != 4 {
 			t.Fatalf("%d announced, %d agents, %d members; want %d", announced, agents, v.Members.Len(), want)
 		}
 	}
@@ -51,11 +51,11 @@
 	}
 	expect(take(wire.SyncReply{Evacuations: evacuationsOf(3, "north", "south"), EvacuationsRevision: 3}), 0)
 	expect(take(wire.SyncReply{Evacuations: evacuationsOf(4), EvacuationsRevision: 4}), 2)
-	if _, err := h.Take(&wire.SyncReply{MembersSeq: 1, Evacuations: evacuationsOf(3, "north"), EvacuationsRevision: 3}, time.Unix(1000, 0)); !errors.Is(err, errOlderState) {
+	if _, err := h.Apply(&wire.SyncReply{MembersSeq: 1, Evacuations: evacuationsOf(3, "north"), EvacuationsRevision: 3}, time.Unix(1000, 0)); !errors.Is(err, errOlderState) {
 		t.Fatalf("a control process with an older state: %v", err)
 	}
 	expect(h.View(), 2)
-	if _, err := h.Take(&wire.SyncReply{MembersSeq: 1, EvacuationsRevision: 9}, time.Unix(1000, 0)); !errors.Is(err, errIncompleteUpdate) {
+	if _, err := h.Apply(&wire.SyncReply{MembersSeq: 1, EvacuationsRevision: 9}, time.Unix(1000, 0)); !errors.Is(err, errIncompleteUpdate) {
 		t.Fatalf("a reply without its updates: %v", err)
 	}
 }
--- a/node/configsync/firstview_bench_test.go
+++ b/node/configsync/firstview_bench_test.go
@@ -72,7 +72,7 @@
 	b.Run("take", func(b *testing.B) {
 		for b.Loop() {
 			h := NewHolder(wire.Member{})
-			if _, err := h.Take(reply, time.Now()); err != nil {
+			if _, err := h.Apply(reply, time.Now()); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/node/configsync/hint.go
+++ b/node/configsync/hint.go
@@ -9,8 +9,8 @@
 	Term  uint64 // highest term seen; a new term means that leadership may have changed
 }
 
-// TakeHint merges a reply's hint and reports whether the hint has increased.
-func (h *Holder) TakeHint(reply *wire.SyncReply) bool {
+// MergeHint merges a reply's hint and reports whether the hint has increased.
+func (h *Holder) MergeHint(reply *wire.SyncReply) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old := h.hint
@@ -33,7 +33,7 @@
 func (s *Service) OnHint(f func()) { s.hintListeners = append(s.hintListeners, f) }
 
 func (s *Service) applyHint(reply *wire.SyncReply) {
-	if !s.holder.TakeHint(reply) {
+	if !s.holder.MergeHint(reply) {
 		return
 	}
 	for _, f := range s.hintListeners {
--- a/node/configsync/holder.go
+++ b/node/configsync/holder.go
@@ -11,9 +11,9 @@
 	"caperdrum.org/node/logging"
 )
 
-// LongestGap is the longest time between two confirmations for which a view counts as continuously confirmed:
-// three synchronizations, and longer than an election.
-const LongestGap = maxConfirmationAge
+// MaxConfirmationGap is the longest time between two confirmations for which a view counts as continuously
+// confirmed: three synchronizations, and longer than an election.
+const MaxConfirmationGap = maxConfirmationAge
 
 const (
 	maxConfirmationAge = 3 * time.Second // replies with an older confirmation are rejected
@@ -30,7 +30,7 @@
 )
 
 // Holder is the state of Service: it decides which replies are applied. It has no goroutine and does not read
-// the clock. Take must not be called concurrently.
+// the clock. Apply must not be called concurrently.
 type Holder struct {
 	mu      sync.Mutex
 	member  wire.Member
@@ -44,7 +44,7 @@
 // confirmation says when a quorum confirmed the view. Its times include a monotonic clock reading.
 type confirmation struct {
 	at    time.Time
-	since time.Time // time of the first confirmation since the last gap above LongestGap
+	since time.Time // time of the first confirmation since the last gap above MaxConfirmationGap
 }
 
 // NewHolder returns a Holder for the process with the given record.
@@ -90,7 +90,7 @@
 	defer h.mu.Unlock()
 	req := wire.SyncRequest{Member: h.member, Wait: wait, Fence: h.hint.Fence, Term: h.hint.Term}
 	if v := h.View(); v != nil {
-		req.ConfigVersion, req.MembersSeq, req.OwnerEpoch = v.Version, v.Seq, v.Owner.Epoch
+		req.ConfigVersion, req.MembersSeq, req.OwnerEpoch = v.Version, v.MembersSeq, v.Owner.Epoch
 		req.Evacuations, req.Suspects, req.Rollouts = v.Evacuations.Revision, v.Suspects.Revision, v.Rollouts.Revision
 		if h.textErr == nil {
 			req.ConfigHash = v.Hash
@@ -111,23 +111,23 @@
 	return now.Sub(at.at)
 }
 
-// Steady returns for how long before now the view has been confirmed without a gap. It is zero if the last
-// confirmation is older than LongestGap.
-func (h *Holder) Steady(now time.Time) time.Duration {
+// ConfirmedFor returns for how long before now the view has been confirmed without a gap. It is zero if the last
+// confirmation is older than MaxConfirmationGap.
+func (h *Holder) ConfirmedFor(now time.Time) time.Duration {
 	at := h.confirmed.Load()
-	if at == nil || now.Sub(at.at) > LongestGap {
+	if at == nil || now.Sub(at.at) > MaxConfirmationGap {
 		return 0
 	}
 	return now.Sub(at.since)
 }
 
-// Take applies the reply to a request made at asked. It returns the new view, or nil if nothing changed. A nil
+// Apply applies the reply to a request made at asked. It returns the new view, or nil if nothing changed. A nil
 // error means that the confirmation by a quorum was applied as well. A newer text or member list is applied
 // without one, since it was committed, but not as the initial view.
 //
 // The confirmation's age was measured after the request was made, so asked minus the age is no later than the
 // confirmation.
-func (h *Holder) Take(reply *wire.SyncReply, asked time.Time) (*View, error) {
+func (h *Holder) Apply(reply *wire.SyncReply, asked time.Time) (*View, error) {
 	fresh := reply.StampAge >= 0 && reply.StampAge <= maxConfirmationAge
 	old := h.View()
 	if !fresh && old == nil {
@@ -189,7 +189,7 @@
 
 // next returns the confirmation that follows c, which may be nil.
 func (c *confirmation) next(at time.Time) *confirmation {
-	if c == nil || at.Sub(c.at) > LongestGap {
+	if c == nil || at.Sub(c.at) > MaxConfirmationGap {
 		return &confirmation{at: at, since: at}
 	}
 	return &confirmation{at: at, since: c.since}
--- a/node/configsync/holder_test.go
+++ b/node/configsync/holder_test.go
@@ -37,10 +37,10 @@
 			h := NewHolder(wire.Member{ID: "m"})
 			first := wire.SyncReply{Version: 5, MembersSeq: 7, Config: whole(5), Members: &wire.MembersDelta{To: 7, Whole: true}}
 			start := time.Unix(1000, 0)
-			if _, err := h.Take(&first, start); err != nil {
+			if _, err := h.Apply(&first, start); err != nil {
 				t.Fatal(err)
 			}
-			_, err := h.Take(&c.reply, start.Add(time.Second))
+			_, err := h.Apply(&c.reply, start.Add(time.Second))
 			if !errors.Is(err, c.want) {
 				t.Fatalf("got %v, want %v", err, c.want)
 			}
@@ -50,8 +50,8 @@
 			if age := h.StampAge(start.Add(time.Second)); age != time.Second {
 				t.Fatalf("counts as confirmed %v ago", age)
 			}
-			if v := h.View(); v.Version < 5 || v.Seq != 7 {
-				t.Fatalf("changed to %d/%d", v.Version, v.Seq)
+			if v := h.View(); v.Version < 5 || v.MembersSeq != 7 {
+				t.Fatalf("changed to %d/%d", v.Version, v.MembersSeq)
 			}
 		})
 	}
--- a/node/configsync/listeners_test.go
+++ b/node/configsync/listeners_test.go
@@ -19,8 +19,8 @@
 	calls := 0
 	s.OnChange(func(*View) {
 		calls++
-		if s.View() == nil || s.TakenOver() {
-			t.Errorf("within the listener: view %v, taken over %t", s.View(), s.TakenOver())
+		if s.View() == nil || s.ViewApplied() {
+			t.Errorf("within the listener: view %v, taken over %t", s.View(), s.ViewApplied())
 		}
 	})
 	const text = "[service:s]\nkind = plain\n"
@@ -29,7 +29,7 @@
 	if err := s.accept(reply, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if calls != 1 || !s.TakenOver() {
-		t.Fatalf("%d calls, taken over %t", calls, s.TakenOver())
+	if calls != 1 || !s.ViewApplied() {
+		t.Fatalf("%d calls, taken over %t", calls, s.ViewApplied())
 	}
 }
--- a/node/configsync/lists_test.go
+++ b/node/configsync/lists_test.go
@@ -20,7 +20,7 @@
 		}
 		var before []seen
 		for range 20 {
-			before = append(before, seen{v, fmt.Sprint(v.Announced, v.ByService, v.Peers)})
+			before = append(before, seen{v, fmt.Sprint(v.Announced, v.Agents, v.Proxies)})
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				e := &wire.Evacuations{Revision: v.Evacuations.Revision + 1, List: []wire.Evacuation{{DataCenter: "north", Out: rapid.Bool().Draw(t, "out")}}}
@@ -29,7 +29,7 @@
 				state := rapid.SampledFrom([]wire.RolloutState{wire.RolloutRunning, wire.RolloutCompleted, wire.RolloutRolledBack}).Draw(t, "state")
 				v.applyRollouts(&wire.Rollouts{Revision: v.Rollouts.Revision + 1, List: []wire.Rollout{{Service: "a", Target: "v2", State: state, Replaced: []string{"v1"}, Order: 1}}})
 			default:
-				d := &wire.MembersDelta{From: v.Seq, To: v.Seq + 1}
+				d := &wire.MembersDelta{From: v.MembersSeq, To: v.MembersSeq + 1}
 				for range rapid.IntRange(1, 4).Draw(t, "changes") {
 					id := wire.MemberID(fmt.Sprint("m", rapid.IntRange(0, 6).Draw(t, "member")))
 					if rapid.IntRange(0, 3).Draw(t, "removed") == 0 {
@@ -53,13 +53,13 @@
 		}
 		anew := v
 		anew.rebuildLists()
-		for name, lists := range map[string][2]any{"announced": {v.Announced, anew.Announced}, "agents": {lists(v.ByService), lists(anew.ByService)}, "peers": {v.Peers, anew.Peers}} {
+		for name, lists := range map[string][2]any{"announced": {v.Announced, anew.Announced}, "agents": {lists(v.Agents), lists(anew.Agents)}, "peers": {v.Proxies, anew.Proxies}} {
 			if fmt.Sprint(lists[0]) != fmt.Sprint(lists[1]) {
 				t.Fatalf("%s: %v, rebuilt %v", name, lists[0], lists[1])
 			}
 		}
 		for _, s := range before {
-			if now := fmt.Sprint(s.view.Announced, s.view.ByService, s.view.Peers); now != s.was {
+			if now := fmt.Sprint(s.view.Announced, s.view.Agents, s.view.Proxies); now != s.was {
 				t.Fatalf("an earlier view changed from %s to %s", s.was, now)
 			}
 		}
--- a/node/configsync/loop.go
+++ b/node/configsync/loop.go
@@ -214,7 +214,7 @@
 		s.directory.Learn(reply.Control)
 	}
 	timing := updateTiming{whole: reply.Config != nil, arrived: s.clock.Since(asked)}
-	changed, err := s.holder.Take(reply, asked)
+	changed, err := s.holder.Apply(reply, asked)
 	timing.parsed = s.clock.Since(asked) - timing.arrived
 	if changed != nil {
 		s.publish(changed, before, timing)
@@ -251,7 +251,7 @@
 		if src.Call(ctx, MethodSync, s.holder.Request(unrenewedWait), &reply) != nil {
 			return false
 		}
-		s.holder.Take(&reply, asked) // advances the next request; listeners are no longer called
+		s.holder.Apply(&reply, asked) // advances the next request; listeners are no longer called
 		if reply.Recorded {
 			return true
 		}
--- a/node/configsync/loop_test.go
+++ b/node/configsync/loop_test.go
@@ -52,14 +52,14 @@
 	}
 	text := "[data_center:a]\n"
 	first := wire.SyncReply{Version: 3, Config: &wire.ConfigText{Version: 3, Text: text, Hash: xxhash.Sum64String(text)}}
-	if _, err := s.holder.Take(&first, time.Unix(1000, 0)); err != nil {
+	if _, err := s.holder.Apply(&first, time.Unix(1000, 0)); err != nil {
 		t.Fatal(err)
 	}
 	for i, c := range []struct {
 		version uint64
 		want    bool
 	}{{3, false}, {5, true}, {5, false}, {4, false}, {6, true}} {
-		s.Saw(c.version)
+		s.ObserveVersion(c.version)
 		if poked() != c.want {
 			t.Fatalf("step %d: version %d triggered a synchronization: %v", i, c.version, !c.want)
 		}
--- a/node/configsync/outage_test.go
+++ b/node/configsync/outage_test.go
@@ -19,7 +19,7 @@
 	s := &Service{holder: NewHolder(wire.Member{ID: "m"}), log: logr.Discard(), clock: clock, directory: peer.NewDirectory([]string{"c1"})}
 	want := func(when string, silent time.Duration) {
 		t.Helper()
-		if got := s.Silent(); got != silent {
+		if got := s.ControlUnreachableFor(); got != silent {
 			t.Errorf("%s: silent for %s, want %s", when, got, silent)
 		}
 	}
--- a/node/configsync/suspects_test.go
+++ b/node/configsync/suspects_test.go
@@ -17,7 +17,7 @@
 		return &wire.Suspects{Revision: revision, List: []wire.Suspect{{Fingerprint: "f", Barred: barred}}}
 	}
 	take := func(r wire.SyncReply) error {
-		_, err := h.Take(&r, time.Unix(1000, 0))
+		_, err := h.Apply(&r, time.Unix(1000, 0))
 		return err
 	}
 	if err := take(wire.SyncReply{Suspects: news(2, false), SuspectsRevision: 2}); err != nil || h.View().Suspects.Barred() != 0 {
--- a/node/configsync/view.go
+++ b/node/configsync/view.go
@@ -13,17 +13,17 @@
 // View is an immutable snapshot of the configuration and the members. Version is zero, and Config empty,
 // until the first change was accepted.
 type View struct {
-	Config    *optext.Config
-	Version   uint64
-	Text      string
-	Hash      uint64 // xxhash64 of Text
-	Seq       uint64
-	Members   memberset.Set
-	Peers     []wire.Member            // proxies, sorted by ID
-	ByService map[string][]wire.Member // agents that are not leaving, by service, sorted by ID
-	Owner     wire.StageOwner
-	Announced map[string][]wire.Member // announced upstreams that are not leaving, likewise
-	// Evacuations contains the evacuated data centres. Their upstreams are in neither ByService nor
+	Config     *optext.Config
+	Version    uint64
+	Text       string
+	Hash       uint64 // xxhash64 of Text
+	MembersSeq uint64
+	Members    memberset.Set
+	Proxies    []wire.Member            // proxies, sorted by ID
+	Agents     map[string][]wire.Member // agents that are not leaving, by service, sorted by ID
+	Owner      wire.StageOwner
+	Announced  map[string][]wire.Member // announced upstreams that are not leaving, likewise
+	// Evacuations contains the evacuated data centres. Their upstreams are in neither Agents nor
 	// Announced.
 	Evacuations wire.Evacuations
 	// Suspects contains calls under which upstreams crashed.
@@ -45,18 +45,18 @@
 var errIncompleteUpdate = errors.New("configsync: the member delta does not apply to the current list")
 
 func (v *View) applyMembers(d *wire.MembersDelta) error {
-	if d == nil || d.To <= v.Seq {
+	if d == nil || d.To <= v.MembersSeq {
 		return nil
 	}
-	if !d.Whole && d.From != v.Seq {
-		return errors.Annotatef(errIncompleteUpdate, "from %d to %d, current %d", d.From, d.To, v.Seq)
+	if !d.Whole && d.From != v.MembersSeq {
+		return errors.Annotatef(errIncompleteUpdate, "from %d to %d, current %d", d.From, d.To, v.MembersSeq)
 	}
 	if d.Whole {
-		v.Members, v.Seq = memberset.Of(d.Changed...), d.To
+		v.Members, v.MembersSeq = memberset.Of(d.Changed...), d.To
 		v.rebuildLists()
 		return nil
 	}
-	v.Seq = d.To
+	v.MembersSeq = d.To
 	v.applyMemberChanges(d.Changed, d.Removed)
 	return nil
 }
@@ -65,14 +65,14 @@
 // except for copying the lists that change.
 func (v *View) applyMemberChanges(changed []wire.Member, removed []wire.MemberID) {
 	u := memberUpdate{v: v, evacuated: v.Evacuations.Out(), owned: [listKinds]map[string]bool{{}, {}, {}}}
-	u.lists = [listKinds]lists{agents: cloneLists(v.ByService), announced: cloneLists(v.announced), peers: {peerList: v.Peers}}
+	u.lists = [listKinds]lists{agents: cloneLists(v.Agents), announced: cloneLists(v.announced), peers: {peerList: v.Proxies}}
 	for _, m := range changed {
 		u.put(m)
 	}
 	for _, id := range removed {
 		u.remove(id)
 	}
-	v.ByService, v.announced, v.Peers = u.lists[agents], u.lists[announced], u.lists[peers][peerList]
+	v.Agents, v.announced, v.Proxies = u.lists[agents], u.lists[announced], u.lists[peers][peerList]
 	v.filterAnnounced(u.owned[announced])
 }
 
@@ -102,27 +102,27 @@
 
 // ahead reports whether the view contains something newer than the sender of a reply knows.
 func (v *View) ahead(r *wire.SyncReply) bool {
-	return r.Version < v.Version || r.MembersSeq < v.Seq || r.EvacuationsRevision < v.Evacuations.Revision ||
+	return r.Version < v.Version || r.MembersSeq < v.MembersSeq || r.EvacuationsRevision < v.Evacuations.Revision ||
 		r.SuspectsRevision < v.Suspects.Revision || r.RolloutsRevision < v.Rollouts.Revision
 }
 
 // behind reports whether the sender of a reply knows something newer than the view contains.
 func (v *View) behind(r *wire.SyncReply) bool {
-	return r.Version > v.Version || r.MembersSeq > v.Seq || r.EvacuationsRevision > v.Evacuations.Revision ||
+	return r.Version > v.Version || r.MembersSeq > v.MembersSeq || r.EvacuationsRevision > v.Evacuations.Revision ||
 		r.SuspectsRevision > v.Suspects.Revision || r.RolloutsRevision > v.Rollouts.Revision
 }
 
 // differs reports whether the view differs from old in something that processes react to.
 func (v *View) differs(old *View) bool {
-	return v.Version != old.Version || v.Seq != old.Seq || v.Owner != old.Owner || v.Evacuations.Revision != old.Evacuations.Revision ||
+	return v.Version != old.Version || v.MembersSeq != old.MembersSeq || v.Owner != old.Owner || v.Evacuations.Revision != old.Evacuations.Revision ||
 		v.Suspects.Revision != old.Suspects.Revision || v.Rollouts.Revision != old.Rollouts.Revision
 }
 
 // rebuildLists computes all lists from Members.
 func (v *View) rebuildLists() {
-	v.ByService, v.announced, v.Peers = lists{}, lists{}, nil
+	v.Agents, v.announced, v.Proxies = lists{}, lists{}, nil
 	evacuated := v.Evacuations.Out()
-	all := [listKinds]lists{agents: v.ByService, announced: v.announced, peers: {}}
+	all := [listKinds]lists{agents: v.Agents, announced: v.announced, peers: {}}
 	for m := range v.Members.All() {
 		for kind, name := range listsOf(m, evacuated) {
 			if name != "" {
@@ -135,7 +135,7 @@
 			slices.SortFunc(list, func(a, b wire.Member) int { return compareID(a, b.ID) })
 		}
 	}
-	v.Peers = all[peers][peerList]
+	v.Proxies = all[peers][peerList]
 	v.Announced = nil
 	v.filterAnnounced(nil)
 }
--- a/node/control/longpoll_test.go
+++ b/node/control/longpoll_test.go
@@ -76,11 +76,11 @@
 	take := func(fence, term uint64) {
 		t.Helper()
 		s.notifier.check()
-		if !held.TakeHint(<-answers) || held.Hint() != (configsync.Hint{Fence: fence, Term: term}) {
+		if !held.MergeHint(<-answers) || held.Hint() != (configsync.Hint{Fence: fence, Term: term}) {
 			t.Fatalf("hint %+v", held.Hint())
 		}
 	}
-	held.TakeHint(&wire.SyncReply{Term: 1})
+	held.MergeHint(&wire.SyncReply{Term: 1})
 	ask()
 	h.drawToken(t, "b")
 	s.notifier.check() // irrelevant to the caller: the call keeps waiting
@@ -89,7 +89,7 @@
 	ask()
 	h.term.Store(2)
 	take(2, 2)
-	if held.TakeHint(&wire.SyncReply{Fence: 1, Term: 1}) {
+	if held.MergeHint(&wire.SyncReply{Fence: 1, Term: 1}) {
 		t.Fatal("a hint decreased")
 	}
 	ask()
--- a/node/control/quarantine.go
+++ b/node/control/quarantine.go
@@ -12,7 +12,8 @@
 // MethodCrashes reports calls under which upstreams crashed.
 const MethodCrashes = "control.crashes"
 
-// reportCrashes returns once a quorum has stored the report, so that barred calls stay barred when processes fail.
+// reportCrashes returns once a quorum has stored the report, so that barred calls stay barred when processes
+// fail.
 func (s *Service) reportCrashes(ctx context.Context, report *wire.CrashReport) (*Empty, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
--- a/node/control/sync_test.go
+++ b/node/control/sync_test.go
@@ -256,7 +256,7 @@
 
 func (w *simulation) deliver(p *process, reply *wire.SyncReply, asked time.Time) error {
 	first := p.held.View() == nil
-	_, err := p.held.Take(reply, asked)
+	_, err := p.held.Apply(reply, asked)
 	if v := p.held.View(); v != nil {
 		if first && err != nil {
 			w.t.Fatal("the initial view was published without a confirmation by a quorum")
@@ -267,10 +267,10 @@
 }
 
 func (w *simulation) check(p *process, v *configsync.View) {
-	if v.Version < p.version || v.Seq < p.seq {
-		w.t.Fatalf("went back from %d/%d to %d/%d", p.version, p.seq, v.Version, v.Seq)
+	if v.Version < p.version || v.MembersSeq < p.seq {
+		w.t.Fatalf("went back from %d/%d to %d/%d", p.version, p.seq, v.Version, v.MembersSeq)
 	}
-	p.version, p.seq = v.Version, v.Seq
+	p.version, p.seq = v.Version, v.MembersSeq
 	if text, known := w.texts[v.Version]; !known || text != v.Text {
 		w.t.Fatalf("the text of version %d differs from the accepted one", v.Version)
 	}
@@ -281,18 +281,18 @@
 	for m := range v.Members.All() {
 		held[m.ID] = m
 	}
-	if !maps.Equal(held, w.members[v.Seq]) {
-		w.t.Fatalf("members at %d: %v, want %v", v.Seq, held, w.members[v.Seq])
+	if !maps.Equal(held, w.members[v.MembersSeq]) {
+		w.t.Fatalf("members at %d: %v, want %v", v.MembersSeq, held, w.members[v.MembersSeq])
 	}
-	for _, m := range v.ByService["s"] {
+	for _, m := range v.Agents["s"] {
 		if held[m.ID].Leaving {
 			w.t.Fatalf("%s is leaving and is listed", m.ID)
 		}
 	}
 	now := w.clock.Now()
 	if age := p.held.StampAge(now); age < time.Hour {
-		if must := w.accepted(now.Add(-age).Add(-1)); v.Version < must.version || v.Seq < must.seq {
-			w.t.Fatalf("confirmed %v ago at %d/%d, but %v had been accepted", age, v.Version, v.Seq, must)
+		if must := w.accepted(now.Add(-age).Add(-1)); v.Version < must.version || v.MembersSeq < must.seq {
+			w.t.Fatalf("confirmed %v ago at %d/%d, but %v had been accepted", age, v.Version, v.MembersSeq, must)
 		}
 	}
 }
@@ -331,7 +331,7 @@
 		if !p.alive {
 			continue
 		}
-		if v := p.held.View(); v == nil || v.Version != want.Config.Version || v.Seq != want.MembersSeq || p.held.StampAge(w.clock.Now()) > staleLimit {
+		if v := p.held.View(); v == nil || v.Version != want.Config.Version || v.MembersSeq != want.MembersSeq || p.held.StampAge(w.clock.Now()) > staleLimit {
 			w.t.Fatalf("%s did not converge to %d/%d: %+v", id, want.Config.Version, want.MembersSeq, v)
 		}
 	}
--- a/node/control/system_test.go
+++ b/node/control/system_test.go
@@ -175,7 +175,7 @@
 
 func (s *system) known(n int) bool {
 	for _, m := range s.members {
-		if v := m.View(); v == nil || len(v.ByService["s"]) != n {
+		if v := m.View(); v == nil || len(v.Agents["s"]) != n {
 			return false
 		}
 	}
--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -51,7 +51,7 @@
 
 // New returns the service.
 func New(p Params) *Service {
-	return &Service{control: p.ConfigSync.Control(), view: p.ConfigSync.View}
+	return &Service{control: p.ConfigSync.LeaderClient(), view: p.ConfigSync.View}
 }
 
 // ErrUnknownService says that the text names no such service with upstreams that announce
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -144,7 +144,7 @@
 func (s *Service) observe(e *routing.Endpoint, h http.Header) {
 	s.ring.Clock.Observe(timeline.ParseStamp(h.Get(wire.HeaderClock)))
 	if v, err := strconv.ParseUint(h.Get(wire.HeaderVersion), 10, 64); err == nil {
-		s.sync.Saw(v)
+		s.sync.ObserveVersion(v)
 	}
 	report(e, h.Get(wire.HeaderLoad))
 }
--- a/node/gate/http.go
+++ b/node/gate/http.go
@@ -44,7 +44,7 @@
 func (s *Service) observe(r *http.Request) {
 	s.ring.Clock.Observe(timeline.ParseStamp(r.Header.Get(wire.HeaderClock)))
 	if v, err := strconv.ParseUint(r.Header.Get(wire.HeaderVersion), 10, 64); err == nil {
-		s.sync.Saw(v)
+		s.sync.ObserveVersion(v)
 	}
 }
 
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -121,7 +121,7 @@
 		return "draining"
 	case v == nil || v.Version == 0 || !s.taken.Load():
 		return "no configuration yet"
-	case !s.p.Sync.TakenOver():
+	case !s.p.Sync.ViewApplied():
 		return "configuration not taken over yet"
 	case s.p.Sync.StampAge() > s.set.StaleAfter:
 		return "configuration not confirmed lately"
--- a/node/ledger/service.go
+++ b/node/ledger/service.go
@@ -47,7 +47,7 @@
 func New(p Params) *Service {
 	s := &Service{ring: p.Ring, sync: p.Sync}
 	s.runner = runner{
-		control:    leader{p.Sync.Control()},
+		control:    leader{p.Sync.LeaderClient()},
 		gates:      p.Dispatch,
 		chooser:    p.Routing,
 		clock:      clockwork.NewRealClock(),
--- a/node/ledger/sweep.go
+++ b/node/ledger/sweep.go
@@ -26,7 +26,7 @@
 		case <-s.clock.After(sweepPause/2 + rand.N(sweepPause)):
 		}
 		var reply wire.HeldReply
-		if s.sync.Control().CallLeader(ctx, MethodHeld, struct{}{}, &reply) == nil {
+		if s.sync.LeaderClient().CallLeader(ctx, MethodHeld, struct{}{}, &reply) == nil {
 			s.settleAll(ctx, reply.Claims)
 		}
 	}
--- a/node/peer/control.go
+++ b/node/peer/control.go
@@ -87,9 +87,9 @@
 // later.
 const ErrNotAccepted = errors.ConstError("peer: call not accepted")
 
-// CallLeader repeats an idempotent call until the leader answers, ctx ends or SearchTimeout expires. If a search
-// for the leader has already taken SearchTimeout, it fails immediately. Without an answer of the leader, the error
-// is ErrNoLeader. If no process accepted the call, it is ErrNotAccepted as well.
+// CallLeader repeats an idempotent call until the leader answers, ctx ends or SearchTimeout expires. If a
+// search for the leader has already taken SearchTimeout, it fails immediately. Without an answer of the
+// leader, the error is ErrNoLeader. If no process accepted the call, it is ErrNotAccepted as well.
 func (c *LeaderClient) CallLeader(ctx context.Context, method string, params, result any) error {
 	caller := ctx
 	ctx, cancel := context.WithCancel(caller)
--- a/node/pipeline/fake_test.go
+++ b/node/pipeline/fake_test.go
@@ -49,10 +49,10 @@
 
 // newFake returns a service whose members all answer by g.
 func newFake(g *fakeGate, members int, services ...*optext.Service) *Service {
-	v := &configsync.View{Config: configOf(services...), ByService: map[string][]wire.Member{}}
+	v := &configsync.View{Config: configOf(services...), Agents: map[string][]wire.Member{}}
 	for _, sv := range services {
 		for i := range members {
-			v.ByService[sv.Name] = append(v.ByService[sv.Name], wire.Member{ID: wire.MemberID(fmt.Sprintf("%s-%d", sv.Name, i))})
+			v.Agents[sv.Name] = append(v.Agents[sv.Name], wire.Member{ID: wire.MemberID(fmt.Sprintf("%s-%d", sv.Name, i))})
 		}
 	}
 	table := routing.NewTable("entry", "")
--- a/node/pipeline/policy_test.go
+++ b/node/pipeline/policy_test.go
@@ -173,10 +173,10 @@
 	tr.ideal = newLRU(trialMembers * 40)
 	sv := tr.policy
 	sv.Name, sv.Kind, sv.Repeatable = "llm", string(optext.Engine), true
-	v := &configsync.View{Config: configOf(&sv), ByService: map[string][]wire.Member{}}
+	v := &configsync.View{Config: configOf(&sv), Agents: map[string][]wire.Member{}}
 	for i := range trialMembers {
 		id := wire.MemberID(fmt.Sprintf("llm-%02d", i))
-		v.ByService["llm"] = append(v.ByService["llm"], wire.Member{ID: id})
+		v.Agents["llm"] = append(v.Agents["llm"], wire.Member{ID: id})
 		tr.upstreams[id] = &upstream{places: make(chan struct{}, trialSlots), cache: newLRU(40), fault: func() (float64, bool, bool) {
 			if tr.fault == nil || time.Since(tr.began) < trialFault {
 				return 1, false, false
--- a/node/proxy/fleet_test.go
+++ b/node/proxy/fleet_test.go
@@ -60,7 +60,7 @@
 
 func (f *fleet) take(t testing.TB, r *wire.SyncReply) {
 	r.Version, r.MembersSeq = 1, f.seq
-	v, err := f.holder.Take(r, time.Now())
+	v, err := f.holder.Apply(r, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -77,7 +77,7 @@
 type views interface {
 	StampAge() time.Duration
 	// Steady is for how long the view was confirmed without a gap; see package configsync.
-	Steady() time.Duration
+	ConfirmedFor() time.Duration
 	Self() wire.Member
 	SetLeaving(leaving bool)
 }
@@ -152,7 +152,7 @@
 // share sets up what this process has of the bounds over all processes.
 func (s *Service) share(clock clockwork.Clock) {
 	p := s.set.Proxy
-	s.peers = retry.NewPeers(p.RepeatWindow, clock, retry.Confirmations{Steady: s.sync.Steady, Gap: configsync.LongestGap})
+	s.peers = retry.NewPeers(p.RepeatWindow, clock, retry.Confirmations{Steady: s.sync.ConfirmedFor, Gap: configsync.MaxConfirmationGap})
 	s.repeats = retry.NewQuota(retry.Limit{Ratio: p.RepeatRatio, Fixed: p.RepeatFixed, Window: p.RepeatWindow}, clock, s.peers)
 }
 
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -83,8 +83,8 @@
 // fixedViews is a process whose view was confirmed the given time ago.
 type fixedViews struct{ age time.Duration }
 
-func (v *fixedViews) StampAge() time.Duration { return v.age }
-func (v *fixedViews) Steady() time.Duration   { return time.Hour }
+func (v *fixedViews) StampAge() time.Duration     { return v.age }
+func (v *fixedViews) ConfirmedFor() time.Duration { return time.Hour }
 func (v *fixedViews) Self() wire.Member {
 	return wire.Member{ID: "proxy-1", Peer: "127.0.0.1:1", Incarnation: 1}
 }
@@ -148,7 +148,7 @@
 	}
 	b := &bed{t: t, views: &fixedViews{}, stages: &fakeStages{}}
 	self := b.views.Self()
-	b.view = configsync.View{Config: config, Version: 7, Announced: map[string][]wire.Member{}, Members: memberset.Of(self), Peers: []wire.Member{self}}
+	b.view = configsync.View{Config: config, Version: 7, Announced: map[string][]wire.Member{}, Members: memberset.Of(self), Proxies: []wire.Member{self}}
 	b.service = newService(&settings.Settings{Proxy: settings.ProxyRole{KeyAge: 4 * time.Second, RepeatRatio: 0.2, RepeatFixed: 50, RepeatWindow: 10 * time.Second}}, logr.Discard(), upstream.Native{}, noNotices(), b.views, b.stages)
 	b.clock = clockwork.NewFakeClock()
 	b.service.share(b.clock)
--- a/node/proxy/repeat_test.go
+++ b/node/proxy/repeat_test.go
@@ -107,7 +107,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBed(t)
-			b.view.Members, b.view.Peers = memberset.Of(members...), members
+			b.view.Members, b.view.Proxies = memberset.Of(members...), members
 			var n counter
 			b.upstream("desk", "d1", n.count(breakOff))
 			b.upstream("desk", "d2", n.count(breakOff))
@@ -143,12 +143,12 @@
 	self := b.views.Self()
 	see := func(n int) {
 		next := b.view
-		next.Peers = []wire.Member{self}
+		next.Proxies = []wire.Member{self}
 		for i := range n - 1 {
 			id := wire.MemberID(fmt.Sprint("other-", i))
-			next.Peers = append(next.Peers, wire.Member{ID: id, Peer: "127.0.0.1:2"})
+			next.Proxies = append(next.Proxies, wire.Member{ID: id, Peer: "127.0.0.1:2"})
 		}
-		next.Members = memberset.Of(next.Peers...)
+		next.Members = memberset.Of(next.Proxies...)
 		b.service.follow(&next)
 	}
 	x := &exchange{s: b.service, service: &optext.Service{}}
--- a/node/proxy/table.go
+++ b/node/proxy/table.go
@@ -30,16 +30,16 @@
 
 // newTable returns the table of a view. What has not changed since before, which may be nil, is taken over.
 func newTable(v *configsync.View, regions map[string]string, before *table) *table {
-	t := &table{version: v.Version, seq: v.Seq, config: v.Config, announced: v.Announced, members: v.Members, peers: v.Peers}
+	t := &table{version: v.Version, seq: v.MembersSeq, config: v.Config, announced: v.Announced, members: v.Members, peers: v.Proxies}
 	if before != nil && before.config == v.Config {
 		t.byHost, t.customers, t.regions = before.byHost, before.customers, before.regions
 	} else {
 		t.takeText(v.Config, regions)
 	}
-	if before != nil && configsync.SameList(before.peers, v.Peers) {
+	if before != nil && configsync.SameList(before.peers, v.Proxies) {
 		t.proxies, t.proxiesIn = before.proxies, before.proxiesIn
 	} else {
-		t.takePeers(v.Peers)
+		t.takePeers(v.Proxies)
 	}
 	return t
 }
--- a/node/routing/holds_test.go
+++ b/node/routing/holds_test.go
@@ -15,9 +15,9 @@
 func TestChoiceByHolds(t *testing.T) {
 	update := func(s *Service, models string, holds map[wire.MemberID]string) {
 		sv := &optext.Service{Name: testService, Kind: string(optext.Engine), Models: models}
-		v := &configsync.View{Config: &optext.Config{Services: map[string]*optext.Service{testService: sv}}, ByService: map[string][]wire.Member{}}
+		v := &configsync.View{Config: &optext.Config{Services: map[string]*optext.Service{testService: sv}}, Agents: map[string][]wire.Member{}}
 		for id, h := range holds {
-			v.ByService[testService] = append(v.ByService[testService], wire.Member{ID: id, Holds: h, Revision: uint64(len(h))})
+			v.Agents[testService] = append(v.Agents[testService], wire.Member{ID: id, Holds: h, Revision: uint64(len(h))})
 		}
 		s.Update(v)
 	}
--- a/node/routing/plugins_test.go
+++ b/node/routing/plugins_test.go
@@ -25,9 +25,9 @@
 func newTestTable(n int) (*Service, []*Endpoint) {
 	s := NewTable("entry", here)
 	sv := &optext.Service{Name: testService, Kind: string(optext.Engine), Ejection: true}
-	v := &configsync.View{Config: &optext.Config{Services: map[string]*optext.Service{testService: sv}}, ByService: map[string][]wire.Member{}}
+	v := &configsync.View{Config: &optext.Config{Services: map[string]*optext.Service{testService: sv}}, Agents: map[string][]wire.Member{}}
 	for i := range n {
-		v.ByService[testService] = append(v.ByService[testService], wire.Member{ID: memberID(i), DataCenter: here})
+		v.Agents[testService] = append(v.Agents[testService], wire.Member{ID: memberID(i), DataCenter: here})
 	}
 	s.Update(v)
 	return s, s.table.Load().byService[testService].endpoints
--- a/node/routing/routing.go
+++ b/node/routing/routing.go
@@ -99,7 +99,7 @@
 	defer s.mu.Unlock()
 	old := s.table.Load()
 	next := &table{byService: map[string]*serviceTable{}, byID: map[wire.MemberID]*Endpoint{}}
-	for name, members := range v.ByService {
+	for name, members := range v.Agents {
 		sv := v.Config.Services[name]
 		st := &serviceTable{group: old.groupOf(name, sv), byIndex: map[uint16]*Endpoint{}}
 		size := 0
--- a/node/stagework/service.go
+++ b/node/stagework/service.go
@@ -80,7 +80,7 @@
 	s.scheduler.engines.cold = p.Settings.Proxy.ColdLimit()
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.link = newLink(p.Dial, p.Log)
-	s.link.suspect, s.link.control = p.ConfigSync.Suspect, p.ConfigSync.Silent
+	s.link.suspect, s.link.control = p.ConfigSync.ReportUnresponsive, p.ConfigSync.ControlUnreachableFor
 	server := p.Discovery.Server()
 	if server == nil {
 		server = p.Control.Server()
@@ -94,7 +94,7 @@
 			s.scheduler.setServices(v.Config.Services, v.Announced)
 			s.scheduler.followRollouts(v.Rollouts)
 			s.startedAgain(now, s.scheduler.takeLost())
-			s.keepCallers(v.Peers)
+			s.keepCallers(v.Proxies)
 			s.takeOwnership(now, v.Owner, v.Owner.ID == self.ID && v.Owner.Incarnation == self.Incarnation, "view")
 		})
 		s.link.follow(v.Owner, s.link.handsOver(v.Members))
