--- a/node/admin/quarantine.go
+++ b/node/admin/quarantine.go
@@ -22,6 +22,6 @@
 func (s *Service) liftBar(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	err := s.p.Control.LiftBar(ctx, wire.Fingerprint(chi.URLParam(r, "fingerprint")))
+	err := s.p.Control.LiftQuarantine(ctx, wire.Fingerprint(chi.URLParam(r, "fingerprint")))
 	s.answer(w, struct{}{}, err, "see the fingerprints in GET /v1/quarantine")
 }
--- a/node/control/quarantine.go
+++ b/node/control/quarantine.go
@@ -9,8 +9,8 @@
 	"caperdrum.org/node/state"
 )
 
-// MethodCrashes reports calls under which upstreams crashed.
-const MethodCrashes = "control.crashes"
+// MethodReportCrashes reports calls under which upstreams crashed.
+const MethodReportCrashes = "control.crashes"
 
 // reportCrashes returns once a quorum has stored the report, so that barred calls stay barred when processes
 // fail.
@@ -41,8 +41,8 @@
 	}
 }
 
-// LiftBar ends the quarantine of a call and deletes the evidence against it.
-func (s *Service) LiftBar(ctx context.Context, f wire.Fingerprint) error {
+// LiftQuarantine ends the quarantine of a call and deletes the evidence against it.
+func (s *Service) LiftQuarantine(ctx context.Context, f wire.Fingerprint) error {
 	if !s.cluster.IsLeader() {
 		return s.notLeader()
 	}
--- a/node/control/rollout.go
+++ b/node/control/rollout.go
@@ -108,13 +108,13 @@
 	return s.proposeRolloutStep(ctx, &wire.RolloutStep{Service: service, Base: current.Revision, State: wire.RolloutRolledBack, Reason: "aborted by " + author})
 }
 
-// RolloutRead is a request for the roll-out of a service.
-type RolloutRead struct {
+// RolloutRequest is a request for the roll-out of a service.
+type RolloutRequest struct {
 	Service string `json:"service"`
 }
 
 // readRollout is a linearizable read of a service's roll-out.
-func (s *Service) readRollout(ctx context.Context, q *RolloutRead) (*wire.Rollout, error) {
+func (s *Service) readRollout(ctx context.Context, q *RolloutRequest) (*wire.Rollout, error) {
 	if err := s.replica.ReadBarrier(ctx); err != nil {
 		return nil, s.leaderError(err)
 	}
--- a/node/control/service.go
+++ b/node/control/service.go
@@ -27,13 +27,13 @@
 
 // RPC methods of the control role.
 const (
-	MethodSync     = "control.sync"
-	MethodRenew    = "control.renew"
-	MethodClaim    = "control.claim"
-	MethodSettle   = "control.settle"
-	MethodHeld     = "control.held"
-	MethodIdentity = "control.identity"
-	MethodRaft     = "control.raft"
+	MethodSync            = "control.sync"
+	MethodRenew           = "control.renew"
+	MethodClaim           = "control.claim"
+	MethodSettle          = "control.settle"
+	MethodUnsettledClaims = "control.held"
+	MethodIdentity        = "control.identity"
+	MethodRaft            = "control.raft"
 )
 
 // Params are the dependencies of Service.
@@ -114,7 +114,7 @@
 	peer.Handle(s.server, MethodRenew, s.renew)
 	peer.Handle(s.server, MethodClaim, s.claimKey)
 	peer.Handle(s.server, MethodSettle, s.settleClaim)
-	peer.Handle(s.server, MethodHeld, s.assignUnsettled)
+	peer.Handle(s.server, MethodUnsettledClaims, s.assignUnsettled)
 	peer.Handle(s.server, MethodIdentity, s.identity)
 	peer.Handle(s.server, MethodRaft, s.receiveMessages)
 	peer.Handle(s.server, peer.MethodCheckLeader, s.checkLeader)
@@ -124,7 +124,7 @@
 	peer.Handle(s.server, MethodLeave, s.leave)
 	peer.Handle(s.server, MethodOffer, s.acceptOffer)
 	peer.Handle(s.server, MethodEvacuate, s.Evacuate)
-	peer.Handle(s.server, MethodCrashes, s.reportCrashes)
+	peer.Handle(s.server, MethodReportCrashes, s.reportCrashes)
 	peer.Handle(s.server, MethodStartRollout, s.StartRollout)
 	peer.Handle(s.server, MethodRollout, s.readRollout)
 	peer.Handle(s.server, MethodReportRollout, s.reportRollout)
@@ -212,8 +212,8 @@
 	}
 }
 
-// RaftBatch is a batch of messages between two replicas.
-type RaftBatch struct {
+// MessageBatch is a batch of messages between two replicas.
+type MessageBatch struct {
 	From     consensus.Peer      `json:"from"`
 	Messages []consensus.Message `json:"messages"`
 }
@@ -221,7 +221,7 @@
 // Empty is a request or reply without content.
 type Empty = peer.Empty
 
-func (s *Service) receiveMessages(_ context.Context, b *RaftBatch) (*Empty, error) {
+func (s *Service) receiveMessages(_ context.Context, b *MessageBatch) (*Empty, error) {
 	s.transport.setAddress(b.From)
 	s.replica.Step(b.Messages)
 	return &Empty{}, nil
--- a/node/control/transport.go
+++ b/node/control/transport.go
@@ -162,7 +162,7 @@
 				return
 			}
 		case m := <-q.messages:
-			batch := RaftBatch{From: l.self, Messages: q.nextBatch(m)}
+			batch := MessageBatch{From: l.self, Messages: q.nextBatch(m)}
 			began := time.Now()
 			answered, err := l.sendBatch(client, batch, ackDue(lastAnswer, began))
 			switch {
@@ -192,7 +192,7 @@
 // sendBatch sends a batch and reports whether the replica answered. Consensus sends lost messages again. A
 // batch of heartbeats alone is sent as a notification, except once per ackInterval, to detect a dead
 // connection.
-func (l *transport) sendBatch(client *peer.Client, batch RaftBatch, confirm bool) (answered bool, err error) {
+func (l *transport) sendBatch(client *peer.Client, batch MessageBatch, confirm bool) (answered bool, err error) {
 	ctx, cancel := context.WithTimeout(l.ctx, sendTimeoutFor(batch.Messages))
 	defer cancel()
 	if !confirm && heartbeatsOnly(batch.Messages) {
--- a/node/control/transport_priority_test.go
+++ b/node/control/transport_priority_test.go
@@ -29,7 +29,7 @@
 
 func (r *slowReplica) serve(c *watchedConn, far net.Conn) {
 	var call struct {
-		Params RaftBatch `json:"params"`
+		Params MessageBatch `json:"params"`
 	}
 	if json.NewDecoder(&limitedReader{far, entryBytesRead, c}).Decode(&call) != nil {
 		return
--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -196,7 +196,7 @@
 // Rollout returns the last roll-out of a service, as a quorum has confirmed it.
 func (s *Service) Rollout(ctx context.Context, service string) (wire.Rollout, error) {
 	var r wire.Rollout
-	err := s.control.CallLeader(ctx, control.MethodRollout, control.RolloutRead{Service: service}, &r)
+	err := s.control.CallLeader(ctx, control.MethodRollout, control.RolloutRequest{Service: service}, &r)
 	return r, err
 }
 
@@ -207,7 +207,7 @@
 
 // ReportCrashes tells the leader of calls that end upstreams. It returns once a quorum holds the report.
 func (s *Service) ReportCrashes(ctx context.Context, report *wire.CrashReport) error {
-	return s.control.CallLeader(ctx, control.MethodCrashes, report, nil)
+	return s.control.CallLeader(ctx, control.MethodReportCrashes, report, nil)
 }
 
 // Text is the operators' text in force, as a quorum has confirmed it.
