--- a/node/configsync/lists_test.go
+++ b/node/configsync/lists_test.go
@@ -14,13 +14,13 @@
 func TestListsFollowMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := emptyView()
-		type seen struct {
+		type snapshot struct {
 			view View
 			was  string
 		}
-		var before []seen
+		var earlier []snapshot
 		for range 20 {
-			before = append(before, seen{v, fmt.Sprint(v.Announced, v.Agents, v.Proxies)})
+			earlier = append(earlier, snapshot{v, fmt.Sprint(v.Announced, v.Agents, v.Proxies)})
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				e := &wire.Evacuations{Revision: v.Evacuations.Revision + 1, List: []wire.Evacuation{{DataCenter: "north", Out: rapid.Bool().Draw(t, "out")}}}
@@ -51,14 +51,14 @@
 				}
 			}
 		}
-		anew := v
-		anew.rebuildLists()
-		for name, lists := range map[string][2]any{"announced": {v.Announced, anew.Announced}, "agents": {lists(v.Agents), lists(anew.Agents)}, "peers": {v.Proxies, anew.Proxies}} {
+		rebuilt := v
+		rebuilt.rebuildLists()
+		for name, lists := range map[string][2]any{"announced": {v.Announced, rebuilt.Announced}, "agents": {lists(v.Agents), lists(rebuilt.Agents)}, "peers": {v.Proxies, rebuilt.Proxies}} {
 			if fmt.Sprint(lists[0]) != fmt.Sprint(lists[1]) {
 				t.Fatalf("%s: %v, rebuilt %v", name, lists[0], lists[1])
 			}
 		}
-		for _, s := range before {
+		for _, s := range earlier {
 			if now := fmt.Sprint(s.view.Announced, s.view.Agents, s.view.Proxies); now != s.was {
 				t.Fatalf("an earlier view changed from %s to %s", s.was, now)
 			}
--- a/node/control/bench_test.go
+++ b/node/control/bench_test.go
@@ -71,18 +71,18 @@
 func restartStorm(b *testing.B, s *system) {
 	n := len(s.members)
 	commands, bytes, cpu := s.leader().replica.Status().Committed, s.network.bytes.Load(), processorTime()
-	gone := slices.Clone(s.members[n-n/3:])
+	restarted := slices.Clone(s.members[n-n/3:])
 	s.members = s.members[:n-n/3]
 	began := time.Now()
-	for _, m := range gone {
+	for _, m := range restarted {
 		m.cancel()
 	}
-	for i := range gone {
+	for i := range restarted {
 		s.addMember(n - n/3 + i)
 	}
 	s.wait("all know the new incarnations", func() bool {
 		for _, m := range s.members {
-			for _, g := range gone {
+			for _, g := range restarted {
 				if known := m.View(); known == nil || startOf(known, g.Self().ID) <= g.Self().Incarnation {
 					return false
 				}
--- a/node/control/follower.go
+++ b/node/control/follower.go
@@ -172,9 +172,9 @@
 	return out
 }
 
-func renewalsOf(rs []queuedRenewal) []Renewal {
-	out := make([]Renewal, len(rs))
-	for i, r := range rs {
+func renewalsOf(queued []queuedRenewal) []Renewal {
+	out := make([]Renewal, len(queued))
+	for i, r := range queued {
 		out[i] = r.Renewal
 	}
 	return out
--- a/node/control/placement_test.go
+++ b/node/control/placement_test.go
@@ -19,8 +19,8 @@
 // optimalMaxLoss returns the lowest possible maxLoss with up to most voters, and their number. It picks
 // processes from the data centres in turn.
 func optimalMaxLoss(perDataCenter []int, losses, most int) (worst, voters int) {
-	took := make([]int, len(perDataCenter))
-	for took := took; voters < most; {
+	taken := make([]int, len(perDataCenter))
+	for took := taken; voters < most; {
 		any := false
 		for i, n := range perDataCenter {
 			if voters < most && took[i] < n {
@@ -33,8 +33,8 @@
 			break
 		}
 	}
-	slices.Sort(took)
-	for _, n := range took[max(0, len(took)-losses):] {
+	slices.Sort(taken)
+	for _, n := range taken[max(0, len(taken)-losses):] {
 		worst += n
 	}
 	return worst, voters
@@ -74,8 +74,8 @@
 		}
 		voters := st.Membership.Voters
 		worst, n := optimalMaxLoss(sizes, losses, most)
-		borne := 2*worst < n
-		if borne && vp.lossBreaksQuorum(voters) {
+		tolerable := 2*worst < n
+		if tolerable && vp.lossBreaksQuorum(voters) {
 			t.Fatalf("with processes %v, the loss of %d data centres takes half of %v", sizes, losses, voters)
 		}
 		if vp.lossBreaksQuorum(voters) == (why == "") {
--- a/node/control/repair_test.go
+++ b/node/control/repair_test.go
@@ -40,7 +40,7 @@
 		next, nextLearners                                   string // next is empty if there is no step
 		done                                                 bool   // whether the report is empty
 	}{
-		{name: "whole", voters: "a b c", want: 3, done: true},
+		{name: "complete", voters: "a b c", want: 3, done: true},
 		{name: "one silent, no spare", voters: "a b c", silent: "c", want: 3},
 		{name: "one silent, a spare", voters: "a b c", silent: "c", spares: "d", want: 3, next: "a b c", nextLearners: "d"},
 		{name: "wiped disk returned at its address", voters: "a b c", silent: "c", spares: "c2", want: 3, next: "a b c", nextLearners: "c2"},
--- a/node/control/selfforming_plan_test.go
+++ b/node/control/selfforming_plan_test.go
@@ -65,9 +65,9 @@
 }
 
 func checkEnd(t *rapid.T, st consensus.Status, offers []consensus.Peer, silent map[consensus.NodeID]bool, least, most int) {
-	gone := failedMembers(st, offers, silent)
-	if len(gone) > 0 && len(st.Membership.Voters) > least {
-		t.Fatalf("failed members %v remain among %v", gone, st.Membership.Voters)
+	failed := failedMembers(st, offers, silent)
+	if len(failed) > 0 && len(st.Membership.Voters) > least {
+		t.Fatalf("failed members %v remain among %v", failed, st.Membership.Voters)
 	}
 	for _, o := range offers {
 		if !st.Membership.Has(o.ID) && len(st.Membership.Voters) < most {
--- a/node/control/system_test.go
+++ b/node/control/system_test.go
@@ -273,9 +273,9 @@
 	version, _ := s.apply(customers(3, 0, 1))
 	s.inForce(version)
 	s.cutLeader()
-	gone := s.members[0]
+	leaving := s.members[0]
 	s.members = s.members[1:]
-	gone.SetLeaving(true)
+	leaving.SetLeaving(true)
 	s.wait("the leaving member is no longer listed", func() bool { return s.known(5) })
 	version, _ = s.apply(customers(3, 0, 2))
 	s.inForce(version)
@@ -291,9 +291,9 @@
 // and answered, before the leader.
 func TestDeregistrationIsRecorded(t *testing.T) {
 	s := startSystem(t, 3, 3)
-	gone := s.members[0]
+	leaving := s.members[0]
 	s.members = s.members[1:]
-	if err := gone.Stop(context.Background()); err != nil {
+	if err := leaving.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	leader := s.leader().replica
--- a/node/control/transport.go
+++ b/node/control/transport.go
@@ -192,10 +192,10 @@
 // sendBatch sends a batch and reports whether the replica answered. Consensus sends lost messages again. A
 // batch of heartbeats alone is sent as a notification, except once per ackInterval, to detect a dead
 // connection.
-func (l *transport) sendBatch(client *peer.Client, batch MessageBatch, confirm bool) (answered bool, err error) {
+func (l *transport) sendBatch(client *peer.Client, batch MessageBatch, needAck bool) (answered bool, err error) {
 	ctx, cancel := context.WithTimeout(l.ctx, sendTimeoutFor(batch.Messages))
 	defer cancel()
-	if !confirm && heartbeatsOnly(batch.Messages) {
+	if !needAck && heartbeatsOnly(batch.Messages) {
 		return false, client.Notify(ctx, MethodRaft, batch)
 	}
 	err = client.Call(ctx, MethodRaft, batch, nil)
