--- a/node/control/largetext_test.go
+++ b/node/control/largetext_test.go
@@ -25,7 +25,7 @@
 // acknowledged.
 //
 // Their text had 4,200 routes (750 kB). Each change, and each resend of a change in progress, was appended to
-// the log as a whole text. Sending 1 MB to each of six followers kept the leader's link busy for 0.6 s, so that
+// the log as the complete text. Sending 1 MB to each of six followers kept the leader's link busy for 0.6 s, so that
 // they received no heartbeat within the election timeout and elected another leader, which got the next resend.
 // No leader lasted long enough to confirm a read. Logs showed eight commands of 756 kB within 34 s, each
 // followed by the loss of leadership 0.5 to 0.75 s later; before the text had that size, one leader lasted 31 s.
--- a/node/control/metrics.go
+++ b/node/control/metrics.go
@@ -76,13 +76,13 @@
 	Others  uint64            `json:"others"`  // answers of the other versions
 }
 
-func (l *rolloutTracker) metrics(r wire.Rollouts) map[string]rolloutMetrics {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (t *rolloutTracker) metrics(r wire.Rollouts) map[string]rolloutMetrics {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	out := map[string]rolloutMetrics{}
 	for _, x := range r.List {
 		f := rolloutMetrics{Target: x.Target, State: x.State, Share: x.Share}
-		if j := l.byService[x.Service]; j != nil && j.order == x.Order {
+		if j := t.byService[x.Service]; j != nil && j.order == x.Order {
 			f.Answers, f.Bad, f.Others = j.judge.Target.Answers, j.judge.Target.Bad, j.judge.Others.Answers
 		}
 		out[x.Service] = f
--- a/node/control/probe_backoff.go
+++ b/node/control/probe_backoff.go
@@ -19,10 +19,10 @@
 type probeBackoff struct{ timeouts []time.Time }
 
 // add records a probe timeout.
-func (s *probeBackoff) add(now time.Time) { s.timeouts = append(s.timeouts, now) }
+func (b *probeBackoff) add(now time.Time) { b.timeouts = append(b.timeouts, now) }
 
 // timeout returns the probe timeout to use now.
-func (s *probeBackoff) timeout(now time.Time) time.Duration {
-	s.timeouts = slices.DeleteFunc(s.timeouts, func(at time.Time) bool { return now.Sub(at) > backoffWindow })
-	return baseProbeTimeout << min(len(s.timeouts), maxBackoffDoublings)
+func (b *probeBackoff) timeout(now time.Time) time.Duration {
+	b.timeouts = slices.DeleteFunc(b.timeouts, func(at time.Time) bool { return now.Sub(at) > backoffWindow })
+	return baseProbeTimeout << min(len(b.timeouts), maxBackoffDoublings)
 }
--- a/node/control/rollout.go
+++ b/node/control/rollout.go
@@ -145,16 +145,16 @@
 }
 
 // progress returns the state of a running roll-out, which it creates if needed.
-func (l *rolloutTracker) progress(r wire.Rollout, v *state.View, now time.Time) *trackedRollout {
-	j := l.byService[r.Service]
+func (t *rolloutTracker) progress(r wire.Rollout, v *state.View, now time.Time) *trackedRollout {
+	j := t.byService[r.Service]
 	if j == nil || j.order != r.Order {
 		passed := time.Duration(now.UnixMilli()-r.Started) * time.Millisecond
 		left := rollout.Left(r.Span, passed, reporters(v.Members))
 		j = &trackedRollout{order: r.Order, judge: rollout.NewJudge(r.Target), ends: now.Add(left), startedLate: left > r.Span-passed}
-		if l.byService == nil {
-			l.byService = map[string]*trackedRollout{}
+		if t.byService == nil {
+			t.byService = map[string]*trackedRollout{}
 		}
-		l.byService[r.Service] = j
+		t.byService[r.Service] = j
 	}
 	return j
 }
@@ -176,10 +176,10 @@
 }
 
 // reset discards all counts. Processes report them again to the next leader.
-func (l *rolloutTracker) reset() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.byService = nil
+func (t *rolloutTracker) reset() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.byService = nil
 }
 
 // nextRolloutStep returns the next step of a roll-out, or nil.
--- a/node/control/stageowner.go
+++ b/node/control/stageowner.go
@@ -38,7 +38,7 @@
 	leaderSince  time.Time                   // when this process became the leader; zero if it is not
 	probe        *livenessProbe              // of the owner; nil before the first probe
 	lastProbe    time.Time                   // time of the last probe
-	failedAt     map[wire.MemberID]time.Time // when probes of a process last failed
+	failedAt     map[wire.MemberID]time.Time // when a process last failed as owner
 	lastTransfer time.Time                   // time of the last attempt to transfer leadership
 	backoff      probeBackoff
 }
--- a/node/control/transport.go
+++ b/node/control/transport.go
@@ -12,10 +12,10 @@
 	"caperdrum.org/node/peer"
 )
 
-// transport sends consensus messages. Each replica has two queues, each with its own goroutine and
-// connection, so that a stalled replica does not delay others, and entries do not delay heartbeats: sending 1
-// MB to each of six followers takes 0.5 s on a link of 100 Mbit/s, and a follower that receives nothing for
-// 0.6 s starts an election.
+// transport sends consensus messages. Each replica has two queues, each with its own goroutine and connection,
+// so that a stalled replica does not delay others, and entries do not delay heartbeats: sending 1 MB to each of
+// six followers takes 0.5 s on a link of 100 Mbit/s, and a follower that receives nothing for 0.6 s starts an
+// election.
 type transport struct {
 	dial peer.Dialer
 	log  logr.Logger
@@ -63,30 +63,30 @@
 }
 
 // setAddress stores the address of a replica that has sent a message.
-func (l *transport) setAddress(p consensus.Peer) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.addresses[p.ID] = p.Address
+func (t *transport) setAddress(p consensus.Peer) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.addresses[p.ID] = p.Address
 }
 
 // Send implements replica.Transport.
-func (l *transport) Send(peers []consensus.Peer, messages []consensus.Message) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (t *transport) Send(peers []consensus.Peer, messages []consensus.Message) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, p := range peers {
-		l.addresses[p.ID] = p.Address
+		t.addresses[p.ID] = p.Address
 	}
 	for _, m := range messages {
 		key := queueKeyFor(m)
-		q := l.queues[key]
+		q := t.queues[key]
 		if q == nil {
-			address := l.addresses[m.To]
+			address := t.addresses[m.To]
 			if address == "" {
 				continue
 			}
 			q = newQueue()
-			l.queues[key] = q
-			go l.sendLoop(key, address, q)
+			t.queues[key] = q
+			go t.sendLoop(key, address, q)
 		}
 		q.put(m) // if it is dropped, consensus sends it again as needed
 	}
@@ -144,8 +144,8 @@
 	return n
 }
 
-func (l *transport) sendLoop(key queueKey, address string, q *queue) {
-	client := peer.NewClient(address, l.dial)
+func (t *transport) sendLoop(key queueKey, address string, q *queue) {
+	client := peer.NewClient(address, t.dial)
 	defer client.Close()
 	var lastAnswer time.Time // when the replica last answered; zero if it never did
 	opened := time.Now()
@@ -155,21 +155,21 @@
 	for {
 		idle.Reset(queueIdleTimeout)
 		select {
-		case <-l.ctx.Done():
+		case <-t.ctx.Done():
 			return
 		case <-idle.C:
-			if l.removeIfIdle(key, q) {
+			if t.removeIfIdle(key, q) {
 				return
 			}
 		case m := <-q.messages:
-			batch := MessageBatch{From: l.self, Messages: q.nextBatch(m)}
+			batch := MessageBatch{From: t.self, Messages: q.nextBatch(m)}
 			began := time.Now()
-			answered, err := l.sendBatch(client, batch, ackDue(lastAnswer, began))
+			answered, err := t.sendBatch(client, batch, ackDue(lastAnswer, began))
 			switch {
 			case answered && unreachable:
-				l.log.Info("replica reachable again", "replica", key.to, "silent", time.Since(latest(opened, lastAnswer)))
+				t.log.Info("replica reachable again", "replica", key.to, "silent", time.Since(latest(opened, lastAnswer)))
 			case err != nil && !unreachable:
-				l.log.Info("replica unreachable", "replica", key.to, "address", address, "messages", len(batch.Messages), "bytes", payloadBytes(batch.Messages), "took", time.Since(began), "error", err.Error())
+				t.log.Info("replica unreachable", "replica", key.to, "address", address, "messages", len(batch.Messages), "bytes", payloadBytes(batch.Messages), "took", time.Since(began), "error", err.Error())
 			}
 			unreachable = err != nil || unreachable && !answered
 			if answered {
@@ -192,8 +192,8 @@
 // sendBatch sends a batch and reports whether the replica answered. Consensus sends lost messages again. A
 // batch of heartbeats alone is sent as a notification, except once per ackInterval, to detect a dead
 // connection.
-func (l *transport) sendBatch(client *peer.Client, batch MessageBatch, needAck bool) (answered bool, err error) {
-	ctx, cancel := context.WithTimeout(l.ctx, sendTimeoutFor(batch.Messages))
+func (t *transport) sendBatch(client *peer.Client, batch MessageBatch, needAck bool) (answered bool, err error) {
+	ctx, cancel := context.WithTimeout(t.ctx, sendTimeoutFor(batch.Messages))
 	defer cancel()
 	if !needAck && heartbeatsOnly(batch.Messages) {
 		return false, client.Notify(ctx, MethodRaft, batch)
@@ -218,17 +218,17 @@
 }
 
 // removeIfIdle removes a queue that is empty, for example that of a replica whose disk was replaced.
-func (l *transport) removeIfIdle(key queueKey, q *queue) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (t *transport) removeIfIdle(key queueKey, q *queue) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if len(q.messages) > 0 {
 		return false
 	}
-	delete(l.queues, key)
-	if l.queues[queueKey{key.to, !key.bulk}] == nil {
-		delete(l.addresses, key.to)
+	delete(t.queues, key)
+	if t.queues[queueKey{key.to, !key.bulk}] == nil {
+		delete(t.addresses, key.to)
 	}
 	return true
 }
 
-func (l *transport) close() { l.stop() }
+func (t *transport) close() { t.stop() }
--- a/node/control/unsettled.go
+++ b/node/control/unsettled.go
@@ -26,17 +26,17 @@
 }
 
 // assign calls list for claims that were not assigned recently, and records them as assigned.
-func (h *claimAssignments) assign(now time.Time, list func(n int, skip func(wire.AttemptID) bool) ([]wire.ClaimRequest, error)) ([]wire.ClaimRequest, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	maps.DeleteFunc(h.assignedAt, func(_ wire.AttemptID, at time.Time) bool { return now.Sub(at) >= reassignAfter })
-	n := min(claimBatch, maxAssignedClaims-len(h.assignedAt))
+func (a *claimAssignments) assign(now time.Time, list func(n int, skip func(wire.AttemptID) bool) ([]wire.ClaimRequest, error)) ([]wire.ClaimRequest, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	maps.DeleteFunc(a.assignedAt, func(_ wire.AttemptID, at time.Time) bool { return now.Sub(at) >= reassignAfter })
+	n := min(claimBatch, maxAssignedClaims-len(a.assignedAt))
 	if n <= 0 {
 		return nil, nil
 	}
-	claims, err := list(n, func(id wire.AttemptID) bool { _, asked := h.assignedAt[id]; return asked })
+	claims, err := list(n, func(id wire.AttemptID) bool { _, asked := a.assignedAt[id]; return asked })
 	for _, c := range claims {
-		h.assignedAt[c.Attempt] = now
+		a.assignedAt[c.Attempt] = now
 	}
 	return claims, err
 }
