--- a/node/configsync/firstview_bench_test.go
+++ b/node/configsync/firstview_bench_test.go
@@ -14,7 +14,7 @@
 	"caperdrum.org/node/peer"
 )
 
-// fleetText is the text of a deployment with so many customers.
+// fleetText returns the configuration text of a deployment with the given number of customers.
 func fleetText(customers int) string {
 	var b strings.Builder
 	b.WriteString("[service:pool]\nkind = engine\nupstreams = announced\nmax_connections = 450\nengine_slots = 16\nengine_tokens = 549213\n")
@@ -72,7 +72,7 @@
 	b.Run("take", func(b *testing.B) {
 		for b.Loop() {
 			h := NewHolder(wire.Member{})
-			if _, err := h.Take(reply, time.Now()); err != nil {
+			if _, err := h.Apply(reply, time.Now()); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/node/configsync/hint.go
+++ b/node/configsync/hint.go
@@ -2,15 +2,15 @@
 
 import "caperdrum.org/api/wire"
 
-// Hint is what answers said of the control processes beyond the view. It need
-// not be current: it only tells when to ask the leader.
+// Hint is information from replies beyond the view. It need not be current: it only tells when to ask the
+// leader.
 type Hint struct {
-	Fence uint64 // highest token heard of for this process's upstream
-	Term  uint64 // highest term heard of: another one means another leadership
+	Fence uint64 // highest fencing token seen for this process's upstream
+	Term  uint64 // highest term seen; a new term means that leadership may have changed
 }
 
-// TakeHint takes over an answer's hints and reports whether one grew.
-func (h *Holder) TakeHint(reply *wire.SyncReply) bool {
+// MergeHint merges a reply's hint and reports whether the hint has increased.
+func (h *Holder) MergeHint(reply *wire.SyncReply) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old := h.hint
@@ -18,25 +18,25 @@
 	return h.hint != old
 }
 
-// Hint returns the hints taken so far.
+// Hint returns the merged hint.
 func (h *Holder) Hint() Hint {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hint
 }
 
-// Hint returns what answers said beyond the view.
-func (s *Service) Hint() Hint { return s.held.Hint() }
+// Hint returns the merged hint of all replies.
+func (s *Service) Hint() Hint { return s.holder.Hint() }
 
-// OnHint registers f, which must not block and is called when a hint grew. It
-// must be called before Start.
-func (s *Service) OnHint(f func()) { s.onHint = append(s.onHint, f) }
+// OnHint registers a listener that is called when the hint has increased, and must not block. It must be
+// called before Start.
+func (s *Service) OnHint(f func()) { s.hintListeners = append(s.hintListeners, f) }
 
-func (s *Service) takeHint(reply *wire.SyncReply) {
-	if !s.held.TakeHint(reply) {
+func (s *Service) applyHint(reply *wire.SyncReply) {
+	if !s.holder.MergeHint(reply) {
 		return
 	}
-	for _, f := range s.onHint {
+	for _, f := range s.hintListeners {
 		f()
 	}
 }
--- a/node/configsync/holder.go
+++ b/node/configsync/holder.go
@@ -11,46 +11,46 @@
 	"caperdrum.org/node/logging"
 )
 
-// LongestGap is between two confirmations of a view that counts as confirmed all the while:
-// three synchronizations, and longer than an election takes.
-const LongestGap = staleStamp
+// MaxConfirmationGap is the longest time between two confirmations for which a view counts as continuously
+// confirmed: three synchronizations, and longer than an election.
+const MaxConfirmationGap = maxConfirmationAge
 
 const (
-	staleStamp = 3 * time.Second // a control process with an older stamp is passed over
-	neverStamp = logging.Never
+	maxConfirmationAge = 3 * time.Second // replies with an older confirmation are rejected
+	neverConfirmed     = logging.Never
 )
 
-// Errors that make the process ask another control process.
+// Errors after which another control process is asked.
 var (
-	errStale = errors.New("configsync: the control process has no fresh confirmation by a quorum")
-	// errUnconfirmed sends a process that holds nothing to another control process, at which it waits.
-	errUnconfirmed = errors.New("configsync: no quorum has confirmed what the control process knows")
-	errBehind      = errors.New("configsync: the control process is behind what is held here")
-	errNotRenewed  = errors.New("configsync: the lease could not be renewed there")
+	errStale = errors.New("configsync: the control process has no recent confirmation by a quorum")
+	// errUnconfirmed sends a process without a view to another control process, where it waits.
+	errUnconfirmed = errors.New("configsync: the control process's state is not confirmed by a quorum")
+	errOlderState  = errors.New("configsync: the control process's state is older than the current view")
+	errNotRenewed  = errors.New("configsync: the control process could not renew the lease")
 )
 
-// Holder is the part of Service that decides what is held. It has no goroutine
-// and reads no clock. Take must not run twice at the same time.
+// Holder is the state of Service: it decides which replies are applied. It has no goroutine and does not read
+// the clock. Apply must not be called concurrently.
 type Holder struct {
-	mu     sync.Mutex
-	member wire.Member
-	fault  error // of the last text; the next one must come whole
-	hint   Hint
+	mu      sync.Mutex
+	member  wire.Member
+	textErr error // error with the last text; the next one must be complete, not a delta
+	hint    Hint
 
-	view  atomic.Pointer[View]
-	stamp atomic.Pointer[confirmation] // the last one by a quorum
+	view      atomic.Pointer[View]
+	confirmed atomic.Pointer[confirmation] // last one by a quorum
 }
 
-// confirmation is one of what is held, by a quorum. Times have their monotonic reading.
+// confirmation says when a quorum confirmed the view. Its times include a monotonic clock reading.
 type confirmation struct {
 	at    time.Time
-	since time.Time // when the first one was after which there was no gap above LongestGap
+	since time.Time // time of the first confirmation since the last gap above MaxConfirmationGap
 }
 
 // NewHolder returns a Holder for the process with the given record.
 func NewHolder(m wire.Member) *Holder { return &Holder{member: m} }
 
-// View returns the current view, or nil before the first one.
+// View returns the current view, or nil before the initial one.
 func (h *Holder) View() *View { return h.view.Load() }
 
 // Self returns the process's member record.
@@ -60,7 +60,7 @@
 	return h.member
 }
 
-// SetLeaving changes the record and reports whether it was another before.
+// SetLeaving updates the record and reports whether it changed.
 func (h *Holder) SetLeaving(leaving bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,8 +72,7 @@
 	return true
 }
 
-// SetHolds changes what the record says the upstream holds, and reports whether
-// it was another before.
+// SetHolds updates what the record says the upstream holds, and reports whether it changed.
 func (h *Holder) SetHolds(holds string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,52 +84,51 @@
 	return true
 }
 
-// Request returns the next call to a control process, to be held there for wait.
+// Request returns the next request. The control process may delay its reply by wait.
 func (h *Holder) Request(wait time.Duration) wire.SyncRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	req := wire.SyncRequest{Member: h.member, Wait: wait, Fence: h.hint.Fence, Term: h.hint.Term}
 	if v := h.View(); v != nil {
-		req.ConfigVersion, req.MembersSeq, req.OwnerEpoch = v.Version, v.Seq, v.Owner.Epoch
+		req.ConfigVersion, req.MembersSeq, req.OwnerEpoch = v.Version, v.MembersSeq, v.Owner.Epoch
 		req.Evacuations, req.Suspects, req.Rollouts = v.Evacuations.Revision, v.Suspects.Revision, v.Rollouts.Revision
-		if h.fault == nil {
+		if h.textErr == nil {
 			req.ConfigHash = v.Hash
 		}
 	}
-	if h.fault != nil {
-		req.Fault = h.fault.Error()
+	if h.textErr != nil {
+		req.Fault = h.textErr.Error()
 	}
 	return req
 }
 
-// StampAge returns how long before now a quorum confirmed what is held.
+// StampAge returns how long before now a quorum confirmed the view.
 func (h *Holder) StampAge(now time.Time) time.Duration {
-	at := h.stamp.Load()
+	at := h.confirmed.Load()
 	if at == nil {
-		return neverStamp
+		return neverConfirmed
 	}
 	return now.Sub(at.at)
 }
 
-// Steady returns for how long before now the view has been confirmed without a gap; zero when
-// the last confirmation is longer ago than LongestGap.
-func (h *Holder) Steady(now time.Time) time.Duration {
-	at := h.stamp.Load()
-	if at == nil || now.Sub(at.at) > LongestGap {
+// ConfirmedFor returns for how long before now the view has been confirmed without a gap. It is zero if the last
+// confirmation is older than MaxConfirmationGap.
+func (h *Holder) ConfirmedFor(now time.Time) time.Duration {
+	at := h.confirmed.Load()
+	if at == nil || now.Sub(at.at) > MaxConfirmationGap {
 		return 0
 	}
 	return now.Sub(at.since)
 }
 
-// Take takes over what an answer to a call made at asked brings, and returns
-// the new view, or nil when nothing changed. A nil error says that the quorum's
-// confirmation was taken over too. A newer text or member list counts also
-// without one, since it was committed, but not as the first view.
+// Apply applies the reply to a request made at asked. It returns the new view, or nil if nothing changed. A nil
+// error means that the confirmation by a quorum was applied as well. A newer text or member list is applied
+// without one, since it was committed, but not as the initial view.
 //
-// The stamp's age was measured after the call began, so asked minus the age is
-// no later than the confirmation.
-func (h *Holder) Take(reply *wire.SyncReply, asked time.Time) (*View, error) {
-	fresh := reply.StampAge >= 0 && reply.StampAge <= staleStamp
+// The confirmation's age was measured after the request was made, so asked minus the age is no later than the
+// confirmation.
+func (h *Holder) Apply(reply *wire.SyncReply, asked time.Time) (*View, error) {
+	fresh := reply.StampAge >= 0 && reply.StampAge <= maxConfirmationAge
 	old := h.View()
 	if !fresh && old == nil {
 		return nil, errUnconfirmed
@@ -139,20 +137,20 @@
 	if old != nil {
 		next = *old
 	}
-	if err := h.takeConfig(&next, reply); err != nil {
+	if err := h.applyConfig(&next, reply); err != nil {
 		return nil, err
 	}
-	if err := next.takeMembers(reply.Members); err != nil {
+	if err := next.applyMembers(reply.Members); err != nil {
 		return nil, err
 	}
-	next.takeEvacuations(reply.Evacuations)
-	next.takeSuspects(reply.Suspects)
-	next.takeRollouts(reply.Rollouts)
+	next.applyEvacuations(reply.Evacuations)
+	next.applySuspects(reply.Suspects)
+	next.applyRollouts(reply.Rollouts)
 	if next.ahead(reply) {
-		return nil, errBehind
+		return nil, errOlderState
 	}
 	if next.behind(reply) {
-		return nil, errors.Annotate(errGap, "the answer does not bring all that it knows of")
+		return nil, errors.Annotate(errIncompleteUpdate, "the reply lacks updates that its versions require")
 	}
 	if reply.Owner.Epoch > next.Owner.Epoch {
 		next.Owner = reply.Owner
@@ -165,33 +163,33 @@
 	if !fresh {
 		return changed, errStale
 	}
-	h.confirm(asked.Add(-reply.StampAge))
+	h.recordConfirmation(asked.Add(-reply.StampAge))
 	return changed, nil
 }
 
-func (h *Holder) takeConfig(next *View, reply *wire.SyncReply) error {
-	err := next.takeText(reply.Config)
+func (h *Holder) applyConfig(next *View, reply *wire.SyncReply) error {
+	err := next.applyText(reply.Config)
 	if err == nil {
-		err = next.takeDelta(reply.Delta)
+		err = next.applyDelta(reply.Delta)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.fault = err
+	h.textErr = err
 	return err
 }
 
-func (h *Holder) confirm(at time.Time) {
+func (h *Holder) recordConfirmation(at time.Time) {
 	for {
-		old := h.stamp.Load()
-		if old != nil && !at.After(old.at) || h.stamp.CompareAndSwap(old, old.next(at)) {
+		old := h.confirmed.Load()
+		if old != nil && !at.After(old.at) || h.confirmed.CompareAndSwap(old, old.next(at)) {
 			return
 		}
 	}
 }
 
-// next returns a confirmation that follows c, which may be nil.
+// next returns the confirmation that follows c, which may be nil.
 func (c *confirmation) next(at time.Time) *confirmation {
-	if c == nil || at.Sub(c.at) > LongestGap {
+	if c == nil || at.Sub(c.at) > MaxConfirmationGap {
 		return &confirmation{at: at, since: at}
 	}
 	return &confirmation{at: at, since: c.since}
--- a/node/configsync/taken_test.go
+++ b/node/configsync/listeners_test.go
@@ -12,15 +12,15 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestTakenOver shows that a view which a listener has not finished with does
-// not count as taken over, though View returns it already.
+// TestTakenOver checks that a view that a listener is still processing does not count as taken over, although
+// View already returns it.
 func TestTakenOver(t *testing.T) {
-	s := &Service{clock: clockwork.NewFakeClock(), held: NewHolder(wire.Member{ID: "a"}), log: logr.Discard(), ring: timeline.NewRing("a", "v", 16)}
+	s := &Service{clock: clockwork.NewFakeClock(), holder: NewHolder(wire.Member{ID: "a"}), log: logr.Discard(), ring: timeline.NewRing("a", "v", 16)}
 	calls := 0
 	s.OnChange(func(*View) {
 		calls++
-		if s.View() == nil || s.TakenOver() {
-			t.Errorf("within the listener: view %v, taken over %t", s.View(), s.TakenOver())
+		if s.View() == nil || s.ViewApplied() {
+			t.Errorf("within the listener: view %v, taken over %t", s.View(), s.ViewApplied())
 		}
 	})
 	const text = "[service:s]\nkind = plain\n"
@@ -29,7 +29,7 @@
 	if err := s.accept(reply, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if calls != 1 || !s.TakenOver() {
-		t.Fatalf("%d calls, taken over %t", calls, s.TakenOver())
+	if calls != 1 || !s.ViewApplied() {
+		t.Fatalf("%d calls, taken over %t", calls, s.ViewApplied())
 	}
 }
--- a/node/configsync/lists_test.go
+++ b/node/configsync/lists_test.go
@@ -9,28 +9,27 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestListsFollowMembers changes members one by one, in every way that places them in other lists, beside
-// evacuations and roll-outs: a view holds what one made anew of the same members holds, and views of before
-// do not change.
+// TestListsFollowMembers changes members one by one, together with evacuations and roll-outs. The view must
+// equal one that is built from the same members, and earlier views must not change.
 func TestListsFollowMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := emptyView()
-		type seen struct {
+		type snapshot struct {
 			view View
 			was  string
 		}
-		var before []seen
+		var earlier []snapshot
 		for range 20 {
-			before = append(before, seen{v, fmt.Sprint(v.Announced, v.ByService, v.Peers)})
+			earlier = append(earlier, snapshot{v, fmt.Sprint(v.Announced, v.Agents, v.Proxies)})
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				e := &wire.Evacuations{Revision: v.Evacuations.Revision + 1, List: []wire.Evacuation{{DataCenter: "north", Out: rapid.Bool().Draw(t, "out")}}}
-				v.takeEvacuations(e)
+				v.applyEvacuations(e)
 			case 1:
 				state := rapid.SampledFrom([]wire.RolloutState{wire.RolloutRunning, wire.RolloutCompleted, wire.RolloutRolledBack}).Draw(t, "state")
-				v.takeRollouts(&wire.Rollouts{Revision: v.Rollouts.Revision + 1, List: []wire.Rollout{{Service: "a", Target: "v2", State: state, Replaced: []string{"v1"}, Order: 1}}})
+				v.applyRollouts(&wire.Rollouts{Revision: v.Rollouts.Revision + 1, List: []wire.Rollout{{Service: "a", Target: "v2", State: state, Replaced: []string{"v1"}, Order: 1}}})
 			default:
-				d := &wire.MembersDelta{From: v.Seq, To: v.Seq + 1}
+				d := &wire.MembersDelta{From: v.MembersSeq, To: v.MembersSeq + 1}
 				for range rapid.IntRange(1, 4).Draw(t, "changes") {
 					id := wire.MemberID(fmt.Sprint("m", rapid.IntRange(0, 6).Draw(t, "member")))
 					if rapid.IntRange(0, 3).Draw(t, "removed") == 0 {
@@ -47,21 +46,21 @@
 					}
 					d.Changed = append(d.Changed, m)
 				}
-				if err := v.takeMembers(d); err != nil {
+				if err := v.applyMembers(d); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		anew := v
-		anew.index()
-		for name, lists := range map[string][2]any{"announced": {v.Announced, anew.Announced}, "agents": {lists(v.ByService), lists(anew.ByService)}, "peers": {v.Peers, anew.Peers}} {
+		rebuilt := v
+		rebuilt.rebuildLists()
+		for name, lists := range map[string][2]any{"announced": {v.Announced, rebuilt.Announced}, "agents": {lists(v.Agents), lists(rebuilt.Agents)}, "peers": {v.Proxies, rebuilt.Proxies}} {
 			if fmt.Sprint(lists[0]) != fmt.Sprint(lists[1]) {
-				t.Fatalf("%s: %v, made anew %v", name, lists[0], lists[1])
+				t.Fatalf("%s: %v, rebuilt %v", name, lists[0], lists[1])
 			}
 		}
-		for _, s := range before {
-			if now := fmt.Sprint(s.view.Announced, s.view.ByService, s.view.Peers); now != s.was {
-				t.Fatalf("a view of before changed from %s to %s", s.was, now)
+		for _, s := range earlier {
+			if now := fmt.Sprint(s.view.Announced, s.view.Agents, s.view.Proxies); now != s.was {
+				t.Fatalf("an earlier view changed from %s to %s", s.was, now)
 			}
 		}
 	})
--- a/node/configsync/rollouts_test.go
+++ b/node/configsync/rollouts_test.go
@@ -7,8 +7,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestViewExcludesVersions decides roll-outs: upstreams of versions that were rolled back or replaced are in no
-// list that gets calls. Replaced ones stay while there are no others.
+// TestViewExcludesVersions completes and rolls back roll-outs. Upstreams of versions that were rolled back or
+// replaced must not be in the lists of those that get calls. Replaced ones stay while there are no others.
 func TestViewExcludesVersions(t *testing.T) {
 	upstream := func(version string) wire.Member {
 		m := wire.AnnouncedUpstream(wire.MemberID("i-"+version), "desk", "10.0.0.1:80", "north", false)
@@ -31,10 +31,10 @@
 		for _, version := range c.serving {
 			delta.Changed = append(delta.Changed, upstream(version))
 		}
-		if err := v.takeMembers(delta); err != nil {
+		if err := v.applyMembers(delta); err != nil {
 			t.Fatal(err)
 		}
-		v.takeRollouts(&wire.Rollouts{Revision: 1, List: []wire.Rollout{{Service: "desk", Target: "v2", State: c.state, Replaced: []string{"v1"}, Order: 1}}})
+		v.applyRollouts(&wire.Rollouts{Revision: 1, List: []wire.Rollout{{Service: "desk", Target: "v2", State: c.state, Replaced: []string{"v1"}, Order: 1}}})
 		ids := []wire.MemberID{}
 		for _, m := range v.Announced["desk"] {
 			ids = append(ids, m.ID)
--- a/node/configsync/view.go
+++ b/node/configsync/view.go
@@ -10,119 +10,121 @@
 	"caperdrum.org/node/memberset"
 )
 
-// View is an immutable picture of the configuration and the members. Version
-// is zero, and Config empty, until the first change was accepted.
+// View is an immutable snapshot of the configuration and the members. Version is zero, and Config empty,
+// until the first change was accepted.
 type View struct {
-	Config    *optext.Config
-	Version   uint64
-	Text      string
-	Hash      uint64 // xxhash64 of Text
-	Seq       uint64
-	Members   memberset.Set
-	Peers     []wire.Member            // proxies, sorted by id
-	ByService map[string][]wire.Member // agents that are not leaving, by service, sorted by id
-	Owner     wire.StageOwner
-	Announced map[string][]wire.Member // announced upstreams that are not leaving, likewise
-	// Evacuations name the data centres whose upstreams are in neither ByService nor Announced.
+	Config     *optext.Config
+	Version    uint64
+	Text       string
+	Hash       uint64 // xxhash64 of Text
+	MembersSeq uint64
+	Members    memberset.Set
+	Proxies    []wire.Member            // proxies, sorted by ID
+	Agents     map[string][]wire.Member // agents that are not leaving, by service, sorted by ID
+	Owner      wire.StageOwner
+	Announced  map[string][]wire.Member // announced upstreams that are not leaving, likewise
+	// Evacuations contains the evacuated data centres. Their upstreams are in neither Agents nor
+	// Announced.
 	Evacuations wire.Evacuations
-	// Suspects are calls that end upstreams.
+	// Suspects contains calls under which upstreams crashed.
 	Suspects wire.Suspects
-	// Rollouts of services; upstreams of versions that they exclude are not in Announced.
+	// Rollouts contains the roll-outs of services. Upstreams of versions that they exclude are not in
+	// Announced.
 	Rollouts wire.Rollouts
 
-	announced lists // as Announced, with upstreams of versions that Rollouts exclude
+	announced lists // like Announced, but including versions that Rollouts exclude
 
-	ends []int // where the sections of Text end
+	ends []int // end offsets of the sections of Text
 }
 
 func emptyView() View {
 	return View{Config: &optext.Config{}}
 }
 
-// errGap says that a member delta does not follow what is held.
-var errGap = errors.New("configsync: the member delta does not follow the list held")
+// errIncompleteUpdate says that a reply cannot be applied to the current view.
+var errIncompleteUpdate = errors.New("configsync: the member delta does not apply to the current list")
 
-func (v *View) takeMembers(d *wire.MembersDelta) error {
-	if d == nil || d.To <= v.Seq {
+func (v *View) applyMembers(d *wire.MembersDelta) error {
+	if d == nil || d.To <= v.MembersSeq {
 		return nil
 	}
-	if !d.Whole && d.From != v.Seq {
-		return errors.Annotatef(errGap, "from %d to %d, held %d", d.From, d.To, v.Seq)
+	if !d.Whole && d.From != v.MembersSeq {
+		return errors.Annotatef(errIncompleteUpdate, "from %d to %d, current %d", d.From, d.To, v.MembersSeq)
 	}
 	if d.Whole {
-		v.Members, v.Seq = memberset.Of(d.Changed...), d.To
-		v.index()
+		v.Members, v.MembersSeq = memberset.Of(d.Changed...), d.To
+		v.rebuildLists()
 		return nil
 	}
-	v.Seq = d.To
-	v.change(d.Changed, d.Removed)
+	v.MembersSeq = d.To
+	v.applyMemberChanges(d.Changed, d.Removed)
 	return nil
 }
 
-// change takes over single members. What it costs does not grow with the members, but for the
-// copies of the lists that change.
-func (v *View) change(changed []wire.Member, removed []wire.MemberID) {
-	u := update{v: v, evacuated: v.Evacuations.Out(), fresh: [listKinds]map[string]bool{{}, {}, {}}}
-	u.lists = [listKinds]lists{agents: cloneLists(v.ByService), announced: cloneLists(v.announced), peers: {peerList: v.Peers}}
+// applyMemberChanges applies changes of single members. Its cost is independent of the number of members,
+// except for copying the lists that change.
+func (v *View) applyMemberChanges(changed []wire.Member, removed []wire.MemberID) {
+	u := memberUpdate{v: v, evacuated: v.Evacuations.Out(), owned: [listKinds]map[string]bool{{}, {}, {}}}
+	u.lists = [listKinds]lists{agents: cloneLists(v.Agents), announced: cloneLists(v.announced), peers: {peerList: v.Proxies}}
 	for _, m := range changed {
 		u.put(m)
 	}
 	for _, id := range removed {
 		u.remove(id)
 	}
-	v.ByService, v.announced, v.Peers = u.lists[agents], u.lists[announced], u.lists[peers][peerList]
-	v.exclude(u.fresh[announced])
+	v.Agents, v.announced, v.Proxies = u.lists[agents], u.lists[announced], u.lists[peers][peerList]
+	v.filterAnnounced(u.owned[announced])
 }
 
-// takeEvacuations takes over newer evacuations. What lies at upstreams of such a data centre
-// may still be fetched from there; they get no new calls, as if they were leaving.
-func (v *View) takeEvacuations(e *wire.Evacuations) {
+// applyEvacuations applies newer evacuations. Upstreams in an evacuated data centre get no new calls, as if
+// they were leaving, but data may still be fetched from them.
+func (v *View) applyEvacuations(e *wire.Evacuations) {
 	if e == nil || e.Revision <= v.Evacuations.Revision {
 		return
 	}
 	v.Evacuations = *e
-	v.index()
+	v.rebuildLists()
 }
 
-func (v *View) takeSuspects(s *wire.Suspects) {
+func (v *View) applySuspects(s *wire.Suspects) {
 	if s != nil && s.Revision > v.Suspects.Revision {
 		v.Suspects = *s
 	}
 }
 
-func (v *View) takeRollouts(r *wire.Rollouts) {
+func (v *View) applyRollouts(r *wire.Rollouts) {
 	if r == nil || r.Revision <= v.Rollouts.Revision {
 		return
 	}
 	v.Rollouts = *r
-	v.index()
+	v.rebuildLists()
 }
 
-// ahead reports whether the view holds something newer than an answer's sender knows.
+// ahead reports whether the view contains something newer than the sender of a reply knows.
 func (v *View) ahead(r *wire.SyncReply) bool {
-	return r.Version < v.Version || r.MembersSeq < v.Seq || r.EvacuationsRevision < v.Evacuations.Revision ||
+	return r.Version < v.Version || r.MembersSeq < v.MembersSeq || r.EvacuationsRevision < v.Evacuations.Revision ||
 		r.SuspectsRevision < v.Suspects.Revision || r.RolloutsRevision < v.Rollouts.Revision
 }
 
-// behind reports whether an answer's sender knows something newer than the view holds.
+// behind reports whether the sender of a reply knows something newer than the view contains.
 func (v *View) behind(r *wire.SyncReply) bool {
-	return r.Version > v.Version || r.MembersSeq > v.Seq || r.EvacuationsRevision > v.Evacuations.Revision ||
+	return r.Version > v.Version || r.MembersSeq > v.MembersSeq || r.EvacuationsRevision > v.Evacuations.Revision ||
 		r.SuspectsRevision > v.Suspects.Revision || r.RolloutsRevision > v.Rollouts.Revision
 }
 
-// differs reports whether something that processes follow is another in old.
+// differs reports whether the view differs from old in something that processes react to.
 func (v *View) differs(old *View) bool {
-	return v.Version != old.Version || v.Seq != old.Seq || v.Owner != old.Owner || v.Evacuations.Revision != old.Evacuations.Revision ||
+	return v.Version != old.Version || v.MembersSeq != old.MembersSeq || v.Owner != old.Owner || v.Evacuations.Revision != old.Evacuations.Revision ||
 		v.Suspects.Revision != old.Suspects.Revision || v.Rollouts.Revision != old.Rollouts.Revision
 }
 
-// index makes the lists anew.
-func (v *View) index() {
-	v.ByService, v.announced, v.Peers = lists{}, lists{}, nil
+// rebuildLists computes all lists from Members.
+func (v *View) rebuildLists() {
+	v.Agents, v.announced, v.Proxies = lists{}, lists{}, nil
 	evacuated := v.Evacuations.Out()
-	all := [listKinds]lists{agents: v.ByService, announced: v.announced, peers: {}}
+	all := [listKinds]lists{agents: v.Agents, announced: v.announced, peers: {}}
 	for m := range v.Members.All() {
-		for kind, name := range placesOf(m, evacuated) {
+		for kind, name := range listsOf(m, evacuated) {
 			if name != "" {
 				all[kind][name] = append(all[kind][name], m)
 			}
@@ -133,7 +135,7 @@
 			slices.SortFunc(list, func(a, b wire.Member) int { return compareID(a, b.ID) })
 		}
 	}
-	v.Peers = all[peers][peerList]
+	v.Proxies = all[peers][peerList]
 	v.Announced = nil
-	v.exclude(nil)
+	v.filterAnnounced(nil)
 }
--- a/node/control/leases.go
+++ b/node/control/leases.go
@@ -12,61 +12,59 @@
 	"caperdrum.org/node/state"
 )
 
-// Renewal is one member's sign of life.
+// Renewal is a member's lease renewal. Fault is the member's error with the last configuration text, if any.
 type Renewal struct {
 	Member        wire.Member `json:"member"`
 	ConfigVersion uint64      `json:"config_version"`
 	Fault         string      `json:"fault,omitempty"`
 }
 
-// leases is the leader's memory of when it last heard from each member. It is
-// not replicated: a new leader grants every member one whole lease. Joining,
-// leaving and expiry are replicated.
+// leases tracks on the leader when each member last renewed its lease. This state is not replicated: a new
+// leader grants every member a full lease. Joins, leaves and expiries are replicated.
 type leases struct {
 	cluster cluster
 	clock   clockwork.Clock
 	ttl     time.Duration
 	ring    *timeline.Ring
 
-	mu      sync.Mutex
-	seen    map[wire.MemberID]seen
-	pending map[wire.MemberID]wire.Member
-	wake    chan struct{}
+	mu       sync.Mutex
+	renewals map[wire.MemberID]lastRenewal
+	pending  map[wire.MemberID]wire.Member
+	wake     chan struct{}
 
-	term     uint64    // of the leadership that leases were granted for
-	lastStep time.Time // of run's goroutine
+	term     uint64    // term in which leases were last granted
+	lastStep time.Time // accessed only by run's goroutine
 }
 
-type seen struct {
+type lastRenewal struct {
 	at          time.Time
 	incarnation uint64
 	version     uint64
 	fault       string
-	granted     bool // at is that of a grant: nothing was heard since
+	implicit    bool // the lease was granted by the leader; the member has not renewed it since
 }
 
 func newLeases(c cluster, clock clockwork.Clock, ttl time.Duration, ring *timeline.Ring) *leases {
-	return &leases{cluster: c, clock: clock, ttl: ttl, ring: ring, seen: map[wire.MemberID]seen{},
+	return &leases{cluster: c, clock: clock, ttl: ttl, ring: ring, renewals: map[wire.MemberID]lastRenewal{},
 		pending: map[wire.MemberID]wire.Member{}, wake: make(chan struct{}, 1)}
 }
 
-// renew notes signs of life and queues the members that the state does not
-// hold as they are.
-func (l *leases) renew(rs []Renewal) {
+// record notes renewals, and queues the records that differ from those in the member list.
+func (l *leases) record(rs []Renewal) {
 	members := l.cluster.View().Members
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range rs {
 		known, ok := members[r.Member.ID]
-		old := l.seen[r.Member.ID]
-		held := ok || now.Sub(old.at) <= l.ttl
-		if held && max(old.incarnation, known.Incarnation) > r.Member.Incarnation {
-			continue // a late message of an earlier start, or the VM's clock went back
+		old := l.renewals[r.Member.ID]
+		valid := ok || now.Sub(old.at) <= l.ttl
+		if valid && max(old.incarnation, known.Incarnation) > r.Member.Incarnation {
+			continue // a delayed message of an earlier start, or the VM's clock was set back
 		}
-		l.seen[r.Member.ID] = seen{at: now, incarnation: r.Member.Incarnation, version: r.ConfigVersion, fault: r.Fault}
-		waiting, queued := l.pending[r.Member.ID]
-		if queued && !r.Member.Follows(waiting) {
+		l.renewals[r.Member.ID] = lastRenewal{at: now, incarnation: r.Member.Incarnation, version: r.ConfigVersion, fault: r.Fault}
+		pendingMember, queued := l.pending[r.Member.ID]
+		if queued && !r.Member.Follows(pendingMember) {
 			continue
 		}
 		if queued || !ok || r.Member.Changes(known) {
@@ -81,24 +79,23 @@
 	}
 }
 
-// lastStart is what a leader knows of the last start of a member.
+// lastStart describes the latest start of a member that a leader knows of.
 type lastStart struct {
-	incarnation uint64 // also of a start that the state does not hold yet
-	heard       bool   // of it, since this process leads
+	incarnation uint64 // may be newer than the one in the member list
+	heard       bool   // whether the member has renewed its lease since this process became the leader
 }
 
-// lastStart returns what is known of the last start of a member with the given record.
+// lastStart returns the latest known start of the member with the given record.
 func (l *leases) lastStart(m wire.Member) lastStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s, known := l.seen[m.ID]
-	return lastStart{incarnation: max(m.Incarnation, s.incarnation), heard: known && !s.granted}
+	s, known := l.renewals[m.ID]
+	return lastStart{incarnation: max(m.Incarnation, s.incarnation), heard: known && !s.implicit}
 }
 
-// leaving returns the record by which an announced upstream leaves. None needs
-// one that neither the members hold nor a sign of life has named, and none a start
-// that a later one has replaced.
-func (l *leases) leaving(req *wire.LeaveRequest) []wire.Member {
+// leavingRecords returns the record that marks an announced upstream as leaving. There is none if the
+// upstream is neither in the member list nor about to join, or if the request belongs to an earlier start.
+func (l *leases) leavingRecords(req *wire.LeaveRequest) []wire.Member {
 	l.mu.Lock()
 	m, known := l.pending[req.ID]
 	l.mu.Unlock()
@@ -114,12 +111,12 @@
 
 const (
 	expiryInterval = 250 * time.Millisecond
-	// joinGap is the time between two commands of members, so that many that
-	// start at once share few commands and few deltas.
-	joinGap = 50 * time.Millisecond
-	// standstill is a pause between two steps after which the leader cannot
-	// tell who was silent: it did not listen itself.
-	standstill = time.Second
+	// minCommitGap is the pause between two commands that change members, so that processes that start
+	// together share commands and deltas.
+	minCommitGap = 50 * time.Millisecond
+	// stallThreshold is the pause between two steps above which the leader cannot tell which members were
+	// silent, since it did not process renewals itself.
+	stallThreshold = time.Second
 )
 
 func (l *leases) run(ctx context.Context) {
@@ -138,7 +135,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.clock.After(joinGap):
+		case <-l.clock.After(minCommitGap):
 		}
 	}
 }
@@ -147,28 +144,28 @@
 func (l *leases) step(ctx context.Context) bool {
 	status := l.cluster.Status()
 	now := l.clock.Now()
-	still := now.Sub(l.lastStep) > standstill
+	stalled := now.Sub(l.lastStep) > stallThreshold
 	l.lastStep = now
 	if !l.cluster.IsLeader() {
 		l.term = 0
-		l.takePending() // members renew at the leader
+		l.takePending() // members will renew at the leader
 		return false
 	}
-	if l.term != status.Term || still {
+	if l.term != status.Term || stalled {
 		l.term = status.Term
-		l.grantAll(now)
+		l.grantFullLeases(now)
 	}
 	return l.commit(ctx)
 }
 
-// grantAll grants every member a whole lease from now on.
-func (l *leases) grantAll(now time.Time) {
+// grantFullLeases restarts the lease of every member at now.
+func (l *leases) grantFullLeases(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, m := range l.cluster.View().Members {
-		s := l.seen[id]
-		s.at, s.granted, s.incarnation = now, true, max(m.Incarnation, s.incarnation)
-		l.seen[id] = s
+		s := l.renewals[id]
+		s.at, s.implicit, s.incarnation = now, true, max(m.Incarnation, s.incarnation)
+		l.renewals[id] = s
 	}
 }
 
@@ -180,9 +177,9 @@
 	for _, rm := range cmd.Remove {
 		l.ring.Record(timeline.Event{Kind: "lease-expired", Detail: string(rm.ID)})
 	}
-	ctx, cancel := context.WithTimeout(ctx, standstill/2)
+	ctx, cancel := context.WithTimeout(ctx, stallThreshold/2)
 	defer cancel()
-	l.cluster.Propose(ctx, cmd) // members renew again, so a lost command is made again
+	l.cluster.Propose(ctx, cmd) // a lost command is proposed again, since members keep renewing
 	return true
 }
 
@@ -198,15 +195,15 @@
 }
 
 const (
-	// announcedLease is the lease of an announced upstream: five signs of life
-	// of one every 1.2 s, since they may arrive seconds late.
+	// announcedLease is the lease of an announced upstream. It allows for five heartbeats of an upstream that
+	// sends one every 1.2 s, since they may arrive seconds late.
 	announcedLease = 6 * time.Second
-	// leavingLease is how long the record of one that leaves is kept, so that a
-	// sign of life that is seconds late does not bring it back.
+	// leavingLease is how long the record of a leaving upstream is kept, so that a heartbeat that arrives
+	// seconds late does not add it again.
 	leavingLease = 30 * time.Second
 )
 
-// ttlOf returns how long the member may be silent.
+// ttlOf returns the lease duration of the member.
 func (l *leases) ttlOf(m wire.Member) time.Duration {
 	switch {
 	case m.Direct == "":
@@ -217,10 +214,9 @@
 	return announcedLease
 }
 
-// expired lists the members whose lease has ended. What was seen of them is
-// kept until the removal is in the view, so that a lost command is made again;
-// then it is forgotten, so that the process may come back under any
-// incarnation.
+// expired returns the members whose lease has expired. Their last renewals are kept until the removal is in
+// the view, so that a lost command is proposed again. After that they are deleted, so that the process may
+// rejoin under any incarnation.
 func (l *leases) expired() []state.Removal {
 	now := l.clock.Now()
 	members := l.cluster.View().Members
@@ -228,25 +224,25 @@
 	defer l.mu.Unlock()
 	var out []state.Removal
 	for id, m := range members {
-		s, ok := l.seen[id]
+		s, ok := l.renewals[id]
 		if !ok {
-			l.seen[id] = seen{at: now, incarnation: m.Incarnation, granted: true}
+			l.renewals[id] = lastRenewal{at: now, incarnation: m.Incarnation, implicit: true}
 			continue
 		}
 		if now.Sub(s.at) > l.ttlOf(m) {
 			out = append(out, state.Removal{ID: id, Incarnation: m.Incarnation})
 		}
 	}
-	for id, s := range l.seen {
+	for id, s := range l.renewals {
 		if _, member := members[id]; !member && now.Sub(s.at) > l.ttl {
-			delete(l.seen, id)
+			delete(l.renewals, id)
 		}
 	}
 	return out
 }
 
-// report lists the members with what the leader last heard from them. A lease
-// that was granted is no sign of life.
+// report returns the members with what the leader last received from them. A lease granted by the leader does
+// not count as received.
 func (l *leases) report() []wire.MemberStatus {
 	now := l.clock.Now()
 	view := l.cluster.View()
@@ -255,9 +251,9 @@
 	var out []wire.MemberStatus
 	for id, m := range view.Members {
 		row := wire.MemberStatus{Member: m, LastSeen: -1}
-		if s, ok := l.seen[id]; ok {
+		if s, ok := l.renewals[id]; ok {
 			row.ConfigVersion, row.Fault = s.version, s.fault
-			if !s.granted {
+			if !s.implicit {
 				row.LastSeen = now.Sub(s.at)
 			}
 		}
--- a/node/control/hint_test.go
+++ b/node/control/longpoll_test.go
@@ -17,28 +17,28 @@
 	"caperdrum.org/node/state"
 )
 
-// hinting is a cluster whose fences and term change by hand.
-type hinting struct {
-	cluster // nil: what is not overridden is not called
+// hintCluster is a cluster whose fencing tokens and term the test sets.
+type hintCluster struct {
+	cluster // nil: methods that are not overridden must not be called
 	machine *state.Machine
 	view    atomic.Pointer[state.View]
 	term    atomic.Uint64
 	outage  atomic.Bool
 }
 
-func (h *hinting) View() *state.View        { return h.view.Load() }
-func (h *hinting) Status() consensus.Status { return consensus.Status{Term: h.term.Load()} }
-func (h *hinting) StampAge() time.Duration  { return 0 }
-func (h *hinting) IsLeader() bool           { return false }
-func (h *hinting) Outage() error {
+func (h *hintCluster) View() *state.View        { return h.view.Load() }
+func (h *hintCluster) Status() consensus.Status { return consensus.Status{Term: h.term.Load()} }
+func (h *hintCluster) StampAge() time.Duration  { return 0 }
+func (h *hintCluster) IsLeader() bool           { return false }
+func (h *hintCluster) Outage() error {
 	if h.outage.Load() {
 		return syscall.ENOSPC
 	}
 	return nil
 }
-func (h *hinting) Leader() consensus.Peer { return consensus.Peer{} }
+func (h *hintCluster) Leader() consensus.Peer { return consensus.Peer{} }
 
-func (h *hinting) draw(t *testing.T, id wire.MemberID) {
+func (h *hintCluster) drawToken(t *testing.T, id wire.MemberID) {
 	data, err := state.Command{Fences: []wire.MemberID{id}}.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -49,16 +49,15 @@
 	h.view.Store(h.machine.View())
 }
 
-// TestHintEndsHold shows that a held-back answer comes at once, without a step
-// of the clock, when a token is drawn for the caller or the term changes, and
-// not when one is drawn for somebody else.
+// TestHintEndsHold checks that a long poll returns immediately, without advancing the clock, when a fencing
+// token is issued to the caller or the term changes, but not when one is issued to another process.
 func TestHintEndsHold(t *testing.T) {
-	h := &hinting{machine: state.New()}
+	h := &hintCluster{machine: state.New()}
 	h.view.Store(h.machine.View())
 	h.term.Store(1)
 	clock := clockwork.NewFakeClock()
-	s := &Service{cluster: h, clock: clock, news: newNews(h)}
-	s.follow = &follower{cluster: h, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queued{}, told: map[wire.MemberID]uint64{}}
+	s := &Service{cluster: h, clock: clock, notifier: newChangeNotifier(h)}
+	s.follower = &follower{cluster: h, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{}}
 	held := configsync.NewHolder(wire.Member{ID: "a"})
 	answers := make(chan *wire.SyncReply, 1)
 	ask := func() {
@@ -76,42 +75,41 @@
 	}
 	take := func(fence, term uint64) {
 		t.Helper()
-		s.news.check()
-		if !held.TakeHint(<-answers) || held.Hint() != (configsync.Hint{Fence: fence, Term: term}) {
+		s.notifier.check()
+		if !held.MergeHint(<-answers) || held.Hint() != (configsync.Hint{Fence: fence, Term: term}) {
 			t.Fatalf("hint %+v", held.Hint())
 		}
 	}
-	held.TakeHint(&wire.SyncReply{Term: 1})
+	held.MergeHint(&wire.SyncReply{Term: 1})
 	ask()
-	h.draw(t, "b")
-	s.news.check() // of no concern here: the answer stays held back
-	h.draw(t, "a")
+	h.drawToken(t, "b")
+	s.notifier.check() // irrelevant to the caller: the call keeps waiting
+	h.drawToken(t, "a")
 	take(2, 1)
 	ask()
 	h.term.Store(2)
 	take(2, 2)
-	if held.TakeHint(&wire.SyncReply{Fence: 1, Term: 1}) {
-		t.Fatal("a hint went back")
+	if held.MergeHint(&wire.SyncReply{Fence: 1, Term: 1}) {
+		t.Fatal("a hint decreased")
 	}
 	ask()
 	select {
 	case r := <-answers:
-		t.Fatalf("an answer without news: %+v", r)
+		t.Fatalf("a reply without updates: %+v", r)
 	default:
 	}
 	clock.Advance(time.Second)
 	<-answers
 }
 
-// TestOutageEndsHold lets the disk of a control process fail while a
-// synchronization is held back there: the caller is sent elsewhere at once,
-// without a step of the clock, and so is the next one.
+// TestOutageEndsHold lets the disk of a control process fail during a long poll. That call, and the next one,
+// must be redirected immediately, without advancing the clock.
 func TestOutageEndsHold(t *testing.T) {
-	h := &hinting{machine: state.New()}
+	h := &hintCluster{machine: state.New()}
 	h.view.Store(h.machine.View())
 	clock := clockwork.NewFakeClock()
-	s := &Service{cluster: h, clock: clock, news: newNews(h)}
-	s.follow = &follower{cluster: h, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queued{}, told: map[wire.MemberID]uint64{}}
+	s := &Service{cluster: h, clock: clock, notifier: newChangeNotifier(h)}
+	s.follower = &follower{cluster: h, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{}}
 	held := configsync.NewHolder(wire.Member{ID: "a"})
 	req := held.Request(time.Second)
 	answers := make(chan error, 1)
@@ -123,7 +121,7 @@
 		t.Fatal(err)
 	}
 	h.outage.Store(true)
-	s.news.check()
+	s.notifier.check()
 	if err := <-answers; verdict.Of(err) != verdict.NotRun {
 		t.Fatalf("%v", err)
 	}
@@ -132,20 +130,21 @@
 	}
 }
 
-// unconfirmed is a control process that has started again: it knows what its log says, and no quorum has
-// confirmed it yet.
-type unconfirmed struct {
-	*hinting
+// unconfirmedCluster is a restarted control process: it has restored its log, which no quorum has confirmed
+// yet.
+type unconfirmedCluster struct {
+	*hintCluster
 	age atomic.Int64
 }
 
-func (u *unconfirmed) StampAge() time.Duration { return time.Duration(u.age.Load()) }
+func (u *unconfirmedCluster) StampAge() time.Duration { return time.Duration(u.age.Load()) }
 
-// TestFirstViewWaitsForAConfirmation has processes that hold nothing ask again and again while no quorum has
-// confirmed what is known: nothing is sent that they could not use, and all that wait get it with the first
-// confirmation. A call that does not wait is answered at once, since its caller hears where the voters are.
+// TestFirstViewWaitsForAConfirmation lets processes without a view call sync repeatedly before a quorum has
+// confirmed the state. No reply may contain state that they cannot use, and all waiting calls must get it
+// with the first confirmation. A call that does not wait is answered immediately, since its caller needs the
+// voters' addresses.
 func TestFirstViewWaitsForAConfirmation(t *testing.T) {
-	u := &unconfirmed{hinting: &hinting{machine: state.New()}}
+	u := &unconfirmedCluster{hintCluster: &hintCluster{machine: state.New()}}
 	u.age.Store(-1)
 	data, err := state.Command{Join: fleetRecords(100), Put: &wire.PutRequest{Version: 1, Text: "[customer:foundry]\n"}}.Encode()
 	if err != nil {
@@ -156,8 +155,8 @@
 	}
 	u.view.Store(u.machine.View())
 	clock := clockwork.NewFakeClock()
-	s := &Service{cluster: u, clock: clock, news: newNews(u)}
-	s.follow = &follower{cluster: u, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queued{}, told: map[wire.MemberID]uint64{}}
+	s := &Service{cluster: u, clock: clock, notifier: newChangeNotifier(u)}
+	s.follower = &follower{cluster: u, clock: clock, wake: make(chan struct{}, 1), pending: map[wire.MemberID]queuedRenewal{}, reported: map[wire.MemberID]uint64{}}
 	const processes = 360
 	replies := make(chan *wire.SyncReply, processes)
 	const patience = 250 * time.Millisecond
@@ -184,16 +183,16 @@
 		clock.Advance(wait)
 		for range processes {
 			if r := <-replies; r.Config != nil || r.Members != nil {
-				t.Fatal("something is sent that no quorum has confirmed")
+				t.Fatal("a reply contains unconfirmed state")
 			}
 		}
 	}
 	ask(patience)
 	u.age.Store(0)
-	s.news.check() // without a step of the clock
+	s.notifier.check() // without advancing the clock
 	for range processes {
 		if r := <-replies; r.Config == nil || r.Members == nil || len(r.Members.Changed) != 100 {
-			t.Fatalf("with the confirmation comes %+v", r)
+			t.Fatalf("the reply after the confirmation is %+v", r)
 		}
 	}
 }
--- a/node/control/quarantine.go
+++ b/node/control/quarantine.go
@@ -9,24 +9,25 @@
 	"caperdrum.org/node/state"
 )
 
-// MethodCrashes takes over what a process has seen of calls that end upstreams.
-const MethodCrashes = "control.crashes"
+// MethodReportCrashes reports calls under which upstreams crashed.
+const MethodReportCrashes = "control.crashes"
 
-// crashes returns once a quorum holds the report: what is barred outlives the processes.
-func (s *Service) crashes(ctx context.Context, report *wire.CrashReport) (*Empty, error) {
+// reportCrashes returns once a quorum has stored the report, so that barred calls stay barred when processes
+// fail.
+func (s *Service) reportCrashes(ctx context.Context, report *wire.CrashReport) (*Empty, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
 	res, err := s.cluster.Propose(ctx, state.Command{Crashes: report})
 	if err != nil {
-		s.log.Info("report of crashes not confirmed", "crashes", len(report.Crashes), "answered", len(report.Answered), "error", err.Error())
+		s.log.Info("crash report not committed", "crashes", len(report.Crashes), "answered", len(report.Answered), "error", err.Error())
 		return nil, s.leaderError(err)
 	}
-	s.tellQuarantine(res.Quarantine)
+	s.logQuarantine(res.Quarantine)
 	return &Empty{}, nil
 }
 
-func (s *Service) tellQuarantine(c *wire.QuarantineChange) {
+func (s *Service) logQuarantine(c *wire.QuarantineChange) {
 	for _, e := range c.Barred {
 		s.log.Info("call barred", "fingerprint", e.Call.Fingerprint, "customer", e.Call.Customer, "route", e.Call.Route, "bytes", e.Call.Bytes, "upstreams", e.Upstreams)
 		s.ring.Record(timeline.Event{Kind: "call-barred", Detail: string(e.Call.Fingerprint) + " of " + e.Call.Customer + " on " + e.Call.Route})
@@ -40,8 +41,8 @@
 	}
 }
 
-// LiftBar ends the quarantine of a call and forgets what it was accused of.
-func (s *Service) LiftBar(ctx context.Context, f wire.Fingerprint) error {
+// LiftQuarantine ends the quarantine of a call and deletes the evidence against it.
+func (s *Service) LiftQuarantine(ctx context.Context, f wire.Fingerprint) error {
 	if !s.cluster.IsLeader() {
 		return s.notLeader()
 	}
@@ -50,11 +51,11 @@
 		return s.leaderError(err)
 	}
 	if len(res.Quarantine.Lifted) == 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no call with fingerprint %q is in quarantine", f)
+		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no call with fingerprint %q is quarantined", f)
 	}
-	s.tellQuarantine(res.Quarantine)
+	s.logQuarantine(res.Quarantine)
 	return nil
 }
 
-// Quarantine returns what this process knows of calls that end upstreams.
+// Quarantine returns the suspected and quarantined calls that this process has applied.
 func (s *Service) Quarantine() []wire.QuarantineEntry { return s.cluster.View().Quarantine }
--- a/node/control/service.go
+++ b/node/control/service.go
@@ -1,5 +1,5 @@
-// Package control is the control role: it runs the replica and answers the
-// other processes' calls for configuration, leases and the ledger.
+// Package control implements the control role. It runs the replica, and serves configuration, leases and the
+// idempotency ledger to the other processes.
 package control
 
 import (
@@ -25,18 +25,18 @@
 	"caperdrum.org/node/settings"
 )
 
-// Methods of the control role.
+// RPC methods of the control role.
 const (
-	MethodSync     = "control.sync"
-	MethodRenew    = "control.renew"
-	MethodClaim    = "control.claim"
-	MethodSettle   = "control.settle"
-	MethodHeld     = "control.held"
-	MethodIdentity = "control.identity"
-	MethodRaft     = "control.raft"
+	MethodSync            = "control.sync"
+	MethodRenew           = "control.renew"
+	MethodClaim           = "control.claim"
+	MethodSettle          = "control.settle"
+	MethodUnsettledClaims = "control.held"
+	MethodIdentity        = "control.identity"
+	MethodRaft            = "control.raft"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of Service.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
@@ -44,41 +44,41 @@
 	Log      logr.Logger
 	Ring     *timeline.Ring
 	Dial     peer.Dialer
-	// Directory is where other control processes are looked for.
+	// Directory provides the addresses of other control processes. If nil, New creates one from the settings.
 	Directory *peer.Directory `optional:"true"`
 	Security  *security.Store `optional:"true"`
 }
 
-// Service is the control role of one process.
+// Service implements the control role of one process.
 type Service struct {
-	set       *settings.Settings
-	kernel    *kernel.Kernel
-	log       logr.Logger
-	secure    *security.Store
-	ring      *timeline.Ring
-	links     *links
-	server    *peer.Server
-	leases    *leases
-	follow    *follower
-	news      *news
-	repair    *repair
-	puts      puts
-	rollouts  rollouts
-	replica   *replica.Replica
-	handouts  handouts
-	cluster   cluster // the replica, as synchronization and leases see it
-	directory *peer.Directory
-	seeds     []string // among which the founder is chosen; nil when this process may not found
-	clock     clockwork.Clock
-	listen    func(address string) (net.Listener, error)
+	set         *settings.Settings
+	kernel      *kernel.Kernel
+	log         logr.Logger
+	secure      *security.Store
+	ring        *timeline.Ring
+	transport   *transport
+	server      *peer.Server
+	leases      *leases
+	follower    *follower
+	notifier    *changeNotifier
+	repair      *repair
+	puts        pendingPuts
+	rollouts    rolloutTracker
+	replica     *replica.Replica
+	assignments claimAssignments
+	cluster     cluster // the replica, as synchronization and leases use it
+	directory   *peer.Directory
+	seeds       []string // candidates for the founder; nil if this process may not create a cluster
+	clock       clockwork.Clock
+	listen      func(address string) (net.Listener, error)
 
 	cancel  context.CancelFunc
 	stopped chan struct{}
 }
 
-// New opens the data folder and prepares the service.
+// New opens the data folder and creates the service. Start runs it.
 func New(p Params) (*Service, error) {
-	s := &Service{set: p.Settings, kernel: p.Kernel, log: p.Log, secure: p.Security, ring: p.Ring, handouts: handouts{at: map[wire.AttemptID]time.Time{}}, links: newLinks(p.Dial, p.Log), server: peer.NewServer(), stopped: make(chan struct{})}
+	s := &Service{set: p.Settings, kernel: p.Kernel, log: p.Log, secure: p.Security, ring: p.Ring, assignments: claimAssignments{assignedAt: map[wire.AttemptID]time.Time{}}, transport: newTransport(p.Dial, p.Log), server: peer.NewServer(), stopped: make(chan struct{})}
 	fs, err := disk.OpenDir(p.Settings.Node.DataDir)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -88,7 +88,7 @@
 	}
 	s.replica, err = replica.Open(replica.Options{
 		Name: wire.MemberID(p.Settings.Node.Name), Address: p.Settings.Control.Advertise, FS: fs,
-		Transport: s.links, Log: p.Log, Seed: uint64(time.Now().UnixNano()),
+		Transport: s.transport, Log: p.Log, Seed: uint64(time.Now().UnixNano()),
 	})
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -100,37 +100,37 @@
 		s.directory = peer.NewDirectory(p.Settings.Peers.Control)
 	}
 	if p.Settings.Control.SelfForming {
-		s.seeds, err = startFormation(fs, p.Settings.Peers.FirstStart, s.directory.Configured())
+		s.seeds, err = loadSeeds(fs, p.Settings.Peers.FirstStart, s.directory.Configured())
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
 	}
-	s.links.self = s.replica.Self()
+	s.transport.self = s.replica.Self()
 	s.leases = newLeases(s.cluster, s.clock, p.Settings.Control.Lease, p.Ring)
-	s.follow = newFollower(s)
-	s.news = newNews(s.cluster)
+	s.follower = newFollower(s)
+	s.notifier = newChangeNotifier(s.cluster)
 	s.repair = newRepair(s)
 	peer.Handle(s.server, MethodSync, s.sync)
 	peer.Handle(s.server, MethodRenew, s.renew)
-	peer.Handle(s.server, MethodClaim, s.claim)
-	peer.Handle(s.server, MethodSettle, s.settle)
-	peer.Handle(s.server, MethodHeld, s.held)
+	peer.Handle(s.server, MethodClaim, s.claimKey)
+	peer.Handle(s.server, MethodSettle, s.settleClaim)
+	peer.Handle(s.server, MethodUnsettledClaims, s.assignUnsettled)
 	peer.Handle(s.server, MethodIdentity, s.identity)
-	peer.Handle(s.server, MethodRaft, s.raft)
-	peer.Handle(s.server, peer.MethodLead, s.lead)
-	peer.Handle(s.server, MethodPut, s.put)
-	peer.Handle(s.server, MethodConfig, s.config)
+	peer.Handle(s.server, MethodRaft, s.receiveMessages)
+	peer.Handle(s.server, peer.MethodCheckLeader, s.checkLeader)
+	peer.Handle(s.server, MethodPut, s.putConfig)
+	peer.Handle(s.server, MethodConfig, s.readConfig)
 	peer.Handle(s.server, MethodAnnounce, s.announce)
 	peer.Handle(s.server, MethodLeave, s.leave)
-	peer.Handle(s.server, MethodOffer, s.offer)
+	peer.Handle(s.server, MethodOffer, s.acceptOffer)
 	peer.Handle(s.server, MethodEvacuate, s.Evacuate)
-	peer.Handle(s.server, MethodCrashes, s.crashes)
+	peer.Handle(s.server, MethodReportCrashes, s.reportCrashes)
 	peer.Handle(s.server, MethodStartRollout, s.StartRollout)
-	peer.Handle(s.server, MethodRollout, s.rollout)
+	peer.Handle(s.server, MethodRollout, s.readRollout)
 	peer.Handle(s.server, MethodReportRollout, s.reportRollout)
 	peer.Handle(s.server, formation.MethodHello, s.answerHello)
-	peer.Handle(s.server, peer.MethodWhere, s.where)
-	peer.Handle(s.server, peer.MethodTell, peer.Told)
+	peer.Handle(s.server, peer.MethodControlAddresses, s.controlAddresses)
+	peer.Handle(s.server, peer.MethodAnnounceControl, peer.IgnoreControlAddresses)
 	peer.Handle(s.server, peer.MethodPing, peer.Ping)
 	return s, nil
 }
@@ -146,28 +146,28 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	shown.Store(s)
+	metricsSource.Store(s)
 	go s.run(ctx)
 	go s.server.Serve(l)
 	go func() {
 		<-ctx.Done()
 		l.Close()
 	}()
-	go s.news.run(ctx)
+	go s.notifier.run(ctx)
 	go s.leases.run(ctx)
-	go s.follow.run(ctx)
+	go s.follower.run(ctx)
 	go s.repair.run(ctx)
-	go newOwnership(s).run(ctx)
-	go s.rolloutRun(ctx)
+	go newOwnerAssigner(s).run(ctx)
+	go s.runRollouts(ctx)
 	if s.set.Control.SelfForming {
-		go s.form(ctx)
-		go s.offerRun(ctx)
-		go s.tellRun(ctx)
+		go s.runFormation(ctx)
+		go s.runOffers(ctx)
+		go s.runSeedNotifier(ctx)
 	}
 	return nil
 }
 
-// voterAddresses are the peer addresses of the voters that this process knows.
+// voterAddresses returns the peer addresses of the voters known to this process.
 func (s *Service) voterAddresses() []string {
 	var out []string
 	for _, p := range s.cluster.Status().Membership.Voters {
@@ -176,9 +176,9 @@
 	return out
 }
 
-// where tells a process that lost its way where control processes listen.
-func (s *Service) where(context.Context, *Empty) (*peer.Where, error) {
-	return &peer.Where{Control: s.voterAddresses()}, nil
+// controlAddresses returns the addresses of the control processes.
+func (s *Service) controlAddresses(context.Context, *Empty) (*peer.ControlAddresses, error) {
+	return &peer.ControlAddresses{Control: s.voterAddresses()}, nil
 }
 
 func (s *Service) run(ctx context.Context) {
@@ -188,13 +188,12 @@
 	}
 }
 
-const transferTime = 500 * time.Millisecond
+const transferTimeout = 500 * time.Millisecond
 
-// Stop implements kernel.Stopper. A leader hands over first, so that nobody
-// waits for an election.
+// Stop implements kernel.Stopper. A leader transfers leadership first, to avoid an election.
 func (s *Service) Stop(ctx context.Context) error {
 	if s.replica.IsLeader() {
-		transferCtx, cancel := context.WithTimeout(ctx, transferTime)
+		transferCtx, cancel := context.WithTimeout(ctx, transferTimeout)
 		defer cancel()
 		if s.replica.TransferLeadership(transferCtx) == nil {
 			s.waitUntilFollower(transferCtx)
@@ -203,7 +202,7 @@
 	s.cancel()
 	<-s.stopped
 	s.server.Close()
-	s.links.close()
+	s.transport.close()
 	return nil
 }
 
@@ -213,23 +212,22 @@
 	}
 }
 
-// RaftBatch is a batch of messages between two replicas.
-type RaftBatch struct {
+// MessageBatch is a batch of messages between two replicas.
+type MessageBatch struct {
 	From     consensus.Peer      `json:"from"`
 	Messages []consensus.Message `json:"messages"`
 }
 
-// Empty is a call or an answer without content.
+// Empty is a request or reply without content.
 type Empty = peer.Empty
 
-func (s *Service) raft(_ context.Context, b *RaftBatch) (*Empty, error) {
-	s.links.learn(b.From)
+func (s *Service) receiveMessages(_ context.Context, b *MessageBatch) (*Empty, error) {
+	s.transport.setAddress(b.From)
 	s.replica.Step(b.Messages)
 	return &Empty{}, nil
 }
 
-// Identity names a control process's replica, for the leader that wants to add
-// it.
+// Identity is the replica of a control process, for a leader that may add it as a voter.
 type Identity struct {
 	Name string         `json:"name"`
 	Peer consensus.Peer `json:"peer"`
@@ -239,21 +237,21 @@
 	return &Identity{Name: s.set.Node.Name, Peer: s.replica.Self()}, nil
 }
 
-// notLeader returns the error that sends a caller to the leader.
+// notLeader returns an error that redirects the caller to the leader.
 func (s *Service) notLeader() error {
 	l := s.cluster.Leader()
 	return &peer.ErrNotLeader{Leader: wire.MemberID(l.ID), Address: l.Address}
 }
 
-// lead answers only where a quorum confirmed the lead lately.
-func (s *Service) lead(context.Context, *Empty) (*Empty, error) {
-	if _, ok := stampOf(s.cluster); !ok || !s.cluster.IsLeader() {
+// checkLeader succeeds only if this process leads and a quorum has recently confirmed it.
+func (s *Service) checkLeader(context.Context, *Empty) (*Empty, error) {
+	if _, ok := confirmationOf(s.cluster); !ok || !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
 	return &Empty{}, nil
 }
 
-// leaderError replaces ErrNotLeader by one that says who leads.
+// leaderError replaces replica.ErrNotLeader by an error that contains the leader's address.
 func (s *Service) leaderError(err error) error {
 	if errors.Is(err, replica.ErrNotLeader) {
 		return s.notLeader()
--- a/node/ledger/run.go
+++ b/node/ledger/run.go
@@ -140,7 +140,7 @@
 		// The claim may have taken effect, but its attempt was not submitted and never will be. Whoever finds
 		// the claim can have the gate confirm that; since the gate may be gone by then, the claim is released
 		// from here as well.
-		if !errors.Is(err, peer.ErrNotTaken) {
+		if !errors.Is(err, peer.ErrNotAccepted) {
 			r.settleLater(wire.SettleRequest{ClaimKey: claim.ClaimKey, Attempt: claim.Attempt, Outcome: wire.Outcome{Verdict: verdict.NotRun}})
 		}
 		return nil, verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "the key could not be claimed: %v", err)
--- a/node/ledger/service.go
+++ b/node/ledger/service.go
@@ -46,7 +46,7 @@
 func New(p Params) *Service {
 	s := &Service{ring: p.Ring, sync: p.Sync}
 	s.runner = runner{
-		control:    leaderClient{p.Sync.Control()},
+		control:    leaderClient{p.Sync.LeaderClient()},
 		gates:      p.Dispatch,
 		chooser:    p.Routing,
 		clock:      clockwork.NewRealClock(),
@@ -75,7 +75,7 @@
 }
 
 // leaderClient implements control by calls to the leader over the peer links.
-type leaderClient struct{ control *peer.Control }
+type leaderClient struct{ control *peer.LeaderClient }
 
 func (l leaderClient) Claim(ctx context.Context, r wire.ClaimRequest) (wire.ClaimReply, error) {
 	var reply wire.ClaimReply
--- a/node/memberset/memberset.go
+++ b/node/memberset/memberset.go
@@ -1,5 +1,5 @@
-// Package memberset holds the members of a cluster as an immutable set: one that differs in a few members
-// shares the rest, so that a change costs the same in a small cluster and in a large one.
+// Package memberset provides an immutable set of the members of a cluster. Sets that differ in a few members
+// share the rest, so that the cost of a change does not depend on the size of the cluster.
 package memberset
 
 import (
@@ -12,10 +12,10 @@
 
 // Set is an immutable set of members by ID. Its zero value is empty.
 type Set struct {
-	by *immutable.Map[wire.MemberID, wire.Member]
+	byID *immutable.Map[wire.MemberID, wire.Member]
 }
 
-// Of returns the set of the members; of two with one ID it is the last.
+// Of returns the set of the given members. If several have the same ID, the last one counts.
 func Of(members ...wire.Member) Set {
 	b := immutable.NewMapBuilder[wire.MemberID, wire.Member](nil)
 	for _, m := range members {
@@ -24,29 +24,29 @@
 	return Set{b.Map()}
 }
 
-// Get returns a member.
+// Get returns the member with the given ID.
 func (s Set) Get(id wire.MemberID) (wire.Member, bool) {
-	if s.by == nil {
+	if s.byID == nil {
 		return wire.Member{}, false
 	}
-	return s.by.Get(id)
+	return s.byID.Get(id)
 }
 
-// Len returns how many members there are.
+// Len returns the number of members.
 func (s Set) Len() int {
-	if s.by == nil {
+	if s.byID == nil {
 		return 0
 	}
-	return s.by.Len()
+	return s.byID.Len()
 }
 
-// All iterates over the members in no order.
+// All iterates over the members in unspecified order.
 func (s Set) All() iter.Seq[wire.Member] {
 	return func(yield func(wire.Member) bool) {
-		if s.by == nil {
+		if s.byID == nil {
 			return
 		}
-		for it := s.by.Iterator(); !it.Done(); {
+		for it := s.byID.Iterator(); !it.Done(); {
 			if _, m, ok := it.Next(); ok && !yield(m) {
 				return
 			}
@@ -54,18 +54,18 @@
 	}
 }
 
-// With returns the set with the member in place of the one with its ID.
+// With returns the set with m added, or replaced if the set contains a member with its ID.
 func (s Set) With(m wire.Member) Set {
-	if s.by == nil {
+	if s.byID == nil {
 		return Of(m)
 	}
-	return Set{s.by.Set(m.ID, m)}
+	return Set{s.byID.Set(m.ID, m)}
 }
 
-// Without returns the set without a member.
+// Without returns the set without the member with the given ID.
 func (s Set) Without(id wire.MemberID) Set {
-	if s.by == nil {
+	if s.byID == nil {
 		return s
 	}
-	return Set{s.by.Delete(id)}
+	return Set{s.byID.Delete(id)}
 }
--- a/node/order/demand_reporter.go
+++ b/node/order/demand_reporter.go
@@ -28,7 +28,7 @@
 type DemandReporter struct {
 	self    wire.MemberID
 	sync    *configsync.Service
-	control *peer.Control
+	control *peer.LeaderClient
 	cancel  context.CancelFunc
 	wakeup  chan struct{}
 
@@ -44,7 +44,7 @@
 // NewDemandReporter returns the service, which counts the misses of the routing service.
 func NewDemandReporter(p DemandReporterParams) *DemandReporter {
 	d := &DemandReporter{self: wire.MemberID(p.Settings.Node.Name), sync: p.Sync, wakeup: make(chan struct{}, 1),
-		control: peer.NewControl(p.Settings.Peers.Control, p.Dial), misses: map[string]int64{}}
+		control: peer.NewLeaderClient(p.Settings.Peers.Control, p.Dial), misses: map[string]int64{}}
 	p.Routing.OnEmpty(d.recordMiss)
 	return d
 }
--- a/node/peer/control.go
+++ b/node/peer/control.go
@@ -12,38 +12,36 @@
 	"caperdrum.org/api/verdict"
 )
 
-// Control calls the control processes. It remembers which one leads and finds
-// the new leader after a change.
-type Control struct {
+// LeaderClient calls the control processes. It remembers the leader, and finds the new one after a change.
+type LeaderClient struct {
 	clock     clockwork.Clock
-	ctx       context.Context // ends with Close
+	ctx       context.Context // cancelled by Close
 	close     context.CancelFunc
 	directory *Directory
 	dial      Dialer
 
 	mu         sync.Mutex
 	clients    []*Client // never empty
-	generation uint64    // of the directory, as clients were made
+	generation uint64    // of the directory when clients was built
 	current    int
-	search     *search // nil while the leader answers
+	search     *leaderSearch // nil while the leader answers
 }
 
-// NewControl returns a Control over the given addresses.
-func NewControl(addresses []string, dial Dialer) *Control {
-	return NewDirectoryControl(NewDirectory(addresses), dial)
+// NewLeaderClient returns a LeaderClient for a fixed list of addresses.
+func NewLeaderClient(addresses []string, dial Dialer) *LeaderClient {
+	return NewDirectoryLeaderClient(NewDirectory(addresses), dial)
 }
 
-// NewDirectoryControl returns a Control that follows the directory, which must
-// not be empty.
-func NewDirectoryControl(directory *Directory, dial Dialer) *Control {
-	c := &Control{clock: clockwork.NewRealClock(), directory: directory, dial: dial}
+// NewDirectoryLeaderClient returns a LeaderClient for the addresses in the directory, which must not be empty.
+func NewDirectoryLeaderClient(directory *Directory, dial Dialer) *LeaderClient {
+	c := &LeaderClient{clock: clockwork.NewRealClock(), directory: directory, dial: dial}
 	c.ctx, c.close = context.WithCancel(context.Background())
-	c.follow()
+	c.refreshClients()
 	return c
 }
 
-// follow takes over the directory's addresses. The caller holds c.mu or owns c.
-func (c *Control) follow() {
+// refreshClients adopts changes of the directory. The caller holds c.mu or has exclusive access to c.
+func (c *LeaderClient) refreshClients() {
 	addresses, generation := c.directory.Addresses()
 	if generation == c.generation {
 		return
@@ -65,8 +63,8 @@
 	}
 }
 
-// reuse takes the client of the address out of old, or makes one.
-func (c *Control) reuse(old *[]*Client, address string) *Client {
+// reuse removes the client of the address from old, or creates one.
+func (c *LeaderClient) reuse(old *[]*Client, address string) *Client {
 	for i, cl := range *old {
 		if cl.address == address {
 			*old = slices.Delete(*old, i, i+1)
@@ -77,66 +75,66 @@
 }
 
 const (
-	retryPause = 50 * time.Millisecond
-	callLimit  = 2 * time.Second // a control process that does not answer by then is passed over
+	retryInterval = 50 * time.Millisecond
+	callTimeout   = 2 * time.Second // a control process that does not answer within this time is skipped
 )
 
-// ErrNoLeader says that no leader answered a call in time. The call may have
-// reached one, and may take effect.
+// ErrNoLeader says that no leader answered a call in time. The call may have been received, and may still
+// take effect.
 const ErrNoLeader = errors.ConstError("peer: no leader answered")
 
-// ErrNotTaken says, beside ErrNoLeader, that no process took the call: it has no
-// effect, now or later.
-const ErrNotTaken = errors.ConstError("peer: call not taken")
+// ErrNotAccepted says, in addition to another error, that no process accepted the call: it has no effect, now or
+// later.
+const ErrNotAccepted = errors.ConstError("peer: call not accepted")
 
-// CallLeader repeats an idempotent call until the leader has answered it, ctx
-// has ended or SearchLimit is over. Once no leader has been found for
-// SearchLimit it fails at once, with ErrNoLeader as in the other two cases.
-func (c *Control) CallLeader(ctx context.Context, method string, params, result any) error {
+// CallLeader repeats an idempotent call until the leader answers, ctx ends or SearchTimeout expires. If a
+// search for the leader has already taken SearchTimeout, it fails immediately. Without an answer of the
+// leader, the error is ErrNoLeader. If no process accepted the call, it is ErrNotAccepted as well.
+func (c *LeaderClient) CallLeader(ctx context.Context, method string, params, result any) error {
 	caller := ctx
 	ctx, cancel := context.WithCancel(caller)
 	defer cancel()
-	defer c.clock.AfterFunc(SearchLimit, cancel).Stop()
+	defer c.clock.AfterFunc(SearchTimeout, cancel).Stop()
 	var last error
 	taken := false
-	for ctx.Err() == nil && !c.givenUp() {
+	for ctx.Err() == nil && !c.searchExpired() {
 		client := c.pick()
 		last = c.callOnce(ctx, client, method, params, result)
-		if led(last) {
-			c.found()
-			return untaken(last, taken)
+		if isLeaderAnswer(last) {
+			c.leaderFound()
+			return withNotAccepted(last, taken)
 		}
-		taken = taken || !refused(last)
+		taken = taken || !notAccepted(last)
 		if errors.Is(caller.Err(), context.Canceled) {
-			break // the caller left; that says nothing about the leader
+			break // the caller gave up, which says nothing about the leader
 		}
-		c.missed()
-		c.moveOn(client, last)
-		sleep(ctx, retryPause)
+		c.startSearch()
+		c.selectNext(client, last)
+		sleep(ctx, retryInterval)
 	}
 	if last == nil {
 		last = ErrNoLeader
 	}
-	return untaken(errors.WithType(errors.Annotate(last, method), ErrNoLeader), taken)
+	return withNotAccepted(errors.WithType(errors.Annotate(last, method), ErrNoLeader), taken)
 }
 
-// untaken adds ErrNotTaken to a failure of a call that no process took.
-func untaken(err error, taken bool) error {
-	if err == nil || taken || !refused(err) && !errors.Is(err, ErrNoLeader) {
+// withNotAccepted adds ErrNotAccepted to the error of a call that no process accepted.
+func withNotAccepted(err error, taken bool) error {
+	if err == nil || taken || !notAccepted(err) && !errors.Is(err, ErrNoLeader) {
 		return err
 	}
-	return errors.WithType(err, ErrNotTaken)
+	return errors.WithType(err, ErrNotAccepted)
 }
 
-// refused reports whether err proves that the call was not taken.
-func refused(err error) bool {
+// notAccepted reports whether err proves that the call was not accepted.
+func notAccepted(err error) bool {
 	var nl *ErrNotLeader
 	var v *verdict.Error
 	return errors.As(err, &nl) || errors.Is(err, ErrUnreachable) || errors.As(err, &v) && v.Verdict == verdict.NotRun
 }
 
-// led reports whether err, or its absence, is a leader's answer.
-func led(err error) bool {
+// isLeaderAnswer reports whether err (or nil) is an answer of the leader.
+func isLeaderAnswer(err error) bool {
 	if err == nil {
 		return true
 	}
@@ -144,16 +142,16 @@
 	return errors.As(err, &v) && !leadershipEnded(v)
 }
 
-// leadershipEnded reports whether the called process stopped leading while it
-// held the call. The next leader can answer it, since it is idempotent.
+// leadershipEnded reports whether the called process lost leadership during the call. The next leader can
+// serve the call, since it is idempotent.
 func leadershipEnded(v *verdict.Error) bool {
 	return v.Code == verdict.CodeShutdown || v.Code == verdict.CodeNoQuorum
 }
 
-func (c *Control) callOnce(ctx context.Context, client *Client, method string, params, result any) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+func (c *LeaderClient) callOnce(ctx context.Context, client *Client, method string, params, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if s := c.searching(); s != nil {
+	if s := c.currentSearch(); s != nil {
 		defer s.onExpiry(cancel)()
 	}
 	return client.Call(ctx, method, params, result)
@@ -166,24 +164,24 @@
 	}
 }
 
-func (c *Control) pick() *Client {
+func (c *LeaderClient) pick() *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.follow()
+	c.refreshClients()
 	return c.clients[c.current]
 }
 
-// Next passes over the current control process.
-func (c *Control) Next() { c.moveOn(c.pick(), nil) }
+// Next switches to the next control process.
+func (c *LeaderClient) Next() { c.selectNext(c.pick(), nil) }
 
 // Current returns the client of the control process in use.
-func (c *Control) Current() *Client { return c.pick() }
+func (c *LeaderClient) Current() *Client { return c.pick() }
 
-func (c *Control) moveOn(from *Client, err error) {
+func (c *LeaderClient) selectNext(from *Client, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.clients[c.current] != from {
-		return // somebody else did
+		return // another caller already switched
 	}
 	var nl *ErrNotLeader
 	if errors.As(err, &nl) && nl.Address != "" {
@@ -193,7 +191,7 @@
 				return
 			}
 		}
-		if nl.Address != from.address { // it became a voter lately
+		if nl.Address != from.address { // it recently became a voter
 			c.clients = append(c.clients, NewClient(nl.Address, c.dial))
 			c.current = len(c.clients) - 1
 			return
@@ -203,9 +201,9 @@
 }
 
 // Close closes all connections.
-func (c *Control) Close() {
+func (c *LeaderClient) Close() {
 	c.close()
-	c.found()
+	c.leaderFound()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cl := range c.clients {
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -74,7 +74,7 @@
 type viewSource interface {
 	StampAge() time.Duration
 	// Steady returns for how long the view has been confirmed without a gap; see package configsync.
-	Steady() time.Duration
+	ConfirmedFor() time.Duration
 	Self() wire.Member
 	SetLeaving(leaving bool)
 }
@@ -149,7 +149,7 @@
 // initQuota creates this process's share of the limits that hold over all processes.
 func (s *Service) initQuota(clock clockwork.Clock) {
 	p := s.set.Proxy
-	s.peers = retry.NewPeers(p.RepeatWindow, clock, retry.Confirmations{ConfirmedFor: s.views.Steady, Gap: configsync.LongestGap})
+	s.peers = retry.NewPeers(p.RepeatWindow, clock, retry.Confirmations{ConfirmedFor: s.views.ConfirmedFor, Gap: configsync.MaxConfirmationGap})
 	s.repeats = retry.NewQuota(retry.Limit{Ratio: p.RepeatRatio, Fixed: p.RepeatFixed, Window: p.RepeatWindow}, clock, s.peers)
 }
 
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -83,8 +83,8 @@
 // fixedViews is a viewSource whose last confirmation has a fixed age.
 type fixedViews struct{ age time.Duration }
 
-func (v *fixedViews) StampAge() time.Duration { return v.age }
-func (v *fixedViews) Steady() time.Duration   { return time.Hour }
+func (v *fixedViews) StampAge() time.Duration     { return v.age }
+func (v *fixedViews) ConfirmedFor() time.Duration { return time.Hour }
 func (v *fixedViews) Self() wire.Member {
 	return wire.Member{ID: "proxy-1", Peer: "127.0.0.1:1", Incarnation: 1}
 }
@@ -148,7 +148,7 @@
 	}
 	f := &fixture{t: t, views: &fixedViews{}, stages: &fakeStages{}}
 	self := f.views.Self()
-	f.view = configsync.View{Config: config, Version: 7, Announced: map[string][]wire.Member{}, Members: memberset.Of(self), Peers: []wire.Member{self}}
+	f.view = configsync.View{Config: config, Version: 7, Announced: map[string][]wire.Member{}, Members: memberset.Of(self), Proxies: []wire.Member{self}}
 	f.service = newService(&settings.Settings{Proxy: settings.ProxyRole{KeyAge: 4 * time.Second, RepeatRatio: 0.2, RepeatFixed: 50, RepeatWindow: 10 * time.Second}}, logr.Discard(), upstream.Native{}, noNotices(), f.views, f.stages)
 	f.clock = clockwork.NewFakeClock()
 	f.service.initQuota(f.clock)
--- a/node/proxy/repeat_test.go
+++ b/node/proxy/repeat_test.go
@@ -106,7 +106,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.view.Members, f.view.Peers = memberset.Of(members...), members
+			f.view.Members, f.view.Proxies = memberset.Of(members...), members
 			var n callCounter
 			f.upstream("desk", "d1", n.count(breakOff))
 			f.upstream("desk", "d2", n.count(breakOff))
@@ -143,12 +143,12 @@
 	self := f.views.Self()
 	see := func(n int) {
 		next := f.view
-		next.Peers = []wire.Member{self}
+		next.Proxies = []wire.Member{self}
 		for i := range n - 1 {
 			id := wire.MemberID(fmt.Sprint("other-", i))
-			next.Peers = append(next.Peers, wire.Member{ID: id, Peer: "127.0.0.1:2"})
+			next.Proxies = append(next.Proxies, wire.Member{ID: id, Peer: "127.0.0.1:2"})
 		}
-		next.Members = memberset.Of(next.Peers...)
+		next.Members = memberset.Of(next.Proxies...)
 		f.service.applyView(&next)
 	}
 	x := &exchange{s: f.service, service: &optext.Service{}}
--- a/node/proxy/table.go
+++ b/node/proxy/table.go
@@ -30,16 +30,16 @@
 
 // newTable returns the table of a view. It reuses what has not changed since the previous table, which may be nil.
 func newTable(v *configsync.View, regions map[string]string, previous *table) *table {
-	t := &table{version: v.Version, membersSeq: v.Seq, config: v.Config, announced: v.Announced, members: v.Members, peers: v.Peers}
+	t := &table{version: v.Version, membersSeq: v.MembersSeq, config: v.Config, announced: v.Announced, members: v.Members, peers: v.Proxies}
 	if previous != nil && previous.config == v.Config {
 		t.byHost, t.customers, t.regions = previous.byHost, previous.customers, previous.regions
 	} else {
 		t.setConfig(v.Config, regions)
 	}
-	if previous != nil && configsync.SameList(previous.peers, v.Peers) {
+	if previous != nil && configsync.SameList(previous.peers, v.Proxies) {
 		t.proxyCount, t.proxiesByDataCenter = previous.proxyCount, previous.proxiesByDataCenter
 	} else {
-		t.setPeers(v.Peers)
+		t.setPeers(v.Proxies)
 	}
 	return t
 }
