--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -63,11 +63,11 @@
 }
 
 const (
-	settleTimeout   = time.Second           // a gate asked about an attempt must answer within
-	lateSettle      = 50 * time.Millisecond // the same once the caller must be answered
-	maxReattach     = 3
-	idleConnections = 256
-	idleTimeout     = 90 * time.Second // shorter than the gate's
+	statusTimeout     = time.Second           // a gate asked about an attempt must answer within
+	lateCancelTimeout = 50 * time.Millisecond // the same once the caller must be answered
+	maxReattach       = 3
+	idleConnections   = 256
+	idleTimeout       = 90 * time.Second // shorter than the gate's
 )
 
 // New returns the service.
@@ -92,11 +92,11 @@
 	resp, err := s.submit(ctx, e, c)
 	if err == nil {
 		var a *Answer
-		if a, err = s.open(ctx, e, c, resp); !errors.Is(err, errNoAnswer) {
+		if a, err = s.openResponse(ctx, e, c, resp); !errors.Is(err, errNotOurResponse) {
 			return a, err
 		}
 	}
-	return s.recover(ctx, e, c, err)
+	return s.recoverAttempt(ctx, e, c, err)
 }
 
 func (s *Service) submit(ctx context.Context, e *routing.Endpoint, c Call) (*http.Response, error) {
@@ -109,7 +109,7 @@
 	req.GetBody = nil
 	h := req.Header
 	wire.PassToUpstream(h, c.Header)
-	s.setCommon(h)
+	s.setCommonHeaders(h)
 	if c.ContentType != "" {
 		h.Set("Content-Type", c.ContentType)
 	}
@@ -134,22 +134,22 @@
 	return "http://" + e.Member.Gate + "/v1/attempts/" + url.PathEscape(string(id)) + rest
 }
 
-func (s *Service) setCommon(h http.Header) {
+func (s *Service) setCommonHeaders(h http.Header) {
 	h.Set(wire.HeaderClock, s.ring.Clock.Now().String())
 	if v := s.sync.View(); v != nil {
 		h.Set(wire.HeaderVersion, strconv.FormatUint(v.Version, 10))
 	}
 }
 
-func (s *Service) observe(e *routing.Endpoint, h http.Header) {
+func (s *Service) observeHeaders(e *routing.Endpoint, h http.Header) {
 	s.ring.Clock.Observe(timeline.ParseStamp(h.Get(wire.HeaderClock)))
 	if v, err := strconv.ParseUint(h.Get(wire.HeaderVersion), 10, 64); err == nil {
 		s.sync.Saw(v)
 	}
-	report(e, h.Get(wire.HeaderLoad))
+	reportLoad(e, h.Get(wire.HeaderLoad))
 }
 
-func report(e *routing.Endpoint, load string) {
+func reportLoad(e *routing.Endpoint, load string) {
 	parts := strings.Split(load, "/")
 	if len(parts) != 3 {
 		return
@@ -166,20 +166,20 @@
 }
 
 // errNoAnswer says that a response told nothing about the attempt.
-const errNoAnswer = errors.ConstError("the response tells nothing about the attempt")
+const errNotOurResponse = errors.ConstError("the response tells nothing about the attempt")
 
 // open checks a gate's response and wraps its body. The error is a
 // verdict.Error from the gate, or errNoAnswer.
-func (s *Service) open(ctx context.Context, e *routing.Endpoint, c Call, resp *http.Response) (*Answer, error) {
-	s.observe(e, resp.Header)
+func (s *Service) openResponse(ctx context.Context, e *routing.Endpoint, c Call, resp *http.Response) (*Answer, error) {
+	s.observeHeaders(e, resp.Header)
 	if resp.Header.Get(wire.HeaderError) != "" {
 		defer resp.Body.Close()
-		return nil, refusal(resp)
+		return nil, decodeRefusal(resp)
 	}
 	status, err := strconv.Atoi(resp.Header.Get(wire.HeaderStatus))
-	if err != nil || !belongs(resp, e, c) {
+	if err != nil || !matchesAttempt(resp, e, c) {
 		resp.Body.Close()
-		return nil, errNoAnswer
+		return nil, errNotOurResponse
 	}
 	body := &bodyReader{s: s, ctx: ctx, endpoint: e, call: c, resp: resp, sum: xxhash.New()}
 	a := &Answer{Status: status, ContentType: resp.Header.Get("Content-Type"), Header: http.Header{}, Body: body}
@@ -187,17 +187,17 @@
 	return a, nil
 }
 
-func refusal(resp *http.Response) error {
+func decodeRefusal(resp *http.Response) error {
 	v := &verdict.Error{}
 	if err := json.NewDecoder(resp.Body).Decode(v); err != nil || v.Code == "" || v.Status == 0 {
-		return errNoAnswer
+		return errNotOurResponse
 	}
 	return v
 }
 
 // belongs reports whether a response is the answer to this attempt, from the
 // gate's start that it was sent to.
-func belongs(resp *http.Response, e *routing.Endpoint, c Call) bool {
+func matchesAttempt(resp *http.Response, e *routing.Endpoint, c Call) bool {
 	h := resp.Header
 	return resp.StatusCode == http.StatusOK && h.Get(wire.HeaderAttempt) == string(c.Attempt) && h.Get(wire.HeaderStage) == c.Stage &&
 		h.Get(wire.HeaderIncarnation) == strconv.FormatUint(e.Member.Incarnation, 10)
@@ -205,22 +205,22 @@
 
 // recover finds out what became of an attempt whose response was lost, and
 // goes on with its answer if it runs.
-func (s *Service) recover(ctx context.Context, e *routing.Endpoint, c Call, cause error) (*Answer, error) {
+func (s *Service) recoverAttempt(ctx context.Context, e *routing.Endpoint, c Call, cause error) (*Answer, error) {
 	var op *net.OpError
 	if errors.As(cause, &op) && op.Op == "dial" {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "the gate of %s is not reached", e.Member.ID)
 	}
 	if ctx.Err() != nil || !time.Now().Before(c.Deadline) {
-		return nil, s.giveUp(e, c)
+		return nil, s.cancelAbandoned(e, c)
 	}
 	st, err := s.Cancel(e, c.Attempt, false)
 	if err != nil {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the connection to %s was lost: %v", e.Member.ID, cause)
 	}
-	if v := s.settled(e, st); v != nil {
+	if v := s.verdictAfterCancel(e, st); v != nil {
 		return nil, v
 	}
-	if a, err := s.Attach(ctx, e, c, 0); err == nil || !errors.Is(err, errNoAnswer) {
+	if a, err := s.Attach(ctx, e, c, 0); err == nil || !errors.Is(err, errNotOurResponse) {
 		return a, err
 	}
 	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the answer of %s was lost", e.Member.ID)
@@ -228,13 +228,13 @@
 
 // giveUp makes sure that an attempt whose caller has gone, or whose deadline
 // has passed, does not start later. The caller is answered soon in any case.
-func (s *Service) giveUp(e *routing.Endpoint, c Call) error {
-	ctx, cancel := context.WithTimeout(context.Background(), lateSettle)
+func (s *Service) cancelAbandoned(e *routing.Endpoint, c Call) error {
+	ctx, cancel := context.WithTimeout(context.Background(), lateCancelTimeout)
 	defer cancel()
 	st, err := s.cancelCall(ctx, e, c.Attempt, c.Repeatable)
 	if err != nil {
 		go s.Cancel(e, c.Attempt, c.Repeatable)
-	} else if v := s.settled(e, st); v != nil {
+	} else if v := s.verdictAfterCancel(e, st); v != nil {
 		return v
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before an answer came")
@@ -242,12 +242,12 @@
 
 // settled returns the verdict that a status after a cancellation allows, or
 // nil when the attempt has started.
-func (s *Service) settled(e *routing.Endpoint, st wire.AttemptStatus) *verdict.Error {
+func (s *Service) verdictAfterCancel(e *routing.Endpoint, st wire.AttemptStatus) *verdict.Error {
 	switch {
 	case st.Incarnation != e.Member.Incarnation:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeIncarnation, "the gate of %s was restarted", e.Member.ID)
 	case st.State == wire.AttemptTombstoned:
-		return verdict.New(verdict.NotRun, verdict.CodeUpstream, "the attempt at %s is cancelled", e.Member.ID).After(settleTimeout)
+		return verdict.New(verdict.NotRun, verdict.CodeUpstream, "the attempt at %s is cancelled", e.Member.ID).After(statusTimeout)
 	case st.State != wire.AttemptRunning && st.State != wire.AttemptDone:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the gate of %s does not know the attempt", e.Member.ID)
 	}
@@ -257,7 +257,7 @@
 // Cancel makes sure that an attempt that has not started never does. With
 // abandon set, a running one is ended too.
 func (s *Service) Cancel(e *routing.Endpoint, id wire.AttemptID, abandon bool) (wire.AttemptStatus, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	return s.cancelCall(ctx, e, id, abandon)
 }
@@ -274,14 +274,14 @@
 // never does. It never ends a running one. The state AttemptForgotten leaves
 // open whether the attempt ran.
 func (s *Service) CancelClaimed(ctx context.Context, e *routing.Endpoint, id wire.AttemptID) (wire.AttemptStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return s.cancelCall(ctx, e, id, false)
 }
 
 // Status asks a gate what it knows of an attempt.
 func (s *Service) Status(ctx context.Context, e *routing.Endpoint, id wire.AttemptID) (wire.AttemptStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return s.statusCall(ctx, e, http.MethodGet, attemptURL(e, id, ""))
 }
@@ -292,13 +292,13 @@
 	if err != nil {
 		return st, errors.Trace(err)
 	}
-	s.setCommon(req.Header)
+	s.setCommonHeaders(req.Header)
 	resp, err := s.client.Do(req)
 	if err != nil {
 		return st, errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	s.observe(e, resp.Header)
+	s.observeHeaders(e, resp.Header)
 	if resp.StatusCode != http.StatusOK {
 		return st, errors.Errorf("the gate answers with status %d", resp.StatusCode)
 	}
@@ -311,7 +311,7 @@
 	if err != nil {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "attach: %v", err)
 	}
-	return s.open(ctx, e, c, resp)
+	return s.openResponse(ctx, e, c, resp)
 }
 
 func (s *Service) attach(ctx context.Context, e *routing.Endpoint, c Call, offset int64) (*http.Response, error) {
@@ -319,6 +319,6 @@
 	if err != nil {
 		return nil, err
 	}
-	s.setCommon(req.Header)
+	s.setCommonHeaders(req.Header)
 	return s.client.Do(req)
 }
--- a/node/dispatch/body.go
+++ b/node/dispatch/reader.go
@@ -17,40 +17,40 @@
 // bodyReader reads an answer and checks its end mark, length and checksum.
 // When the connection breaks it attaches again where it stopped.
 type bodyReader struct {
-	s        *Service
-	ctx      context.Context
-	endpoint *routing.Endpoint
-	call     Call
-	resp     *http.Response
-	sum      *xxhash.Digest
-	offset   int64
-	attached int
-	failed   error
+	s             *Service
+	ctx           context.Context
+	endpoint      *routing.Endpoint
+	call          Call
+	resp          *http.Response
+	sum           *xxhash.Digest
+	offset        int64
+	reattachCount int
+	err           error
 }
 
 // Read implements io.Reader.
 func (b *bodyReader) Read(p []byte) (int, error) {
-	for b.failed == nil {
+	for b.err == nil {
 		n, err := b.resp.Body.Read(p)
 		b.offset += int64(n)
 		b.sum.Write(p[:n])
 		switch {
 		case err == io.EOF:
-			b.failed = b.checkEnd()
+			b.err = b.checkTrailers()
 		case err != nil:
-			b.failed = b.reattach(err)
+			b.err = b.reattach(err)
 		}
 		if n > 0 {
 			return n, nil
 		}
 	}
-	return 0, b.failed
+	return 0, b.err
 }
 
 // checkEnd returns io.EOF for a whole answer.
-func (b *bodyReader) checkEnd() error {
+func (b *bodyReader) checkTrailers() error {
 	t := b.resp.Trailer
-	report(b.endpoint, t.Get(wire.TrailerLoad))
+	reportLoad(b.endpoint, t.Get(wire.TrailerLoad))
 	switch end := t.Get(wire.TrailerEnd); {
 	case end == "":
 		return b.reattach(io.ErrUnexpectedEOF)
@@ -66,18 +66,18 @@
 // can go on.
 func (b *bodyReader) reattach(cause error) error {
 	if b.ctx.Err() != nil {
-		go b.s.giveUp(b.endpoint, b.call)
+		go b.s.cancelAbandoned(b.endpoint, b.call)
 		return verdict.New(verdict.Ran, verdict.CodeTimeout, "the deadline passed before the whole answer came")
 	}
-	if b.attached >= maxReattach {
+	if b.reattachCount >= maxReattach {
 		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer was cut: %v", cause)
 	}
-	b.attached++
+	b.reattachCount++
 	resp, err := b.s.attach(b.ctx, b.endpoint, b.call, b.offset)
 	if err != nil {
 		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer was cut: %v", err)
 	}
-	if resp.Header.Get(wire.HeaderError) != "" || !belongs(resp, b.endpoint, b.call) {
+	if resp.Header.Get(wire.HeaderError) != "" || !matchesAttempt(resp, b.endpoint, b.call) {
 		resp.Body.Close()
 		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer was cut: %v", errors.Cause(cause))
 	}
@@ -89,8 +89,8 @@
 // Close implements io.Closer. Closing before the end abandons a repeatable
 // attempt.
 func (b *bodyReader) Close() error {
-	if b.failed == nil {
-		go b.s.giveUp(b.endpoint, b.call)
+	if b.err == nil {
+		go b.s.cancelAbandoned(b.endpoint, b.call)
 	}
 	return b.resp.Body.Close()
 }
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -46,10 +46,10 @@
 	server   *http.Server
 	address  string
 
-	mu        sync.Mutex
-	told      bool // told to leave
-	unhealthy bool // the upstream fails its health check
-	parked    bool // the upstream holds no model, or is about to drop one
+	mu             sync.Mutex
+	leaveRequested bool // told to leave
+	unhealthy      bool // the upstream fails its health check
+	noModel        bool // the upstream holds no model, or is about to drop one
 
 	incarnation uint64
 }
@@ -74,7 +74,7 @@
 func New(p Params) *Service {
 	s := &Service{set: p.Settings.Agent, log: p.Log, ring: p.Ring, sync: p.Sync, secure: p.Security, incarnation: p.Sync.Self().Incarnation}
 	s.upstream = newUpstreamClients()
-	s.table = newTable(clockwork.NewRealClock(), s.incarnation, s.begin, s.limitsOf(nil))
+	s.table = newTable(clockwork.NewRealClock(), s.incarnation, s.startRun, s.limitsOf(nil))
 	p.Sync.OnChange(func(v *configsync.View) { s.table.setLimits(s.limitsOf(v.Config.Services[s.set.Service])) })
 	r := chi.NewRouter()
 	r.Post("/v1/attempts/{id}", s.handleSubmit)
@@ -145,7 +145,7 @@
 func (s *Service) Leave(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = leaving
+	s.leaveRequested = leaving
 	s.applyLeaving()
 }
 
@@ -159,7 +159,7 @@
 }
 
 func (s *Service) applyLeaving() {
-	leaving := s.told || s.unhealthy || s.parked
+	leaving := s.leaveRequested || s.unhealthy || s.noModel
 	s.table.setLeaving(leaving)
 	s.sync.SetLeaving(leaving)
 }
--- a/node/gate/promises_test.go
+++ b/node/gate/guarantees_test.go
@@ -10,7 +10,7 @@
 
 func (m *gateModel) submit(customer string, repeatable bool, budget time.Duration) (*attempt, *verdict.Error) {
 	m.next++
-	a := &attempt{id: wire.AttemptIDAt(m.clock.Now(), m.next), incarnation: uint64(m.start), customer: customer, share: 1,
+	a := &attempt{id: wire.AttemptIDAt(m.clock.Now(), m.next), incarnation: uint64(m.incarnation), customer: customer, share: 1,
 		repeatable: repeatable, deadline: m.clock.Now().Add(budget), readers: 1}
 	refusal := m.table.submit(a)
 	m.admitted[a.id] = a
@@ -35,8 +35,8 @@
 	m := newGateModel()
 	repeatable, _ := m.submit("a", true, time.Hour)
 	confirmation, _ := m.submit("a", false, time.Hour)
-	m.table.leave(repeatable)
-	m.table.leave(confirmation)
+	m.table.removeReader(repeatable)
+	m.table.removeReader(confirmation)
 	m.clock.Advance(unreadGrace / 2)
 	m.table.sweep()
 	select {
@@ -51,10 +51,10 @@
 		t.Fatal("a call that may not be repeated is abandoned")
 	default:
 	}
-	confirmation.answer.start(200, nil)
+	confirmation.response.start(200, nil)
 	m.write(confirmation, "kept")
 	m.finish(confirmation, nil)
-	if a := m.table.join(confirmation.id); a == nil || string(a.answer.data) != "kept" {
+	if a := m.table.addReader(confirmation.id); a == nil || string(a.response.data) != "kept" {
 		t.Fatalf("the answer is not kept: %+v", a)
 	}
 }
@@ -72,7 +72,7 @@
 	if _, refusal := m.submit("small", true, time.Hour); refusal != nil {
 		t.Fatalf("a small customer is kept out: %v", refusal)
 	}
-	if f := last.answer.failure; f == nil || f.Verdict != verdict.NotRun || f.Code != verdict.CodeOverloaded {
+	if f := last.response.failure; f == nil || f.Verdict != verdict.NotRun || f.Code != verdict.CodeOverloaded {
 		t.Errorf("the attempt pushed out: %v", f)
 	}
 }
--- a/node/gate/heaps.go
+++ b/node/gate/heaps.go
@@ -18,7 +18,7 @@
 
 func (h *attemptHeap) Less(i, j int) bool {
 	a, b := h.list[i], h.list[j]
-	x, y := a.order, b.order
+	x, y := a.sortTime, b.sortTime
 	if h.slot == slotDeadline {
 		x, y = a.deadline, b.deadline
 	}
--- a/node/gate/http.go
+++ b/node/gate/http.go
@@ -24,24 +24,24 @@
 )
 
 func (s *Service) handleSubmit(w http.ResponseWriter, r *http.Request) {
-	s.observe(r)
+	s.observeHeaders(r)
 	a, refusal := s.readAttempt(w, r)
 	if refusal != nil {
-		s.refuse(w, s.table.reject(attemptID(r), refusal))
+		s.writeRefusal(w, s.table.reject(attemptID(r), refusal))
 		return
 	}
 	if refusal := s.table.submit(a); refusal != nil {
-		s.refuse(w, refusal)
+		s.writeRefusal(w, refusal)
 		return
 	}
-	defer s.table.leave(a)
-	s.record("attempt-admitted", a, "")
-	s.writeAnswer(w, r, a, 0)
+	defer s.table.removeReader(a)
+	s.recordEvent("attempt-admitted", a, "")
+	s.writeResponse(w, r, a, 0)
 }
 
 func attemptID(r *http.Request) wire.AttemptID { return wire.AttemptID(chi.URLParam(r, "id")) }
 
-func (s *Service) observe(r *http.Request) {
+func (s *Service) observeHeaders(r *http.Request) {
 	s.ring.Clock.Observe(timeline.ParseStamp(r.Header.Get(wire.HeaderClock)))
 	if v, err := strconv.ParseUint(r.Header.Get(wire.HeaderVersion), 10, 64); err == nil {
 		s.sync.Saw(v)
@@ -101,16 +101,16 @@
 	return buf, err
 }
 
-func (s *Service) refuse(w http.ResponseWriter, e *verdict.Error) {
+func (s *Service) writeRefusal(w http.ResponseWriter, e *verdict.Error) {
 	refusedVar.Add(1)
-	s.setCommon(w.Header())
+	s.setCommonHeaders(w.Header())
 	w.Header().Set(wire.HeaderError, "true")
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(e.Status)
 	json.NewEncoder(w).Encode(e)
 }
 
-func (s *Service) setCommon(h http.Header) {
+func (s *Service) setCommonHeaders(h http.Header) {
 	h.Set(wire.HeaderIncarnation, strconv.FormatUint(s.incarnation, 10))
 	h.Set(wire.HeaderLoad, s.loadString())
 	h.Set(wire.HeaderClock, s.ring.Clock.Now().String())
@@ -126,17 +126,17 @@
 
 // writeAnswer streams an attempt's answer from offset, then the end mark,
 // length and checksum as trailers.
-func (s *Service) writeAnswer(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
-	status, passed, failure, err := a.answer.head(r.Context())
+func (s *Service) writeResponse(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
+	status, passed, failure, err := a.response.head(r.Context())
 	if err != nil {
 		return // the entry went away; it can attach again
 	}
 	if status == 0 {
-		s.refuse(w, failure)
+		s.writeRefusal(w, failure)
 		return
 	}
 	h := w.Header()
-	s.setCommon(h)
+	s.setCommonHeaders(h)
 	wire.PassToCaller(h, passed)
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // no guess from the bytes
@@ -144,21 +144,21 @@
 	h.Set(wire.HeaderAttempt, string(a.id))
 	h.Set(wire.HeaderStage, a.stage)
 	h.Set(wire.HeaderStatus, strconv.Itoa(status))
-	h.Set("Trailer", answerTrailers)
+	h.Set("Trailer", responseTrailers)
 	w.WriteHeader(http.StatusOK)
-	s.copyAnswer(w, r, a, offset)
+	s.copyResponse(w, r, a, offset)
 }
 
-const answerTrailers = wire.TrailerEnd + "," + wire.TrailerLength + "," + wire.TrailerSum + "," + wire.TrailerLoad
+const responseTrailers = wire.TrailerEnd + "," + wire.TrailerLength + "," + wire.TrailerSum + "," + wire.TrailerLoad
 
 // copyAnswer sends an event stream's bytes on as they come. An entry passes on
 // any other answer only when it is whole, so that one leaves in as few writes
 // as its length allows.
-func (s *Service) copyAnswer(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
+func (s *Service) copyResponse(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
 	flusher := http.NewResponseController(w)
 	streams := strings.HasPrefix(w.Header().Get("Content-Type"), wire.ContentEventStream)
 	for {
-		data, end, err := a.answer.next(r.Context(), offset)
+		data, end, err := a.response.next(r.Context(), offset)
 		if err != nil {
 			return
 		}
@@ -170,7 +170,7 @@
 			h := w.Header()
 			h.Set(wire.TrailerEnd, end)
 			h.Set(wire.TrailerLength, strconv.FormatInt(offset, 10))
-			h.Set(wire.TrailerSum, strconv.FormatUint(a.answer.checksum(), 16))
+			h.Set(wire.TrailerSum, strconv.FormatUint(a.response.checksum(), 16))
 			h.Set(wire.TrailerLoad, s.loadString())
 			return
 		}
@@ -182,7 +182,7 @@
 
 func (s *Service) writeStatus(w http.ResponseWriter, st wire.AttemptStatus) {
 	st.Incarnation = s.incarnation
-	s.setCommon(w.Header())
+	s.setCommonHeaders(w.Header())
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(st)
 }
@@ -201,21 +201,21 @@
 }
 
 func (s *Service) handleAttach(w http.ResponseWriter, r *http.Request) {
-	a := s.table.join(attemptID(r))
+	a := s.table.addReader(attemptID(r))
 	if a == nil {
-		s.refuse(w, verdict.New(verdict.MayHaveRun, verdict.CodeUnknown, "attempt unknown to incarnation %d", s.incarnation))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeUnknown, "attempt unknown to incarnation %d", s.incarnation))
 		return
 	}
-	defer s.table.leave(a)
+	defer s.table.removeReader(a)
 	offset, err := strconv.ParseInt(r.URL.Query().Get("offset"), 10, 64)
-	length, _, dropped := a.answer.size()
+	length, _, dropped := a.response.size()
 	switch {
 	case dropped:
-		s.refuse(w, verdict.New(verdict.Ran, verdict.CodeCut, "the attempt ran; its answer is no longer kept"))
+		s.writeRefusal(w, verdict.New(verdict.Ran, verdict.CodeCut, "the attempt ran; its answer is no longer kept"))
 	case err != nil || offset < 0 || offset > length:
-		s.refuse(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "offset out of range"))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "offset out of range"))
 	default:
-		s.writeAnswer(w, r, a, offset)
+		s.writeResponse(w, r, a, offset)
 	}
 }
 
@@ -228,6 +228,6 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Service) record(kind timeline.Kind, a *attempt, detail string) {
+func (s *Service) recordEvent(kind timeline.Kind, a *attempt, detail string) {
 	s.ring.Record(timeline.Event{Kind: kind, Request: string(a.request), Attempt: string(a.id), Customer: a.customer, Detail: detail})
 }
--- a/node/gate/limiter_test.go
+++ b/node/gate/limiter_test.go
@@ -44,7 +44,7 @@
 	for _, c := range e.running {
 		c.left--
 		if c.left == 0 {
-			e.limiter.done(e.now, e.now.Sub(c.started), n, nil)
+			e.limiter.runEnded(e.now, e.now.Sub(c.started), n, nil)
 			continue
 		}
 		kept = append(kept, c)
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -15,9 +15,9 @@
 )
 
 // stillClock never fires a timer: the simulation does what falls due itself.
-type stillClock struct{ *clockwork.FakeClock }
+type manualClock struct{ *clockwork.FakeClock }
 
-func (c stillClock) AfterFunc(time.Duration, func()) clockwork.Timer { return c.NewTimer(time.Hour) }
+func (c manualClock) AfterFunc(time.Duration, func()) clockwork.Timer { return c.NewTimer(time.Hour) }
 
 // flow is one customer's Poisson load on the simulated gate.
 type flow struct {
@@ -27,23 +27,23 @@
 	load     float64 // of the capacity
 	deadline time.Duration
 
-	next                           time.Time
-	offered, attained, slow, wrong int
+	next                                               time.Time
+	offered, attained, lateRefusals, malformedRefusals int
 }
 
 // overloadRun drives a real table with simulated runs on a clock of its own.
 type overloadRun struct {
-	clock  stillClock
-	stop   time.Time
-	table  *table
-	random *rand.Rand
-	slots  int
-	ends   map[*attempt]time.Time
-	flows  []*flow
-	of     map[*attempt]*flow
-	sent   map[*attempt]time.Time
-	used   time.Duration // of slots, for answers in time
-	number uint64
+	clock        manualClock
+	stop         time.Time
+	table        *table
+	random       *rand.Rand
+	slots        int
+	ends         map[*attempt]time.Time
+	flows        []*flow
+	flowOf       map[*attempt]*flow
+	sent         map[*attempt]time.Time
+	usedSlotTime time.Duration // of slots, for answers in time
+	number       uint64
 }
 
 const (
@@ -59,7 +59,7 @@
 
 // next returns what comes first: an arrival, the end of a run or what falls due.
 func (r *overloadRun) next() (at time.Time, from *flow, ended *attempt) {
-	at = r.table.due
+	at = r.table.timerAt
 	for _, f := range r.flows {
 		if at.IsZero() || f.next.Before(at) {
 			at, from = f.next, f
@@ -86,9 +86,9 @@
 	if now.Add(f.deadline).After(r.stop) {
 		f.next = r.stop.Add(time.Hour) // what is offered ends in time to count
 	}
-	r.sent[a], r.of[a] = now, f
+	r.sent[a], r.flowOf[a] = now, f
 	if refusal := r.table.submit(a); refusal != nil {
-		r.note(a, refusal)
+		r.countRefusal(a, refusal)
 	}
 }
 
@@ -104,41 +104,41 @@
 		r.table.finished(a, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "ended"))
 		return
 	}
-	if !r.clock.Now().Add(r.of[a].deadline).After(r.stop) {
-		r.used += r.clock.Since(a.started)
+	if !r.clock.Now().Add(r.flowOf[a].deadline).After(r.stop) {
+		r.usedSlotTime += r.clock.Since(a.started)
 	}
-	r.of[a].attained++
+	r.flowOf[a].attained++
 	r.table.finished(a, nil)
 }
 
 // note counts a refusal: a slow one came after half of the deadline.
-func (r *overloadRun) note(a *attempt, refusal *verdict.Error) {
-	f := r.of[a]
+func (r *overloadRun) countRefusal(a *attempt, refusal *verdict.Error) {
+	f := r.flowOf[a]
 	if refusal.Verdict != verdict.NotRun || refusal.RetryAfter <= 0 {
-		f.wrong++
+		f.malformedRefusals++
 	}
 	if r.clock.Since(r.sent[a]) > f.deadline/2 {
-		f.slow++
+		f.lateRefusals++
 	}
-	delete(r.of, a)
+	delete(r.flowOf, a)
 }
 
 // noteBuried counts what was refused after it had waited.
-func (r *overloadRun) noteBuried() {
-	for a := range r.of {
+func (r *overloadRun) countTombstoned() {
+	for a := range r.flowOf {
 		if a.state == wire.AttemptTombstoned {
-			r.note(a, a.answer.failure)
+			r.countRefusal(a, a.response.failure)
 		} else if a.state == wire.AttemptDone {
-			delete(r.of, a)
+			delete(r.flowOf, a)
 		}
 	}
 }
 
-func playOverload(slots int, flows ...*flow) (r *overloadRun, goodput float64) {
+func simulateOverload(slots int, flows ...*flow) (r *overloadRun, goodput float64) {
 	start := time.Unix(1_700_000_000, 0)
-	r = &overloadRun{clock: stillClock{clockwork.NewFakeClockAt(start)}, random: rand.New(rand.NewPCG(1, 1)), slots: slots, flows: flows,
+	r = &overloadRun{clock: manualClock{clockwork.NewFakeClockAt(start)}, random: rand.New(rand.NewPCG(1, 1)), slots: slots, flows: flows,
 		stop: start.Add(overloadTime),
-		ends: map[*attempt]time.Time{}, of: map[*attempt]*flow{}, sent: map[*attempt]time.Time{}}
+		ends: map[*attempt]time.Time{}, flowOf: map[*attempt]*flow{}, sent: map[*attempt]time.Time{}}
 	r.table = newTable(r.clock, 1, r.begin, limits{concurrency: slots, queueLength: 64, refuseLate: true, keep: testKeep, keepBytes: 1})
 	for _, f := range flows {
 		f.next = start.Add(r.gap(f))
@@ -154,9 +154,9 @@
 		default:
 			r.table.sweep()
 		}
-		r.noteBuried()
+		r.countTombstoned()
 	}
-	return r, r.used.Seconds() / ((overloadTime - flows[0].deadline).Seconds() * float64(slots))
+	return r, r.usedSlotTime.Seconds() / ((overloadTime - flows[0].deadline).Seconds() * float64(slots))
 }
 
 // TestOverloadedGate: at three times its capacity the gate spends at least 95%
@@ -176,19 +176,19 @@
 			{customer: "small", share: 1, class: optext.Interactive, load: 0.04, deadline: c.deadline},
 			{customer: "walk-in", share: 1, class: optext.Interactive, load: 0.04, deadline: c.deadline},
 		}
-		_, goodput := playOverload(c.slots, flows...)
+		_, goodput := simulateOverload(c.slots, flows...)
 		t.Logf("%s: goodput %.3f of capacity", c.name, goodput)
 		if goodput < 0.95 {
 			t.Errorf("%s: goodput %.3f of capacity", c.name, goodput)
 		}
 		for _, f := range flows {
 			got := float64(f.attained) / float64(f.offered)
-			t.Logf("%s: %s attains %.3f of %d, %d refused after half the deadline", c.name, f.customer, got, f.offered, f.slow)
+			t.Logf("%s: %s attains %.3f of %d, %d refused after half the deadline", c.name, f.customer, got, f.offered, f.lateRefusals)
 			if f.share < 4 && got < 0.99 {
 				t.Errorf("%s: the small customer %s attains %.3f", c.name, f.customer, got)
 			}
-			if f.slow > f.offered/200 || f.wrong > 0 {
-				t.Errorf("%s: %s had %d late refusals and %d wrong ones of %d", c.name, f.customer, f.slow, f.wrong, f.offered)
+			if f.lateRefusals > f.offered/200 || f.malformedRefusals > 0 {
+				t.Errorf("%s: %s had %d late refusals and %d wrong ones of %d", c.name, f.customer, f.lateRefusals, f.malformedRefusals, f.offered)
 			}
 		}
 	}
--- a/node/gate/queue.go
+++ b/node/gate/queue.go
@@ -53,12 +53,12 @@
 
 // classQueue is the fair queue of one class.
 type classQueue struct {
-	virtual    float64 // greatest start tag taken
-	customers  map[string]*customerQueue
-	active     tagHeap // customers with waiting attempts, by start tag
-	idle       tagHeap // customers without, that have not earned the whole credit yet
-	length     int
-	passedOver int
+	virtualTime float64 // greatest start tag taken
+	customers   map[string]*customerQueue
+	active      tagHeap // customers with waiting attempts, by start tag
+	idle        tagHeap // customers without, that have not earned the whole credit yet
+	length      int
+	passedOver  int
 }
 
 // customerQueue holds a customer's waiting attempts of one class. Its tag is
@@ -98,9 +98,9 @@
 func (q *fairQueue) push(a *attempt) {
 	q.arrival++
 	a.arrival = q.arrival
-	a.order = a.deadline
+	a.sortTime = a.deadline
 	if q.fifo {
-		a.order = time.Time{}
+		a.sortTime = time.Time{}
 	}
 	a.waiting = true
 	q.class(a).push(a, q.customer(a))
@@ -162,7 +162,7 @@
 }
 
 // earliest returns the waiting attempt with the earliest deadline, or nil.
-func (q *fairQueue) earliest() *attempt {
+func (q *fairQueue) earliestDeadline() *attempt {
 	if q.len() == 0 {
 		return nil
 	}
@@ -173,7 +173,7 @@
 // those of more urgent classes, and of its own class what the shares allow.
 // While a more urgent class waits, more of it is taken to come, up to what may
 // pass over each attempt of this class.
-func (q *fairQueue) ahead(a *attempt) int {
+func (q *fairQueue) attemptsAhead(a *attempt) int {
 	urgent := 0
 	own := q.class(a)
 	for i := range q.classes {
@@ -182,7 +182,7 @@
 		}
 		urgent += q.classes[i].length
 	}
-	n := own.ahead(q.customer(a), clampShare(a.share))
+	n := own.attemptsAhead(q.customer(a), clampShare(a.share))
 	if urgent == 0 {
 		return n
 	}
@@ -190,7 +190,7 @@
 }
 
 // waits reports whether an attempt's customer has others of its class waiting.
-func (q *fairQueue) waits(a *attempt) bool {
+func (q *fairQueue) customerWaits(a *attempt) bool {
 	cq := q.class(a).customers[q.customer(a)]
 	return cq != nil && cq.waiting.Len() > 0
 }
@@ -207,26 +207,26 @@
 			break
 		}
 		if c.length > 0 {
-			return c.longest().latest()
+			return c.longestBacklog().lastAttempt()
 		}
 	}
 	if own.length == 0 {
 		return nil
 	}
-	cq, have := own.longest(), 1.0
+	cq, have := own.longestBacklog(), 1.0
 	if mine := own.customers[q.customer(a)]; mine != nil {
 		have += float64(mine.waiting.Len())
 	}
 	if cq.name == q.customer(a) || cq.backlog() <= have/clampShare(a.share) {
 		return nil
 	}
-	return cq.latest()
+	return cq.lastAttempt()
 }
 
 func (c *classQueue) push(a *attempt, customer string) {
 	cq := c.customers[customer]
 	if cq == nil {
-		cq = &customerQueue{name: customer, tag: c.virtual - maxCredit, position: -1, waiting: attemptHeap{slot: slotCustomer}}
+		cq = &customerQueue{name: customer, tag: c.virtualTime - maxCredit, position: -1, waiting: attemptHeap{slot: slotCustomer}}
 		c.customers[customer] = cq
 	}
 	if cq.waiting.Len() == 0 {
@@ -241,7 +241,7 @@
 	if cq.position >= 0 {
 		heap.Remove(&c.idle, cq.position)
 	}
-	cq.tag = max(cq.tag, c.virtual-burstCredit/share)
+	cq.tag = max(cq.tag, c.virtualTime-burstCredit/share)
 	heap.Push(&c.active, cq)
 }
 
@@ -249,11 +249,11 @@
 	cq := c.active[0]
 	a := heap.Pop(&cq.waiting).(*attempt)
 	c.length--
-	c.virtual = max(c.virtual, cq.tag)
+	c.virtualTime = max(c.virtualTime, cq.tag)
 	cq.tag += 1 / clampShare(a.share)
 	heap.Fix(&c.active, 0)
-	c.settle(cq)
-	for len(c.idle) > 0 && c.idle[0].tag <= c.virtual-maxCredit {
+	c.deactivateIfEmpty(cq)
+	for len(c.idle) > 0 && c.idle[0].tag <= c.virtualTime-maxCredit {
 		delete(c.customers, heap.Pop(&c.idle).(*customerQueue).name)
 	}
 	return a
@@ -263,19 +263,19 @@
 	cq := c.customers[customer]
 	heap.Remove(&cq.waiting, a.position[slotCustomer])
 	c.length--
-	c.settle(cq)
+	c.deactivateIfEmpty(cq)
 }
 
 // settle moves a customer without waiting attempts out of active. When the
 // last one leaves, a busy period of the class ends and all debts with it.
-func (c *classQueue) settle(cq *customerQueue) {
+func (c *classQueue) deactivateIfEmpty(cq *customerQueue) {
 	if cq.waiting.Len() > 0 {
 		return
 	}
 	heap.Remove(&c.active, cq.position)
 	if len(c.active) == 0 {
 		clear(c.customers)
-		c.idle, c.virtual = nil, 0
+		c.idle, c.virtualTime = nil, 0
 		return
 	}
 	heap.Push(&c.idle, cq)
@@ -283,8 +283,8 @@
 
 // ahead returns how many of the class's waiting attempts have a start tag up to
 // that of a new one. It is linear in the customers that wait.
-func (c *classQueue) ahead(customer string, share float64) int {
-	tag, n := c.virtual-burstCredit/share, 0
+func (c *classQueue) attemptsAhead(customer string, share float64) int {
+	tag, n := c.virtualTime-burstCredit/share, 0
 	if cq := c.customers[customer]; cq != nil {
 		n = cq.waiting.Len()
 		tag = max(cq.tag, tag)
@@ -300,7 +300,7 @@
 
 // longest returns the active customer with the most waiting attempts for its
 // share.
-func (c *classQueue) longest() *customerQueue {
+func (c *classQueue) longestBacklog() *customerQueue {
 	var most *customerQueue
 	for _, cq := range c.active {
 		if most == nil || cq.backlog() > most.backlog() || cq.backlog() == most.backlog() && cq.name < most.name {
@@ -313,7 +313,7 @@
 func (cq *customerQueue) backlog() float64 { return float64(cq.waiting.Len()) / cq.share }
 
 // latest returns the attempt that the customer would run last.
-func (cq *customerQueue) latest() *attempt {
+func (cq *customerQueue) lastAttempt() *attempt {
 	last := 0
 	for i := range cq.waiting.list {
 		if cq.waiting.Less(last, i) {
--- a/node/gate/queue_test.go
+++ b/node/gate/queue_test.go
@@ -139,7 +139,7 @@
 				if q.len() != len(waiting) {
 					t.Fatalf("length %d, want %d", q.len(), len(waiting))
 				}
-				first := q.earliest()
+				first := q.earliestDeadline()
 				for _, a := range waiting {
 					if a.deadline.Before(first.deadline) {
 						t.Fatal("earliest deadline missed")
@@ -169,8 +169,8 @@
 	if seen["small"] < 90 || seen["drafts"] < 400/(maxPassedOver+1)-1 || seen["drafts"] > 30 {
 		t.Fatalf("of 400: %v", seen)
 	}
-	if a := (&attempt{customer: "small", share: 1, class: optext.Interactive}); q.ahead(a) > 60 {
-		t.Errorf("%d ahead of a small customer's attempt", q.ahead(a))
+	if a := (&attempt{customer: "small", share: 1, class: optext.Interactive}); q.attemptsAhead(a) > 60 {
+		t.Errorf("%d ahead of a small customer's attempt", q.attemptsAhead(a))
 	}
 	if v := q.victim(&attempt{customer: "small", share: 1, class: optext.Interactive}); v == nil || v.customer != "drafts" {
 		t.Errorf("pushed out: %+v, want a draft", v)
--- a/node/gate/records.go
+++ b/node/gate/records.go
@@ -20,36 +20,36 @@
 type records struct {
 	horizon   time.Time     // latest time of issue of a forgotten attempt, or the keep time ago
 	ended     []*attempt    // done and tombstoned, in order of their end
-	kept      int64         // bytes of ended answers
+	keptBytes int64         // bytes of ended answers
 	evictable [2][]*attempt // ended answers without a reader, repeatable ones first
 	unread    []*attempt    // repeatable, no reader, in the order they lost it
 }
 
 // forgot reports whether an attempt issued then may have been known once.
-func (r *records) forgot(issued time.Time) bool { return !issued.After(r.horizon) }
+func (r *records) mayHaveExpired(issued time.Time) bool { return !issued.After(r.horizon) }
 
 // bury makes a tombstone of an attempt that has not started.
-func (t *table) bury(a *attempt, why *verdict.Error) {
+func (t *table) tombstone(a *attempt, why *verdict.Error) {
 	a.state = wire.AttemptTombstoned
-	t.end(a, why)
+	t.recordEnd(a, why)
 }
 
 // end records that an attempt is done or tombstoned.
-func (t *table) end(a *attempt, failure *verdict.Error) {
-	a.answer.finish(failure)
+func (t *table) recordEnd(a *attempt, failure *verdict.Error) {
+	a.response.finish(failure)
 	a.ended = t.clock.Now()
 	a.body, a.header = nil, nil
-	a.kept, _, _ = a.answer.size()
-	t.records.kept += a.kept
+	a.keptBytes, _, _ = a.response.size()
+	t.records.keptBytes += a.keptBytes
 	t.records.ended = append(t.records.ended, a)
-	t.mayEvict(a)
+	t.evictExcess(a)
 }
 
 // mayEvict lists an ended answer that nobody reads, and evicts the oldest
 // answers past the limit: first those that can be had again. Only bytes go;
 // that the attempt ran stays known.
-func (t *table) mayEvict(a *attempt) {
-	if a.kept > 0 && a.readers == 0 && !a.evictable {
+func (t *table) evictExcess(a *attempt) {
+	if a.keptBytes > 0 && a.readers == 0 && !a.evictable {
 		i := 1
 		if a.repeatable {
 			i = 0
@@ -58,28 +58,28 @@
 		t.records.evictable[i] = append(t.records.evictable[i], a)
 	}
 	for i := range t.records.evictable {
-		for t.records.kept > t.limits.keepBytes && len(t.records.evictable[i]) > 0 {
+		for t.records.keptBytes > t.limits.keepBytes && len(t.records.evictable[i]) > 0 {
 			t.evictOldest(i)
 		}
 	}
 }
 
 func (t *table) evictOldest(i int) {
-	a := shift(&t.records.evictable[i])
+	a := popFront(&t.records.evictable[i])
 	a.evictable = false
-	if a.readers == 0 && a.kept > 0 {
-		a.answer.drop()
-		t.release(a)
+	if a.readers == 0 && a.keptBytes > 0 {
+		a.response.drop()
+		t.releaseBytes(a)
 	}
 }
 
-func (t *table) release(a *attempt) {
-	t.records.kept -= a.kept
-	a.kept = 0
+func (t *table) releaseBytes(a *attempt) {
+	t.records.keptBytes -= a.keptBytes
+	a.keptBytes = 0
 }
 
 // forget drops what ended longer ago than it must be kept.
-func (t *table) forget() {
+func (t *table) expireRecords() {
 	limit := t.clock.Now().Add(-t.limits.keep)
 	r := &t.records
 	if limit.After(r.horizon) {
@@ -88,22 +88,22 @@
 		r.horizon = limit
 	}
 	for len(r.ended) > 0 && (len(r.ended) > maxRecords || r.ended[0].ended.Before(limit)) {
-		a := shift(&r.ended)
-		t.release(a)
+		a := popFront(&r.ended)
+		t.releaseBytes(a)
 		delete(t.attempts, a.id)
 		if issued, ok := a.id.Issued(); ok && issued.After(r.horizon) {
 			r.horizon = issued
 		}
 	}
 	for i := range r.evictable {
-		for len(r.evictable[i]) > 0 && r.evictable[i][0].kept == 0 {
-			shift(&r.evictable[i]).evictable = false
+		for len(r.evictable[i]) > 0 && r.evictable[i][0].keptBytes == 0 {
+			popFront(&r.evictable[i]).evictable = false
 		}
 	}
 }
 
 // shift takes the first attempt out of a list.
-func shift(list *[]*attempt) *attempt {
+func popFront(list *[]*attempt) *attempt {
 	a := (*list)[0]
 	(*list)[0] = nil
 	*list = (*list)[1:]
@@ -111,33 +111,33 @@
 }
 
 // join returns a known attempt and counts its caller as a reader until leave.
-func (t *table) join(id wire.AttemptID) *attempt {
+func (t *table) addReader(id wire.AttemptID) *attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.attempts[id]
 	if a != nil {
 		a.readers++
-		a.unread = time.Time{}
+		a.unreadSince = time.Time{}
 	}
 	return a
 }
 
 // leave counts a reader out. A repeatable attempt that nobody reads any more
 // is abandoned after unreadGrace; the answer of another one is kept.
-func (t *table) leave(a *attempt) {
+func (t *table) removeReader(a *attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
+	defer t.resetTimer()
 	a.readers--
 	if a.readers > 0 {
 		return
 	}
 	if !a.ended.IsZero() {
-		t.mayEvict(a)
+		t.evictExcess(a)
 		return
 	}
 	if a.repeatable {
-		a.unread = t.clock.Now()
+		a.unreadSince = t.clock.Now()
 		t.records.unread = append(t.records.unread, a)
 	}
 }
@@ -149,16 +149,16 @@
 	r := &t.records
 	for len(r.unread) > 0 {
 		a := r.unread[0]
-		waits := a.ended.IsZero() && !a.unread.IsZero()
-		if waits && a.unread.After(limit) {
+		waits := a.ended.IsZero() && !a.unreadSince.IsZero()
+		if waits && a.unreadSince.After(limit) {
 			return
 		}
-		shift(&r.unread)
+		popFront(&r.unread)
 		if !waits {
 			continue
 		}
 		if t.queue.remove(a) {
-			t.bury(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "nobody waits for the answer").After(retryAfterMin))
+			t.tombstone(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "nobody waits for the answer").After(retryAfterMin))
 			continue
 		}
 		a.cancel()
--- a/node/gate/answer.go
+++ b/node/gate/response.go
@@ -13,7 +13,7 @@
 
 // answer is what an upstream sent for one attempt. One goroutine appends; any
 // number read, each from its own offset, while it grows and after it ended.
-type answer struct {
+type responseBuffer struct {
 	mu      sync.Mutex
 	status  int // zero until the upstream's response header came
 	header  http.Header
@@ -23,27 +23,27 @@
 	end     string         // end mark; empty while it grows
 	failure *verdict.Error // set when it ended without being whole
 	dropped bool           // the bytes were given up, the fact remains
-	grown   chan struct{}  // closed at the next change; nil while nobody waits
+	changed chan struct{}  // closed at the next change; nil while nobody waits
 }
 
-func newAnswer() *answer { return &answer{} }
+func newResponseBuffer() *responseBuffer { return &responseBuffer{} }
 
-func (a *answer) signal() {
-	if a.grown != nil {
-		close(a.grown)
-		a.grown = nil
+func (a *responseBuffer) signal() {
+	if a.changed != nil {
+		close(a.changed)
+		a.changed = nil
 	}
 }
 
 // change returns a channel that is closed at the next change.
-func (a *answer) change() <-chan struct{} {
-	if a.grown == nil {
-		a.grown = make(chan struct{})
+func (a *responseBuffer) changeChan() <-chan struct{} {
+	if a.changed == nil {
+		a.changed = make(chan struct{})
 	}
-	return a.grown
+	return a.changed
 }
 
-func (a *answer) start(status int, header http.Header) {
+func (a *responseBuffer) start(status int, header http.Header) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.status, a.header = status, header
@@ -52,7 +52,7 @@
 }
 
 // append adds bytes and returns the length after them.
-func (a *answer) append(p []byte) int64 {
+func (a *responseBuffer) append(p []byte) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.data = append(a.data, p...)
@@ -63,7 +63,7 @@
 }
 
 // finish sets the end mark. A nil failure means that the answer is whole.
-func (a *answer) finish(failure *verdict.Error) {
+func (a *responseBuffer) finish(failure *verdict.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.end != "" {
@@ -77,21 +77,21 @@
 }
 
 // drop gives the bytes up. Only an answer that ended may be dropped.
-func (a *answer) drop() {
+func (a *responseBuffer) drop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.data, a.dropped = nil, true
 }
 
 // head waits until the upstream has answered or failed.
-func (a *answer) head(ctx context.Context) (status int, header http.Header, failure *verdict.Error, err error) {
+func (a *responseBuffer) head(ctx context.Context) (status int, header http.Header, failure *verdict.Error, err error) {
 	for {
 		a.mu.Lock()
 		if a.status != 0 || a.end != "" {
 			defer a.mu.Unlock()
 			return a.status, a.header, a.failure, nil
 		}
-		grown := a.change()
+		grown := a.changeChan()
 		a.mu.Unlock()
 		select {
 		case <-grown:
@@ -103,14 +103,14 @@
 
 // next waits for bytes after offset. It returns them, and the end mark if
 // nothing follows them. The bytes must not be changed.
-func (a *answer) next(ctx context.Context, offset int64) (data []byte, end string, err error) {
+func (a *responseBuffer) next(ctx context.Context, offset int64) (data []byte, end string, err error) {
 	for {
 		a.mu.Lock()
 		if offset < int64(len(a.data)) || a.end != "" {
 			defer a.mu.Unlock()
 			return a.data[min(offset, int64(len(a.data))):], a.end, nil
 		}
-		grown := a.change()
+		grown := a.changeChan()
 		a.mu.Unlock()
 		select {
 		case <-grown:
@@ -122,13 +122,13 @@
 
 // size returns the length so far and the end mark, and whether the bytes were
 // dropped.
-func (a *answer) size() (length int64, end string, dropped bool) {
+func (a *responseBuffer) size() (length int64, end string, dropped bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.length, a.end, a.dropped
 }
 
-func (a *answer) checksum() uint64 {
+func (a *responseBuffer) checksum() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.sum.Sum64()
--- a/node/gate/run.go
+++ b/node/gate/run.go
@@ -21,17 +21,17 @@
 const readChunk = 32 << 10
 
 // begin implements starter.
-func (s *Service) begin(ctx context.Context, a *attempt) { go s.run(ctx, a) }
+func (s *Service) startRun(ctx context.Context, a *attempt) { go s.run(ctx, a) }
 
 // run performs one started attempt against the upstream.
 func (s *Service) run(ctx context.Context, a *attempt) {
 	started := time.Now()
-	s.record("attempt-started", a, a.stage)
+	s.recordEvent("attempt-started", a, a.stage)
 	failure := s.call(ctx, a)
 	took := time.Since(started)
 	ranVar.Add(1)
 	busyVar.Add(took.Seconds())
-	s.record("attempt-done", a, runDetail(a, failure, took))
+	s.recordEvent("attempt-done", a, runDetail(a, failure, took))
 	s.table.finished(a, failure)
 }
 
@@ -39,7 +39,7 @@
 	if failure != nil {
 		return a.stage + " failed: " + failure.Error()
 	}
-	length, _, _ := a.answer.size()
+	length, _, _ := a.response.size()
 	return a.stage + " bytes=" + strconv.FormatInt(length, 10) + " ms=" + strconv.FormatFloat(took.Seconds()*1e3, 'f', 1, 64)
 }
 
@@ -57,15 +57,15 @@
 	if req.Header["User-Agent"] == nil {
 		req.Header["User-Agent"] = nil
 	}
-	resp, err := s.upstream.of(req, a.repeatable).Do(req)
+	resp, err := s.upstream.clientFor(req, a.repeatable).Do(req)
 	if err != nil {
 		return callFailure(ctx, err, written.Load())
 	}
 	defer resp.Body.Close()
 	passed := http.Header{}
 	wire.PassToCaller(passed, resp.Header)
-	a.answer.start(resp.StatusCode, passed)
-	return s.readAnswer(a, resp)
+	a.response.start(resp.StatusCode, passed)
+	return s.readResponse(a, resp)
 }
 
 func callFailure(ctx context.Context, err error, written bool) *verdict.Error {
@@ -81,7 +81,7 @@
 
 var readBuffers = sync.Pool{New: func() any { return new([readChunk]byte) }}
 
-func (s *Service) readAnswer(a *attempt, resp *http.Response) *verdict.Error {
+func (s *Service) readResponse(a *attempt, resp *http.Response) *verdict.Error {
 	buf := readBuffers.Get().(*[readChunk]byte)
 	defer readBuffers.Put(buf)
 	var tail []byte
@@ -92,11 +92,11 @@
 			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", s.set.MaxAnswer)
 		}
 		if n > 0 {
-			length = a.answer.append(buf[:n])
+			length = a.response.append(buf[:n])
 			tail = lastBytes(tail, buf[:n])
 		}
 		if err == io.EOF {
-			return checkWhole(resp, tail)
+			return checkComplete(resp, tail)
 		}
 		if err != nil {
 			return verdict.New(verdict.Ran, verdict.CodeCut, "the upstream's answer was cut: %v", err)
@@ -118,7 +118,7 @@
 }
 
 // checkWhole tells a whole event stream from one that ended early but cleanly.
-func checkWhole(resp *http.Response, tail []byte) *verdict.Error {
+func checkComplete(resp *http.Response, tail []byte) *verdict.Error {
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), wire.ContentEventStream) || resp.StatusCode != http.StatusOK {
 		return nil
 	}
--- a/node/gate/stream_test.go
+++ b/node/gate/stream_test.go
@@ -15,7 +15,7 @@
 }
 
 func (w *finishingWriter) Write(p []byte) (int, error) {
-	w.a.answer.finish(nil)
+	w.a.response.finish(nil)
 	return w.ResponseRecorder.Write(p)
 }
 
@@ -25,12 +25,12 @@
 	for contentType, flushed := range map[string]bool{wire.ContentEventStream + "; charset=utf-8": true, "application/json": false, "": false} {
 		m := newGateModel()
 		s := &Service{table: m.table}
-		a := &attempt{answer: newAnswer()}
-		a.answer.start(http.StatusOK, nil)
-		a.answer.append([]byte("first part"))
+		a := &attempt{response: newResponseBuffer()}
+		a.response.start(http.StatusOK, nil)
+		a.response.append([]byte("first part"))
 		w := &finishingWriter{httptest.NewRecorder(), a}
 		w.Header().Set("Content-Type", contentType)
-		s.copyAnswer(w, httptest.NewRequest(http.MethodPost, "/", nil), a, 0)
+		s.copyResponse(w, httptest.NewRequest(http.MethodPost, "/", nil), a, 0)
 		if w.Flushed != flushed {
 			t.Errorf("%q: flushed %v before its end", contentType, w.Flushed)
 		}
--- a/node/gate/table.go
+++ b/node/gate/table.go
@@ -30,28 +30,28 @@
 	deadline    time.Time
 	claimed     bool // an idempotency key is claimed for it
 
-	state   wire.AttemptState
-	answer  *answer
-	cancel  context.CancelFunc // ends a running call
-	started time.Time
-	ended   time.Time
+	state    wire.AttemptState
+	response *responseBuffer
+	cancel   context.CancelFunc // ends a running call
+	started  time.Time
+	ended    time.Time
 
 	// Set by the queue.
 	waiting  bool
 	arrival  uint64
-	order    time.Time
+	sortTime time.Time
 	position [numSlots]int
 
 	// Set by the records.
-	readers   int
-	unread    time.Time // since when a repeatable attempt has no reader; zero while it has
-	kept      int64     // bytes of the answer that count as kept
-	evictable bool      // stands in a list of evictable answers
+	readers     int
+	unreadSince time.Time // since when a repeatable attempt has no reader; zero while it has
+	keptBytes   int64     // bytes of the answer that count as kept
+	evictable   bool      // stands in a list of evictable answers
 }
 
 // starter begins to perform an attempt and returns at once. When the attempt
 // ended it calls finished, once. ctx ends with the deadline.
-type starter func(ctx context.Context, a *attempt)
+type startFunc func(ctx context.Context, a *attempt)
 
 // table is the gate's memory of attempts. Its promise: an attempt runs at most
 // once, and one that was reported as not run never runs. That holds because a
@@ -60,7 +60,7 @@
 // the horizon, the latest time of issue among the forgotten ones.
 type table struct {
 	clock       clockwork.Clock
-	start       starter
+	startRun    startFunc
 	incarnation uint64
 
 	mu       sync.Mutex
@@ -71,9 +71,9 @@
 	limits   limits
 	limiter  limiter
 	leaving  bool
-	service  ewma // seconds an attempt runs
+	runTime  ewma // seconds an attempt runs
 	timer    clockwork.Timer
-	due      time.Time // when timer fires; zero while it is not set
+	timerAt  time.Time // when timer fires; zero while it is not set
 }
 
 // limits are what the operators' text and the settings say for this gate.
@@ -111,8 +111,8 @@
 	e.value += ewmaWeight * (x - e.value)
 }
 
-func newTable(clock clockwork.Clock, incarnation uint64, start starter, l limits) *table {
-	t := &table{clock: clock, start: start, incarnation: incarnation, attempts: map[wire.AttemptID]*attempt{}, limits: l,
+func newTable(clock clockwork.Clock, incarnation uint64, start startFunc, l limits) *table {
+	t := &table{clock: clock, startRun: start, incarnation: incarnation, attempts: map[wire.AttemptID]*attempt{}, limits: l,
 		queue: newFairQueue(l.fifo), limiter: newLimiter(l.limiter, l.concurrency)}
 	return t
 }
@@ -122,18 +122,18 @@
 func (t *table) submit(a *attempt) *verdict.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
-	t.forget()
-	if refusal := t.unknown(a.id); refusal != nil {
+	defer t.resetTimer()
+	t.expireRecords()
+	if refusal := t.checkID(a.id); refusal != nil {
 		return refusal
 	}
-	t.remember(a)
-	if refusal := t.refuse(a); refusal != nil {
-		t.bury(a, refusal)
+	t.register(a)
+	if refusal := t.checkAdmission(a); refusal != nil {
+		t.tombstone(a, refusal)
 		return refusal
 	}
 	if t.running < t.limit() {
-		t.begin(a)
+		t.startAttempt(a)
 		return nil
 	}
 	a.state = wire.AttemptQueued
@@ -146,17 +146,17 @@
 func (t *table) reject(id wire.AttemptID, why *verdict.Error) *verdict.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
-	t.forget()
-	if refusal := t.unknown(id); refusal != nil {
+	defer t.resetTimer()
+	t.expireRecords()
+	if refusal := t.checkID(id); refusal != nil {
 		return refusal
 	}
-	t.bury(t.remember(&attempt{id: id}), why)
+	t.tombstone(t.register(&attempt{id: id}), why)
 	return why
 }
 
 // unknown returns nil for an id that never came and may still be admitted.
-func (t *table) unknown(id wire.AttemptID) *verdict.Error {
+func (t *table) checkID(id wire.AttemptID) *verdict.Error {
 	if known := t.attempts[id]; known != nil {
 		if known.state == wire.AttemptTombstoned {
 			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it came", id).After(retryAfterMin)
@@ -167,9 +167,9 @@
 	switch {
 	case !ok:
 		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "attempt id %q carries no time of issue", id)
-	case t.records.forgot(issued):
+	case t.records.mayHaveExpired(issued):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "attempt %s is older than what this gate remembers", id)
-	case t.ahead(issued):
+	case t.issuedTooFarAhead(issued):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "attempt %s was issued in the future: compare the clocks of entry and agent", id)
 	}
 	return nil
@@ -178,19 +178,19 @@
 // ahead reports whether a time of issue is too far ahead of this clock. Such
 // an attempt is not remembered, because to forget it would move the horizon
 // past attempts that are still to come.
-func (t *table) ahead(issued time.Time) bool {
+func (t *table) issuedTooFarAhead(issued time.Time) bool {
 	return issued.After(t.clock.Now().Add(t.limits.keep / 2))
 }
 
-func (t *table) remember(a *attempt) *attempt {
-	a.answer = newAnswer()
+func (t *table) register(a *attempt) *attempt {
+	a.response = newResponseBuffer()
 	t.attempts[a.id] = a
 	return a
 }
 
 // refuse says why a new attempt cannot be taken. It makes room in a full queue
 // where the shares say so.
-func (t *table) refuse(a *attempt) *verdict.Error {
+func (t *table) checkAdmission(a *attempt) *verdict.Error {
 	wait := t.expectedWait(a)
 	left := a.deadline.Sub(t.clock.Now())
 	switch {
@@ -198,35 +198,35 @@
 		return verdict.New(verdict.NotRun, verdict.CodeIncarnation, "this gate was restarted; choose again").After(retryAfterMin)
 	case t.leaving:
 		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "the upstream is leaving").After(time.Second)
-	case left <= 0 || t.estimates() && t.margin(a)*wait+t.expectedRun() > left:
-		return lateError(wait)
-	case t.running >= t.limit() && t.queue.len() >= t.limits.queueLength && !t.pushOut(a):
+	case left <= 0 || t.usesEstimates() && t.waitMargin(a)*wait+t.expectedRun() > left:
+		return deadlineRefusal(wait)
+	case t.running >= t.limit() && t.queue.len() >= t.limits.queueLength && !t.displaceFor(a):
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(wait, retryAfterMin))
 	}
 	return nil
 }
 
-func lateError(wait time.Duration) *verdict.Error {
+func deadlineRefusal(wait time.Duration) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met: expected wait %s", wait.Round(time.Millisecond)).After(max(wait, retryAfterMin))
 }
 
 // pushOut makes room in a full queue for a, if the shares entitle it.
-func (t *table) pushOut(a *attempt) bool {
+func (t *table) displaceFor(a *attempt) bool {
 	victim := t.queue.victim(a)
 	if victim == nil {
 		return false
 	}
 	t.queue.remove(victim)
-	t.bury(victim, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(t.expectedWait(victim), retryAfterMin)))
+	t.tombstone(victim, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(t.expectedWait(victim), retryAfterMin)))
 	return true
 }
 
 // estimates reports whether refusals go by the expected run time. An idle
 // upstream takes every attempt: without a run the estimate could never mend.
-func (t *table) estimates() bool { return t.limits.refuseLate && t.running > 0 }
+func (t *table) usesEstimates() bool { return t.limits.refuseLate && t.running > 0 }
 
 func (t *table) expectedRun() time.Duration {
-	return time.Duration(t.service.value * float64(time.Second))
+	return time.Duration(t.runTime.value * float64(time.Second))
 }
 
 // expectedWait estimates the time until a new attempt would start.
@@ -234,12 +234,12 @@
 	if t.running < t.limit() {
 		return 0
 	}
-	rounds := float64(t.queue.ahead(a)+1) / float64(t.limit())
-	return time.Duration(rounds * t.service.value * float64(time.Second))
+	rounds := float64(t.queue.attemptsAhead(a)+1) / float64(t.limit())
+	return time.Duration(rounds * t.runTime.value * float64(time.Second))
 }
 
-func (t *table) margin(a *attempt) time.Duration {
-	if t.queue.waits(a) {
+func (t *table) waitMargin(a *attempt) time.Duration {
+	if t.queue.customerWaits(a) {
 		return backlogMargin
 	}
 	return 1
@@ -249,62 +249,62 @@
 
 // lateAnswer is how long past its caller's deadline a claimed attempt that has
 // started may run on, so that a resend of the key still gets the answer.
-const lateAnswer = 30 * time.Second
+const claimedOverrun = 30 * time.Second
 
-func (a *attempt) runLimit() time.Time {
+func (a *attempt) runDeadline() time.Time {
 	if a.claimed {
-		return a.deadline.Add(lateAnswer)
+		return a.deadline.Add(claimedOverrun)
 	}
 	return a.deadline
 }
 
-func (t *table) begin(a *attempt) {
+func (t *table) startAttempt(a *attempt) {
 	a.state = wire.AttemptRunning
 	a.started = t.clock.Now()
 	t.running++
-	ctx, cancel := clockwork.WithDeadline(context.Background(), t.clock, a.runLimit())
+	ctx, cancel := clockwork.WithDeadline(context.Background(), t.clock, a.runDeadline())
 	a.cancel = cancel
-	t.start(ctx, a)
+	t.startRun(ctx, a)
 }
 
 // finished records the end of a run and starts what waits.
 func (t *table) finished(a *attempt, failure *verdict.Error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
+	defer t.resetTimer()
 	a.cancel()
 	a.state = wire.AttemptDone
 	took := t.clock.Since(a.started)
-	t.limiter.done(t.clock.Now(), took, t.running, failure)
+	t.limiter.runEnded(t.clock.Now(), took, t.running, failure)
 	if failure == nil {
-		t.service.add(took.Seconds())
+		t.runTime.add(took.Seconds())
 	}
 	t.running--
-	t.end(a, failure)
-	t.startWaiting()
+	t.recordEnd(a, failure)
+	t.startQueued()
 	t.refuseLate() // the expected run time may have grown
 }
 
 // startWaiting begins what the limit allows.
-func (t *table) startWaiting() {
+func (t *table) startQueued() {
 	for t.running < t.limit() {
 		a := t.queue.pop()
 		if a == nil {
 			return
 		}
-		if t.late(a) {
-			t.bury(a, lateError(t.expectedWait(a)))
+		if t.cannotFinish(a) {
+			t.tombstone(a, deadlineRefusal(t.expectedWait(a)))
 			continue
 		}
-		t.begin(a)
+		t.startAttempt(a)
 	}
 }
 
 // late reports whether a waiting attempt can no longer finish.
-func (t *table) late(a *attempt) bool { return !t.latestStart(a).After(t.clock.Now()) }
+func (t *table) cannotFinish(a *attempt) bool { return !t.latestStart(a).After(t.clock.Now()) }
 
 func (t *table) latestStart(a *attempt) time.Time {
-	if !t.estimates() {
+	if !t.usesEstimates() {
 		return a.deadline
 	}
 	return a.deadline.Add(-t.expectedRun())
@@ -315,23 +315,23 @@
 func (t *table) cancelAttempt(id wire.AttemptID, abandon bool) wire.AttemptStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
-	t.forget()
+	defer t.resetTimer()
+	t.expireRecords()
 	a := t.attempts[id]
 	cancelled := verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled").After(retryAfterMin)
 	switch {
 	case a == nil:
-		refusal := t.unknown(id)
+		refusal := t.checkID(id)
 		if refusal != nil && refusal.Verdict != verdict.NotRun {
 			return wire.AttemptStatus{Attempt: id, State: wire.AttemptForgotten}
 		}
 		if refusal != nil {
 			return wire.AttemptStatus{Attempt: id, State: wire.AttemptTombstoned}
 		}
-		t.bury(t.remember(&attempt{id: id}), cancelled)
+		t.tombstone(t.register(&attempt{id: id}), cancelled)
 	case a.state == wire.AttemptQueued:
 		t.queue.remove(a)
-		t.bury(a, cancelled)
+		t.tombstone(a, cancelled)
 	case a.state == wire.AttemptRunning && abandon:
 		a.cancel()
 	}
@@ -348,19 +348,19 @@
 	a := t.attempts[id]
 	if a == nil {
 		st := wire.AttemptStatus{Attempt: id, State: wire.AttemptUnseen}
-		if issued, ok := id.Issued(); ok && (t.records.forgot(issued) || t.ahead(issued)) {
+		if issued, ok := id.Issued(); ok && (t.records.mayHaveExpired(issued) || t.issuedTooFarAhead(issued)) {
 			st.State = wire.AttemptForgotten
 		}
 		return st
 	}
-	length, end, _ := a.answer.size()
+	length, end, _ := a.response.size()
 	return wire.AttemptStatus{Attempt: id, State: a.state, Length: length, End: end}
 }
 
 func (t *table) setLimits(l limits) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
+	defer t.resetTimer()
 	if l.fifo != t.limits.fifo {
 		t.requeue(l.fifo)
 	}
@@ -368,7 +368,7 @@
 		t.limiter = newLimiter(l.limiter, l.concurrency)
 	}
 	t.limits = l
-	t.startWaiting()
+	t.startQueued()
 }
 
 // requeue changes the discipline without losing what waits.
--- a/node/gate/table_test.go
+++ b/node/gate/table_test.go
@@ -20,17 +20,17 @@
 // gateModel drives a table and keeps the oracle: how often each attempt ran,
 // and which were reported as not run.
 type gateModel struct {
-	clock     *clockwork.FakeClock
-	table     *table
-	start     int // number of this start of the gate
-	sent      []*attempt
-	admitted  map[wire.AttemptID]*attempt
-	runs      map[wire.AttemptID]int
-	notRun    map[wire.AttemptID]string
-	running   map[wire.AttemptID]context.Context
-	wrote     map[wire.AttemptID][]byte
-	next      uint64
-	violation string
+	clock       *clockwork.FakeClock
+	table       *table
+	incarnation int // number of this start of the gate
+	sent        []*attempt
+	admitted    map[wire.AttemptID]*attempt
+	runs        map[wire.AttemptID]int
+	notRun      map[wire.AttemptID]string
+	running     map[wire.AttemptID]context.Context
+	written     map[wire.AttemptID][]byte
+	next        uint64
+	violation   string
 }
 
 func newGateModel() *gateModel {
@@ -41,13 +41,13 @@
 
 // restart begins a new start of the gate, which knows nothing of earlier ones.
 func (m *gateModel) restart(l limits) {
-	m.start++
-	m.admitted, m.running, m.wrote = map[wire.AttemptID]*attempt{}, map[wire.AttemptID]context.Context{}, map[wire.AttemptID][]byte{}
-	m.table = newTable(m.clock, uint64(m.start), m.begin, l)
+	m.incarnation++
+	m.admitted, m.running, m.written = map[wire.AttemptID]*attempt{}, map[wire.AttemptID]context.Context{}, map[wire.AttemptID][]byte{}
+	m.table = newTable(m.clock, uint64(m.incarnation), m.startRun, l)
 }
 
 // begin is the controllable upstream.
-func (m *gateModel) begin(ctx context.Context, a *attempt) {
+func (m *gateModel) startRun(ctx context.Context, a *attempt) {
 	m.runs[a.id]++
 	m.running[a.id] = ctx
 	cancel := a.cancel
@@ -76,7 +76,7 @@
 func (m *gateModel) newAttempt(t *rapid.T) *attempt {
 	m.next++
 	skew := time.Duration(rapid.IntRange(-9, 9).Draw(t, "clock skew")) * time.Second
-	a := &attempt{id: wire.AttemptIDAt(m.clock.Now().Add(skew), m.next), incarnation: uint64(m.start),
+	a := &attempt{id: wire.AttemptIDAt(m.clock.Now().Add(skew), m.next), incarnation: uint64(m.incarnation),
 		customer: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "customer"), share: 1, repeatable: rapid.Bool().Draw(t, "repeatable"),
 		class:    rapid.SampledFrom(testClasses).Draw(t, "class"),
 		deadline: m.clock.Now().Add(time.Duration(rapid.IntRange(-1, 8).Draw(t, "budget")) * time.Second)}
@@ -115,7 +115,7 @@
 // one that ran the attempt. The refusal speaks of this copy; the entry reads
 // the answer to the first one.
 func (m *gateModel) ranBefore(a *attempt) bool {
-	return a.incarnation != uint64(m.start) && m.runs[a.id] > 0
+	return a.incarnation != uint64(m.incarnation) && m.runs[a.id] > 0
 }
 
 func (m *gateModel) ids() []wire.AttemptID {
@@ -160,13 +160,13 @@
 	if tb.running != len(m.running) {
 		t.Fatalf("counts %d running, want %d", tb.running, len(m.running))
 	}
-	if a := tb.queue.earliest(); a != nil && tb.late(a) {
+	if a := tb.queue.earliestDeadline(); a != nil && tb.cannotFinish(a) {
 		t.Fatalf("%s waits and can no longer finish", a.id)
 	}
-	if tb.queue.len() > 0 && (tb.due.IsZero() || tb.due.After(tb.latestStart(tb.queue.earliest())) && tb.due.After(m.clock.Now().Add(minTimer))) {
+	if tb.queue.len() > 0 && (tb.timerAt.IsZero() || tb.timerAt.After(tb.latestStart(tb.queue.earliestDeadline())) && tb.timerAt.After(m.clock.Now().Add(minTimerWait))) {
 		t.Fatal("no timer for the attempt that falls due next")
 	}
-	if idle := tb.records.kept; idle > tb.limits.keepBytes && tb.records.evictableLen() > 0 {
+	if idle := tb.records.keptBytes; idle > tb.limits.keepBytes && tb.records.evictableLen() > 0 {
 		t.Fatalf("%d bytes kept, the limit is %d", idle, tb.limits.keepBytes)
 	}
 	for _, a := range m.sent {
@@ -180,39 +180,39 @@
 	if a == nil {
 		return
 	}
-	if f := a.answer.failure; f != nil && f.Verdict == verdict.NotRun {
+	if f := a.response.failure; f != nil && f.Verdict == verdict.NotRun {
 		m.reportNotRun(a.id, "its answer")
 	}
-	length, end, dropped := a.answer.size()
-	if want := m.wrote[a.id]; length != int64(len(want)) || !dropped && !bytes.Equal(a.answer.data, want) {
-		t.Fatalf("%s: answer %q, want %q", a.id, a.answer.data, want)
+	length, end, dropped := a.response.size()
+	if want := m.written[a.id]; length != int64(len(want)) || !dropped && !bytes.Equal(a.response.data, want) {
+		t.Fatalf("%s: answer %q, want %q", a.id, a.response.data, want)
 	}
-	if whole := bytes.HasSuffix(m.wrote[a.id], []byte("end")); (end == wire.EndWhole) != whole {
-		t.Fatalf("%s: end mark %q, wrote %q", a.id, end, m.wrote[a.id])
+	if whole := bytes.HasSuffix(m.written[a.id], []byte("end")); (end == wire.EndWhole) != whole {
+		t.Fatalf("%s: end mark %q, wrote %q", a.id, end, m.written[a.id])
 	}
 }
 
 func (m *gateModel) write(a *attempt, text string) {
-	m.wrote[a.id] = append(m.wrote[a.id], text...)
-	a.answer.append([]byte(text))
+	m.written[a.id] = append(m.written[a.id], text...)
+	a.response.append([]byte(text))
 }
 
 // attach reads what there is from an offset, as after a broken connection.
 func (m *gateModel) attach(t *rapid.T) {
 	of := m.any(t)
-	a := m.table.join(of.id)
+	a := m.table.addReader(of.id)
 	if a == nil {
 		return
 	}
-	defer m.table.leave(a)
-	length, _, dropped := a.answer.size()
+	defer m.table.removeReader(a)
+	length, _, dropped := a.response.size()
 	if length == 0 || dropped {
 		return
 	}
 	offset := rapid.Int64Range(0, length-1).Draw(t, "offset")
-	data, _, err := a.answer.next(context.Background(), offset)
-	if err != nil || !bytes.Equal(data, m.wrote[of.id][offset:]) {
-		t.Fatalf("%s from %d: %q %v, want %q", of.id, offset, data, err, m.wrote[of.id][offset:])
+	data, _, err := a.response.next(context.Background(), offset)
+	if err != nil || !bytes.Equal(data, m.written[of.id][offset:]) {
+		t.Fatalf("%s from %d: %q %v, want %q", of.id, offset, data, err, m.written[of.id][offset:])
 	}
 }
 
@@ -220,7 +220,7 @@
 	st := m.table.cancelAttempt(a.id, abandon)
 	switch st.State {
 	case wire.AttemptTombstoned:
-		if a.incarnation == uint64(m.start) { // otherwise the entry sees another incarnation and concludes nothing
+		if a.incarnation == uint64(m.incarnation) { // otherwise the entry sees another incarnation and concludes nothing
 			m.reportNotRun(a.id, "cancel")
 		}
 	case wire.AttemptRunning, wire.AttemptDone:
@@ -244,19 +244,19 @@
 			"reader leaves":  func(t *rapid.T) { m.leave(m.any(t)) },
 			"upstream writes": func(t *rapid.T) {
 				a := m.pick(t)
-				a.answer.start(200, nil)
+				a.response.start(200, nil)
 				m.write(a, "abc")
 			},
 			"upstream ends": func(t *rapid.T) {
 				a := m.pick(t)
-				a.answer.start(200, nil)
+				a.response.start(200, nil)
 				m.write(a, "end")
 				m.finish(a, nil)
 			},
 			"upstream cuts": func(t *rapid.T) { m.finish(m.pick(t), verdict.New(verdict.Ran, verdict.CodeCut, "cut")) },
 			"upstream refuses the connection": func(t *rapid.T) {
 				a := m.pick(t)
-				if len(m.wrote[a.id]) == 0 {
+				if len(m.written[a.id]) == 0 {
 					m.finish(a, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "down"))
 				}
 			},
@@ -295,6 +295,6 @@
 
 func (m *gateModel) leave(of *attempt) {
 	if a := m.admitted[of.id]; a != nil && a.readers > 0 {
-		m.table.leave(a)
+		m.table.removeReader(a)
 	}
 }
--- a/node/gate/due.go
+++ b/node/gate/timer.go
@@ -3,19 +3,19 @@
 import "time"
 
 // minTimer keeps a due event that cannot be met at once from spinning.
-const minTimer = time.Millisecond
+const minTimerWait = time.Millisecond
 
 // arm sets the one timer to the next due event, if that is earlier than what
 // it is set to. A gate without work or records has no timer.
-func (t *table) arm() {
+func (t *table) resetTimer() {
 	queueVar.Set(int64(t.queue.len()))
 	inFlightVar.Set(int64(t.running))
-	next := t.nextDue()
-	if next.IsZero() || !t.due.IsZero() && !next.Before(t.due) {
+	next := t.nextTimerTime()
+	if next.IsZero() || !t.timerAt.IsZero() && !next.Before(t.timerAt) {
 		return
 	}
-	t.due = next
-	wait := max(next.Sub(t.clock.Now()), minTimer)
+	t.timerAt = next
+	wait := max(next.Sub(t.clock.Now()), minTimerWait)
 	if t.timer == nil {
 		t.timer = t.clock.AfterFunc(wait, t.sweep)
 		return
@@ -24,21 +24,21 @@
 }
 
 // nextDue returns when something falls due, or the zero time.
-func (t *table) nextDue() time.Time {
+func (t *table) nextTimerTime() time.Time {
 	var next time.Time
 	sooner := func(at time.Time) {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
 	}
-	if a := t.queue.earliest(); a != nil {
+	if a := t.queue.earliestDeadline(); a != nil {
 		sooner(t.latestStart(a))
 	}
 	if u := t.records.unread; len(u) > 0 {
-		sooner(u[0].unread.Add(unreadGrace))
+		sooner(u[0].unreadSince.Add(unreadGrace))
 	}
 	if e := t.records.ended; len(e) > 0 {
-		sooner(e[0].ended.Add(t.limits.keep + minTimer))
+		sooner(e[0].ended.Add(t.limits.keep + minTimerWait))
 	}
 	return next
 }
@@ -48,17 +48,17 @@
 func (t *table) sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.due = time.Time{}
-	t.forget()
+	t.timerAt = time.Time{}
+	t.expireRecords()
 	t.abandonUnread()
 	t.refuseLate()
-	t.arm()
+	t.resetTimer()
 }
 
 // refuseLate refuses every waiting attempt that can no longer finish.
 func (t *table) refuseLate() {
-	for a := t.queue.earliest(); a != nil && t.late(a); a = t.queue.earliest() {
+	for a := t.queue.earliestDeadline(); a != nil && t.cannotFinish(a); a = t.queue.earliestDeadline() {
 		t.queue.remove(a)
-		t.bury(a, lateError(t.expectedWait(a)))
+		t.tombstone(a, deadlineRefusal(t.expectedWait(a)))
 	}
 }
--- a/node/gate/orders.go
+++ b/node/gate/traffic.go
@@ -19,6 +19,6 @@
 func (s *Service) SetParked(parked bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.parked = parked
+	s.noModel = parked
 	s.applyLeaving()
 }
--- a/node/gate/upstream.go
+++ b/node/gate/upstream.go
@@ -12,21 +12,21 @@
 	upstreamIdle = 4 * time.Second
 	// singleIdle is the same for attempts that may not be repeated, where such
 	// a meeting costs the caller an error.
-	singleIdle = time.Second
+	noRetryIdle = time.Second
 )
 
 // upstreamClients send attempts to the upstream.
 type upstreamClients struct {
 	repeatable *http.Client // the transport may send a request again
-	single     *http.Client // it may not: for requests with a body, without GetBody
-	fresh      *http.Client // nor here: each request has a connection of its own
+	noRetry    *http.Client // it may not: for requests with a body, without GetBody
+	noReuse    *http.Client // nor here: each request has a connection of its own
 }
 
 func newUpstreamClients() upstreamClients {
 	return upstreamClients{
 		repeatable: upstreamClient(&http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: upstreamIdle, DisableCompression: true}),
-		single:     upstreamClient(&http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: singleIdle, DisableCompression: true}),
-		fresh:      upstreamClient(&http.Transport{DisableKeepAlives: true, DisableCompression: true}),
+		noRetry:    upstreamClient(&http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: noRetryIdle, DisableCompression: true}),
+		noReuse:    upstreamClient(&http.Transport{DisableKeepAlives: true, DisableCompression: true}),
 	}
 }
 
@@ -40,14 +40,14 @@
 // request that may not be repeated is sent on a kept connection only if it has
 // a body: net/http repeats one on its own when the kept connection fails, but
 // never one whose body it cannot get again.
-func (u *upstreamClients) of(req *http.Request, repeatable bool) *http.Client {
+func (u *upstreamClients) clientFor(req *http.Request, repeatable bool) *http.Client {
 	switch {
 	case repeatable:
 		return u.repeatable
 	case req.ContentLength > 0:
 		req.GetBody = nil
-		return u.single
+		return u.noRetry
 	default:
-		return u.fresh
+		return u.noReuse
 	}
 }
--- a/node/gate/upstream_test.go
+++ b/node/gate/upstream_test.go
@@ -16,22 +16,22 @@
 
 // fickleUpstream answers the first requests of each connection and closes it
 // without an answer, or before the next request came.
-type fickleUpstream struct {
+type closingUpstream struct {
 	net.Listener
 	perConnection int  // requests answered
-	readNext      bool // the next one is run and not answered
+	runUnanswered bool // the next one is run and not answered
 
 	mu          sync.Mutex
 	connections int
 	runs        map[string]int // by body
 }
 
-func newFickleUpstream(t *testing.T, perConnection int, readNext bool) *fickleUpstream {
+func newClosingUpstream(t *testing.T, perConnection int, readNext bool) *closingUpstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &fickleUpstream{Listener: l, perConnection: perConnection, readNext: readNext, runs: map[string]int{}}
+	u := &closingUpstream{Listener: l, perConnection: perConnection, runUnanswered: readNext, runs: map[string]int{}}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -45,7 +45,7 @@
 	return u
 }
 
-func (u *fickleUpstream) serve(conn net.Conn) {
+func (u *closingUpstream) serve(conn net.Conn) {
 	defer conn.Close()
 	u.mu.Lock()
 	u.connections++
@@ -57,12 +57,12 @@
 		}
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}
-	if u.readNext {
+	if u.runUnanswered {
 		u.run(r)
 	}
 }
 
-func (u *fickleUpstream) run(r *bufio.Reader) bool {
+func (u *closingUpstream) run(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return false
@@ -85,11 +85,11 @@
 		for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut} {
 			for _, body := range []string{"", "order"} {
 				t.Run(fmt.Sprintf("%s %q read=%v", method, body, readNext), func(t *testing.T) {
-					u := newFickleUpstream(t, 3, readNext)
+					u := newClosingUpstream(t, 3, readNext)
 					s := &Service{set: settings.AgentRole{Upstream: u.Addr().String(), MaxAnswer: 1 << 20}, upstream: newUpstreamClients()}
 					failed := 0
 					for i := range calls {
-						a := &attempt{method: method, path: fmt.Sprintf("/%d", i), header: http.Header{"Idempotency-Key": {"k"}}, body: []byte(body), answer: newAnswer()}
+						a := &attempt{method: method, path: fmt.Sprintf("/%d", i), header: http.Header{"Idempotency-Key": {"k"}}, body: []byte(body), response: newResponseBuffer()}
 						e := s.call(context.Background(), a)
 						u.mu.Lock()
 						runs := u.runs[a.path+body]
--- a/node/gateway/attainment.go
+++ b/node/gateway/attainment.go
@@ -12,7 +12,7 @@
 var attainmentVar = expvar.NewMap("attainment")
 
 func (c *call) countAttainment(err error) {
-	whole := err == nil && c.status < http.StatusInternalServerError && (c.limit.IsZero() || !time.Now().After(c.limit))
+	whole := err == nil && c.status < http.StatusInternalServerError && (c.deadlineAt.IsZero() || !time.Now().After(c.deadlineAt))
 	for _, key := range c.attainmentKeys() {
 		if whole {
 			attainmentVar.Add(key+".whole", 1)
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -25,22 +25,22 @@
 
 // call is one caller's request.
 type call struct {
-	id       wire.RequestID
-	received time.Time
-	view     *configsync.View
-	customer *optext.Customer
-	timeout  time.Duration // zero when the caller named none
-	body     []byte
-	pipeline *optext.Pipeline // nil for a single call
-	service  string           // of a single call
-	status   int              // of the answer, once it was begun
-	limit    time.Time        // the deadline, once it is known
-	release  func()           // ends the admission; nil when refused
-	begun    bool             // the response's status line was sent
+	id         wire.RequestID
+	received   time.Time
+	view       *configsync.View
+	customer   *optext.Customer
+	timeout    time.Duration // zero when the caller named none
+	body       []byte
+	pipeline   *optext.Pipeline // nil for a single call
+	service    string           // of a single call
+	status     int              // of the answer, once it was begun
+	deadlineAt time.Time        // the deadline, once it is known
+	release    func()           // ends the admission; nil when refused
+	headerSent bool             // the response's status line was sent
 }
 
 // work returns what the request needs of the services.
-func (c *call) work() admission.Work {
+func (c *call) admissionWork() admission.Work {
 	if c.pipeline != nil {
 		return admission.OfPipeline(c.pipeline, c.view.Config.Services)
 	}
@@ -62,13 +62,13 @@
 )
 
 // begin reads headers and body. The returned call is never nil.
-func (s *Service) begin(w http.ResponseWriter, r *http.Request) (*call, error) {
+func (s *Service) readRequest(w http.ResponseWriter, r *http.Request) (*call, error) {
 	c := &call{id: wire.RequestID(r.Header.Get(wire.HeaderRequestID)), received: time.Now()}
 	if c.id == "" || len(c.id) > maxRequestID {
 		c.id = wire.RequestID(uuid.NewString())
 	}
 	w.Header().Set(wire.HeaderRequestID, string(c.id))
-	if refusal := s.admit(); refusal != nil {
+	if refusal := s.checkServing(); refusal != nil {
 		return c, refusal
 	}
 	c.view = s.p.Sync.View()
@@ -127,15 +127,15 @@
 }
 
 // deadline is the caller's timeout, but no later than the given limit.
-func (c *call) deadline(limit time.Duration) time.Time {
+func (c *call) setDeadline(limit time.Duration) time.Time {
 	if c.timeout > 0 && c.timeout < limit {
 		limit = c.timeout
 	}
-	c.limit = c.received.Add(limit)
-	return c.limit
+	c.deadlineAt = c.received.Add(limit)
+	return c.deadlineAt
 }
 
-func (s *Service) chat(w http.ResponseWriter, r *http.Request, c *call) error {
+func (s *Service) handleChat(w http.ResponseWriter, r *http.Request, c *call) error {
 	in, err := readInput(c.body)
 	if err != nil {
 		return err
@@ -150,7 +150,7 @@
 	return s.runPipeline(w, r, c, p, in)
 }
 
-func (s *Service) pipeline(w http.ResponseWriter, r *http.Request, c *call) error {
+func (s *Service) handlePipeline(w http.ResponseWriter, r *http.Request, c *call) error {
 	name := chi.URLParam(r, "pipeline")
 	p := c.view.Config.Pipelines[name]
 	if p == nil {
@@ -201,10 +201,10 @@
 
 func (s *Service) runPipeline(w http.ResponseWriter, r *http.Request, c *call, p *optext.Pipeline, in pipeline.Input) error {
 	c.pipeline = p
-	if err := s.take(c); err != nil {
+	if err := s.admitCall(c); err != nil {
 		return err
 	}
-	deadline := c.deadline(p.Deadline)
+	deadline := c.setDeadline(p.Deadline)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
 	res, err := s.p.Pipeline.Run(ctx, &pipeline.Request{ID: c.id, Customer: c.customer, Pipeline: p, Config: c.view.Config, Deadline: deadline, Input: in})
@@ -212,22 +212,22 @@
 		return err
 	}
 	defer res.Body.Close()
-	return c.stream(w, res.Status, res.ContentType, res.Body)
+	return c.writeResponse(w, res.Status, res.ContentType, res.Body)
 }
 
 // service passes a call on to a plain service. Calls that are not idempotent
 // and carry a key go through the ledger.
-func (s *Service) service(w http.ResponseWriter, r *http.Request, c *call) error {
+func (s *Service) handleService(w http.ResponseWriter, r *http.Request, c *call) error {
 	name := chi.URLParam(r, "service")
 	sv := c.view.Config.Services[name]
 	if sv == nil {
 		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "service %q is not in the operators' text", name)
 	}
 	c.service = name
-	if err := s.take(c); err != nil {
+	if err := s.admitCall(c); err != nil {
 		return err
 	}
-	deadline := c.deadline(defaultTimeout)
+	deadline := c.setDeadline(defaultTimeout)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
 	path := "/" + chi.URLParam(r, "*")
@@ -241,7 +241,7 @@
 	d := dispatch.Call{Request: c.id, Stage: name, Service: name, Customer: c.customer.Name, Class: string(class), Share: c.customer.Share,
 		Repeatable: sv.Repeatable, Method: r.Method, Path: path, ContentType: r.Header.Get("Content-Type"), Header: r.Header, Body: c.body, Deadline: deadline}
 	if key := r.Header.Get(wire.HeaderIdempotencyKey); key != "" && !sv.Repeatable {
-		return s.keyed(ctx, w, c, d, key, sv)
+		return s.callWithKey(ctx, w, c, d, key, sv)
 	}
 	a, err := s.p.Pipeline.Call(ctx, d, sv)
 	if err != nil {
@@ -249,10 +249,10 @@
 	}
 	defer a.Body.Close()
 	wire.PassToCaller(w.Header(), a.Header)
-	return c.stream(w, a.Status, a.ContentType, a.Body)
+	return c.writeResponse(w, a.Status, a.ContentType, a.Body)
 }
 
-func (s *Service) keyed(ctx context.Context, w http.ResponseWriter, c *call, d dispatch.Call, key string, sv *optext.Service) error {
+func (s *Service) callWithKey(ctx context.Context, w http.ResponseWriter, c *call, d dispatch.Call, key string, sv *optext.Service) error {
 	s.p.Admission.Report(sv.Name, false)
 	res, err := s.p.Ledger.Run(ctx, key, d, sv.RoutingPolicy)
 	if verdict.LacksCapacity(err) {
@@ -268,7 +268,7 @@
 	h.Set(wire.HeaderVerdict, verdict.Ran.String())
 	h.Set("Content-Type", res.Outcome.ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(res.Outcome.Body)))
-	c.begun = true
+	c.headerSent = true
 	w.WriteHeader(res.Outcome.Status)
 	_, err = w.Write(res.Outcome.Body)
 	return err
@@ -279,7 +279,7 @@
 // stream copies an answer to the caller. A plain answer is held until it is
 // whole, so that a failure can still be told by status; an event stream is
 // passed on as it comes and is cut when its source is.
-func (c *call) stream(w http.ResponseWriter, status int, contentType string, body io.Reader) error {
+func (c *call) writeResponse(w http.ResponseWriter, status int, contentType string, body io.Reader) error {
 	c.status = status
 	if !strings.HasPrefix(contentType, wire.ContentEventStream) {
 		whole, err := io.ReadAll(body)
@@ -290,7 +290,7 @@
 		h.Set(wire.HeaderVerdict, verdict.Ran.String())
 		h.Set("Content-Type", contentType)
 		h.Set("Content-Length", strconv.Itoa(len(whole)))
-		c.begun = true
+		c.headerSent = true
 		w.WriteHeader(status)
 		_, err = w.Write(whole)
 		return err
@@ -298,7 +298,7 @@
 	h := w.Header()
 	h.Set(wire.HeaderVerdict, verdict.Ran.String())
 	h.Set("Content-Type", contentType)
-	c.begun = true
+	c.headerSent = true
 	w.WriteHeader(status)
 	return copyFlushing(w, body)
 }
--- a/node/gateway/errors.go
+++ b/node/gateway/errors.go
@@ -26,7 +26,7 @@
 }
 
 // typeOf returns the error type that clients of the OpenAI API know.
-func typeOf(status int) string {
+func errorType(status int) string {
 	switch {
 	case status == http.StatusTooManyRequests:
 		return "rate_limit_error"
@@ -38,7 +38,7 @@
 }
 
 func writeError(w http.ResponseWriter, id wire.RequestID, e *verdict.Error) {
-	b := errorBody{errorObject{Message: e.Message, Type: typeOf(e.Status), Code: e.Code, Verdict: e.Verdict, RequestID: id}}
+	b := errorBody{errorObject{Message: e.Message, Type: errorType(e.Status), Code: e.Code, Verdict: e.Verdict, RequestID: id}}
 	h := w.Header()
 	h.Set(wire.HeaderVerdict, e.Verdict.String())
 	h.Set("Content-Type", "application/json")
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -39,12 +39,12 @@
 
 // Service is the callers' listener.
 type Service struct {
-	p         Params
-	set       settings.EntryRole
-	server    *http.Server
-	taken     atomic.Bool // the entry's services have a view
-	draining  atomic.Bool
-	receiving atomic.Int64 // requests that are read, refused, served or answered
+	p           Params
+	set         settings.EntryRole
+	server      *http.Server
+	viewApplied atomic.Bool // the entry's services have a view
+	draining    atomic.Bool
+	receiving   atomic.Int64 // requests that are read, refused, served or answered
 }
 
 var (
@@ -64,22 +64,22 @@
 func New(p Params) *Service {
 	s := &Service{p: p, set: p.Settings.Entry}
 	// The services that New was given were told of the view before.
-	p.Sync.OnChange(func(*configsync.View) { s.taken.Store(true) })
+	p.Sync.OnChange(func(*configsync.View) { s.viewApplied.Store(true) })
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	r.Get("/readyz", s.ready)
-	r.Get("/v1/models", s.models)
-	r.Post("/v1/chat/completions", s.serve(s.chat))
-	r.Post("/v1/pipelines/{pipeline}", s.serve(s.pipeline))
-	r.HandleFunc("/v1/services/{service}", s.serve(s.service))
-	r.HandleFunc("/v1/services/{service}/*", s.serve(s.service))
+	r.Get("/readyz", s.handleReady)
+	r.Get("/v1/models", s.handleModels)
+	r.Post("/v1/chat/completions", s.wrapHandler(s.handleChat))
+	r.Post("/v1/pipelines/{pipeline}", s.wrapHandler(s.handlePipeline))
+	r.HandleFunc("/v1/services/{service}", s.wrapHandler(s.handleService))
+	r.HandleFunc("/v1/services/{service}/*", s.wrapHandler(s.handleService))
 	r.NotFound(func(w http.ResponseWriter, req *http.Request) {
-		s.fail(w, "", verdict.New(verdict.NotRun, verdict.CodeUnknown, "no such path: %s; use /v1/chat/completions, /v1/pipelines/NAME or /v1/services/NAME/PATH", req.URL.Path))
+		s.writeFailure(w, "", verdict.New(verdict.NotRun, verdict.CodeUnknown, "no such path: %s; use /v1/chat/completions, /v1/pipelines/NAME or /v1/services/NAME/PATH", req.URL.Path))
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, req *http.Request) {
 		e := verdict.New(verdict.NotRun, verdict.CodeInvalid, "method %s is not allowed for %s: use POST", req.Method, req.URL.Path)
 		e.Status = http.StatusMethodNotAllowed
-		s.fail(w, "", e)
+		s.writeFailure(w, "", e)
 	})
 	s.server = &http.Server{Handler: r, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	return s
@@ -106,7 +106,7 @@
 	return s.server.Shutdown(ctx)
 }
 
-func (s *Service) ready(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if reason := s.notReady(); reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
@@ -119,7 +119,7 @@
 	switch {
 	case s.draining.Load():
 		return "draining"
-	case v == nil || v.Version == 0 || !s.taken.Load():
+	case v == nil || v.Version == 0 || !s.viewApplied.Load():
 		return "no configuration yet"
 	case !s.p.Sync.TakenOver():
 		return "configuration not taken over yet"
@@ -130,7 +130,7 @@
 }
 
 // admit refuses what cannot be served at all.
-func (s *Service) admit() *verdict.Error {
+func (s *Service) checkServing() *verdict.Error {
 	v := s.p.Sync.View()
 	switch {
 	case v == nil || v.Version == 0:
@@ -145,7 +145,7 @@
 
 // serve wraps a handler with admission, the request id and the accounting of
 // outcomes.
-func (s *Service) serve(handle func(http.ResponseWriter, *http.Request, *call) error) http.HandlerFunc {
+func (s *Service) wrapHandler(handle func(http.ResponseWriter, *http.Request, *call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.receiving.Add(1)
 		inFlightVar.Add(1)
@@ -156,7 +156,7 @@
 		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
-		c, err := s.begin(w, r)
+		c, err := s.readRequest(w, r)
 		defer func() {
 			if c.release != nil {
 				c.release()
@@ -165,13 +165,13 @@
 		if err == nil {
 			err = handle(w, r, c)
 		}
-		s.end(w, r, c, err)
+		s.finishRequest(w, r, c, err)
 	}
 }
 
 // take admits the request, or refuses it at once.
-func (s *Service) take(c *call) error {
-	release, refusal := s.p.Admission.Admit(c.customer, c.work(), len(c.body))
+func (s *Service) admitCall(c *call) error {
+	release, refusal := s.p.Admission.Admit(c.customer, c.admissionWork(), len(c.body))
 	if refusal != nil {
 		return refusal
 	}
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func (s *Service) end(w http.ResponseWriter, r *http.Request, c *call, err error) {
+func (s *Service) finishRequest(w http.ResponseWriter, r *http.Request, c *call, err error) {
 	c.countAttainment(err)
 	if err == nil {
 		requestsVar.Add("whole", 1)
@@ -189,15 +189,15 @@
 	e := verdict.From(err)
 	requestsVar.Add(e.Verdict.String(), 1)
 	s.p.Ring.Record(timeline.Event{Kind: "request-failed", Request: string(c.id), Customer: c.customerName(), Detail: e.Error()})
-	if c.begun {
+	if c.headerSent {
 		// The status line is gone: cutting the connection is the only way to
 		// keep the caller from taking a part for the whole.
 		panic(http.ErrAbortHandler)
 	}
-	s.fail(w, c.id, e)
+	s.writeFailure(w, c.id, e)
 }
 
 // fail answers with an error before any part of an answer was sent.
-func (s *Service) fail(w http.ResponseWriter, id wire.RequestID, e *verdict.Error) {
+func (s *Service) writeFailure(w http.ResponseWriter, id wire.RequestID, e *verdict.Error) {
 	writeError(w, id, e)
 }
--- a/node/gateway/models.go
+++ b/node/gateway/models.go
@@ -22,9 +22,9 @@
 }
 
 // models lists the model names that select a pipeline.
-func (s *Service) models(w http.ResponseWriter, _ *http.Request) {
-	if refusal := s.admit(); refusal != nil {
-		s.fail(w, "", refusal)
+func (s *Service) handleModels(w http.ResponseWriter, _ *http.Request) {
+	if refusal := s.checkServing(); refusal != nil {
+		s.writeFailure(w, "", refusal)
 		return
 	}
 	list := modelList{Object: "list", Data: []model{}}
@@ -41,7 +41,7 @@
 	})
 	data, err := json.Marshal(list)
 	if err != nil {
-		s.fail(w, "", verdict.From(err))
+		s.writeFailure(w, "", verdict.From(err))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/node/pipeline/exchange.go
+++ b/node/pipeline/attempt.go
@@ -19,7 +19,7 @@
 )
 
 // work is a call and what its attempts need to be chosen and judged.
-type work struct {
+type callSpec struct {
 	dispatch.Call
 	service *optext.Service
 	stream  bool // an event stream is expected
@@ -29,33 +29,33 @@
 }
 
 // answer is an upstream's answer: whole, or an event stream that has begun.
-type answer struct {
+type response struct {
 	status      int
 	contentType string
-	whole       []byte
+	body        []byte
 	stream      *stream
 }
 
 // stream is an event stream under way.
 type stream struct {
 	events *bufio.Reader
-	body   *measured
+	body   *trackedBody
 	cancel context.CancelFunc // abandons the attempt
-	watch  *time.Timer        // fails the stream when it fires; nil until it is first needed
+	timer  *time.Timer        // fails the stream when it fires; nil until it is first needed
 }
 
 // event reads an event into e. When it does not come within the given time the
 // stream fails.
-func (s *stream) event(e *event, patience func() time.Duration) error {
+func (s *stream) nextEvent(e *event, patience func() time.Duration) error {
 	if s.buffered() {
 		return readEvent(s.events, e)
 	}
-	if limit := patience(); s.watch == nil {
-		s.watch = time.AfterFunc(limit, s.fail)
+	if limit := patience(); s.timer == nil {
+		s.timer = time.AfterFunc(limit, s.failSilent)
 	} else {
-		s.watch.Reset(limit)
+		s.timer.Reset(limit)
 	}
-	defer s.watch.Stop()
+	defer s.timer.Stop()
 	return readEvent(s.events, e)
 }
 
@@ -68,8 +68,8 @@
 }
 
 // fail abandons the attempt as one that failed by falling silent.
-func (s *stream) fail() {
-	s.body.silent.Store(true)
+func (s *stream) failSilent() {
+	s.body.timedOut.Store(true)
 	s.cancel()
 }
 
@@ -83,24 +83,24 @@
 	return err
 }
 
-func (a *answer) reader() io.ReadCloser {
+func (a *response) bodyReader() io.ReadCloser {
 	if a.stream != nil {
 		return a.stream
 	}
-	return io.NopCloser(bytes.NewReader(a.whole))
+	return io.NopCloser(bytes.NewReader(a.body))
 }
 
-func (a *answer) close() {
+func (a *response) close() {
 	if a.stream != nil {
 		a.stream.Close()
 	}
 }
 
 // failure returns the error that a status stands for.
-func (a *answer) failure() error {
+func (a *response) statusError() error {
 	switch {
 	case a.status >= http.StatusInternalServerError || a.status == http.StatusTooManyRequests:
-		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the upstream answered with status %d", a.status).After(comeBack)
+		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the upstream answered with status %d", a.status).After(defaultRetryAfter)
 	case a.status >= http.StatusMultipleChoices:
 		return verdict.New(verdict.Ran, verdict.CodeInvalid, "the upstream refused the request with status %d", a.status)
 	}
@@ -112,43 +112,43 @@
 // attempt sends the call to an endpoint and waits for the whole answer, or for
 // the first byte of an event stream. Cached is how many bytes of the prompt the
 // endpoint is expected to have cached. When ctx ends the attempt is abandoned.
-func (s *Service) attempt(ctx context.Context, e *routing.Endpoint, w *work, cached int) (*answer, error) {
+func (s *Service) attempt(ctx context.Context, e *routing.Endpoint, w *callSpec, cached int) (*response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := w.Call
 	c.Attempt = wire.NewAttemptID()
-	m := &measured{s: s, ctx: ctx, w: w, endpoint: e, started: time.Now()}
+	m := &trackedBody{s: s, ctx: ctx, w: w, endpoint: e, started: time.Now()}
 	if len(w.prefix) > 0 {
-		m.foretold = float64(cached) / float64(max(w.size, 1))
+		m.expectedCached = float64(cached) / float64(max(w.size, 1))
 	}
-	s.record("attempt-sent", &c, c.Stage+" to "+string(e.Member.ID))
+	s.recordEvent("attempt-sent", &c, c.Stage+" to "+string(e.Member.ID))
 	m.flight = e.Start(w.size - cached)
-	s.pressure.Report(w.Service, false)
+	s.capacity.Report(w.Service, false)
 	a, err := s.dispatch.Do(ctx, e, c)
 	if err != nil {
 		cancel()
 		m.finish(err)
-		s.record("attempt-failed", &c, verdict.From(err).Error())
+		s.recordEvent("attempt-failed", &c, verdict.From(err).Error())
 		return nil, err
 	}
 	e.Sent(w.prefix)
 	m.ReadCloser, m.status = a.Body, a.Status
-	out := &answer{status: a.Status, contentType: a.ContentType}
+	out := &response{status: a.Status, contentType: a.ContentType}
 	if strings.HasPrefix(a.ContentType, wire.ContentEventStream) {
-		out.stream, err = begun(m, cancel, w.Repeatable)
+		out.stream, err = openStream(m, cancel, w.Repeatable)
 	} else {
-		out.whole, err = readWhole(m)
+		out.body, err = readComplete(m)
 		m.Close()
 		cancel()
 	}
 	if err != nil {
-		s.record("attempt-failed", &c, verdict.From(err).Error())
+		s.recordEvent("attempt-failed", &c, verdict.From(err).Error())
 		return nil, err
 	}
 	return out, nil
 }
 
 // begun waits for the first byte of a stream that may still be run elsewhere.
-func begun(m *measured, cancel context.CancelFunc, wait bool) (*stream, error) {
+func openStream(m *trackedBody, cancel context.CancelFunc, wait bool) (*stream, error) {
 	st := &stream{events: bufio.NewReaderSize(m, streamBuffer), body: m, cancel: cancel}
 	if !wait {
 		return st, nil
@@ -165,42 +165,42 @@
 
 // readWhole reads an answer to its end. One that is too long is an error, not
 // a shorter answer.
-func readWhole(r io.Reader) ([]byte, error) {
+func readComplete(r io.Reader) ([]byte, error) {
 	var b bytes.Buffer
-	n, err := b.ReadFrom(io.LimitReader(r, maxAnswer+1))
+	n, err := b.ReadFrom(io.LimitReader(r, maxResponse+1))
 	if err != nil {
 		return nil, err
 	}
-	if n > maxAnswer {
-		return nil, verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", maxAnswer)
+	if n > maxResponse {
+		return nil, verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", maxResponse)
 	}
 	return b.Bytes(), nil
 }
 
 // measured counts an attempt out when its answer was read, and keeps its last
 // bytes, where the usage stands.
-type measured struct {
+type trackedBody struct {
 	io.ReadCloser
-	s        *Service
-	ctx      context.Context
-	w        *work
-	endpoint *routing.Endpoint
-	flight   routing.Flight
-	started  time.Time
-	status   int     // of the answer
-	foretold float64 // share of the prompt that was expected to be cached
-	tail     []byte
-	silent   atomic.Bool
-	once     sync.Once
+	s              *Service
+	ctx            context.Context
+	w              *callSpec
+	endpoint       *routing.Endpoint
+	flight         routing.Flight
+	started        time.Time
+	status         int     // of the answer
+	expectedCached float64 // share of the prompt that was expected to be cached
+	tail           []byte
+	timedOut       atomic.Bool
+	once           sync.Once
 }
 
 const usageTail = 512
 
 // Read implements io.Reader.
-func (m *measured) Read(p []byte) (int, error) {
+func (m *trackedBody) Read(p []byte) (int, error) {
 	n, err := m.ReadCloser.Read(p)
 	if len(m.w.prefix) > 0 {
-		m.keep(p[:n])
+		m.keepTail(p[:n])
 	}
 	if err == io.EOF {
 		m.finish(nil)
@@ -210,7 +210,7 @@
 	return n, err
 }
 
-func (m *measured) keep(p []byte) {
+func (m *trackedBody) keepTail(p []byte) {
 	if len(p) >= usageTail {
 		m.tail = append(m.tail[:0], p[len(p)-usageTail:]...)
 		return
@@ -222,21 +222,21 @@
 }
 
 // Close implements io.Closer. Closing before the end abandons the attempt.
-func (m *measured) Close() error {
+func (m *trackedBody) Close() error {
 	m.finish(errAbandoned)
 	return m.ReadCloser.Close()
 }
 
 var errAbandoned = verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the attempt was given up")
 
-func (m *measured) finish(err error) {
+func (m *trackedBody) finish(err error) {
 	m.once.Do(func() {
 		took := time.Since(m.started)
 		o := outcomeOf(m.ctx, err)
 		if err == nil {
 			o = outcomeOfStatus(m.status)
 		}
-		if m.silent.Load() {
+		if m.timedOut.Load() {
 			o = routing.Failed
 		}
 		found, told := cachedShare(m.tail)
@@ -244,21 +244,21 @@
 			m.flight.Resize(int(float64(m.w.size) * (1 - found)))
 		}
 		m.flight.End(o)
-		m.s.noteCapacity(m.w, err)
+		m.s.reportCapacity(m.w, err)
 		if verdict.Of(err) != verdict.NotRun {
 			countStage(m.w.Stage, took, o == routing.Answered)
 		}
-		if verdict.From(orNil(err)).Code == verdict.CodeLeaving {
+		if verdict.From(orEmpty(err)).Code == verdict.CodeLeaving {
 			m.endpoint.Leaves()
 		}
 		if told && o == routing.Answered {
-			m.endpoint.Found(found, m.foretold)
+			m.endpoint.Found(found, m.expectedCached)
 		}
 	})
 }
 
 // orNil lets a nil error be asked for its code.
-func orNil(err error) error {
+func orEmpty(err error) error {
 	if err == nil {
 		return &verdict.Error{}
 	}
@@ -294,8 +294,8 @@
 	return routing.Answered
 }
 
-func (s *Service) noteCapacity(w *work, err error) {
+func (s *Service) reportCapacity(w *callSpec, err error) {
 	if verdict.LacksCapacity(err) {
-		s.pressure.Report(w.Service, true)
+		s.capacity.Report(w.Service, true)
 	}
 }
--- a/node/pipeline/exchange_test.go
+++ b/node/pipeline/attempt_test.go
@@ -37,7 +37,7 @@
 	return &dispatch.Answer{Status: 200, Body: &cutBody{ctx: ctx, data: []byte("go"), end: errCut()}}, nil
 }
 func tooLong(ctx context.Context) (*dispatch.Answer, error) {
-	return &dispatch.Answer{Status: 200, Body: &cutBody{ctx: ctx, data: make([]byte, maxAnswer+1), end: io.EOF}}, nil
+	return &dispatch.Answer{Status: 200, Body: &cutBody{ctx: ctx, data: make([]byte, maxResponse+1), end: io.EOF}}, nil
 }
 func refusal(v verdict.Verdict, c verdict.Code) script {
 	return func(context.Context) (*dispatch.Answer, error) { return nil, verdict.New(v, c, "refused") }
@@ -285,7 +285,7 @@
 // caller's unknown fields.
 func TestCallersFieldsAreKept(t *testing.T) {
 	in := Input{Raw: []byte(`{"query":"q","top_k":3,"temperature":0.5,"stream_options":{"include_usage":true},"messages":[]}`)}
-	body, err := withCallersFields(in, chatRequest{Model: "m", Messages: []message{{"user", "q"}}, Stream: true})
+	body, err := mergeCallerFields(in, chatRequest{Model: "m", Messages: []message{{"user", "q"}}, Stream: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -316,7 +316,7 @@
 		sv.RoutingPolicy, sv.RetryPercent, sv.HedgePercent = "predicted", 10, 0
 		s := newFake(g, 4, sv)
 		for range 500 {
-			a, err := s.exchange(t.Context(), &work{Call: callOf(sv, time.Second), service: sv, size: 100})
+			a, err := s.exchange(t.Context(), &callSpec{Call: callOf(sv, time.Second), service: sv, size: 100})
 			if err != nil || a.status != 200 {
 				bad++
 			}
--- a/node/pipeline/body.go
+++ b/node/pipeline/body.go
@@ -23,7 +23,7 @@
 	Input string `json:"input"`
 }
 
-type embedAnswer struct {
+type embedResponse struct {
 	Data []struct {
 		Embedding []float64 `json:"embedding"`
 	} `json:"data"`
@@ -41,7 +41,7 @@
 	Text string `json:"text"`
 }
 
-type searchAnswer struct {
+type searchResponse struct {
 	Documents []Document `json:"documents"`
 }
 
@@ -51,7 +51,7 @@
 	TopN      int        `json:"top_n"`
 }
 
-type rerankAnswer struct {
+type rerankResponse struct {
 	Results []struct {
 		Index int     `json:"index"`
 		Score float64 `json:"relevance_score"`
@@ -103,7 +103,7 @@
 		if err != nil {
 			return "", nil, err
 		}
-		body, err = withCallersFields(in, chat)
+		body, err = mergeCallerFields(in, chat)
 		return pathChat, body, err
 	default:
 		path, v = pathPlain, plainOf(st, in, answers)
@@ -121,7 +121,7 @@
 
 // inputsOf calls f with the answer of each stage that st comes after and whose
 // service has the given kind.
-func inputsOf(st *optext.Stage, r *Request, answers map[string][]byte, kind optext.Kind, f func([]byte) error) error {
+func eachInput(st *optext.Stage, r *Request, answers map[string][]byte, kind optext.Kind, f func([]byte) error) error {
 	for _, name := range st.After {
 		for _, other := range r.Pipeline.Stages {
 			if other.Name != name || optext.Kind(r.Config.Services[other.Service].Kind) != kind {
@@ -137,8 +137,8 @@
 
 func vectorOf(st *optext.Stage, r *Request, answers map[string][]byte) ([]float64, error) {
 	var vector []float64
-	err := inputsOf(st, r, answers, optext.Encoder, func(b []byte) error {
-		var a embedAnswer
+	err := eachInput(st, r, answers, optext.Encoder, func(b []byte) error {
+		var a embedResponse
 		if err := json.Unmarshal(b, &a); err != nil {
 			return err
 		}
@@ -154,8 +154,8 @@
 // documentsOf collects retrieved documents, reranked ones in their new order.
 func documentsOf(st *optext.Stage, r *Request, answers map[string][]byte) ([]Document, error) {
 	var docs []Document
-	err := inputsOf(st, r, answers, optext.Retriever, func(b []byte) error {
-		var a searchAnswer
+	err := eachInput(st, r, answers, optext.Retriever, func(b []byte) error {
+		var a searchResponse
 		err := json.Unmarshal(b, &a)
 		docs = append(docs, a.Documents...)
 		return err
@@ -163,8 +163,8 @@
 	if err != nil {
 		return nil, err
 	}
-	err = inputsOf(st, r, answers, optext.Reranker, func(b []byte) error {
-		var a rerankAnswer
+	err = eachInput(st, r, answers, optext.Reranker, func(b []byte) error {
+		var a rerankResponse
 		err := json.Unmarshal(b, &a)
 		docs = append(docs, a.Documents...)
 		return err
@@ -189,11 +189,11 @@
 
 // notForEngines are the fields of a pipeline's request that are not the chat
 // API's.
-var notForEngines = []string{"query", "top_k"}
+var pipelineOnlyFields = []string{"query", "top_k"}
 
 // withCallersFields encodes a chat request. Fields of the caller's body that
 // this package does not know, such as temperature or stream_options, are kept.
-func withCallersFields(in Input, c chatRequest) ([]byte, error) {
+func mergeCallerFields(in Input, c chatRequest) ([]byte, error) {
 	own, err := json.Marshal(c)
 	if err != nil || len(in.Raw) == 0 {
 		return own, errors.Trace(err)
@@ -202,7 +202,7 @@
 	if err := json.Unmarshal(in.Raw, &fields); err != nil {
 		return nil, errors.Trace(err)
 	}
-	for _, name := range notForEngines {
+	for _, name := range pipelineOnlyFields {
 		delete(fields, name)
 	}
 	delete(fields, "stream")
--- a/node/pipeline/continuation.go
+++ b/node/pipeline/continuation.go
@@ -10,7 +10,7 @@
 var tokenLimits = []string{"max_tokens", "max_completion_tokens", "min_tokens"}
 
 // errComplete says that the limit of tokens was reached before the cut.
-var errComplete = errors.New("pipeline: all tokens were generated")
+var errTokenLimitReached = errors.New("pipeline: all tokens were generated")
 
 // continuation returns the chat request that goes on after what was passed on:
 // the text so far stands as the final assistant message, to be continued, and
@@ -51,7 +51,7 @@
 		}
 		rest := limit - tokens
 		if rest <= 0 && name != "min_tokens" {
-			return errComplete
+			return errTokenLimitReached
 		}
 		fields[name], _ = json.Marshal(max(rest, 0)) // cannot fail for an int
 	}
--- a/node/pipeline/estimate.go
+++ b/node/pipeline/estimate.go
@@ -21,30 +21,30 @@
 const (
 	buckets          = 168
 	bucketsPerOctave = 8
-	shortest         = 100 * time.Microsecond
-	fullWeight       = 512 // samples at which counts are halved
-	keptWeight       = 64  // samples that are kept however old
+	minDuration      = 100 * time.Microsecond
+	halveAt          = 512 // samples at which counts are halved
+	minAgedSamples   = 64  // samples that are kept however old
 	agePeriod        = 5 * time.Second
 	minSamples       = 16 // fewer say nothing
 )
 
 func bucketOf(d time.Duration) int {
-	if d <= shortest {
+	if d <= minDuration {
 		return 0
 	}
-	i := int(math.Log2(float64(d)/float64(shortest))*bucketsPerOctave) + 1
+	i := int(math.Log2(float64(d)/float64(minDuration))*bucketsPerOctave) + 1
 	return min(i, buckets-1)
 }
 
 // boundOf returns the upper bound of a bucket.
-func boundOf(i int) time.Duration {
-	return time.Duration(float64(shortest) * math.Exp2(float64(i)/bucketsPerOctave))
+func upperBound(i int) time.Duration {
+	return time.Duration(float64(minDuration) * math.Exp2(float64(i)/bucketsPerOctave))
 }
 
 func (h *histogram) add(d time.Duration, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.total >= fullWeight || h.total > keptWeight && now.Sub(h.aged) > agePeriod {
+	if h.total >= halveAt || h.total > minAgedSamples && now.Sub(h.aged) > agePeriod {
 		h.halve()
 		h.aged = now
 	}
@@ -71,30 +71,30 @@
 	for i, n := range h.counts {
 		rest -= n
 		if rest <= 0 {
-			return boundOf(i), true
+			return upperBound(i), true
 		}
 	}
-	return boundOf(buckets - 1), true
+	return upperBound(buckets - 1), true
 }
 
-const sizes = 8
+const sizeClasses = 8
 
 // estimate holds the times of one kind of work, by the size of its request.
 type estimate struct {
 	all    histogram
-	bySize [sizes]histogram
+	bySize [sizeClasses]histogram
 }
 
-func sizeOf(bytes int) int { return min(bits.Len(uint(bytes)>>10)/2, sizes-1) }
+func sizeClass(bytes int) int { return min(bits.Len(uint(bytes)>>10)/2, sizeClasses-1) }
 
 func (e *estimate) add(size int, d time.Duration) {
 	now := time.Now()
 	e.all.add(d, now)
-	e.bySize[sizeOf(size)].add(d, now)
+	e.bySize[sizeClass(size)].add(d, now)
 }
 
 func (e *estimate) quantile(size int, q float64) (time.Duration, bool) {
-	if d, ok := e.bySize[sizeOf(size)].quantile(q); ok {
+	if d, ok := e.bySize[sizeClass(size)].quantile(q); ok {
 		return d, true
 	}
 	return e.all.quantile(q)
@@ -103,7 +103,7 @@
 // estimates holds an estimate per name.
 type estimates struct{ m sync.Map }
 
-func (e *estimates) of(name string) *estimate {
+func (e *estimates) get(name string) *estimate {
 	if v, ok := e.m.Load(name); ok {
 		return v.(*estimate)
 	}
@@ -112,22 +112,22 @@
 }
 
 // gaps holds the usual time between two events of a service's streams.
-type gaps struct{ m sync.Map }
+type eventGaps struct{ m sync.Map }
 
 // gap is a moving average in nanoseconds.
-type gap struct{ value atomic.Int64 }
+type movingAverage struct{ value atomic.Int64 }
 
 const gapWeight = 16 // one over the weight of a new sample
 
-func (g *gaps) of(service string) *gap {
+func (g *eventGaps) get(service string) *movingAverage {
 	if v, ok := g.m.Load(service); ok {
-		return v.(*gap)
+		return v.(*movingAverage)
 	}
-	v, _ := g.m.LoadOrStore(service, &gap{})
-	return v.(*gap)
+	v, _ := g.m.LoadOrStore(service, &movingAverage{})
+	return v.(*movingAverage)
 }
 
-func (g *gap) add(d time.Duration) {
+func (g *movingAverage) add(d time.Duration) {
 	old := g.value.Load()
 	if old == 0 {
 		g.value.Store(int64(d))
--- a/node/pipeline/pipeline.go
+++ b/node/pipeline/pipeline.go
@@ -44,7 +44,7 @@
 
 // pressure is told of every attempt that is sent, and of those that were
 // refused for lack of capacity.
-type pressure interface {
+type capacityReporter interface {
 	Report(service string, refused bool)
 }
 
@@ -53,21 +53,21 @@
 	ring      *timeline.Ring
 	routing   router
 	dispatch  dispatcher
-	pressure  pressure
+	capacity  capacityReporter
 	estimates estimates
-	gaps      gaps
-	probes    probes
+	gaps      eventGaps
+	probes    probeLimiter
 
 	mu      sync.Mutex
-	retries map[string]*budgetOf
-	hedges  map[string]*budgetOf
+	retries map[string]*sizedBudget
+	hedges  map[string]*sizedBudget
 }
 
 // New returns the service.
 func New(p Params) *Service { return newService(p.Ring, p.Routing, p.Dispatch, p.Admission) }
 
-func newService(ring *timeline.Ring, r router, d dispatcher, p pressure) *Service {
-	return &Service{ring: ring, routing: r, dispatch: d, pressure: p, retries: map[string]*budgetOf{}, hedges: map[string]*budgetOf{}}
+func newService(ring *timeline.Ring, r router, d dispatcher, p capacityReporter) *Service {
+	return &Service{ring: ring, routing: r, dispatch: d, capacity: p, retries: map[string]*sizedBudget{}, hedges: map[string]*sizedBudget{}}
 }
 
 // Request is one caller's request to a pipeline.
@@ -98,42 +98,42 @@
 }
 
 const (
-	comeBack  = time.Second // after a refusal that gave no time of its own
-	maxAnswer = 16 << 20    // bytes of an answer that is held until it is whole
+	defaultRetryAfter = time.Second // after a refusal that gave no time of its own
+	maxResponse       = 16 << 20    // bytes of an answer that is held until it is whole
 )
 
 // Run runs all stages. The last one's event stream is passed on as it comes;
 // every other answer is read whole.
 func (s *Service) Run(ctx context.Context, r *Request) (*Result, error) {
-	run := newStages(s, r)
+	run := newPipelineRun(s, r)
 	if err := run.refuseLate(); err != nil {
 		return nil, err
 	}
-	return run.all(ctx)
+	return run.run(ctx)
 }
 
 // Call makes attempts of a single call until one is answered.
 func (s *Service) Call(ctx context.Context, c dispatch.Call, sv *optext.Service) (*dispatch.Answer, error) {
-	w := &work{Call: c, service: sv, size: len(c.Body)}
+	w := &callSpec{Call: c, service: sv, size: len(c.Body)}
 	a, err := s.exchange(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	return &dispatch.Answer{Status: a.status, ContentType: a.contentType, Body: a.reader()}, nil
+	return &dispatch.Answer{Status: a.status, ContentType: a.contentType, Body: a.bodyReader()}, nil
 }
 
 // budgetOf is a budget and the percentage it was made for.
-type budgetOf struct {
+type sizedBudget struct {
 	percent int
 	budget  *retry.Budget
 }
 
-func (s *Service) budget(all map[string]*budgetOf, name string, percent int, make func(int) *retry.Budget) *retry.Budget {
+func (s *Service) budget(all map[string]*sizedBudget, name string, percent int, make func(int) *retry.Budget) *retry.Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := all[name]
 	if b == nil || b.percent != percent {
-		b = &budgetOf{percent, make(percent)}
+		b = &sizedBudget{percent, make(percent)}
 		all[name] = b
 	}
 	return b.budget
@@ -147,6 +147,6 @@
 	return s.budget(s.hedges, sv.Name, sv.HedgePercent, retry.NewHedgeBudget)
 }
 
-func (s *Service) record(kind timeline.Kind, c *dispatch.Call, detail string) {
+func (s *Service) recordEvent(kind timeline.Kind, c *dispatch.Call, detail string) {
 	s.ring.Record(timeline.Event{Kind: kind, Request: string(c.Request), Attempt: string(c.Attempt), Customer: c.Customer, Detail: detail})
 }
--- a/node/pipeline/policy_test.go
+++ b/node/pipeline/policy_test.go
@@ -224,7 +224,7 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), trialDeadline)
 	defer cancel()
-	w := &work{service: sv, size: len(body), Call: dispatch.Call{Stage: "llm", Service: "llm", Repeatable: true, Body: body, Deadline: began.Add(trialDeadline)}}
+	w := &callSpec{service: sv, size: len(body), Call: dispatch.Call{Stage: "llm", Service: "llm", Repeatable: true, Body: body, Deadline: began.Add(trialDeadline)}}
 	if tr.sessions > 0 {
 		prompt := make([]byte, len(body))
 		copy(prompt, body[8:16])
@@ -232,7 +232,7 @@
 	}
 	a, err := entry.exchange(ctx, w)
 	if err == nil {
-		_, err = io.Copy(io.Discard, a.reader())
+		_, err = io.Copy(io.Discard, a.bodyReader())
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/node/pipeline/race.go
+++ b/node/pipeline/race.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	maxAttempts     = 4
-	lateFactor      = 3 // times the 99th percentile: an attempt this late is taken to be lost
-	lateQuantile    = 0.99
-	minHedgeDelay   = time.Millisecond
-	minLateDelay    = 50 * time.Millisecond
-	coldShare       = 3    // of the time left, one of this many for an attempt of unknown speed
-	usualQuantile   = 0.75 // no attempt is late before
-	mostQuantile    = 0.9  // a further attempt is expected to take at most this
-	suspectQuantile = 0.75 // of the hedge of an attempt that probes a suspect endpoint
-	leastQuantile   = 0.9
-	sameEndpointIn  = 25 * time.Millisecond // pause before an endpoint is tried again
+	maxAttempts       = 4
+	lateFactor        = 3 // times the 99th percentile: an attempt this late is taken to be lost
+	lateQuantile      = 0.99
+	minHedgeDelay     = time.Millisecond
+	minLateDelay      = 50 * time.Millisecond
+	unknownSpeedShare = 3    // of the time left, one of this many for an attempt of unknown speed
+	usualQuantile     = 0.75 // no attempt is late before
+	highQuantile      = 0.9  // a further attempt is expected to take at most this
+	suspectQuantile   = 0.75 // of the hedge of an attempt that probes a suspect endpoint
+	minHedgeQuantile  = 0.9
+	sameEndpointDelay = 25 * time.Millisecond // pause before an endpoint is tried again
 )
 
 // race makes attempts of one call until one is answered: one after the other
@@ -31,49 +31,49 @@
 type race struct {
 	s       *Service
 	ctx     context.Context
-	w       *work
+	w       *callSpec
 	retries *retry.Budget
 
 	tried    map[wire.MemberID]bool
 	results  chan result
 	cancels  [maxAttempts]context.CancelFunc
-	under    [maxAttempts]*routing.Endpoint // of attempts that run
+	inFlight [maxAttempts]*routing.Endpoint // of attempts that run
 	launched int
 	running  int
 	hedge    int // number of the attempt that was a hedge; zero for none
 	started  time.Time
 	size     int // of the first attempt's request, without what its endpoint has cached
 
-	worst verdict.Verdict // over all attempts that ended
-	last  *verdict.Error
-	bad   *answer // with a status that speaks for another try
+	strongestVerdict verdict.Verdict // over all attempts that ended
+	last             *verdict.Error
+	errorResponse    *response // with a status that speaks for another try
 }
 
 type result struct {
-	number int
-	answer *answer
-	err    error
-	at     *routing.Endpoint
+	number   int
+	answer   *response
+	err      error
+	endpoint *routing.Endpoint
 }
 
 // exchange makes attempts until one is answered. After a NotRun it tries
 // another endpoint; after any other failure only if the service is repeatable.
-func (s *Service) exchange(ctx context.Context, w *work) (*answer, error) {
+func (s *Service) exchange(ctx context.Context, w *callSpec) (*response, error) {
 	r := &race{s: s, ctx: ctx, w: w, retries: s.retryBudget(w.service), tried: map[wire.MemberID]bool{},
-		results: make(chan result, maxAttempts), started: time.Now(), worst: verdict.NotRun}
+		results: make(chan result, maxAttempts), started: time.Now(), strongestVerdict: verdict.NotRun}
 	r.retries.First()
 	if w.Repeatable {
 		s.hedgeBudget(w.service).First()
 	}
-	e := r.next()
+	e := r.nextEndpoint()
 	if e == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no upstream of %s can take the call", w.Service).After(comeBack)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no upstream of %s can take the call", w.Service).After(defaultRetryAfter)
 	}
 	r.start(e)
 	return r.run()
 }
 
-func (r *race) run() (*answer, error) {
+func (r *race) run() (*response, error) {
 	defer r.stop()
 	timer, first := r.firstTimer()
 	defer timer.Stop()
@@ -81,15 +81,15 @@
 		select {
 		case res := <-r.results:
 			r.running--
-			r.under[res.number] = nil
+			r.inFlight[res.number] = nil
 			if r.accept(res) {
 				return res.answer, nil
 			}
-			if r.running == 0 && !r.again() {
+			if r.running == 0 && !r.retry() {
 				return r.failure()
 			}
 		case <-timer.C:
-			r.late(first)
+			r.startExtra(first)
 			first = false
 			timer.Reset(r.lateDelay())
 		case <-r.ctx.Done():
@@ -99,7 +99,7 @@
 }
 
 // next returns the endpoint of the next attempt, or nil.
-func (r *race) next() *routing.Endpoint {
+func (r *race) nextEndpoint() *routing.Endpoint {
 	if r.launched == maxAttempts {
 		return nil
 	}
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithCancel(r.ctx)
 	n := r.launched
 	r.cancels[n] = cancel
-	r.under[n] = e
+	r.inFlight[n] = e
 	r.launched++
 	r.running++
 	cached := e.Cached(r.w.prefix)
@@ -125,15 +125,15 @@
 	go func() {
 		started := time.Now()
 		a, err := r.s.attempt(ctx, e, r.w, cached)
-		r.s.learn(r.w, size, time.Since(started), err == nil, ctx.Err() != nil)
+		r.s.recordDuration(r.w, size, time.Since(started), err == nil, ctx.Err() != nil)
 		r.results <- result{n, a, err, e}
 	}()
 }
 
 // forget lets endpoints be tried again where no attempt is under way.
-func (r *race) forget() {
+func (r *race) allowRepeats() {
 	clear(r.tried)
-	for _, e := range r.under {
+	for _, e := range r.inFlight {
 		if e != nil {
 			r.tried[e.Member.ID] = true
 		}
@@ -143,8 +143,8 @@
 // learn notes the time of an answer, and of an attempt that was given up if it
 // took longer than usual: without those the estimate would never follow a
 // service that becomes slow as a whole.
-func (s *Service) learn(w *work, size int, took time.Duration, ok, abandoned bool) {
-	est := s.estimates.of(w.estimate())
+func (s *Service) recordDuration(w *callSpec, size int, took time.Duration, ok, abandoned bool) {
+	est := s.estimates.get(w.estimateName())
 	if ok {
 		est.add(size, took)
 		return
@@ -154,7 +154,7 @@
 	}
 }
 
-func (w *work) estimate() string {
+func (w *callSpec) estimateName() string {
 	if w.stream {
 		return "first byte " + w.Service
 	}
@@ -171,14 +171,14 @@
 		return true
 	}
 	if res.err == nil {
-		r.bad = res.answer
-		r.last = verdict.From(res.answer.failure())
-		r.worst = verdict.Ran
+		r.errorResponse = res.answer
+		r.last = verdict.From(res.answer.statusError())
+		r.strongestVerdict = verdict.Ran
 		return false
 	}
 	r.last = verdict.From(res.err)
-	if r.last.Verdict != verdict.NotRun && r.worst != verdict.Ran {
-		r.worst = r.last.Verdict
+	if r.last.Verdict != verdict.NotRun && r.strongestVerdict != verdict.Ran {
+		r.strongestVerdict = r.last.Verdict
 	}
 	return false
 }
@@ -190,33 +190,33 @@
 		return false
 	}
 	if optext.Kind(r.w.service.Kind) == optext.Engine && status == http.StatusNotFound {
-		res.at.Lacks(r.w.model)
+		res.endpoint.Lacks(r.w.model)
 		return true
 	}
 	return status >= http.StatusInternalServerError || status == http.StatusTooManyRequests
 }
 
 // again starts another attempt after all failed, if that is allowed.
-func (r *race) again() bool {
-	if r.worst != verdict.NotRun && !r.w.Repeatable || r.launched == maxAttempts || !r.timeLeft() {
+func (r *race) retry() bool {
+	if r.strongestVerdict != verdict.NotRun && !r.w.Repeatable || r.launched == maxAttempts || !r.timeLeft() {
 		return false
 	}
-	e := r.next()
-	if e == nil && r.pause() {
-		e = r.next()
+	e := r.nextEndpoint()
+	if e == nil && r.waitToRepeat() {
+		e = r.nextEndpoint()
 	}
-	if e == nil || !r.free() && !r.retries.Take() {
+	if e == nil || !r.budgetExempt() && !r.retries.Take() {
 		return false
 	}
 	r.start(e)
 	retriesVar.Add(1)
-	r.s.record("retry", &r.w.Call, r.w.Stage)
+	r.s.recordEvent("retry", &r.w.Call, r.w.Stage)
 	return true
 }
 
 // free reports whether a retry needs no budget: the failure cost no upstream
 // anything and is a sign of a late members list, not of load.
-func (r *race) free() bool {
+func (r *race) budgetExempt() bool {
 	if r.last.Verdict != verdict.NotRun {
 		return false
 	}
@@ -226,16 +226,16 @@
 // pause waits before endpoints are tried a second time because there is no
 // other one. After a refusal they are not: it came from a gate that knows its
 // load.
-func (r *race) pause() bool {
+func (r *race) waitToRepeat() bool {
 	if r.last.Verdict == verdict.NotRun {
 		return false
 	}
 	select {
-	case <-time.After(sameEndpointIn):
+	case <-time.After(sameEndpointDelay):
 	case <-r.ctx.Done():
 		return false
 	}
-	r.forget()
+	r.allowRepeats()
 	return true
 }
 
@@ -266,11 +266,11 @@
 		// copy would push another one out.
 		return 0, false
 	}
-	q := max(1-float64(percent)/200, leastQuantile)
-	if e := r.under[0]; e != nil && e.Suspect(r.started) {
+	q := max(1-float64(percent)/200, minHedgeQuantile)
+	if e := r.inFlight[0]; e != nil && e.Suspect(r.started) {
 		q = suspectQuantile
 	}
-	d, ok := r.s.estimates.of(r.w.estimate()).quantile(r.size, q)
+	d, ok := r.s.estimates.get(r.w.estimateName()).quantile(r.size, q)
 	return max(d, minHedgeDelay), ok
 }
 
@@ -278,19 +278,19 @@
 // the usual time, or when another one could only just be in time.
 func (r *race) lateDelay() time.Duration {
 	left := time.Until(r.w.Deadline)
-	est := r.s.estimates.of(r.w.estimate())
+	est := r.s.estimates.get(r.w.estimateName())
 	d, ok := est.quantile(r.size, lateQuantile)
 	if !ok {
-		return max(left/coldShare, minLateDelay)
+		return max(left/unknownSpeedShare, minLateDelay)
 	}
 	usual, _ := est.quantile(r.size, usualQuantile)
-	most, _ := est.quantile(r.size, mostQuantile)
+	most, _ := est.quantile(r.size, highQuantile)
 	return max(min(lateFactor*d, max(left-most, usual)), minLateDelay)
 }
 
 // late starts an attempt beside those that run. The earlier ones go on, as one
 // of them may still be first.
-func (r *race) late(hedge bool) {
+func (r *race) startExtra(hedge bool) {
 	if r.running == 0 || r.launched == maxAttempts || !r.timeLeft() {
 		return
 	}
@@ -298,14 +298,14 @@
 	if hedge {
 		budget = r.s.hedgeBudget(r.w.service)
 	}
-	e := r.next()
+	e := r.nextEndpoint()
 	if e == nil && !hedge {
-		r.forget()
-		e = r.next()
+		r.allowRepeats()
+		e = r.nextEndpoint()
 	}
 	if e == nil && !hedge {
 		clear(r.tried) // an attempt hangs at every endpoint; not the next one, perhaps
-		e = r.next()
+		e = r.nextEndpoint()
 	}
 	if e == nil || !budget.Take() {
 		return
@@ -314,11 +314,11 @@
 	if hedge {
 		r.hedge = r.launched - 1
 		hedgesVar.Add(1)
-		r.s.record("hedge", &r.w.Call, r.w.Stage)
+		r.s.recordEvent("hedge", &r.w.Call, r.w.Stage)
 		return
 	}
 	retriesVar.Add(1)
-	r.s.record("retry", &r.w.Call, r.w.Stage+": late")
+	r.s.recordEvent("retry", &r.w.Call, r.w.Stage+": late")
 }
 
 // stop abandons the attempts that lost.
@@ -341,21 +341,21 @@
 }
 
 func (r *race) timeout() error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before an answer came").After(comeBack)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before an answer came").After(defaultRetryAfter)
 }
 
 // failure is the outcome when all attempts failed: the last error, with the
 // verdict that is true of all of them; or the last answer with a bad status.
-func (r *race) failure() (*answer, error) {
-	if r.bad != nil {
-		return r.bad, nil
+func (r *race) failure() (*response, error) {
+	if r.errorResponse != nil {
+		return r.errorResponse, nil
 	}
 	e := *r.last
 	if e.Verdict == verdict.NotRun {
-		e.Verdict = r.worst
+		e.Verdict = r.strongestVerdict
 	}
 	if e.RetryAfter == 0 {
-		e.RetryAfter = comeBack
+		e.RetryAfter = defaultRetryAfter
 	}
 	return nil, &e
 }
--- a/node/pipeline/resume.go
+++ b/node/pipeline/resume.go
@@ -17,33 +17,33 @@
 // or a repetition. The engine recomputes the prefix: the request carries the
 // text so far as a final assistant message to be continued.
 type resumer struct {
-	ctx context.Context
-	s   *Service
-	w   *work
-	cur *stream
-
-	passed   transcript
-	origin   *progress // what was passed on before the current engine; nil for the first one
-	pending  []byte    // events that the caller has not read yet
-	event    event
-	ended    bool // the final event was passed on
-	err      error
-	lastData time.Time
-	first    bool // no event of the current engine was read yet
-	barren   int  // resumptions in a row without any new text
-	gap      *gap
+	ctx     context.Context
+	s       *Service
+	w       *callSpec
+	current *stream
+
+	forwarded     transcript
+	prior         *progress // what was passed on before the current engine; nil for the first one
+	pending       []byte    // events that the caller has not read yet
+	event         event
+	ended         bool // the final event was passed on
+	err           error
+	lastData      time.Time
+	awaitingFirst bool // no event of the current engine was read yet
+	emptyResumes  int  // resumptions in a row without any new text
+	gap           *movingAverage
 }
 
 const (
-	silenceFactor = 20 // times the usual gap between events
-	minSilence    = 500 * time.Millisecond
-	coldSilence   = 2 * time.Second
-	endWait       = 250 * time.Millisecond // for the end mark after the final event
-	maxBarren     = 4
+	maxGapFactor      = 20 // times the usual gap between events
+	minEventTimeout   = 500 * time.Millisecond
+	firstEventTimeout = 2 * time.Second
+	doneWait          = 250 * time.Millisecond // for the end mark after the final event
+	maxEmptyResumes   = 4
 )
 
-func newResumer(ctx context.Context, s *Service, w *work, st *stream) *resumer {
-	return &resumer{ctx: ctx, s: s, w: w, cur: st, lastData: time.Now(), first: true, gap: s.gaps.of(w.Service)}
+func newResumer(ctx context.Context, s *Service, w *callSpec, st *stream) *resumer {
+	return &resumer{ctx: ctx, s: s, w: w, current: st, lastData: time.Now(), awaitingFirst: true, gap: s.gaps.get(w.Service)}
 }
 
 // Read implements io.Reader. It returns as many whole events as have come.
@@ -60,7 +60,7 @@
 }
 
 // Close implements io.Closer.
-func (r *resumer) Close() error { return r.cur.Close() }
+func (r *resumer) Close() error { return r.current.Close() }
 
 // fill reads at least one event, and those that follow without a wait.
 func (r *resumer) fill() {
@@ -71,15 +71,15 @@
 		return
 	}
 	for {
-		err := r.next()
+		err := r.readNext()
 		if err == nil {
-			err = r.pass()
+			err = r.forwardEvent()
 		}
 		if err != nil {
-			r.cut(err)
+			r.handleCut(err)
 			return
 		}
-		if r.ended || len(r.pending) > 0 && r.cur.events.Buffered() == 0 {
+		if r.ended || len(r.pending) > 0 && r.current.events.Buffered() == 0 {
 			return
 		}
 	}
@@ -87,8 +87,8 @@
 
 // next reads an event, and abandons the attempt when none comes for much
 // longer than usual.
-func (r *resumer) next() error {
-	err := r.cur.event(&r.event, r.patience)
+func (r *resumer) readNext() error {
+	err := r.current.nextEvent(&r.event, r.eventTimeout)
 	if err == io.EOF {
 		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream ended without its final event")
 	}
@@ -102,48 +102,48 @@
 }
 
 func (r *resumer) noteData(now time.Time) {
-	if !r.first {
+	if !r.awaitingFirst {
 		r.gap.add(now.Sub(r.lastData))
 	}
-	r.first = false
+	r.awaitingFirst = false
 	r.lastData = now
 }
 
 // patience returns how long to wait for the next event. Comments do not renew
 // it: an engine that hangs may still send them.
-func (r *resumer) patience() time.Duration {
-	limit := coldSilence
-	if usual := time.Duration(r.gap.value.Load()); usual > 0 && !r.first {
-		limit = max(silenceFactor*usual, minSilence)
+func (r *resumer) eventTimeout() time.Duration {
+	limit := firstEventTimeout
+	if usual := time.Duration(r.gap.value.Load()); usual > 0 && !r.awaitingFirst {
+		limit = max(maxGapFactor*usual, minEventTimeout)
 	}
-	limit = min(limit, max(time.Until(r.w.Deadline)/2, minSilence))
+	limit = min(limit, max(time.Until(r.w.Deadline)/2, minEventTimeout))
 	return max(limit-time.Since(r.lastData), 0)
 }
 
 // pass hands the event to the caller.
-func (r *resumer) pass() error {
+func (r *resumer) forwardEvent() error {
 	switch {
 	case r.event.data == nil:
 		r.pending = append(r.pending, r.event.raw...) // a comment
-	case !r.event.object() && !r.event.done():
+	case !r.event.isObject() && !r.event.isDone():
 		// Neither a chunk nor the final event: a caller could not read it.
-	case r.event.object() && !json.Valid(r.event.data):
+	case r.event.isObject() && !json.Valid(r.event.data):
 		return verdict.New(verdict.Ran, verdict.CodeCut, "an event of the stream was cut")
-	case r.event.failed():
+	case r.event.isError():
 		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the engine reported an error in its stream")
-	case r.event.done():
+	case r.event.isDone():
 		r.ended = true
 		r.pending = append(r.pending, doneEvent...)
-	case r.origin == nil:
-		r.passed.add(r.event.data)
+	case r.prior == nil:
+		r.forwarded.add(r.event.data)
 		r.pending = append(r.pending, r.event.raw...)
 	default:
-		data, err := r.origin.rewrite(r.event.data)
+		data, err := r.prior.rewrite(r.event.data)
 		if err != nil {
 			return verdict.New(verdict.Ran, verdict.CodeUpstream, "an event of the stream is not a chunk: %v", err)
 		}
 		if data != nil {
-			r.passed.add(data)
+			r.forwarded.add(data)
 			r.pending = appendEvent(r.pending, data)
 		}
 	}
@@ -153,15 +153,15 @@
 // drain reads the end mark behind the final event, so that the connection can
 // be used again. All events were passed on, so a failure means nothing.
 func (r *resumer) drain() {
-	watch := time.AfterFunc(endWait, r.cur.cancel)
+	watch := time.AfterFunc(doneWait, r.current.cancel)
 	defer watch.Stop()
-	io.Copy(io.Discard, r.cur)
+	io.Copy(io.Discard, r.current)
 }
 
 // cut goes on elsewhere after the given failure, or ends the stream with an
 // error event and the failure.
-func (r *resumer) cut(cause error) {
-	r.cur.Close()
+func (r *resumer) handleCut(cause error) {
+	r.current.Close()
 	err := r.resume()
 	if err == nil {
 		return
@@ -174,7 +174,7 @@
 
 // resume continues the stream at another engine.
 func (r *resumer) resume() error {
-	p := r.passed.read()
+	p := r.forwarded.progress()
 	switch {
 	case p.finished:
 		r.complete()
@@ -183,31 +183,31 @@
 		return verdict.New(verdict.Ran, verdict.CodeTimeout, "the deadline passed before the whole answer came")
 	case !p.resumable:
 		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut and holds more than one choice of plain text")
-	case r.stuck(&p):
+	case r.noProgress(&p):
 		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut again and again without any new text")
 	case !r.s.retryBudget(r.w.service).Take():
 		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut and the retry budget is used up")
 	}
 	body, err := continuation(r.w.Body, &p)
-	if errors.Is(err, errComplete) {
+	if errors.Is(err, errTokenLimitReached) {
 		return r.completeAtLimit(&p)
 	}
 	if err != nil {
 		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut and cannot go on: %v", err)
 	}
-	return r.goOn(body, &p)
+	return r.continueWith(body, &p)
 }
 
-func (r *resumer) stuck(p *progress) bool {
-	if r.origin != nil && p.tokens == r.origin.tokens {
-		r.barren++
+func (r *resumer) noProgress(p *progress) bool {
+	if r.prior != nil && p.tokens == r.prior.tokens {
+		r.emptyResumes++
 	} else {
-		r.barren = 0
+		r.emptyResumes = 0
 	}
-	return r.barren >= maxBarren
+	return r.emptyResumes >= maxEmptyResumes
 }
 
-func (r *resumer) goOn(body []byte, p *progress) error {
+func (r *resumer) continueWith(body []byte, p *progress) error {
 	next := *r.w
 	next.Body = body
 	a, err := r.s.exchange(r.ctx, &next)
@@ -221,9 +221,9 @@
 	}
 	resumesVar.Add(1)
 	recomputed.Add(int64(p.tokens))
-	r.s.record("stream-resumed", &r.w.Call, r.w.Stage)
-	r.cur, r.origin = a.stream, p
-	r.first, r.lastData = true, time.Now()
+	r.s.recordEvent("stream-resumed", &r.w.Call, r.w.Stage)
+	r.current, r.prior = a.stream, p
+	r.awaitingFirst, r.lastData = true, time.Now()
 	return nil
 }
 
--- a/node/pipeline/resume_bench_test.go
+++ b/node/pipeline/resume_bench_test.go
@@ -32,12 +32,12 @@
 			}
 			parts = append(parts, doneEvent)
 			s := &Service{}
-			w := &work{Call: dispatch.Call{Service: "llm", Deadline: time.Now().Add(time.Hour)}, service: &optext.Service{Name: "llm"}}
+			w := &callSpec{Call: dispatch.Call{Service: "llm", Deadline: time.Now().Add(time.Hour)}, service: &optext.Service{Name: "llm"}}
 			for b.Loop() {
 				ctx, cancel := context.WithCancel(context.Background())
-				m := &measured{s: s, ctx: ctx, w: w, ReadCloser: io.NopCloser(&partReader{parts: parts})}
+				m := &trackedBody{s: s, ctx: ctx, w: w, ReadCloser: io.NopCloser(&partReader{parts: parts})}
 				m.once.Do(func() {}) // no endpoint to report to
-				st, err := begun(m, cancel, false)
+				st, err := openStream(m, cancel, false)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/node/pipeline/resume_test.go
+++ b/node/pipeline/resume_test.go
@@ -320,7 +320,7 @@
 			sv := serviceOf("llm", optext.Engine, true)
 			sv.RetryPercent = row.budget
 			s := newFake(g, 2, sv)
-			w := &work{Call: callOf(sv, time.Minute), service: sv, stream: true}
+			w := &callSpec{Call: callOf(sv, time.Minute), service: sv, stream: true}
 			a, err := s.exchange(t.Context(), w)
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
--- a/node/pipeline/sse.go
+++ b/node/pipeline/sse.go
@@ -21,14 +21,14 @@
 	eventEnd    = []byte("\n\n")
 )
 
-func (e *event) done() bool { return bytes.Equal(e.data, donePayload) }
+func (e *event) isDone() bool { return bytes.Equal(e.data, donePayload) }
 
 // object reports whether the data is meant to be a JSON object.
-func (e *event) object() bool { return len(e.data) > 0 && e.data[0] == '{' }
+func (e *event) isObject() bool { return len(e.data) > 0 && e.data[0] == '{' }
 
 // failed reports whether the event is an engine's error instead of a chunk.
-func (e *event) failed() bool {
-	if !e.object() || !bytes.HasPrefix(bytes.TrimLeft(e.data[1:], " \t\r\n"), []byte(`"error"`)) {
+func (e *event) isError() bool {
+	if !e.isObject() || !bytes.HasPrefix(bytes.TrimLeft(e.data[1:], " \t\r\n"), []byte(`"error"`)) {
 		return false
 	}
 	var c struct {
@@ -49,13 +49,13 @@
 		line := e.raw[start:]
 		if len(line) == 1 {
 			if start > 0 {
-				e.collect()
+				e.joinData()
 				return nil
 			}
 			e.raw = e.raw[:0] // empty lines before an event mean nothing
 		}
-		if len(e.raw) > maxAnswer {
-			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "an event exceeds %d bytes", maxAnswer)
+		if len(e.raw) > maxResponse {
+			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "an event exceeds %d bytes", maxResponse)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	for {
 		part, err := r.ReadSlice('\n')
 		*b = append(*b, part...)
-		if err == bufio.ErrBufferFull && len(*b) <= maxAnswer {
+		if err == bufio.ErrBufferFull && len(*b) <= maxResponse {
 			continue
 		}
 		if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // collect finds the data of the event. A single data line is not copied.
-func (e *event) collect() {
+func (e *event) joinData() {
 	lines := 0
 	for line := range bytes.Lines(e.raw) {
 		rest, ok := bytes.CutPrefix(line, dataField)
--- a/node/pipeline/transcript.go
+++ b/node/pipeline/transcript.go
@@ -52,8 +52,8 @@
 	Refusal   *string         `json:"refusal"`
 }
 
-func (t *transcript) read() progress {
-	p := progress{resumable: t.size <= maxAnswer}
+func (t *transcript) progress() progress {
+	p := progress{resumable: t.size <= maxResponse}
 	var text strings.Builder
 	for _, data := range t.chunks {
 		if p.first == nil && json.Unmarshal(data, &p.first) != nil {
@@ -69,10 +69,10 @@
 			if len(choice.Delta) > 0 && json.Unmarshal(choice.Delta, &d) != nil {
 				p.resumable = false
 			}
-			if choice.Index != 0 || !absent(d.ToolCalls) || !absent(d.Function) || full(d.Reasoning) || full(d.Refusal) {
+			if choice.Index != 0 || !absent(d.ToolCalls) || !absent(d.Function) || nonEmpty(d.Reasoning) || nonEmpty(d.Refusal) {
 				p.resumable = false
 			}
-			if full(d.Content) {
+			if nonEmpty(d.Content) {
 				text.WriteString(*d.Content)
 				p.tokens++
 			}
@@ -85,10 +85,10 @@
 
 func absent(m json.RawMessage) bool { return len(m) == 0 || bytes.Equal(m, []byte("null")) }
 
-func full(s *string) bool { return s != nil && *s != "" }
+func nonEmpty(s *string) bool { return s != nil && *s != "" }
 
 // identity are the fields that name a stream and must not change within it.
-var identity = []string{"id", "created", "model", "system_fingerprint", "object"}
+var identityFields = []string{"id", "created", "model", "system_fingerprint", "object"}
 
 // rewrite makes a chunk of another engine part of the stream that began
 // elsewhere: its identity is the first engine's, the role is not told again,
@@ -102,7 +102,7 @@
 	if err := json.Unmarshal(data, &fields); err != nil {
 		return nil, err
 	}
-	for _, name := range identity {
+	for _, name := range identityFields {
 		if v, ok := p.first[name]; ok {
 			fields[name] = v
 		} else {
--- a/node/upstream/call.go
+++ b/node/upstream/call.go
@@ -35,12 +35,12 @@
 	Body   io.Reader // an error other than io.EOF says that the answer is cut
 	Answer Answer
 
-	conn   *conn
-	resp   *http.Response
-	sent   <-chan error // result of sending the request
-	ended  bool
-	fresh  bool // the connection was opened for this call only
-	detach func() bool
+	conn      *conn
+	resp      *http.Response
+	sent      <-chan error // result of sending the request
+	bodyEnded bool
+	noReuse   bool // the connection was opened for this call only
+	detach    func() bool
 }
 
 // Do sends the request once and reads the head of the answer. An error carries
@@ -48,7 +48,7 @@
 // calls; see Notices. When ctx ends the connection is closed, which most upstreams take as a
 // cancellation.
 func (p *Pool) Do(ctx context.Context, req *Request) (*Response, error) {
-	if err := p.notices.refuse(req.Upstream); err != nil {
+	if err := p.notices.checkAvailable(req.Upstream); err != nil {
 		return nil, err
 	}
 	c, err := p.get(ctx, req.Address, req.Limit, req.Fresh)
@@ -56,19 +56,19 @@
 		return nil, err
 	}
 	// The upstream may have spoken while the connection was made.
-	if err := p.notices.refuse(req.Upstream); err != nil {
+	if err := p.notices.checkAvailable(req.Upstream); err != nil {
 		c.Close()
 		return nil, err
 	}
 	detach := context.AfterFunc(ctx, func() { c.Close() })
 	sent := make(chan error, 1)
 	head := encodeHead(req)
-	if len(head)+len(req.Body) <= writeAtOnce {
+	if len(head)+len(req.Body) <= inlineWriteMax {
 		sent <- writeAll(c, append(head, req.Body...))
 	} else {
 		go func() { sent <- writeAll(c, head, req.Body) }()
 	}
-	r := &Response{conn: c, sent: sent, fresh: req.Fresh, detach: detach}
+	r := &Response{conn: c, sent: sent, noReuse: req.Fresh, detach: detach}
 	if err := r.readHead(p.protocol, req); err != nil {
 		detach()
 		c.Close()
@@ -85,7 +85,7 @@
 
 // writeAtOnce is the size of a request that fits into a connection's send
 // buffer, so that the writer does not wait for the upstream to read.
-const writeAtOnce = 32 << 10
+const inlineWriteMax = 32 << 10
 
 func writeAll(w io.Writer, parts ...[]byte) error {
 	for _, part := range parts {
@@ -119,12 +119,12 @@
 }
 
 // errStray says that only answers to other calls came.
-var errStray = errors.New("upstream: the answer belongs to another call")
+var errStrayResponses = errors.New("upstream: the answer belongs to another call")
 
 // readHead reads until the answer to this call begins. Informational answers
 // and those to earlier calls are skipped.
 func (r *Response) readHead(protocol Protocol, req *Request) error {
-	for stray := 0; stray <= maxStrayAnswers; {
+	for stray := 0; stray <= maxStrayResponses; {
 		resp, err := http.ReadResponse(r.conn.br, &http.Request{Method: req.Method})
 		if err != nil {
 			return err
@@ -135,7 +135,7 @@
 		answer := protocol.Answer(resp.StatusCode, resp.Header)
 		if req.ID == "" || answer.ID == req.ID || answer.ID == "" && answer.NotRun {
 			r.Status, r.Header, r.Answer, r.resp = resp.StatusCode, resp.Header, answer, resp
-			r.Body = (*answerBody)(r)
+			r.Body = (*responseBody)(r)
 			return nil
 		}
 		stray++
@@ -143,17 +143,17 @@
 			return err
 		}
 	}
-	return errStray
+	return errStrayResponses
 }
 
 // answerBody notes the end of the body.
-type answerBody Response
+type responseBody Response
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.resp.Body.Read(p)
 	if err == io.EOF {
-		b.ended = true
+		b.bodyEnded = true
 	}
 	return n, err
 }
@@ -180,7 +180,7 @@
 		r.conn.Close()
 		return
 	}
-	if keep := keepFor(r.Header); keep > 0 {
+	if keep := idleTimeoutOf(r.Header); keep > 0 {
 		r.conn.pool.put(r.conn, keep)
 		return
 	}
@@ -188,7 +188,7 @@
 }
 
 func (r *Response) reusable() bool {
-	if !r.ended || r.fresh || r.resp.Close || !r.Framed() || r.conn.br.Buffered() > 0 {
+	if !r.bodyEnded || r.noReuse || r.resp.Close || !r.Framed() || r.conn.br.Buffered() > 0 {
 		return false
 	}
 	select {
--- a/node/upstream/native.go
+++ b/node/upstream/native.go
@@ -14,16 +14,16 @@
 
 // Headers of Native beside those of package wire.
 const (
-	headerPrefix   = "Caperdrum-Prompt-Parts" // ID:TOKENS, comma-separated
-	headerPieces   = "Caperdrum-Pieces"       // of each stage, comma-separated
-	headerPieceKey = "Caperdrum-Piece-Key"
-	headerInstance = "Caperdrum-Instance" // for which start of the upstream a call is; in answers: which one answered
-	headerCustomer = "Caperdrum-Customer"
-	headerInputs   = "Caperdrum-Inputs" // handles, comma-separated
-	headerFetch    = "Caperdrum-Fetch-From"
-	headerLeaving  = "Caperdrum-Leaving"
-	headerEvent    = "Last-Event-Id" // of the WHATWG's server-sent events
-	headerKey      = "Authorization"
+	headerPromptParts   = "Caperdrum-Prompt-Parts" // ID:TOKENS, comma-separated
+	headerPieces        = "Caperdrum-Pieces"       // of each stage, comma-separated
+	headerPieceKey      = "Caperdrum-Piece-Key"
+	headerInstance      = "Caperdrum-Instance" // for which start of the upstream a call is; in answers: which one answered
+	headerCustomer      = "Caperdrum-Customer"
+	headerInputs        = "Caperdrum-Inputs" // handles, comma-separated
+	headerFetch         = "Caperdrum-Fetch-From"
+	headerLeaving       = "Caperdrum-Leaving"
+	headerLastEventID   = "Last-Event-Id" // of the WHATWG's server-sent events
+	headerAuthorization = "Authorization"
 
 	pathPieces = "/v1/pieces"
 	pathFree   = "/v1/pieces/free"
@@ -38,8 +38,8 @@
 
 // Call implements Protocol.
 func (Native) Call(h http.Header) (Call, error) {
-	c := Call{ID: h.Get(wire.HeaderRequestID), PieceKey: h.Get(headerPieceKey), LastEvent: h.Get(headerEvent)}
-	c.Key, _ = strings.CutPrefix(h.Get(headerKey), bearer)
+	c := Call{ID: h.Get(wire.HeaderRequestID), PieceKey: h.Get(headerPieceKey), LastEvent: h.Get(headerLastEventID)}
+	c.Key, _ = strings.CutPrefix(h.Get(headerAuthorization), bearer)
 	if raw := h.Get(wire.HeaderTimeout); raw != "" {
 		wait, err := time.ParseDuration(raw)
 		if err != nil || wait <= 0 {
@@ -54,11 +54,11 @@
 		}
 		c.Pieces = append(c.Pieces, n)
 	}
-	for _, part := range splitList(h.Get(headerPrefix)) {
+	for _, part := range splitList(h.Get(headerPromptParts)) {
 		id, number, _ := strings.Cut(part, ":")
 		tokens, err := strconv.ParseInt(number, 10, 64)
 		if err != nil {
-			return c, fmt.Errorf("%s: %q is no part; write ID:TOKENS", headerPrefix, part)
+			return c, fmt.Errorf("%s: %q is no part; write ID:TOKENS", headerPromptParts, part)
 		}
 		c.Prefix = append(c.Prefix, PromptPart{ID: id, Tokens: tokens})
 	}
@@ -78,13 +78,13 @@
 
 // Tell implements Protocol.
 func (Native) Tell(h http.Header, t Told) {
-	for _, name := range []string{headerKey, headerInstance, headerCustomer, headerInputs, headerFetch, wire.HeaderTimeout} {
+	for _, name := range []string{headerAuthorization, headerInstance, headerCustomer, headerInputs, headerFetch, wire.HeaderTimeout} {
 		h.Del(name)
 	}
 	if t.Left > 0 {
 		h.Set(wire.HeaderTimeout, t.Left.String())
 	}
-	for name, value := range map[string]string{headerInstance: string(t.Instance), headerCustomer: t.Customer, headerEvent: t.LastEvent, headerInputs: strings.Join(t.Inputs, ","), headerFetch: t.FetchFrom} {
+	for name, value := range map[string]string{headerInstance: string(t.Instance), headerCustomer: t.Customer, headerLastEventID: t.LastEvent, headerInputs: strings.Join(t.Inputs, ","), headerFetch: t.FetchFrom} {
 		if value != "" {
 			h.Set(name, value)
 		}
--- a/node/upstream/notices.go
+++ b/node/upstream/notices.go
@@ -22,10 +22,10 @@
 const (
 	// longestPause bounds what an upstream may ask for, so that a mistaken number does not take it
 	// out of use for good.
-	longestPause = time.Hour
+	maxPause = time.Hour
 	// noticeTime is how long a notice is kept that is no longer needed: upstreams that have ended
 	// are forgotten.
-	noticeTime = 10 * time.Minute
+	noticeRetention = 10 * time.Minute
 )
 
 // Notices are what upstreams say of themselves in answers to this process: that they want no calls
@@ -34,19 +34,19 @@
 	log   logr.Logger
 	clock clockwork.Clock
 
-	mu sync.Mutex
-	by map[wire.Start]notice
+	mu      sync.Mutex
+	byStart map[wire.Start]notice
 }
 
 type notice struct {
-	until   time.Time // the upstream wants no calls until then
-	leaving bool
-	at      time.Time // of the last answer that said so
+	pausedUntil time.Time // the upstream wants no calls until then
+	leaving     bool
+	lastHeard   time.Time // of the last answer that said so
 }
 
 // NewNotices returns notices of a process that has just started.
 func NewNotices(log logr.Logger, clock clockwork.Clock) *Notices {
-	return &Notices{log: log, clock: clock, by: map[wire.Start]notice{}}
+	return &Notices{log: log, clock: clock, byStart: map[wire.Start]notice{}}
 }
 
 // Heard takes over what an answer says.
@@ -57,8 +57,8 @@
 	now := n.clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.forget(now)
-	current := n.by[start]
+	n.expire(now)
+	current := n.byStart[start]
 	if a.Leaving && !current.leaving {
 		leavingVar.Add(1)
 		n.log.Info("upstream says that it leaves", "upstream", start.ID)
@@ -67,24 +67,24 @@
 		pausesVar.Add(1)
 		n.log.Info("upstream asks for a pause", "upstream", start.ID, "pause", a.Pause)
 	}
-	if until := now.Add(min(a.Pause, longestPause)); until.After(current.until) {
-		current.until = until
+	if until := now.Add(min(a.Pause, maxPause)); until.After(current.pausedUntil) {
+		current.pausedUntil = until
 	}
 	current.leaving = current.leaving || a.Leaving
-	current.at = now
-	n.by[start] = current
+	current.lastHeard = now
+	n.byStart[start] = current
 }
 
-func (n *Notices) forget(now time.Time) {
-	for start, x := range n.by {
-		if now.Sub(x.at) > noticeTime && now.After(x.until) {
-			delete(n.by, start)
+func (n *Notices) expire(now time.Time) {
+	for start, x := range n.byStart {
+		if now.Sub(x.lastHeard) > noticeRetention && now.After(x.pausedUntil) {
+			delete(n.byStart, start)
 		}
 	}
 }
 
 // refuse returns why nothing may be sent to the upstream now, or nil.
-func (n *Notices) refuse(start wire.Start) error {
+func (n *Notices) checkAvailable(start wire.Start) error {
 	pause, leaving := n.Of(start)
 	switch {
 	case leaving:
@@ -124,9 +124,9 @@
 func (n *Notices) Of(start wire.Start) (pause time.Duration, leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	x, known := n.by[start]
+	x, known := n.byStart[start]
 	if !known {
 		return 0, false
 	}
-	return max(0, x.until.Sub(n.clock.Now())), x.leaving
+	return max(0, x.pausedUntil.Sub(n.clock.Now())), x.leaving
 }
--- a/node/upstream/notices_test.go
+++ b/node/upstream/notices_test.go
@@ -15,7 +15,7 @@
 func TestPauseOf(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for raw, want := range map[string]time.Duration{
-		"": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, " 2 ": 2 * time.Second, "0": 0, "-3": 0, "soon": 0, "NaN": 0, "Inf": longestPause, "1e300": longestPause, "31536000": longestPause, "3, 4": 0,
+		"": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, " 2 ": 2 * time.Second, "0": 0, "-3": 0, "soon": 0, "NaN": 0, "Inf": maxPause, "1e300": maxPause, "31536000": maxPause, "3, 4": 0,
 		now.Add(90 * time.Second).Format(http.TimeFormat): 90 * time.Second,
 		now.Add(-time.Second).Format(http.TimeFormat):     0,
 	} {
@@ -49,10 +49,10 @@
 	clock.Advance(2 * time.Second)
 	expect(first, 0, true)
 	n.Heard(second, Answer{Pause: 24 * time.Hour})
-	expect(second, longestPause, false)
-	clock.Advance(noticeTime)
+	expect(second, maxPause, false)
+	clock.Advance(noticeRetention)
 	n.Heard(wire.Start{ID: "i-2"}, Answer{Leaving: true})
-	if len(n.by) != 2 {
-		t.Fatalf("%d notices are kept", len(n.by))
+	if len(n.byStart) != 2 {
+		t.Fatalf("%d notices are kept", len(n.byStart))
 	}
 }
--- a/node/upstream/pool.go
+++ b/node/upstream/pool.go
@@ -29,12 +29,12 @@
 	// an idle connection, since the close travels too.
 	idleMargin = 500 * time.Millisecond
 	// idleDefault is how long a connection is kept where it does not say.
-	idleDefault = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// maxStrayAnswers are answers to earlier calls that are skipped before the
 	// connection is given up.
-	maxStrayAnswers = 2
-	readBuffer      = 4 << 10
-	trimInterval    = time.Second
+	maxStrayResponses = 2
+	readBuffer        = 4 << 10
+	trimInterval      = time.Second
 )
 
 // Pool keeps connections to upstreams, by address.
@@ -81,27 +81,27 @@
 }
 
 // unreached is the error of a connection that nothing answered in time, not even the upstream's VM.
-type unreached struct{ cause *verdict.Error }
+type unreachableError struct{ cause *verdict.Error }
 
 // Error implements error.
-func (u unreached) Error() string { return u.cause.Error() }
+func (u unreachableError) Error() string { return u.cause.Error() }
 
 // Unwrap returns the verdict.
-func (u unreached) Unwrap() error { return u.cause }
+func (u unreachableError) Unwrap() error { return u.cause }
 
 // Unreached reports whether a call was not sent since nothing answered at the upstream's address. A VM
 // that runs refuses connections to an upstream that does not.
 func Unreached(err error) bool {
-	var u unreached
+	var u unreachableError
 	return errors.As(err, &u)
 }
 
 // errConnect says why a connection was not made. A call whose own time is over has not waited long enough to tell.
-func errConnect(ctx context.Context, address string, err error) error {
+func connectError(ctx context.Context, address string, err error) error {
 	cause := verdict.New(verdict.NotRun, verdict.CodeUpstream, "connect to %s: %v", address, err)
 	var timed net.Error
 	if errors.As(err, &timed) && timed.Timeout() && ctx.Err() == nil {
-		return unreached{cause}
+		return unreachableError{cause}
 	}
 	return cause
 }
@@ -114,7 +114,7 @@
 			if c == nil {
 				break
 			}
-			if time.Now().Before(c.expires) && c.quiet() {
+			if time.Now().Before(c.expires) && c.idleAndEmpty() {
 				return c, nil
 			}
 			c.Close()
@@ -127,9 +127,9 @@
 	raw, err := d.DialContext(ctx, "tcp", address)
 	c := &conn{Conn: raw, pool: p, address: address}
 	if err != nil {
-		c.Conn = noConn{}
+		c.Conn = unconnected{}
 		c.Close()
-		return nil, errConnect(ctx, address, err)
+		return nil, connectError(ctx, address, err)
 	}
 	c.br = bufio.NewReaderSize(raw, readBuffer)
 	return c, nil
@@ -147,10 +147,10 @@
 }
 
 // noConn stands for a connection that was never made.
-type noConn struct{ net.Conn }
+type unconnected struct{ net.Conn }
 
 // Close implements net.Conn.
-func (noConn) Close() error { return nil }
+func (unconnected) Close() error { return nil }
 
 func (p *Pool) takeIdle(address string) *conn {
 	p.mu.Lock()
@@ -240,7 +240,7 @@
 
 // quiet reports whether nothing came since the last answer: neither bytes that
 // belong to no call nor the end of the connection.
-func (c *conn) quiet() bool {
+func (c *conn) idleAndEmpty() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -278,7 +278,7 @@
 
 // keepFor returns for how long the connection may stay idle after the answer,
 // zero when it may not.
-func keepFor(h http.Header) time.Duration {
+func idleTimeoutOf(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
@@ -290,5 +290,5 @@
 		}
 		return max(0, time.Duration(seconds)*time.Second-idleMargin)
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/node/upstream/pause.go
+++ b/node/upstream/retry_after.go
@@ -22,7 +22,7 @@
 		if math.IsNaN(seconds) || seconds <= 0 {
 			return 0
 		}
-		return time.Duration(min(seconds, longestPause.Seconds()) * float64(time.Second))
+		return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second))
 	}
 	if at, err := http.ParseTime(raw); err == nil {
 		return max(0, at.Sub(now))
--- a/node/upstream/unreached_test.go
+++ b/node/upstream/unreachable_test.go
@@ -27,7 +27,7 @@
 		"reset":           {context.Background(), syscall.ECONNRESET, false},
 		"no time left":    {over, os.ErrDeadlineExceeded, false},
 	} {
-		err := errConnect(c.ctx, "10.0.0.9:80", &net.OpError{Op: "dial", Net: "tcp", Err: c.cause})
+		err := connectError(c.ctx, "10.0.0.9:80", &net.OpError{Op: "dial", Net: "tcp", Err: c.cause})
 		if Unreached(err) != c.want {
 			t.Errorf("%s: %v", name, Unreached(err))
 		}
--- a/node/upstream/upstream_test.go
+++ b/node/upstream/upstream_test.go
@@ -111,7 +111,7 @@
 
 // TestOnlyStrayAnswersMayHaveRun gives answers to other calls only.
 func TestOnlyStrayAnswersMayHaveRun(t *testing.T) {
-	s := newScript(t, strings.Repeat(answer("9", "x"), maxStrayAnswers+1))
+	s := newScript(t, strings.Repeat(answer("9", "x"), maxStrayResponses+1))
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 	defer p.Close()
 	if _, err := call(t, p, s.request("1")); verdict.Of(err) != verdict.MayHaveRun || err == nil {
@@ -268,7 +268,7 @@
 // TestKeepFor lists what upstreams say of idle connections.
 func TestKeepFor(t *testing.T) {
 	cases := map[string]time.Duration{
-		"":                  idleDefault,
+		"":                  defaultIdleTimeout,
 		"timeout=5":         5*time.Second - idleMargin,
 		"max=3, timeout=20": 20*time.Second - idleMargin,
 		"timeout=0":         0,
@@ -279,7 +279,7 @@
 		if value != "" {
 			h.Set("Keep-Alive", value)
 		}
-		if got := keepFor(h); got != want {
+		if got := idleTimeoutOf(h); got != want {
 			t.Errorf("%q: %v, want %v", value, got, want)
 		}
 	}
