--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -1,7 +1,6 @@
-// Package gate is the agent role's core: the only way to one upstream. It
-// admits, queues and runs attempts, keeps their answers for a while, and knows
-// for every attempt whether it ran. Attempts of an earlier start of the
-// process are unknown to it, which its incarnation number tells.
+// Package gate implements the agent role: the only path to one upstream. A gate admits, queues and runs
+// attempts, retains their responses for a while, and can tell for every attempt whether it ran. It knows
+// nothing of attempts sent to an earlier incarnation of the process; the incarnation number tells them apart.
 package gate
 
 import (
@@ -24,7 +23,7 @@
 	"caperdrum.org/node/settings"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
@@ -47,9 +46,9 @@
 	address  string
 
 	mu             sync.Mutex
-	leaveRequested bool // told to leave
+	leaveRequested bool // an upstream or operator asked through Leave
 	unhealthy      bool // the upstream fails its health check
-	noModel        bool // the upstream holds no model, or is about to drop one
+	noModel        bool // the upstream has no model loaded, or is about to unload it
 
 	incarnation uint64
 }
@@ -65,7 +64,7 @@
 const (
 	defaultConcurrency = 8
 	defaultQueue       = 64
-	drainPoll          = 20 * time.Millisecond // only while the process stops
+	drainPoll          = 20 * time.Millisecond // used only while the process stops
 	readHeaderTimeout  = 10 * time.Second
 	idleTimeout        = 2 * time.Minute
 )
@@ -95,7 +94,7 @@
 	return l
 }
 
-// Address returns where the gate listens.
+// Address returns the address the gate listens on.
 func (s *Service) Address() string { return s.address }
 
 // Start implements kernel.Starter.
@@ -109,16 +108,16 @@
 	return nil
 }
 
-// Stop implements kernel.Stopper: no new work, then every attempt in flight
-// is brought to its end. New work is refused as not run until the entries have
-// heard of the leaving: a submission that met a closing connection instead
-// could not be told from one that ran.
+// Stop implements kernel.Stopper. It admits no new work and waits for every attempt in flight. The listener
+// stays open for at least LeaveGrace and refuses new work as not run, until the entries know that the gate is
+// leaving: a submission lost on a closing connection could not be told from one that ran. When ctx ends, the
+// remaining attempts are cut off and Stop returns an error with their number.
 func (s *Service) Stop(ctx context.Context) error {
 	s.Leave(true)
-	heard := time.Now().Add(s.set.LeaveGrace)
+	graceEnd := time.Now().Add(s.set.LeaveGrace)
 	for {
 		queued, running, _ := s.table.load()
-		if queued+running == 0 && !time.Now().Before(heard) {
+		if queued+running == 0 && !time.Now().Before(graceEnd) {
 			break
 		}
 		select {
@@ -130,18 +129,19 @@
 	return s.server.Shutdown(ctx)
 }
 
-// cutOff ends the listener with what is under way now: what was when Stop looked last may have ended since.
+// cutOff closes the listener and all connections. It counts the attempts again, because those that Stop saw
+// may have ended since.
 func (s *Service) cutOff() error {
 	queued, running, _ := s.table.load()
 	err := s.server.Close()
 	if queued+running == 0 {
 		return err
 	}
-	return errors.Errorf("gate: %d attempts cut at the end of the drain time", queued+running)
+	return errors.Errorf("gate: drain time ended with %d attempts unfinished", queued+running)
 }
 
-// Leave stops the admission of new work, or opens it again. It takes effect
-// here at once and is announced to the entries.
+// Leave stops the admission of new work, or resumes it. It takes effect at this gate at once and is announced
+// to the entries.
 func (s *Service) Leave(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,8 +149,7 @@
 	s.applyLeaving()
 }
 
-// SetHealthy says whether the upstream passes its health check. One that does
-// not gets no new work.
+// SetHealthy sets whether the upstream passes its health check. An unhealthy upstream gets no new work.
 func (s *Service) SetHealthy(healthy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/gate/guarantees_test.go
+++ b/node/gate/guarantees_test.go
@@ -17,20 +17,20 @@
 	return a, refusal
 }
 
-// One slow run must not shut the gate for ever: the estimate that refuses
-// attempts is mended only by attempts that run.
+// A single slow run must not make the gate refuse everything from then on: only attempts that run can lower
+// the run time estimate again.
 func TestSlowRunDoesNotShutTheGate(t *testing.T) {
 	m := newGateModel()
 	slow, _ := m.submit("a", true, time.Hour)
 	m.clock.Advance(30 * time.Second)
 	m.finish(slow, nil)
 	if _, refusal := m.submit("a", true, 5*time.Second); refusal != nil {
-		t.Fatalf("an idle upstream is refused: %v", refusal)
+		t.Fatalf("an idle upstream refused an attempt: %v", refusal)
 	}
 }
 
-// An attempt whose entry died goes on without a reader. A repeatable one ends
-// after the grace; the other one's answer is kept for whoever settles it.
+// An attempt whose entry died has no reader. A repeatable one is abandoned after the grace period; the
+// response of any other is kept for the entry that resolves the outcome.
 func TestUnreadAttempts(t *testing.T) {
 	m := newGateModel()
 	repeatable, _ := m.submit("a", true, time.Hour)
@@ -41,25 +41,25 @@
 	m.table.sweep()
 	select {
 	case <-m.running[repeatable.id].Done():
-		t.Fatal("abandoned before the grace has passed")
+		t.Fatal("abandoned before the end of the grace period")
 	default:
 	}
 	m.clock.Advance(unreadGrace)
-	<-m.running[repeatable.id].Done() // ended by the gate's own timer
+	<-m.running[repeatable.id].Done() // cancelled by the gate's own timer
 	select {
 	case <-m.running[confirmation.id].Done():
-		t.Fatal("a call that may not be repeated is abandoned")
+		t.Fatal("a non-repeatable attempt was abandoned")
 	default:
 	}
 	confirmation.response.start(200, nil)
 	m.write(confirmation, "kept")
 	m.finish(confirmation, nil)
 	if a := m.table.addReader(confirmation.id); a == nil || string(a.response.data) != "kept" {
-		t.Fatalf("the answer is not kept: %+v", a)
+		t.Fatalf("the response was not kept: %+v", a)
 	}
 }
 
-// A full queue of one customer does not keep another one out.
+// A queue filled by one customer does not lock out another one.
 func TestFloodDoesNotKeepASmallCustomerOut(t *testing.T) {
 	m := newGateModel()
 	var last *attempt
@@ -67,12 +67,12 @@
 		last, _ = m.submit("large", true, time.Hour)
 	}
 	if _, refusal := m.submit("large", true, time.Hour); refusal == nil || refusal.Code != verdict.CodeOverloaded || refusal.RetryAfter <= 0 {
-		t.Fatalf("a full queue takes more: %v", refusal)
+		t.Fatalf("a full queue admitted another attempt: %v", refusal)
 	}
 	if _, refusal := m.submit("small", true, time.Hour); refusal != nil {
-		t.Fatalf("a small customer is kept out: %v", refusal)
+		t.Fatalf("a small customer is locked out: %v", refusal)
 	}
 	if f := last.response.failure; f == nil || f.Verdict != verdict.NotRun || f.Code != verdict.CodeOverloaded {
-		t.Errorf("the attempt pushed out: %v", f)
+		t.Errorf("displaced attempt: %v", f)
 	}
 }
--- a/node/gate/heaps.go
+++ b/node/gate/heaps.go
@@ -1,14 +1,14 @@
 package gate
 
-// Every waiting attempt stands in two heaps; position holds its index in each.
+// Every waiting attempt is in two heaps; position holds its index in each.
 const (
 	slotCustomer = iota
 	slotDeadline
 	numSlots
 )
 
-// attemptHeap is a heap of waiting attempts: by queue order in slotCustomer,
-// by deadline in slotDeadline, ties by arrival.
+// attemptHeap is a heap of waiting attempts, ordered by sortTime in slotCustomer and by deadline in
+// slotDeadline; ties are broken by arrival.
 type attemptHeap struct {
 	slot int
 	list []*attempt
@@ -50,7 +50,7 @@
 	return a
 }
 
-// tagHeap is a heap of customers by tag, ties by name.
+// tagHeap is a heap of customers by start tag; ties are broken by name.
 type tagHeap []*customerQueue
 
 func (h tagHeap) Len() int { return len(h) }
--- a/node/gate/http.go
+++ b/node/gate/http.go
@@ -48,9 +48,8 @@
 	}
 }
 
-// readAttempt reads an attempt. Its incarnation is the one of the gate that it
-// is meant for: an earlier start of this process may hold a tombstone that this
-// one does not know.
+// readAttempt parses a submitted attempt. Its incarnation is that of the gate it was addressed to: an earlier
+// incarnation of this process may hold a tombstone that this one does not know.
 func (s *Service) readAttempt(w http.ResponseWriter, r *http.Request) (*attempt, *verdict.Error) {
 	h := r.Header
 	received := time.Now()
@@ -72,7 +71,7 @@
 	}
 	body, err := readBody(w, r)
 	if err != nil {
-		return nil, invalid("the request body was cut: %v", err)
+		return nil, invalid("the request body was truncated: %v", err)
 	}
 	a := &attempt{
 		id: attemptID(r), incarnation: incarnation, request: wire.RequestID(h.Get(wire.HeaderRequestID)),
@@ -90,7 +89,7 @@
 	return verdict.New(verdict.NotRun, verdict.CodeInvalid, format, args...)
 }
 
-// readBody reads a whole body into one piece when its length is known.
+// readBody reads the body into a single allocation if its length is known.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body := http.MaxBytesReader(w, r.Body, maxRequestBody)
 	if r.ContentLength < 0 || r.ContentLength > maxRequestBody {
@@ -124,12 +123,12 @@
 	return fmt.Sprintf("%d/%d/%d", queued, running, limit)
 }
 
-// writeAnswer streams an attempt's answer from offset, then the end mark,
-// length and checksum as trailers.
+// writeResponse streams the attempt's response from offset, followed by trailers with the end mark, length
+// and checksum.
 func (s *Service) writeResponse(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
-	status, passed, failure, err := a.response.head(r.Context())
+	status, upstreamHeader, failure, err := a.response.head(r.Context())
 	if err != nil {
-		return // the entry went away; it can attach again
+		return // the entry disconnected; it can attach again
 	}
 	if status == 0 {
 		s.writeRefusal(w, failure)
@@ -137,9 +136,9 @@
 	}
 	h := w.Header()
 	s.setCommonHeaders(h)
-	wire.PassToCaller(h, passed)
+	wire.PassToCaller(h, upstreamHeader)
 	if h["Content-Type"] == nil {
-		h["Content-Type"] = nil // no guess from the bytes
+		h["Content-Type"] = nil // keeps net/http from sniffing a content type
 	}
 	h.Set(wire.HeaderAttempt, string(a.id))
 	h.Set(wire.HeaderStage, a.stage)
@@ -151,9 +150,8 @@
 
 const responseTrailers = wire.TrailerEnd + "," + wire.TrailerLength + "," + wire.TrailerSum + "," + wire.TrailerLoad
 
-// copyAnswer sends an event stream's bytes on as they come. An entry passes on
-// any other answer only when it is whole, so that one leaves in as few writes
-// as its length allows.
+// copyResponse flushes an event stream as it arrives. The entry forwards any other response only once it is
+// complete, so that one is written without flushes.
 func (s *Service) copyResponse(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
 	flusher := http.NewResponseController(w)
 	streams := strings.HasPrefix(w.Header().Get("Content-Type"), wire.ContentEventStream)
@@ -191,8 +189,8 @@
 	s.writeStatus(w, s.table.status(attemptID(r)))
 }
 
-// handleCancel answers with the state after the cancellation. The caller must
-// compare the incarnation: a tombstone of another incarnation proves nothing.
+// handleCancel replies with the state after the cancellation. The caller must compare the incarnation: a
+// tombstone of another incarnation proves nothing.
 func (s *Service) handleCancel(w http.ResponseWriter, r *http.Request) {
 	id := attemptID(r)
 	st := s.table.cancelAttempt(id, r.URL.Query().Get("abandon") == "true")
@@ -203,7 +201,7 @@
 func (s *Service) handleAttach(w http.ResponseWriter, r *http.Request) {
 	a := s.table.addReader(attemptID(r))
 	if a == nil {
-		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeUnknown, "attempt unknown to incarnation %d", s.incarnation))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeUnknown, "attempt is unknown to incarnation %d", s.incarnation))
 		return
 	}
 	defer s.table.removeReader(a)
@@ -211,16 +209,16 @@
 	length, _, dropped := a.response.size()
 	switch {
 	case dropped:
-		s.writeRefusal(w, verdict.New(verdict.Ran, verdict.CodeCut, "the attempt ran; its answer is no longer kept"))
+		s.writeRefusal(w, verdict.New(verdict.Ran, verdict.CodeCut, "the attempt ran; its response is no longer kept"))
 	case err != nil || offset < 0 || offset > length:
-		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "offset out of range"))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "offset is out of range"))
 	default:
 		s.writeResponse(w, r, a, offset)
 	}
 }
 
-// handleLeave is how an upstream, or the operator of its VM, takes it out of
-// service: POST /v1/leave, and POST /v1/leave?cancel=true to come back.
+// handleLeave lets an upstream, or the operator of its VM, take the upstream out of service with POST
+// /v1/leave and return it with POST /v1/leave?cancel=true.
 func (s *Service) handleLeave(w http.ResponseWriter, r *http.Request) {
 	leaving := r.URL.Query().Get("cancel") != "true"
 	s.Leave(leaving)
--- a/node/gate/limiter.go
+++ b/node/gate/limiter.go
@@ -6,51 +6,50 @@
 	"caperdrum.org/api/verdict"
 )
 
-// limiter sets how many attempts the upstream runs at a time.
+// limiter sets how many attempts run at the upstream concurrently.
 type limiter interface {
 	limit() int
-	// done takes in an ended run: when, how long it took, and how many ran at
-	// its end, itself included.
+	// runEnded records a finished run: when it ended, how long it took, and how many ran at its end, itself
+	// included.
 	runEnded(now time.Time, took time.Duration, running int, failure *verdict.Error)
 }
 
-// Names of the limiters in the operators' text.
+// Names of the limiters in the operators' configuration.
 const (
 	limiterFixed = "fixed"
 	limiterClimb = "climb"
 )
 
-func newLimiter(name string, most int) limiter {
-	most = max(most, 1)
+func newLimiter(name string, maximum int) limiter {
+	maximum = max(maximum, 1)
 	if name == limiterClimb {
-		return &climbLimiter{maximum: float64(most), current: max(float64(most)/climbStart, 1), factor: climbStep}
+		return &climbLimiter{maximum: float64(maximum), current: max(float64(maximum)/climbStart, 1), factor: climbStep}
 	}
-	return fixedLimiter(most)
+	return fixedLimiter(maximum)
 }
 
-// fixedLimiter is the number that the operators' text gives.
+// fixedLimiter is the concurrency that the operators' configuration gives.
 type fixedLimiter int
 
 func (l fixedLimiter) limit() int { return int(l) }
 
 func (l fixedLimiter) runEnded(time.Time, time.Duration, int, *verdict.Error) {}
 
-// climbLimiter seeks the limit with the most runs ended per second: it changes
-// the limit by a part each round and turns round when the rate fell (hill
-// climbing, as in Hellerstein, Morrison and Eilebrecht, "Applying Control
-// Theory in the Real World", 2009). A round counts only while the limit binds.
+// climbLimiter searches for the limit with the highest throughput: each round it scales the limit by a
+// factor, and inverts the factor when throughput fell (hill climbing, as in Hellerstein, Morrison and
+// Eilebrecht, "Applying Control Theory in the Real World", 2009). Runs count only while the limit is reached.
 type climbLimiter struct {
 	maximum, current float64
 	factor           float64 // of the next change
-	lastRate         float64 // runs per second of the round before
+	lastRate         float64 // runs per second in the previous round
 	completed        int
 	roundStart       time.Time
 }
 
 const (
 	climbStep   = 1.15
-	climbRounds = 3 // runs of a round, in limits
-	climbStart  = 8 // the first limit is this part of the maximum: a thrashing upstream would answer too seldom to learn from
+	climbRounds = 3 // length of a round: this many times the limit, in runs
+	climbStart  = 8 // the first limit is the maximum divided by this: a thrashing upstream would complete too few runs to learn from
 )
 
 func (l *climbLimiter) limit() int { return max(int(l.current), 1) }
--- a/node/gate/limiter_test.go
+++ b/node/gate/limiter_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// batchEngine is a closed simulation of an engine with continuous batching: a
-// step gives every running call one token and takes longer the more run; past
-// its cache memory it recomputes what it evicted.
+// batchEngine simulates an engine with continuous batching under closed-loop load. A step gives every running
+// call one token and takes longer the more calls run; past the cache capacity the engine recomputes what it
+// evicted.
 type batchEngine struct {
 	limiter  limiter
 	capacity int
@@ -52,7 +52,7 @@
 	e.running = kept
 }
 
-// rate returns tokens per second over the second half of the simulated time.
+// rate returns tokens per second over the second half of the simulation.
 func rate(l limiter, capacity int) float64 {
 	start := time.Unix(1_700_000_000, 0)
 	e := &batchEngine{limiter: l, capacity: capacity, now: start, random: rand.New(rand.NewPCG(1, 2))}
@@ -67,8 +67,8 @@
 	return float64(e.tokens-at) / e.now.Sub(half).Seconds()
 }
 
-// A limiter with the wrong maximum must not fall far behind the best fixed
-// limit, nor far behind the fixed maximum where that is right.
+// A limiter whose configured maximum is too high must stay close to the best fixed limit, and close to the
+// maximum where that is the best limit.
 func TestLimitersOnABatchingEngine(t *testing.T) {
 	for _, capacity := range []int{12, 24, 64} {
 		best := 0.0
@@ -77,9 +77,9 @@
 		}
 		fixed := rate(newLimiter(limiterFixed, callers), capacity) / best
 		climb := rate(newLimiter(limiterClimb, callers), capacity) / best
-		t.Logf("memory for %d calls, maximum %d, of the best fixed limit's tokens/s: fixed %.2f climb %.2f", capacity, callers, fixed, climb)
+		t.Logf("capacity %d calls, maximum %d, share of the best fixed limit's tokens/s: fixed %.2f climb %.2f", capacity, callers, fixed, climb)
 		if climb < 0.75 {
-			t.Errorf("memory for %d calls: %.2f of the best fixed limit", capacity, climb)
+			t.Errorf("capacity %d calls: %.2f of the best fixed limit", capacity, climb)
 		}
 	}
 }
--- a/node/gate/main_test.go
+++ b/node/gate/main_test.go
@@ -6,5 +6,5 @@
 	"caperdrum.org/node/internal/rapidtest"
 )
 
-// A missing tombstone needs some hundred checks to show.
+// A missing tombstone shows up only after some hundred checks.
 func TestMain(m *testing.M) { rapidtest.Main(m, "seed=20261202", "checks=2000", "nofailfile=true") }
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -14,7 +14,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// stillClock never fires a timer: the simulation does what falls due itself.
+// manualClock never fires a timer: the simulation calls sweep itself when the timer is due.
 type manualClock struct{ *clockwork.FakeClock }
 
 func (c manualClock) AfterFunc(time.Duration, func()) clockwork.Timer { return c.NewTimer(time.Hour) }
@@ -24,14 +24,14 @@
 	customer string
 	share    float64
 	class    optext.Class
-	load     float64 // of the capacity
+	load     float64 // as a share of the capacity
 	deadline time.Duration
 
 	next                                               time.Time
 	offered, attained, lateRefusals, malformedRefusals int
 }
 
-// overloadRun drives a real table with simulated runs on a clock of its own.
+// overloadRun drives a real table with simulated runs on a simulated clock.
 type overloadRun struct {
 	clock        manualClock
 	stop         time.Time
@@ -42,7 +42,7 @@
 	flows        []*flow
 	flowOf       map[*attempt]*flow
 	sent         map[*attempt]time.Time
-	usedSlotTime time.Duration // of slots, for answers in time
+	usedSlotTime time.Duration // slot time spent on responses within their deadline
 	number       uint64
 }
 
@@ -57,7 +57,7 @@
 	r.ends[a] = r.clock.Now().Add(time.Duration(noise * float64(overloadMean)))
 }
 
-// next returns what comes first: an arrival, the end of a run or what falls due.
+// next returns the next event: an arrival, the end of a run or a due timer.
 func (r *overloadRun) next() (at time.Time, from *flow, ended *attempt) {
 	at = r.table.timerAt
 	for _, f := range r.flows {
@@ -84,7 +84,7 @@
 	f.offered++
 	f.next = now.Add(r.gap(f))
 	if now.Add(f.deadline).After(r.stop) {
-		f.next = r.stop.Add(time.Hour) // what is offered ends in time to count
+		f.next = r.stop.Add(time.Hour) // every offered attempt ends before the simulation does
 	}
 	r.sent[a], r.flowOf[a] = now, f
 	if refusal := r.table.submit(a); refusal != nil {
@@ -111,7 +111,7 @@
 	r.table.finished(a, nil)
 }
 
-// note counts a refusal: a slow one came after half of the deadline.
+// countRefusal records a refusal; one after half the deadline counts as late.
 func (r *overloadRun) countRefusal(a *attempt, refusal *verdict.Error) {
 	f := r.flowOf[a]
 	if refusal.Verdict != verdict.NotRun || refusal.RetryAfter <= 0 {
@@ -123,7 +123,7 @@
 	delete(r.flowOf, a)
 }
 
-// noteBuried counts what was refused after it had waited.
+// countTombstoned records the attempts that were refused while queued.
 func (r *overloadRun) countTombstoned() {
 	for a := range r.flowOf {
 		if a.state == wire.AttemptTombstoned {
@@ -159,17 +159,16 @@
 	return r, r.usedSlotTime.Seconds() / ((overloadTime - flows[0].deadline).Seconds() * float64(slots))
 }
 
-// TestOverloadedGate: at three times its capacity the gate spends at least 95%
-// of it on answers in time, refuses at once, and a small customer within its
-// share loses under 1%. That needs a deadline of more than the few runs in
-// which its share comes round: at a gate of one place and 2 s it does not hold
-// for a burst of two, which other gates must take.
+// At three times its capacity the gate spends at least 95% of it on responses within their deadline and
+// refuses at once, and a small customer within its share loses under 1%. This needs a deadline longer than
+// the few runs between two turns of a small customer: with one slot and 2 s it does not hold for a burst of
+// two, which other gates must take.
 func TestOverloadedGate(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		slots    int
 		deadline time.Duration
-	}{{"engine", 8, 1500 * time.Millisecond}, {"two places", 2, 2 * time.Second}, {"long deadlines", 4, 5 * time.Second}} {
+	}{{"engine", 8, 1500 * time.Millisecond}, {"two slots", 2, 2 * time.Second}, {"long deadlines", 4, 5 * time.Second}} {
 		flows := []*flow{
 			{customer: "large", share: 4, class: optext.Interactive, load: 1.5, deadline: c.deadline},
 			{customer: "other", share: 4, class: optext.Interactive, load: 1.42, deadline: c.deadline},
@@ -188,7 +187,7 @@
 				t.Errorf("%s: the small customer %s attains %.3f", c.name, f.customer, got)
 			}
 			if f.lateRefusals > f.offered/200 || f.malformedRefusals > 0 {
-				t.Errorf("%s: %s had %d late refusals and %d wrong ones of %d", c.name, f.customer, f.lateRefusals, f.malformedRefusals, f.offered)
+				t.Errorf("%s: %s had %d late refusals and %d malformed ones of %d", c.name, f.customer, f.lateRefusals, f.malformedRefusals, f.offered)
 			}
 		}
 	}
--- a/node/gate/queue.go
+++ b/node/gate/queue.go
@@ -7,17 +7,16 @@
 	"caperdrum.org/api/optext"
 )
 
-// fairQueue orders waiting attempts: by class first, within a class by
-// start-time fair queueing over customers (Goyal, Vin and Cheng, 1996), within
-// a customer by deadline. A class that waits is passed over at most
-// maxPassedOver times in a row, so that a flood of a more urgent class slows a
-// less urgent one down but never stops it. With fifo set it is a plain queue,
-// the baseline. Every operation is O(log n) in attempts and customers, but for
-// ahead and victim, which are linear in the customers and attempts that wait.
+// fairQueue orders waiting attempts by class, within a class by start-time fair queueing over customers
+// (Goyal, Vin and Cheng, 1996), and within a customer by deadline. A non-empty class is passed over at most
+// maxPassedOver times in a row, so that a flood of a more urgent class slows a less urgent one but never
+// starves it. With fifo set it is a plain FIFO queue, the baseline for comparisons. Operations are O(log n)
+// in attempts and customers, except attemptsAhead and victim, which are linear in the waiting customers and
+// attempts.
 type fairQueue struct {
 	fifo      bool
 	classes   [numClasses]classQueue
-	deadlines attemptHeap // all attempts that wait, by deadline
+	deadlines attemptHeap // all waiting attempts
 	arrival   uint64
 }
 
@@ -26,8 +25,8 @@
 	maxPassedOver = 16
 	minShare      = 0.01
 	maxShare      = 1e6
-	// burstCredit is how many attempts a customer that used less than its share
-	// may have run ahead of its turn. Its share in the long run stays the same.
+	// burstCredit is how many attempts a customer that used less than its share may run ahead of its turn. It
+	// does not change the customer's long-term share.
 	burstCredit = 2
 	maxCredit   = burstCredit / minShare
 )
@@ -43,7 +42,7 @@
 	}
 }
 
-// clampShare makes a usable weight of any number, also of NaN.
+// clampShare returns a usable weight for any number, including NaN.
 func clampShare(share float64) float64 {
 	if !(share >= minShare) {
 		return minShare
@@ -53,22 +52,22 @@
 
 // classQueue is the fair queue of one class.
 type classQueue struct {
-	virtualTime float64 // greatest start tag taken
+	virtualTime float64 // highest start tag popped so far
 	customers   map[string]*customerQueue
 	active      tagHeap // customers with waiting attempts, by start tag
-	idle        tagHeap // customers without, that have not earned the whole credit yet
+	idle        tagHeap // customers without waiting attempts whose credit is not full yet
 	length      int
 	passedOver  int
 }
 
-// customerQueue holds a customer's waiting attempts of one class. Its tag is
-// the start tag of its next attempt.
+// customerQueue holds a customer's waiting attempts of one class. Its tag is the start tag of the customer's
+// next attempt.
 type customerQueue struct {
 	name     string
 	tag      float64
 	share    float64
 	waiting  attemptHeap
-	position int // in active or idle
+	position int // index in active or idle
 }
 
 func newFairQueue(fifo bool) fairQueue {
@@ -107,7 +106,7 @@
 	heap.Push(&q.deadlines, a)
 }
 
-// pop returns the attempt to run next, or nil.
+// pop removes and returns the attempt to run next, or nil.
 func (q *fairQueue) pop() *attempt {
 	c := q.nextClass()
 	if c == nil {
@@ -119,8 +118,7 @@
 	return a
 }
 
-// nextClass returns the most urgent class that waits, or one that was passed
-// over too often.
+// nextClass returns the most urgent non-empty class, or one that was passed over maxPassedOver times.
 func (q *fairQueue) nextClass() *classQueue {
 	var first, next *classQueue
 	for i := range q.classes {
@@ -150,7 +148,7 @@
 	return next
 }
 
-// remove takes a waiting attempt out. It reports whether a was waiting.
+// remove removes a waiting attempt. It reports whether a was waiting.
 func (q *fairQueue) remove(a *attempt) bool {
 	if !a.waiting {
 		return false
@@ -161,7 +159,7 @@
 	return true
 }
 
-// earliest returns the waiting attempt with the earliest deadline, or nil.
+// earliestDeadline returns the waiting attempt with the earliest deadline, or nil.
 func (q *fairQueue) earliestDeadline() *attempt {
 	if q.len() == 0 {
 		return nil
@@ -169,10 +167,9 @@
 	return q.deadlines.list[0]
 }
 
-// ahead estimates how many waiting attempts would be taken before a new one:
-// those of more urgent classes, and of its own class what the shares allow.
-// While a more urgent class waits, more of it is taken to come, up to what may
-// pass over each attempt of this class.
+// attemptsAhead estimates how many waiting attempts would run before a new one: those of more urgent classes,
+// and those of its own class with a lower start tag. While a more urgent class is non-empty, more of it is
+// assumed to arrive, up to the maxPassedOver attempts that may pass over each attempt of this class.
 func (q *fairQueue) attemptsAhead(a *attempt) int {
 	urgent := 0
 	own := q.class(a)
@@ -189,16 +186,15 @@
 	return n + max(urgent, (n+1)*maxPassedOver)
 }
 
-// waits reports whether an attempt's customer has others of its class waiting.
+// customerWaits reports whether the attempt's customer has others of its class waiting.
 func (q *fairQueue) customerWaits(a *attempt) bool {
 	cq := q.class(a).customers[q.customer(a)]
 	return cq != nil && cq.waiting.Len() > 0
 }
 
-// victim returns the waiting attempt that a new one may push out of a full
-// queue, or nil: one of a less urgent class, or else of the customer of the
-// same class that waits with the most attempts for its share, if that is more
-// than the new one's customer would then have.
+// victim returns the waiting attempt that a new one may displace from a full queue, or nil. It is one of a
+// less urgent class, or else of the customer in the same class with the most waiting attempts relative to its
+// share, if that is more than the new attempt's customer would then have.
 func (q *fairQueue) victim(a *attempt) *attempt {
 	own := q.class(a)
 	for i := numClasses - 1; i >= 0 && !q.fifo; i-- {
@@ -266,8 +262,8 @@
 	c.deactivateIfEmpty(cq)
 }
 
-// settle moves a customer without waiting attempts out of active. When the
-// last one leaves, a busy period of the class ends and all debts with it.
+// deactivateIfEmpty moves a customer without waiting attempts from active to idle. When the last one leaves,
+// the busy period of the class ends and all tags are reset.
 func (c *classQueue) deactivateIfEmpty(cq *customerQueue) {
 	if cq.waiting.Len() > 0 {
 		return
@@ -281,8 +277,8 @@
 	heap.Push(&c.idle, cq)
 }
 
-// ahead returns how many of the class's waiting attempts have a start tag up to
-// that of a new one. It is linear in the customers that wait.
+// attemptsAhead returns how many of the class's waiting attempts have a start tag up to that of a new one. It
+// is linear in the waiting customers.
 func (c *classQueue) attemptsAhead(customer string, share float64) int {
 	tag, n := c.virtualTime-burstCredit/share, 0
 	if cq := c.customers[customer]; cq != nil {
@@ -298,8 +294,7 @@
 	return n
 }
 
-// longest returns the active customer with the most waiting attempts for its
-// share.
+// longestBacklog returns the active customer with the most waiting attempts relative to its share.
 func (c *classQueue) longestBacklog() *customerQueue {
 	var most *customerQueue
 	for _, cq := range c.active {
@@ -312,7 +307,7 @@
 
 func (cq *customerQueue) backlog() float64 { return float64(cq.waiting.Len()) / cq.share }
 
-// latest returns the attempt that the customer would run last.
+// lastAttempt returns the attempt that the customer would run last.
 func (cq *customerQueue) lastAttempt() *attempt {
 	last := 0
 	for i := range cq.waiting.list {
--- a/node/gate/queue_test.go
+++ b/node/gate/queue_test.go
@@ -14,7 +14,7 @@
 
 var testClasses = []optext.Class{optext.Confirmation, optext.Interactive, optext.Deferrable}
 
-// queueOracle is the same discipline, written over plain lists.
+// queueOracle is a reference implementation of fairQueue over plain slices.
 type queueOracle struct {
 	waiting [numClasses][]*attempt
 	tags    [numClasses]map[string]float64
@@ -130,7 +130,7 @@
 				}
 				a := rapid.SampledFrom(waiting).Draw(t, "attempt")
 				if !q.remove(a) || q.remove(a) {
-					t.Fatal("a waiting attempt is removed once")
+					t.Fatal("a waiting attempt must be removable exactly once")
 				}
 				o.remove(a)
 				drop(a)
@@ -142,7 +142,7 @@
 				first := q.earliestDeadline()
 				for _, a := range waiting {
 					if a.deadline.Before(first.deadline) {
-						t.Fatal("earliest deadline missed")
+						t.Fatal("earliestDeadline missed an earlier one")
 					}
 				}
 			},
@@ -150,8 +150,8 @@
 	})
 }
 
-// A customer gets its share however much another one sends, and a class that
-// waits is served however much comes of the others.
+// A customer gets its share however much another one sends, and a less urgent class is served however much
+// arrives in the others.
 func TestFairQueueUnderFlood(t *testing.T) {
 	q := newFairQueue(false)
 	push := func(n int, customer string, share float64, class optext.Class) {
@@ -167,19 +167,19 @@
 		seen[q.pop().customer]++
 	}
 	if seen["small"] < 90 || seen["drafts"] < 400/(maxPassedOver+1)-1 || seen["drafts"] > 30 {
-		t.Fatalf("of 400: %v", seen)
+		t.Fatalf("first 400 by customer: %v", seen)
 	}
 	if a := (&attempt{customer: "small", share: 1, class: optext.Interactive}); q.attemptsAhead(a) > 60 {
-		t.Errorf("%d ahead of a small customer's attempt", q.attemptsAhead(a))
+		t.Errorf("%d attempts ahead of a small customer's attempt", q.attemptsAhead(a))
 	}
 	if v := q.victim(&attempt{customer: "small", share: 1, class: optext.Interactive}); v == nil || v.customer != "drafts" {
-		t.Errorf("pushed out: %+v, want a draft", v)
+		t.Errorf("victim %+v, want a draft", v)
 	}
 	if v := q.victim(&attempt{customer: "new", share: 1, class: optext.Deferrable}); v == nil || v.customer != "drafts" {
-		t.Errorf("pushed out: %+v, want a draft", v)
+		t.Errorf("victim %+v, want a draft", v)
 	}
 	if v := q.victim(&attempt{customer: "drafts", share: 1, class: optext.Deferrable}); v != nil {
-		t.Errorf("a customer pushed out its own attempt")
+		t.Errorf("a customer displaced its own attempt")
 	}
 }
 
--- a/node/gate/records.go
+++ b/node/gate/records.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// maxRecords bounds the ended attempts that are remembered. Past it the
-	// oldest are forgotten early, which only moves the horizon closer.
+	// maxRecords bounds the ended attempts that are remembered. Beyond it the oldest expire early, which only
+	// moves the horizon forward.
 	maxRecords = 1 << 14
-	// unreadGrace is how long a repeatable attempt goes on without a reader.
+	// unreadGrace is how long a repeatable attempt goes on without a reader before it is abandoned.
 	unreadGrace = 2 * time.Second
 )
 
-// records are what is kept of ended attempts, and the attempts that nobody
-// reads.
+// records hold the ended attempts, in order to expire them and evict their responses, and the repeatable
+// attempts without a reader.
 type records struct {
-	horizon   time.Time     // latest time of issue of a forgotten attempt, or the keep time ago
+	horizon   time.Time     // latest issue time of an expired attempt, or the retention time ago, whichever is later
 	ended     []*attempt    // done and tombstoned, in order of their end
-	keptBytes int64         // bytes of ended answers
-	evictable [2][]*attempt // ended answers without a reader, repeatable ones first
-	unread    []*attempt    // repeatable, no reader, in the order they lost it
+	keptBytes int64         // bytes of ended responses
+	evictable [2][]*attempt // ended responses without a reader; index 0 holds those of repeatable attempts
+	unread    []*attempt    // repeatable attempts without a reader, in the order they lost it
 }
 
-// forgot reports whether an attempt issued then may have been known once.
+// mayHaveExpired reports whether an attempt issued at this time may have been known and expired.
 func (r *records) mayHaveExpired(issued time.Time) bool { return !issued.After(r.horizon) }
 
-// bury makes a tombstone of an attempt that has not started.
+// tombstone marks an attempt that has not started as one that never will.
 func (t *table) tombstone(a *attempt, why *verdict.Error) {
 	a.state = wire.AttemptTombstoned
 	t.recordEnd(a, why)
 }
 
-// end records that an attempt is done or tombstoned.
+// recordEnd records that an attempt is done or tombstoned.
 func (t *table) recordEnd(a *attempt, failure *verdict.Error) {
 	a.response.finish(failure)
 	a.ended = t.clock.Now()
@@ -45,9 +45,8 @@
 	t.evictExcess(a)
 }
 
-// mayEvict lists an ended answer that nobody reads, and evicts the oldest
-// answers past the limit: first those that can be had again. Only bytes go;
-// that the attempt ran stays known.
+// evictExcess lists an ended response without a reader as evictable, and evicts the oldest responses past the
+// limit, those of repeatable attempts first. Only the bytes are dropped; that the attempt ran stays known.
 func (t *table) evictExcess(a *attempt) {
 	if a.keptBytes > 0 && a.readers == 0 && !a.evictable {
 		i := 1
@@ -78,13 +77,13 @@
 	a.keptBytes = 0
 }
 
-// forget drops what ended longer ago than it must be kept.
+// expireRecords removes the attempts that ended before the retention time.
 func (t *table) expireRecords() {
 	limit := t.clock.Now().Add(-t.limits.keep)
 	r := &t.records
 	if limit.After(r.horizon) {
-		// A copy that was under way for so long may belong to a key whose
-		// claim has expired since.
+		// A copy that was in transit for this long may belong to an idempotency key whose claim has expired
+		// since.
 		r.horizon = limit
 	}
 	for len(r.ended) > 0 && (len(r.ended) > maxRecords || r.ended[0].ended.Before(limit)) {
@@ -102,7 +101,7 @@
 	}
 }
 
-// shift takes the first attempt out of a list.
+// popFront removes and returns the first attempt of a list.
 func popFront(list *[]*attempt) *attempt {
 	a := (*list)[0]
 	(*list)[0] = nil
@@ -110,7 +109,7 @@
 	return a
 }
 
-// join returns a known attempt and counts its caller as a reader until leave.
+// addReader returns a known attempt and counts the caller as a reader until removeReader.
 func (t *table) addReader(id wire.AttemptID) *attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,8 +121,8 @@
 	return a
 }
 
-// leave counts a reader out. A repeatable attempt that nobody reads any more
-// is abandoned after unreadGrace; the answer of another one is kept.
+// removeReader counts a reader out. A repeatable attempt without readers is abandoned after unreadGrace; the
+// response of any other is kept.
 func (t *table) removeReader(a *attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,8 +141,8 @@
 	}
 }
 
-// abandonUnread ends what nobody has read for unreadGrace. An entry in the
-// list counts only while its attempt was not read or ended since.
+// abandonUnread cancels attempts that had no reader for unreadGrace. List entries are stale, and skipped, if
+// their attempt got a reader or ended since.
 func (t *table) abandonUnread() {
 	limit := t.clock.Now().Add(-unreadGrace)
 	r := &t.records
@@ -158,7 +157,7 @@
 			continue
 		}
 		if t.queue.remove(a) {
-			t.tombstone(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "nobody waits for the answer").After(retryAfterMin))
+			t.tombstone(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "abandoned: no entry reads the response").After(retryAfterMin))
 			continue
 		}
 		a.cancel()
--- a/node/gate/response.go
+++ b/node/gate/response.go
@@ -11,18 +11,18 @@
 	"caperdrum.org/api/wire"
 )
 
-// answer is what an upstream sent for one attempt. One goroutine appends; any
-// number read, each from its own offset, while it grows and after it ended.
+// responseBuffer holds what the upstream sent for one attempt. One goroutine appends; any number read, each
+// from its own offset, while it grows and after it ended.
 type responseBuffer struct {
 	mu      sync.Mutex
-	status  int // zero until the upstream's response header came
+	status  int // zero until the upstream's response header arrived
 	header  http.Header
 	data    []byte
 	length  int64
 	sum     *xxhash.Digest
 	end     string         // end mark; empty while it grows
-	failure *verdict.Error // set when it ended without being whole
-	dropped bool           // the bytes were given up, the fact remains
+	failure *verdict.Error // set if it ended incomplete
+	dropped bool           // the bytes were evicted; length and end remain
 	changed chan struct{}  // closed at the next change; nil while nobody waits
 }
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// change returns a channel that is closed at the next change.
+// changeChan returns a channel that is closed at the next change.
 func (a *responseBuffer) changeChan() <-chan struct{} {
 	if a.changed == nil {
 		a.changed = make(chan struct{})
@@ -51,7 +51,7 @@
 	a.signal()
 }
 
-// append adds bytes and returns the length after them.
+// append adds bytes and returns the new length.
 func (a *responseBuffer) append(p []byte) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,7 +62,7 @@
 	return a.length
 }
 
-// finish sets the end mark. A nil failure means that the answer is whole.
+// finish sets the end mark. A nil failure means that the response is complete.
 func (a *responseBuffer) finish(failure *verdict.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,14 +76,14 @@
 	a.signal()
 }
 
-// drop gives the bytes up. Only an answer that ended may be dropped.
+// drop releases the bytes. Only an ended response may be dropped.
 func (a *responseBuffer) drop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.data, a.dropped = nil, true
 }
 
-// head waits until the upstream has answered or failed.
+// head waits until the upstream has sent a response header or failed.
 func (a *responseBuffer) head(ctx context.Context) (status int, header http.Header, failure *verdict.Error, err error) {
 	for {
 		a.mu.Lock()
@@ -101,8 +101,8 @@
 	}
 }
 
-// next waits for bytes after offset. It returns them, and the end mark if
-// nothing follows them. The bytes must not be changed.
+// next waits for bytes after offset. It returns them, together with the end mark if nothing follows them. The
+// caller must not modify the bytes.
 func (a *responseBuffer) next(ctx context.Context, offset int64) (data []byte, end string, err error) {
 	for {
 		a.mu.Lock()
@@ -120,8 +120,7 @@
 	}
 }
 
-// size returns the length so far and the end mark, and whether the bytes were
-// dropped.
+// size returns the length so far, the end mark, and whether the bytes were dropped.
 func (a *responseBuffer) size() (length int64, end string, dropped bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/node/gate/run.go
+++ b/node/gate/run.go
@@ -20,10 +20,10 @@
 
 const readChunk = 32 << 10
 
-// begin implements starter.
+// startRun implements startFunc.
 func (s *Service) startRun(ctx context.Context, a *attempt) { go s.run(ctx, a) }
 
-// run performs one started attempt against the upstream.
+// run sends one started attempt to the upstream and reads the response.
 func (s *Service) run(ctx context.Context, a *attempt) {
 	started := time.Now()
 	s.recordEvent("attempt-started", a, a.stage)
@@ -44,13 +44,13 @@
 }
 
 func (s *Service) call(ctx context.Context, a *attempt) *verdict.Error {
-	// The transport may repeat a repeatable attempt on a new connection, so a
-	// failed dial proves nothing once a header was written.
+	// The transport may resend a repeatable attempt on a new connection, so a failed dial proves nothing once
+	// a header was written.
 	var written atomic.Bool
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { written.Store(true) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), a.method, "http://"+s.set.Upstream+a.path, bytes.NewReader(a.body))
 	if err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "no request can be made of %s %s", a.method, a.path)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "invalid request %s %s", a.method, a.path)
 	}
 	req.Header = a.header
 	req.Header.Set(wire.HeaderRequestID, string(a.request))
@@ -62,9 +62,9 @@
 		return callFailure(ctx, err, written.Load())
 	}
 	defer resp.Body.Close()
-	passed := http.Header{}
-	wire.PassToCaller(passed, resp.Header)
-	a.response.start(resp.StatusCode, passed)
+	header := http.Header{}
+	wire.PassToCaller(header, resp.Header)
+	a.response.start(resp.StatusCode, header)
 	return s.readResponse(a, resp)
 }
 
@@ -74,7 +74,7 @@
 		v = verdict.NotRun
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return verdict.New(v, verdict.CodeTimeout, "the deadline passed while the upstream worked")
+		return verdict.New(v, verdict.CodeTimeout, "the deadline passed before the upstream finished")
 	}
 	return verdict.New(v, verdict.CodeUpstream, "upstream: %v", err).After(time.Second)
 }
@@ -89,7 +89,7 @@
 	for {
 		n, err := resp.Body.Read(buf[:])
 		if length+int64(n) > s.set.MaxAnswer {
-			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", s.set.MaxAnswer)
+			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the response exceeds %d bytes", s.set.MaxAnswer)
 		}
 		if n > 0 {
 			length = a.response.append(buf[:n])
@@ -99,7 +99,7 @@
 			return checkComplete(resp, tail)
 		}
 		if err != nil {
-			return verdict.New(verdict.Ran, verdict.CodeCut, "the upstream's answer was cut: %v", err)
+			return verdict.New(verdict.Ran, verdict.CodeCut, "the upstream's response was truncated: %v", err)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	return append(tail, p...)
 }
 
-// checkWhole tells a whole event stream from one that ended early but cleanly.
+// checkComplete detects an event stream that ended cleanly but without its final event.
 func checkComplete(resp *http.Response, tail []byte) *verdict.Error {
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), wire.ContentEventStream) || resp.StatusCode != http.StatusOK {
 		return nil
--- a/node/gate/stop_test.go
+++ b/node/gate/stop_test.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/node/settings"
 )
 
-// TestStopCountsWhatIsUnderWayNow lets the last attempt end after Stop has looked, and the drain
-// time right after it: nothing was cut.
+// TestStopCountsWhatIsUnderWayNow ends the last attempt after Stop has checked, and the drain time right
+// after that. Stop must not report the attempt as cut off.
 func TestStopCountsWhatIsUnderWayNow(t *testing.T) {
 	set := &settings.Settings{Peers: settings.Peers{Control: []string{"127.0.0.1:1"}}, Agent: settings.AgentRole{Listen: "127.0.0.1:0", Upstream: "127.0.0.1:1", LeaveGrace: time.Hour}}
 	ring := timeline.NewRing("gate", "vm", 16)
@@ -30,7 +30,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan error)
 	go func() { stopped <- s.Stop(ctx) }()
-	time.Sleep(drainPoll / 2) // Stop has most likely looked; it passes as well where it has not
+	time.Sleep(drainPoll / 2) // Stop has most likely checked by now; the test passes also if it has not
 	underWay(0)
 	cancel()
 	if err := <-stopped; err != nil {
--- a/node/gate/stream_test.go
+++ b/node/gate/stream_test.go
@@ -8,7 +8,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// finishingWriter ends the answer once its first bytes were written.
+// finishingWriter ends the response once its first bytes were written.
 type finishingWriter struct {
 	*httptest.ResponseRecorder
 	a *attempt
@@ -19,8 +19,8 @@
 	return w.ResponseRecorder.Write(p)
 }
 
-// An event stream's bytes leave as they come; any other answer is of use to an
-// entry only when it is whole, so it is not written in parts.
+// An event stream is flushed as it arrives. An entry can use any other response only once it is complete, so
+// that one is not flushed in parts.
 func TestOnlyEventStreamsAreFlushed(t *testing.T) {
 	for contentType, flushed := range map[string]bool{wire.ContentEventStream + "; charset=utf-8": true, "application/json": false, "": false} {
 		m := newGateModel()
@@ -35,7 +35,7 @@
 			t.Errorf("%q: flushed %v before its end", contentType, w.Flushed)
 		}
 		if w.Body.String() != "first part" || w.Header().Get(wire.TrailerEnd) != wire.EndWhole {
-			t.Errorf("%q: answer %q, end %q", contentType, w.Body, w.Header().Get(wire.TrailerEnd))
+			t.Errorf("%q: response %q, end %q", contentType, w.Body, w.Header().Get(wire.TrailerEnd))
 		}
 	}
 }
--- a/node/gate/table.go
+++ b/node/gate/table.go
@@ -13,10 +13,10 @@
 	"caperdrum.org/api/wire"
 )
 
-// attempt is one try that this gate knows of.
+// attempt is one try of a request that this gate knows of.
 type attempt struct {
 	id          wire.AttemptID
-	incarnation uint64 // of the gate that it is meant for
+	incarnation uint64 // of the gate that it is addressed to
 	request     wire.RequestID
 	stage       string
 	customer    string
@@ -25,14 +25,14 @@
 	repeatable  bool
 	method      string
 	path        string
-	header      http.Header // passed on to the upstream
+	header      http.Header // forwarded to the upstream
 	body        []byte
 	deadline    time.Time
 	claimed     bool // an idempotency key is claimed for it
 
 	state    wire.AttemptState
 	response *responseBuffer
-	cancel   context.CancelFunc // ends a running call
+	cancel   context.CancelFunc // cancels the run
 	started  time.Time
 	ended    time.Time
 
@@ -44,20 +44,19 @@
 
 	// Set by the records.
 	readers     int
-	unreadSince time.Time // since when a repeatable attempt has no reader; zero while it has
-	keptBytes   int64     // bytes of the answer that count as kept
-	evictable   bool      // stands in a list of evictable answers
+	unreadSince time.Time // since when a repeatable attempt has no reader; zero while it has one
+	keptBytes   int64     // bytes of the response that count toward the retention limit
+	evictable   bool      // is in a list of evictable responses
 }
 
-// starter begins to perform an attempt and returns at once. When the attempt
-// ended it calls finished, once. ctx ends with the deadline.
+// startFunc starts to run an attempt and returns at once. When the attempt ends, finished must be called
+// exactly once. ctx ends at the run deadline.
 type startFunc func(ctx context.Context, a *attempt)
 
-// table is the gate's memory of attempts. Its promise: an attempt runs at most
-// once, and one that was reported as not run never runs. That holds because a
-// tombstone stands before the report is given, an id is not admitted again
-// while it is remembered, and no id is admitted that was issued at or before
-// the horizon, the latest time of issue among the forgotten ones.
+// table holds the attempts that the gate knows. It guarantees that an attempt runs at most once, and that one
+// reported as not run never runs: a tombstone is stored before the report is sent, a known id is not admitted
+// again, and no id is admitted that was issued at or before the horizon, the latest issue time of all expired
+// attempts.
 type table struct {
 	clock       clockwork.Clock
 	startRun    startFunc
@@ -76,15 +75,15 @@
 	timerAt  time.Time // when timer fires; zero while it is not set
 }
 
-// limits are what the operators' text and the settings say for this gate.
+// limits are the limits of this gate from configuration and settings.
 type limits struct {
 	concurrency int
 	queueLength int
 	refuseLate  bool
 	fifo        bool
 	limiter     string
-	keep        time.Duration // how long answers and tombstones are kept
-	keepBytes   int64         // bytes of ended answers, over all attempts
+	keep        time.Duration // how long responses and tombstones are kept
+	keepBytes   int64         // bytes of ended responses, over all attempts
 }
 
 // ewma is an exponentially weighted moving average.
@@ -95,10 +94,9 @@
 
 const (
 	ewmaWeight = 0.1
-	// backlogMargin is how many times over the expected wait must fit into the
-	// time left of an attempt whose customer has others waiting. The rest is for
-	// runs longer than the average and for customers that go ahead; a longer
-	// queue would not get more work done, and its end is refused late.
+	// backlogMargin is how many times the expected wait must fit into the time left of an attempt whose
+	// customer has others waiting. The surplus covers runs longer than the average and customers that go
+	// ahead. A longer queue would not complete more work, and its tail would be refused late.
 	backlogMargin = 2
 	retryAfterMin = 100 * time.Millisecond
 )
@@ -117,8 +115,8 @@
 	return t
 }
 
-// submit admits a new attempt, or refuses it. A refusal with verdict NotRun
-// leaves a tombstone. An id that is known is refused without a new run.
+// submit admits a new attempt or refuses it. A refusal with verdict NotRun leaves a tombstone. A known id is
+// refused and not run again.
 func (t *table) submit(a *attempt) *verdict.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,8 +139,8 @@
 	return nil
 }
 
-// reject leaves a tombstone for an attempt that could not be read whole, so
-// that it can be reported as not run.
+// reject leaves a tombstone for an attempt that could not be read completely, so that it can be reported as
+// not run.
 func (t *table) reject(id wire.AttemptID, why *verdict.Error) *verdict.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,29 +153,28 @@
 	return why
 }
 
-// unknown returns nil for an id that never came and may still be admitted.
+// checkID returns nil for an id that is new and may be admitted.
 func (t *table) checkID(id wire.AttemptID) *verdict.Error {
 	if known := t.attempts[id]; known != nil {
 		if known.state == wire.AttemptTombstoned {
-			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it came", id).After(retryAfterMin)
+			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it arrived", id).After(retryAfterMin)
 		}
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "attempt %s is known already; attach to it", id)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "attempt %s is already known; attach to it", id)
 	}
 	issued, ok := id.Issued()
 	switch {
 	case !ok:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "attempt id %q carries no time of issue", id)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "attempt id %q contains no issue time", id)
 	case t.records.mayHaveExpired(issued):
-		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "attempt %s is older than what this gate remembers", id)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "attempt %s is older than the retention time of this gate", id)
 	case t.issuedTooFarAhead(issued):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "attempt %s was issued in the future: compare the clocks of entry and agent", id)
 	}
 	return nil
 }
 
-// ahead reports whether a time of issue is too far ahead of this clock. Such
-// an attempt is not remembered, because to forget it would move the horizon
-// past attempts that are still to come.
+// issuedTooFarAhead reports whether an issue time is too far ahead of this clock. Such an attempt is not
+// stored, because its expiry would move the horizon past attempts that are yet to arrive.
 func (t *table) issuedTooFarAhead(issued time.Time) bool {
 	return issued.After(t.clock.Now().Add(t.limits.keep / 2))
 }
@@ -188,14 +185,14 @@
 	return a
 }
 
-// refuse says why a new attempt cannot be taken. It makes room in a full queue
-// where the shares say so.
+// checkAdmission returns why a new attempt cannot be taken, or nil. It displaces a waiting attempt from a
+// full queue if the shares allow it.
 func (t *table) checkAdmission(a *attempt) *verdict.Error {
 	wait := t.expectedWait(a)
 	left := a.deadline.Sub(t.clock.Now())
 	switch {
 	case a.incarnation != t.incarnation:
-		return verdict.New(verdict.NotRun, verdict.CodeIncarnation, "this gate was restarted; choose again").After(retryAfterMin)
+		return verdict.New(verdict.NotRun, verdict.CodeIncarnation, "this gate was restarted; choose an endpoint again").After(retryAfterMin)
 	case t.leaving:
 		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "the upstream is leaving").After(time.Second)
 	case left <= 0 || t.usesEstimates() && t.waitMargin(a)*wait+t.expectedRun() > left:
@@ -210,7 +207,7 @@
 	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met: expected wait %s", wait.Round(time.Millisecond)).After(max(wait, retryAfterMin))
 }
 
-// pushOut makes room in a full queue for a, if the shares entitle it.
+// displaceFor makes room in a full queue for a, if its share entitles it.
 func (t *table) displaceFor(a *attempt) bool {
 	victim := t.queue.victim(a)
 	if victim == nil {
@@ -221,8 +218,8 @@
 	return true
 }
 
-// estimates reports whether refusals go by the expected run time. An idle
-// upstream takes every attempt: without a run the estimate could never mend.
+// usesEstimates reports whether attempts are refused by the expected run time. An idle upstream takes every
+// attempt: without a run a wrong estimate could never be corrected.
 func (t *table) usesEstimates() bool { return t.limits.refuseLate && t.running > 0 }
 
 func (t *table) expectedRun() time.Duration {
@@ -247,8 +244,8 @@
 
 func (t *table) limit() int { return t.limiter.limit() }
 
-// lateAnswer is how long past its caller's deadline a claimed attempt that has
-// started may run on, so that a resend of the key still gets the answer.
+// claimedOverrun is how long past its deadline a started attempt with a claimed idempotency key may run on,
+// so that a resend of the key still gets the response.
 const claimedOverrun = 30 * time.Second
 
 func (a *attempt) runDeadline() time.Time {
@@ -267,7 +264,7 @@
 	t.startRun(ctx, a)
 }
 
-// finished records the end of a run and starts what waits.
+// finished records the end of a run and starts queued attempts.
 func (t *table) finished(a *attempt, failure *verdict.Error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -285,7 +282,7 @@
 	t.refuseLate() // the expected run time may have grown
 }
 
-// startWaiting begins what the limit allows.
+// startQueued starts queued attempts up to the limit.
 func (t *table) startQueued() {
 	for t.running < t.limit() {
 		a := t.queue.pop()
@@ -300,7 +297,7 @@
 	}
 }
 
-// late reports whether a waiting attempt can no longer finish.
+// cannotFinish reports whether a waiting attempt can no longer finish in time.
 func (t *table) cannotFinish(a *attempt) bool { return !t.latestStart(a).After(t.clock.Now()) }
 
 func (t *table) latestStart(a *attempt) time.Time {
@@ -310,8 +307,8 @@
 	return a.deadline.Add(-t.expectedRun())
 }
 
-// cancelAttempt makes a tombstone if the attempt has not started, also when it
-// was never seen. With abandon set, a running attempt is ended as well.
+// cancelAttempt tombstones an attempt that has not started, including one that was never seen. With abandon
+// set, a running attempt is cancelled as well.
 func (t *table) cancelAttempt(id wire.AttemptID, abandon bool) wire.AttemptStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -371,7 +368,7 @@
 	t.startQueued()
 }
 
-// requeue changes the discipline without losing what waits.
+// requeue changes the queue discipline and keeps the waiting attempts.
 func (t *table) requeue(fifo bool) {
 	q := newFairQueue(fifo)
 	for a := t.queue.pop(); a != nil; a = t.queue.pop() {
@@ -386,7 +383,7 @@
 	t.leaving = leaving
 }
 
-// load returns the attempts waiting and running and the limit.
+// load returns the numbers of queued and running attempts and the limit.
 func (t *table) load() (queued, running, limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/gate/table_test.go
+++ b/node/gate/table_test.go
@@ -17,12 +17,12 @@
 
 const testKeep = 20 * time.Second
 
-// gateModel drives a table and keeps the oracle: how often each attempt ran,
-// and which were reported as not run.
+// gateModel drives a table and keeps the reference state: how often each attempt ran, and which were reported
+// as not run.
 type gateModel struct {
 	clock       *clockwork.FakeClock
 	table       *table
-	incarnation int // number of this start of the gate
+	incarnation int // of the current gate
 	sent        []*attempt
 	admitted    map[wire.AttemptID]*attempt
 	runs        map[wire.AttemptID]int
@@ -39,14 +39,14 @@
 	return m
 }
 
-// restart begins a new start of the gate, which knows nothing of earlier ones.
+// restart replaces the gate by one that knows nothing of earlier attempts.
 func (m *gateModel) restart(l limits) {
 	m.incarnation++
 	m.admitted, m.running, m.written = map[wire.AttemptID]*attempt{}, map[wire.AttemptID]context.Context{}, map[wire.AttemptID][]byte{}
 	m.table = newTable(m.clock, uint64(m.incarnation), m.startRun, l)
 }
 
-// begin is the controllable upstream.
+// startRun is the upstream under the test's control.
 func (m *gateModel) startRun(ctx context.Context, a *attempt) {
 	m.runs[a.id]++
 	m.running[a.id] = ctx
@@ -91,7 +91,7 @@
 	return rapid.SampledFrom(m.sent).Draw(t, "attempt")
 }
 
-// arrive submits a copy of an attempt, as the network may at any time.
+// arrive submits a copy of an attempt, which the network may deliver at any time.
 func (m *gateModel) arrive(t *rapid.T, of *attempt) {
 	a := &attempt{id: of.id, incarnation: of.incarnation, customer: of.customer, class: of.class, share: 1, repeatable: of.repeatable,
 		deadline: of.deadline, readers: 1}
@@ -111,9 +111,8 @@
 	}
 }
 
-// ranBefore reports whether a copy came to a later start of the gate than the
-// one that ran the attempt. The refusal speaks of this copy; the entry reads
-// the answer to the first one.
+// ranBefore reports whether an earlier incarnation of the gate ran the attempt. The refusal concerns only
+// this copy; the entry reads the response to the first one.
 func (m *gateModel) ranBefore(a *attempt) bool {
 	return a.incarnation != uint64(m.incarnation) && m.runs[a.id] > 0
 }
@@ -139,32 +138,32 @@
 	m.table.finished(a, failure)
 }
 
-// check holds after every step.
+// check verifies the invariants after every step.
 func (m *gateModel) check(t *rapid.T) {
-	for _, id := range m.ids() { // the upstream stops a call whose deadline has passed
+	for _, id := range m.ids() { // the upstream ends a run whose deadline has passed
 		select {
 		case <-m.running[id].Done():
 			m.finish(m.admitted[id], verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "ended"))
 		default:
 		}
 	}
-	m.table.mu.Lock() // the timer's own sweep may run
+	m.table.mu.Lock() // the timer may call sweep concurrently
 	defer m.table.mu.Unlock()
 	if m.violation != "" {
 		t.Fatal(m.violation)
 	}
 	tb := m.table
 	if tb.queue.len() > 0 && tb.running < tb.limit() {
-		t.Fatalf("%d wait while %d of %d run", tb.queue.len(), tb.running, tb.limit())
+		t.Fatalf("%d attempts wait while %d of %d run", tb.queue.len(), tb.running, tb.limit())
 	}
 	if tb.running != len(m.running) {
-		t.Fatalf("counts %d running, want %d", tb.running, len(m.running))
+		t.Fatalf("%d counted as running, want %d", tb.running, len(m.running))
 	}
 	if a := tb.queue.earliestDeadline(); a != nil && tb.cannotFinish(a) {
-		t.Fatalf("%s waits and can no longer finish", a.id)
+		t.Fatalf("%s is queued and can no longer finish in time", a.id)
 	}
 	if tb.queue.len() > 0 && (tb.timerAt.IsZero() || tb.timerAt.After(tb.latestStart(tb.queue.earliestDeadline())) && tb.timerAt.After(m.clock.Now().Add(minTimerWait))) {
-		t.Fatal("no timer for the attempt that falls due next")
+		t.Fatal("no timer is set for the next due attempt")
 	}
 	if idle := tb.records.keptBytes; idle > tb.limits.keepBytes && tb.records.evictableLen() > 0 {
 		t.Fatalf("%d bytes kept, the limit is %d", idle, tb.limits.keepBytes)
@@ -181,11 +180,11 @@
 		return
 	}
 	if f := a.response.failure; f != nil && f.Verdict == verdict.NotRun {
-		m.reportNotRun(a.id, "its answer")
+		m.reportNotRun(a.id, "its response")
 	}
 	length, end, dropped := a.response.size()
 	if want := m.written[a.id]; length != int64(len(want)) || !dropped && !bytes.Equal(a.response.data, want) {
-		t.Fatalf("%s: answer %q, want %q", a.id, a.response.data, want)
+		t.Fatalf("%s: response %q, want %q", a.id, a.response.data, want)
 	}
 	if whole := bytes.HasSuffix(m.written[a.id], []byte("end")); (end == wire.EndWhole) != whole {
 		t.Fatalf("%s: end mark %q, wrote %q", a.id, end, m.written[a.id])
@@ -197,7 +196,7 @@
 	a.response.append([]byte(text))
 }
 
-// attach reads what there is from an offset, as after a broken connection.
+// attach reads from an offset, as after a broken connection.
 func (m *gateModel) attach(t *rapid.T) {
 	of := m.any(t)
 	a := m.table.addReader(of.id)
--- a/node/gate/timer.go
+++ b/node/gate/timer.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// minTimer keeps a due event that cannot be met at once from spinning.
+// minTimerWait keeps a due event that cannot be handled at once from spinning.
 const minTimerWait = time.Millisecond
 
-// arm sets the one timer to the next due event, if that is earlier than what
-// it is set to. A gate without work or records has no timer.
+// resetTimer sets the timer to the next due event, if that is earlier than its current time. A gate without
+// queued attempts or records has no timer.
 func (t *table) resetTimer() {
 	queueVar.Set(int64(t.queue.len()))
 	inFlightVar.Set(int64(t.running))
@@ -23,7 +23,7 @@
 	t.timer.Reset(wait)
 }
 
-// nextDue returns when something falls due, or the zero time.
+// nextTimerTime returns when the next event is due, or the zero time.
 func (t *table) nextTimerTime() time.Time {
 	var next time.Time
 	sooner := func(at time.Time) {
@@ -43,8 +43,8 @@
 	return next
 }
 
-// sweep does what fell due: waiting attempts that can no longer finish are
-// refused at once, unread ones abandoned, old records forgotten.
+// sweep handles due events: it refuses waiting attempts that can no longer finish in time, abandons those
+// without a reader and expires old records.
 func (t *table) sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +55,7 @@
 	t.resetTimer()
 }
 
-// refuseLate refuses every waiting attempt that can no longer finish.
+// refuseLate refuses every waiting attempt that can no longer finish in time.
 func (t *table) refuseLate() {
 	for a := t.queue.earliestDeadline(); a != nil && t.cannotFinish(a); a = t.queue.earliestDeadline() {
 		t.queue.remove(a)
--- a/node/gate/traffic.go
+++ b/node/gate/traffic.go
@@ -1,21 +1,21 @@
 package gate
 
-// Traffic is what the planner needs to know of a gate's load.
+// Traffic is the load of a gate as the planner needs it.
 type Traffic struct {
-	Arrived  int64 // attempts that ended since the start, ran or refused, and those at hand
+	Arrived  int64 // attempts since the process started: run, refused, queued and running
 	Queued   int
 	InFlight int
 	Limit    int
 }
 
-// Traffic returns the gate's load now.
+// Traffic returns the gate's current load.
 func (s *Service) Traffic() Traffic {
 	queued, running, limit := s.table.load()
 	return Traffic{Arrived: ranVar.Value() + refusedVar.Value() + int64(queued+running), Queued: queued, InFlight: running, Limit: limit}
 }
 
-// SetParked says that the upstream holds nothing to serve with. A parked one
-// gets no new work; attempts that were admitted are brought to their end.
+// SetParked sets whether the upstream has no model to serve. Such an upstream gets no new work; admitted
+// attempts are completed.
 func (s *Service) SetParked(parked bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/gate/upstream.go
+++ b/node/gate/upstream.go
@@ -7,19 +7,18 @@
 
 const (
 	idleConns = 64
-	// upstreamIdle is shorter than the usual keep-alive of model servers, so
-	// that a request seldom meets a connection about to be closed.
+	// upstreamIdle is shorter than the usual keep-alive timeout of model servers, so that a request seldom
+	// uses a connection that the server is closing.
 	upstreamIdle = 4 * time.Second
-	// singleIdle is the same for attempts that may not be repeated, where such
-	// a meeting costs the caller an error.
+	// noRetryIdle is the same for non-repeatable attempts, which fail in that case.
 	noRetryIdle = time.Second
 )
 
-// upstreamClients send attempts to the upstream.
+// upstreamClients are the HTTP clients that send attempts to the upstream.
 type upstreamClients struct {
-	repeatable *http.Client // the transport may send a request again
-	noRetry    *http.Client // it may not: for requests with a body, without GetBody
-	noReuse    *http.Client // nor here: each request has a connection of its own
+	repeatable *http.Client // the transport may resend a request
+	noRetry    *http.Client // it must not: requests with a body and without GetBody
+	noReuse    *http.Client // it must not: every request opens its own connection
 }
 
 func newUpstreamClients() upstreamClients {
@@ -30,16 +29,15 @@
 	}
 }
 
-// upstreamClient hands redirects to the caller: to follow one would run the
-// attempt again, elsewhere.
+// upstreamClient does not follow redirects but returns them to the caller: following one would run the
+// attempt again at another server.
 func upstreamClient(t *http.Transport) *http.Client {
 	return &http.Client{Transport: t, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// of returns the client for a request, and prepares the request for it. A
-// request that may not be repeated is sent on a kept connection only if it has
-// a body: net/http repeats one on its own when the kept connection fails, but
-// never one whose body it cannot get again.
+// clientFor returns the client for a request, and prepares the request for it. A non-repeatable request uses
+// a kept connection only if it has a body: net/http resends a request when a kept connection fails, but never
+// one whose body it cannot get again.
 func (u *upstreamClients) clientFor(req *http.Request, repeatable bool) *http.Client {
 	switch {
 	case repeatable:
--- a/node/gate/upstream_test.go
+++ b/node/gate/upstream_test.go
@@ -14,16 +14,16 @@
 	"caperdrum.org/node/settings"
 )
 
-// fickleUpstream answers the first requests of each connection and closes it
-// without an answer, or before the next request came.
+// closingUpstream answers the first requests of each connection, then closes it, either after reading the
+// next request without answering or before that.
 type closingUpstream struct {
 	net.Listener
 	perConnection int  // requests answered
-	runUnanswered bool // the next one is run and not answered
+	runUnanswered bool // run the next request without answering it
 
 	mu          sync.Mutex
 	connections int
-	runs        map[string]int // by body
+	runs        map[string]int // by path and body
 }
 
 func newClosingUpstream(t *testing.T, perConnection int, readNext bool) *closingUpstream {
@@ -77,8 +77,8 @@
 	return true
 }
 
-// A call that may not be repeated runs at most once, whatever its method and
-// headers, when the upstream closes kept connections under it.
+// A non-repeatable call runs at most once, whatever its method and headers, when the upstream closes kept
+// connections.
 func TestUnrepeatableCallsRunOnceOnKeptConnections(t *testing.T) {
 	const calls = 60
 	for _, readNext := range []bool{true, false} {
@@ -100,7 +100,7 @@
 						case e == nil && runs != 1:
 							t.Fatalf("call %d was answered without a run", i)
 						case e != nil && e.Verdict == verdict.NotRun && runs > 0:
-							t.Fatalf("call %d ran and was told as not run", i)
+							t.Fatalf("call %d ran and was reported as not run", i)
 						case e != nil:
 							failed++
 						}
@@ -111,7 +111,7 @@
 						t.Errorf("%d of %d calls without a body failed on %d connections", failed, calls, u.connections)
 					}
 					if body != "" && u.connections > calls/2 {
-						t.Errorf("%d connections for %d calls: none is kept", u.connections, calls)
+						t.Errorf("%d connections for %d calls: none is reused", u.connections, calls)
 					}
 				})
 			}
