--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -1,6 +1,5 @@
-// Package dispatch carries one attempt from an entry to a gate and back. It
-// turns every failure into an error with a verdict, and it never takes a cut
-// answer for a whole one.
+// Package dispatch sends one attempt from an entry to a gate and reads the response. It turns every failure
+// into an error with a verdict, and never takes a truncated response for a complete one.
 package dispatch
 
 import (
@@ -28,7 +27,7 @@
 	"caperdrum.org/node/security"
 )
 
-// Call is what an attempt asks of an upstream.
+// Call is one attempt's request to an upstream.
 type Call struct {
 	Request     wire.RequestID
 	Attempt     wire.AttemptID
@@ -41,13 +40,13 @@
 	Method      string
 	Path        string
 	ContentType string
-	Header      http.Header // more request headers; only those pass that wire.PassToUpstream names
+	Header      http.Header // further request headers; wire.PassToUpstream selects those that are forwarded
 	Body        []byte
 	Deadline    time.Time
 	Claimed     bool // an idempotency key is claimed for the attempt
 }
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	Ring     *timeline.Ring
@@ -63,8 +62,8 @@
 }
 
 const (
-	statusTimeout     = time.Second           // a gate asked about an attempt must answer within
-	lateCancelTimeout = 50 * time.Millisecond // the same once the caller must be answered
+	statusTimeout     = time.Second           // for a gate to report or cancel an attempt
+	lateCancelTimeout = 50 * time.Millisecond // the same once the caller is owed a response
 	maxReattach       = 3
 	idleConnections   = 256
 	idleTimeout       = 90 * time.Second // shorter than the gate's
@@ -77,17 +76,17 @@
 	return &Service{ring: p.Ring, sync: p.Sync, client: client}
 }
 
-// Answer is an upstream's answer. Body returns io.EOF only when the answer was
-// whole; any other end is an error with a verdict. Close must be called.
+// Answer is an upstream's response. Body returns io.EOF only when the response was complete; any other end is
+// an error with a verdict. Body must be closed.
 type Answer struct {
 	Status      int
 	ContentType string
-	Header      http.Header // the headers that pass back to the caller
+	Header      http.Header // the headers that are forwarded to the caller
 	Body        io.ReadCloser
 }
 
-// Do submits an attempt and returns once the upstream's response header came.
-// The attempt's id must come from wire.NewAttemptID and is used once.
+// Do submits an attempt and returns once the upstream's response header arrived. The attempt's id must come
+// from wire.NewAttemptID and be used once.
 func (s *Service) Do(ctx context.Context, e *routing.Endpoint, c Call) (*Answer, error) {
 	resp, err := s.submit(ctx, e, c)
 	if err == nil {
@@ -104,8 +103,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport never sends a body twice. The gate would
-	// refuse the second copy, but then the answer to the first would be lost.
+	// Without GetBody the transport never sends a body twice. The gate would refuse the second copy, but the
+	// response to the first would be lost.
 	req.GetBody = nil
 	h := req.Header
 	wire.PassToUpstream(h, c.Header)
@@ -165,11 +164,11 @@
 	e.Report(n[0], n[1], n[2])
 }
 
-// errNoAnswer says that a response told nothing about the attempt.
-const errNotOurResponse = errors.ConstError("the response tells nothing about the attempt")
+// errNotOurResponse is returned for a response that says nothing about the attempt.
+const errNotOurResponse = errors.ConstError("the response does not belong to the attempt")
 
-// open checks a gate's response and wraps its body. The error is a
-// verdict.Error from the gate, or errNoAnswer.
+// openResponse checks a gate's response and wraps its body. The error is a verdict.Error from the gate, or
+// errNotOurResponse.
 func (s *Service) openResponse(ctx context.Context, e *routing.Endpoint, c Call, resp *http.Response) (*Answer, error) {
 	s.observeHeaders(e, resp.Header)
 	if resp.Header.Get(wire.HeaderError) != "" {
@@ -195,20 +194,20 @@
 	return v
 }
 
-// belongs reports whether a response is the answer to this attempt, from the
-// gate's start that it was sent to.
+// matchesAttempt reports whether a response belongs to this attempt and comes from the incarnation of the
+// gate that it was sent to.
 func matchesAttempt(resp *http.Response, e *routing.Endpoint, c Call) bool {
 	h := resp.Header
 	return resp.StatusCode == http.StatusOK && h.Get(wire.HeaderAttempt) == string(c.Attempt) && h.Get(wire.HeaderStage) == c.Stage &&
 		h.Get(wire.HeaderIncarnation) == strconv.FormatUint(e.Member.Incarnation, 10)
 }
 
-// recover finds out what became of an attempt whose response was lost, and
-// goes on with its answer if it runs.
+// recoverAttempt finds out what became of an attempt whose response was lost. It cancels the attempt if it
+// has not started, and otherwise attaches to its response.
 func (s *Service) recoverAttempt(ctx context.Context, e *routing.Endpoint, c Call, cause error) (*Answer, error) {
 	var op *net.OpError
 	if errors.As(cause, &op) && op.Op == "dial" {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "the gate of %s is not reached", e.Member.ID)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "the gate of %s is unreachable", e.Member.ID)
 	}
 	if ctx.Err() != nil || !time.Now().Before(c.Deadline) {
 		return nil, s.cancelAbandoned(e, c)
@@ -223,11 +222,11 @@
 	if a, err := s.Attach(ctx, e, c, 0); err == nil || !errors.Is(err, errNotOurResponse) {
 		return a, err
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the answer of %s was lost", e.Member.ID)
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the response of %s was lost", e.Member.ID)
 }
 
-// giveUp makes sure that an attempt whose caller has gone, or whose deadline
-// has passed, does not start later. The caller is answered soon in any case.
+// cancelAbandoned makes sure that an attempt does not start after its caller has disconnected or its deadline
+// has passed. It returns within lateCancelTimeout and then continues the cancellation in the background.
 func (s *Service) cancelAbandoned(e *routing.Endpoint, c Call) error {
 	ctx, cancel := context.WithTimeout(context.Background(), lateCancelTimeout)
 	defer cancel()
@@ -237,25 +236,25 @@
 	} else if v := s.verdictAfterCancel(e, st); v != nil {
 		return v
 	}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before an answer came")
+	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before the response arrived")
 }
 
-// settled returns the verdict that a status after a cancellation allows, or
-// nil when the attempt has started.
+// verdictAfterCancel returns the verdict that follows from the status after a cancellation, or nil if the
+// attempt has started.
 func (s *Service) verdictAfterCancel(e *routing.Endpoint, st wire.AttemptStatus) *verdict.Error {
 	switch {
 	case st.Incarnation != e.Member.Incarnation:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeIncarnation, "the gate of %s was restarted", e.Member.ID)
 	case st.State == wire.AttemptTombstoned:
-		return verdict.New(verdict.NotRun, verdict.CodeUpstream, "the attempt at %s is cancelled", e.Member.ID).After(statusTimeout)
+		return verdict.New(verdict.NotRun, verdict.CodeUpstream, "the attempt at %s was cancelled", e.Member.ID).After(statusTimeout)
 	case st.State != wire.AttemptRunning && st.State != wire.AttemptDone:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the gate of %s does not know the attempt", e.Member.ID)
 	}
 	return nil
 }
 
-// Cancel makes sure that an attempt that has not started never does. With
-// abandon set, a running one is ended too.
+// Cancel makes sure that an attempt that has not started never does. With abandon set, it cancels a running
+// one too.
 func (s *Service) Cancel(e *routing.Endpoint, id wire.AttemptID, abandon bool) (wire.AttemptStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
@@ -270,16 +269,15 @@
 	return s.statusCall(ctx, e, http.MethodPost, attemptURL(e, id, rest))
 }
 
-// CancelClaimed makes sure that the attempt of a claim, if it has not started,
-// never does. It never ends a running one. The state AttemptForgotten leaves
-// open whether the attempt ran.
+// CancelClaimed makes sure that the attempt of a claimed idempotency key never starts if it has not yet. It
+// does not cancel a running one. The state AttemptForgotten leaves open whether the attempt ran.
 func (s *Service) CancelClaimed(ctx context.Context, e *routing.Endpoint, id wire.AttemptID) (wire.AttemptStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return s.cancelCall(ctx, e, id, false)
 }
 
-// Status asks a gate what it knows of an attempt.
+// Status asks a gate for the state of an attempt.
 func (s *Service) Status(ctx context.Context, e *routing.Endpoint, id wire.AttemptID) (wire.AttemptStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -300,12 +298,12 @@
 	defer resp.Body.Close()
 	s.observeHeaders(e, resp.Header)
 	if resp.StatusCode != http.StatusOK {
-		return st, errors.Errorf("the gate answers with status %d", resp.StatusCode)
+		return st, errors.Errorf("the gate returned status %d", resp.StatusCode)
 	}
 	return st, errors.Trace(json.NewDecoder(resp.Body).Decode(&st))
 }
 
-// Attach reads an attempt's answer from the given offset.
+// Attach reads an attempt's response from the given byte offset.
 func (s *Service) Attach(ctx context.Context, e *routing.Endpoint, c Call, offset int64) (*Answer, error) {
 	resp, err := s.attach(ctx, e, c, offset)
 	if err != nil {
--- a/node/dispatch/dispatch_test.go
+++ b/node/dispatch/dispatch_test.go
@@ -23,12 +23,12 @@
 	"caperdrum.org/node/settings"
 )
 
-// upstream counts the runs of every body.
+// upstream counts the runs by request body.
 type upstream struct {
 	*httptest.Server
 	mu   sync.Mutex
 	runs map[string]int
-	free chan struct{} // closed at the end: ends what hangs
+	free chan struct{} // closed at cleanup to release hanging requests
 }
 
 const streamed = "data: one\n\ndata: two\n\ndata: [DONE]\n\n"
@@ -123,7 +123,7 @@
 		Body: []byte(body), Deadline: time.Now().Add(time.Minute)}
 }
 
-// do makes a call and reads its answer to the end.
+// do makes a call and reads the response to the end.
 func do(ctx context.Context, e *routing.Endpoint, c dispatch.Call) (string, *dispatch.Answer, error) {
 	a, err := newDispatch().Do(ctx, e, c)
 	if err != nil {
@@ -134,8 +134,8 @@
 	return string(body), a, err
 }
 
-// The connection breaks after every number of bytes in either direction. The
-// answer is then whole, or the verdict is true.
+// The connection breaks after a number of bytes, in either direction. The caller then gets the complete
+// response or a correct verdict.
 func TestConnectionCutAtEveryOffset(t *testing.T) {
 	u := newUpstream(t)
 	g, incarnation := startGate(t, u)
@@ -148,15 +148,15 @@
 		runs := u.ran(name)
 		switch {
 		case err == nil && (got != streamed || runs != 1):
-			t.Errorf("%s: answer %q after %d runs", name, got, runs)
+			t.Errorf("%s: response %q after %d runs", name, got, runs)
 		case err == nil:
 			wholeAnswers++
 		case verdict.Of(err) == verdict.NotRun && runs != 0:
-			t.Errorf("%s: not run, and ran %d times: %v", name, runs, err)
+			t.Errorf("%s: reported as not run, but ran %d times: %v", name, runs, err)
 		case verdict.Of(err) == verdict.Ran && runs != 1, runs > 1:
 			t.Errorf("%s: ran %d times: %v", name, runs, err)
 		case strings.HasPrefix(name, "down") && verdict.Of(err) != verdict.NotRun:
-			t.Errorf("%s: the answer could be had: %v", name, err)
+			t.Errorf("%s: the response could have been recovered: %v", name, err)
 		}
 	}
 	step := 7
@@ -167,7 +167,7 @@
 		try(fmt.Sprint("up ", at), cut{up: at, down: -1})
 	}
 	if wholeAnswers < responseBytes/step {
-		t.Errorf("%d answers were whole", wholeAnswers)
+		t.Errorf("%d responses were complete", wholeAnswers)
 	}
 }
 
@@ -191,7 +191,7 @@
 		{"gate restarted before", endpoint(g.Address(), oldIncarnation), "/stream", time.Minute, verdict.NotRun, verdict.CodeIncarnation, 0},
 		{"deadline passed", endpoint(g.Address(), incarnation), "/stream", -time.Second, verdict.NotRun, verdict.CodeDeadline, 0},
 		{"path not absolute", endpoint(g.Address(), incarnation), "@127.0.0.1:1/", time.Minute, verdict.NotRun, verdict.CodeInvalid, 0},
-		{"upstream cuts", endpoint(g.Address(), incarnation), "/cut", time.Minute, verdict.Ran, verdict.CodeCut, 1},
+		{"upstream truncates", endpoint(g.Address(), incarnation), "/cut", time.Minute, verdict.Ran, verdict.CodeCut, 1},
 		{"deadline while running", endpoint(g.Address(), incarnation), "/hang", 300 * time.Millisecond, verdict.MayHaveRun, verdict.CodeTimeout, 1},
 	}
 	for _, c := range cases {
@@ -200,7 +200,7 @@
 			call.Deadline = time.Now().Add(c.budget)
 			got, _, err := do(context.Background(), c.e, call)
 			if err == nil {
-				t.Fatalf("answered %q", got)
+				t.Fatalf("response %q, want an error", got)
 			}
 			v := verdict.From(err)
 			if v.Verdict != c.verdict || v.Code != c.code || u.ran(c.name) != c.runs {
@@ -237,8 +237,8 @@
 	}
 }
 
-// A gate that restarts while an attempt runs leaves it as may have run, also
-// when the answer is asked for again.
+// A gate that restarts while an attempt runs makes the outcome unknown (may have run), also after an attempt
+// to attach again.
 func TestGateRestartsInTheMiddle(t *testing.T) {
 	u := newUpstream(t)
 	first, incarnation := startGate(t, u)
@@ -261,7 +261,7 @@
 	}
 }
 
-// The caller goes away: a repeatable attempt ends at the upstream.
+// When the caller disconnects, a repeatable attempt is cancelled at the upstream.
 func TestCallerGoesAway(t *testing.T) {
 	u := newUpstream(t)
 	g, incarnation := startGate(t, u)
@@ -290,9 +290,8 @@
 	}
 }
 
-// A stopping gate refuses new work as not run for a while. If it closed its
-// connections at once, a submission on a kept one would be lost, and nobody
-// could say that it had not run.
+// A stopping gate refuses new work as not run for a grace period. If it closed its connections at once, a
+// submission on a kept connection would be lost, and nobody could tell that it had not run.
 func TestStoppingGateStillRefuses(t *testing.T) {
 	u := newUpstream(t)
 	g, incarnation := startGraceful(t, u, time.Hour)
@@ -316,7 +315,7 @@
 			continue
 		}
 		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeLeaving {
-			t.Fatalf("a stopping gate answered %v", v)
+			t.Fatalf("a stopping gate returned %v", v)
 		}
 		refused++
 	}
--- a/node/dispatch/mismatch_test.go
+++ b/node/dispatch/mismatch_test.go
@@ -12,8 +12,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// A response that ends cleanly but is not the whole answer to this attempt is
-// never taken for it.
+// A response that ends cleanly but is incomplete or belongs to another attempt is rejected.
 func TestWrongResponsesAreNotTaken(t *testing.T) {
 	const incarnation, sum = 7, "44bc2cf5ad770999" // xxhash64 of "abc"
 	right := map[string]string{wire.HeaderIncarnation: "7", wire.HeaderStage: "s", wire.HeaderStatus: "200",
@@ -24,7 +23,7 @@
 	}{
 		{"right", "", "", true},
 		{"no end mark", wire.TrailerEnd, "", false},
-		{"end mark of a cut answer", wire.TrailerEnd, string(verdict.CodeCut), false},
+		{"end mark of a truncated response", wire.TrailerEnd, string(verdict.CodeCut), false},
 		{"other length", wire.TrailerLength, "4", false},
 		{"other checksum", wire.TrailerSum, "0", false},
 		{"other attempt", wire.HeaderAttempt, "other", false},
@@ -66,7 +65,7 @@
 				t.Errorf("%q, %v", got, err)
 			}
 			if err != nil && verdict.Of(err) == verdict.NotRun {
-				t.Errorf("not run: %v", err)
+				t.Errorf("reported as not run: %v", err)
 			}
 		})
 	}
--- a/node/dispatch/reader.go
+++ b/node/dispatch/reader.go
@@ -14,8 +14,8 @@
 	"caperdrum.org/node/routing"
 )
 
-// bodyReader reads an answer and checks its end mark, length and checksum.
-// When the connection breaks it attaches again where it stopped.
+// bodyReader reads a response and checks its end mark, length and checksum. When the connection breaks it
+// attaches again at the current offset.
 type bodyReader struct {
 	s             *Service
 	ctx           context.Context
@@ -47,7 +47,7 @@
 	return 0, b.err
 }
 
-// checkEnd returns io.EOF for a whole answer.
+// checkTrailers returns io.EOF for a complete response.
 func (b *bodyReader) checkTrailers() error {
 	t := b.resp.Trailer
 	reportLoad(b.endpoint, t.Get(wire.TrailerLoad))
@@ -55,39 +55,37 @@
 	case end == "":
 		return b.reattach(io.ErrUnexpectedEOF)
 	case end != wire.EndWhole:
-		return verdict.New(verdict.Ran, verdict.Code(end), "the upstream's answer was not whole")
+		return verdict.New(verdict.Ran, verdict.Code(end), "the upstream's response is incomplete")
 	case t.Get(wire.TrailerLength) != strconv.FormatInt(b.offset, 10), t.Get(wire.TrailerSum) != strconv.FormatUint(b.sum.Sum64(), 16):
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer's length or checksum is wrong")
+		return verdict.New(verdict.Ran, verdict.CodeCut, "the response's length or checksum does not match")
 	}
 	return io.EOF
 }
 
-// reattach continues after a broken connection. It returns nil when reading
-// can go on.
+// reattach attaches again after a broken connection. It returns nil when reading can continue.
 func (b *bodyReader) reattach(cause error) error {
 	if b.ctx.Err() != nil {
 		go b.s.cancelAbandoned(b.endpoint, b.call)
-		return verdict.New(verdict.Ran, verdict.CodeTimeout, "the deadline passed before the whole answer came")
+		return verdict.New(verdict.Ran, verdict.CodeTimeout, "the deadline passed before the complete response arrived")
 	}
 	if b.reattachCount >= maxReattach {
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer was cut: %v", cause)
+		return verdict.New(verdict.Ran, verdict.CodeCut, "the response was truncated: %v", cause)
 	}
 	b.reattachCount++
 	resp, err := b.s.attach(b.ctx, b.endpoint, b.call, b.offset)
 	if err != nil {
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer was cut: %v", err)
+		return verdict.New(verdict.Ran, verdict.CodeCut, "the response was truncated: %v", err)
 	}
 	if resp.Header.Get(wire.HeaderError) != "" || !matchesAttempt(resp, b.endpoint, b.call) {
 		resp.Body.Close()
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer was cut: %v", errors.Cause(cause))
+		return verdict.New(verdict.Ran, verdict.CodeCut, "the response was truncated: %v", errors.Cause(cause))
 	}
 	b.resp.Body.Close()
 	b.resp = resp
 	return nil
 }
 
-// Close implements io.Closer. Closing before the end abandons a repeatable
-// attempt.
+// Close implements io.Closer. Closing before the end cancels a repeatable attempt.
 func (b *bodyReader) Close() error {
 	if b.err == nil {
 		go b.s.cancelAbandoned(b.endpoint, b.call)
--- a/node/dispatch/relay_test.go
+++ b/node/dispatch/relay_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// relay is a TCP relay before a gate. It cuts the first connection that carries
-// a submission after a number of bytes in one direction; later ones pass.
+// relay is a TCP relay in front of a gate. It cuts the first connections after a number of bytes in one
+// direction, one cut for each; later ones pass.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -17,7 +17,7 @@
 	cuts []cut
 }
 
-// cut says after how many bytes a connection breaks; negative is never.
+// cut is the number of bytes per direction after which a connection breaks; negative is never.
 type cut struct{ up, down int }
 
 var whole = cut{-1, -1}
--- a/node/gateway/attainment.go
+++ b/node/gateway/attainment.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Attainment: of all requests, those answered whole within their deadline.
-// Refused ones and those answered with an upstream's 5xx are not attained. Keys are pipeline:NAME, service:NAME and
-// customer:NAME, each followed by .all or .whole.
+// attainmentVar counts requests and, of those, the ones answered completely within their deadline. Refused
+// requests and upstream responses with a 5xx status do not count as attained. Keys are pipeline:NAME,
+// service:NAME and customer:NAME, each followed by .all or .whole.
 var attainmentVar = expvar.NewMap("attainment")
 
 func (c *call) countAttainment(err error) {
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -29,17 +29,17 @@
 	received   time.Time
 	view       *configsync.View
 	customer   *optext.Customer
-	timeout    time.Duration // zero when the caller named none
+	timeout    time.Duration // zero if the caller set none
 	body       []byte
 	pipeline   *optext.Pipeline // nil for a single call
 	service    string           // of a single call
-	status     int              // of the answer, once it was begun
-	deadlineAt time.Time        // the deadline, once it is known
-	release    func()           // ends the admission; nil when refused
+	status     int              // of the response, once known
+	deadlineAt time.Time        // the deadline, once known
+	release    func()           // releases the admission; nil when refused
 	headerSent bool             // the response's status line was sent
 }
 
-// work returns what the request needs of the services.
+// admissionWork returns the load that the request puts on the services.
 func (c *call) admissionWork() admission.Work {
 	if c.pipeline != nil {
 		return admission.OfPipeline(c.pipeline, c.view.Config.Services)
@@ -56,12 +56,12 @@
 
 const (
 	maxRequestID   = 128
-	bodyTimeout    = 20 * time.Second // for sending a body
-	defaultTimeout = 30 * time.Second // of a plain service's call without a timeout header
+	bodyTimeout    = 20 * time.Second // for the caller to send the body
+	defaultTimeout = 30 * time.Second // for a call of a plain service without a timeout header
 	serviceClass   = optext.Interactive
 )
 
-// begin reads headers and body. The returned call is never nil.
+// readRequest reads headers and body. The returned call is never nil.
 func (s *Service) readRequest(w http.ResponseWriter, r *http.Request) (*call, error) {
 	c := &call{id: wire.RequestID(r.Header.Get(wire.HeaderRequestID)), received: time.Now()}
 	if c.id == "" || len(c.id) > maxRequestID {
@@ -76,10 +76,10 @@
 	name := r.Header.Get(wire.HeaderCustomer)
 	c.customer = c.view.Config.Customers[name]
 	if c.customer == nil {
-		return c, verdict.New(verdict.NotRun, verdict.CodeInvalid, "customer %q is not known: set the header %s to a customer of the operators' text", name, wire.HeaderCustomer)
+		return c, verdict.New(verdict.NotRun, verdict.CodeInvalid, "customer %q is unknown: set the header %s to a customer of the operators' configuration", name, wire.HeaderCustomer)
 	}
 	if len(c.customer.Regions) > 0 {
-		return c, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "customer %q may be served in regions %s only, and pipelines keep to no region: use a route", name, strings.Join(c.customer.Regions, ", "))
+		return c, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "customer %q may be served in regions %s only, which pipelines do not enforce: use a route", name, strings.Join(c.customer.Regions, ", "))
 	}
 	if err := c.readTimeout(r); err != nil {
 		return c, err
@@ -93,7 +93,7 @@
 	return c, nil
 }
 
-// readBody reads the whole body. A caller that sends it too slowly is cut off.
+// readBody reads the whole body. A caller that sends it too slowly is disconnected.
 func (s *Service) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength > s.set.MaxBody {
 		return nil, &http.MaxBytesError{Limit: s.set.MaxBody}
@@ -123,10 +123,11 @@
 	if errors.As(err, &tooLarge) {
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body exceeds %d bytes: send less or raise max_body_bytes", limit)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body was cut: %v", err)
+	return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body was truncated: %v", err)
 }
 
-// deadline is the caller's timeout, but no later than the given limit.
+// setDeadline sets and returns the deadline: the caller's timeout after the request arrived, or the given
+// limit if that is shorter.
 func (c *call) setDeadline(limit time.Duration) time.Time {
 	if c.timeout > 0 && c.timeout < limit {
 		limit = c.timeout
@@ -142,7 +143,7 @@
 	}
 	p := c.view.Config.ByModel(in.Model)
 	if p == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no pipeline serves model %q: name one that the operators' text lists", in.Model)
+		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no pipeline serves model %q: use one that the operators' configuration lists", in.Model)
 	}
 	if len(in.Messages) == 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body has no messages")
@@ -154,7 +155,7 @@
 	name := chi.URLParam(r, "pipeline")
 	p := c.view.Config.Pipelines[name]
 	if p == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "pipeline %q is not in the operators' text", name)
+		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "pipeline %q is not in the operators' configuration", name)
 	}
 	in, err := readInput(c.body)
 	if err != nil {
@@ -179,9 +180,8 @@
 	return in, nil
 }
 
-// lastUserText returns the text of the last user message, which is what a
-// pipeline with stages before its engine retrieves for. Content that is not
-// plain text counts as empty.
+// lastUserText returns the text of the last user message, which a pipeline with stages before its engine uses
+// as the retrieval query. Content that is not plain text counts as empty.
 func lastUserText(messages json.RawMessage) (string, error) {
 	var list []struct {
 		Role    string          `json:"role"`
@@ -215,13 +215,13 @@
 	return c.writeResponse(w, res.Status, res.ContentType, res.Body)
 }
 
-// service passes a call on to a plain service. Calls that are not idempotent
-// and carry a key go through the ledger.
+// handleService forwards a call to a plain service. Calls that are not repeatable and carry an idempotency
+// key go through the ledger.
 func (s *Service) handleService(w http.ResponseWriter, r *http.Request, c *call) error {
 	name := chi.URLParam(r, "service")
 	sv := c.view.Config.Services[name]
 	if sv == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "service %q is not in the operators' text", name)
+		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "service %q is not in the operators' configuration", name)
 	}
 	c.service = name
 	if err := s.admitCall(c); err != nil {
@@ -276,9 +276,9 @@
 
 const copyChunk = 32 << 10
 
-// stream copies an answer to the caller. A plain answer is held until it is
-// whole, so that a failure can still be told by status; an event stream is
-// passed on as it comes and is cut when its source is.
+// writeResponse copies a response to the caller. A plain response is buffered until it is complete, so that a
+// failure can still be reported by status. An event stream is forwarded as it arrives, and cut if its source
+// is.
 func (c *call) writeResponse(w http.ResponseWriter, status int, contentType string, body io.Reader) error {
 	c.status = status
 	if !strings.HasPrefix(contentType, wire.ContentEventStream) {
--- a/node/gateway/errors.go
+++ b/node/gateway/errors.go
@@ -10,8 +10,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// errorBody is the JSON that a caller gets instead of an answer: the shape of
-// the OpenAI API, and the verdict.
+// errorBody is the JSON body of an error response: the format of the OpenAI API with the verdict added.
 type errorBody struct {
 	Error errorObject `json:"error"`
 }
@@ -25,7 +24,7 @@
 	RequestID wire.RequestID  `json:"request_id"`
 }
 
-// typeOf returns the error type that clients of the OpenAI API know.
+// errorType returns the matching error type of the OpenAI API.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusTooManyRequests:
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway is the callers' HTTP interface of an entry.
+// Package gateway implements the HTTP interface of an entry for callers.
 package gateway
 
 import (
@@ -24,7 +24,7 @@
 	"caperdrum.org/node/settings"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	Settings  *settings.Settings
@@ -37,18 +37,18 @@
 	Security  *security.Store     `optional:"true"`
 }
 
-// Service is the callers' listener.
+// Service serves the callers' listener.
 type Service struct {
 	p           Params
 	set         settings.EntryRole
 	server      *http.Server
-	viewApplied atomic.Bool // the entry's services have a view
+	viewApplied atomic.Bool // the entry's other services have applied a configuration view
 	draining    atomic.Bool
-	receiving   atomic.Int64 // requests that are read, refused, served or answered
+	receiving   atomic.Int64 // requests being read, refused or served
 }
 
 var (
-	requestsVar = expvar.NewMap("requests") // by verdict or "whole"
+	requestsVar = expvar.NewMap("requests") // by verdict; "whole" counts complete responses
 	inFlightVar = expvar.NewInt("requests_in_flight")
 )
 
@@ -56,14 +56,14 @@
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 32 << 10
-	receivingFactor   = 2                      // times the requests in service: others are being read or refused
-	balancerGrace     = 500 * time.Millisecond // time for the balancer to see that readiness ended
+	receivingFactor   = 2                      // times MaxInFlight: some requests are still being read or refused
+	balancerGrace     = 500 * time.Millisecond // for the load balancer to notice that the entry is not ready
 )
 
 // New returns the gateway; Start opens its listener.
 func New(p Params) *Service {
 	s := &Service{p: p, set: p.Settings.Entry}
-	// The services that New was given were told of the view before.
+	// Callbacks run in order: the services passed to New have applied the view before.
 	p.Sync.OnChange(func(*configsync.View) { s.viewApplied.Store(true) })
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// Stop implements kernel.Stopper: readiness ends first, so that the balancer
-// sends nothing more, then requests in flight are finished.
+// Stop implements kernel.Stopper. It ends readiness first, so that the load balancer sends no more requests,
+// then waits for those in flight.
 func (s *Service) Stop(ctx context.Context) error {
 	s.draining.Store(true)
 	select {
@@ -129,7 +129,7 @@
 	return ""
 }
 
-// admit refuses what cannot be served at all.
+// checkServing refuses requests while the entry cannot serve any.
 func (s *Service) checkServing() *verdict.Error {
 	v := s.p.Sync.View()
 	switch {
@@ -138,13 +138,12 @@
 	case s.set.RefuseStale && s.p.Sync.StampAge() > s.set.StaleAfter:
 		return verdict.New(verdict.NotRun, verdict.CodeStale, "this entry's configuration is not confirmed").After(time.Second)
 	case s.receiving.Load() > receivingFactor*int64(s.set.MaxInFlight):
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this entry receives too many requests").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this entry has too many requests in flight").After(time.Second)
 	}
 	return nil
 }
 
-// serve wraps a handler with admission, the request id and the accounting of
-// outcomes.
+// wrapHandler wraps a handler with the checks before it, the request id and the accounting of outcomes.
 func (s *Service) wrapHandler(handle func(http.ResponseWriter, *http.Request, *call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.receiving.Add(1)
@@ -169,7 +168,7 @@
 	}
 }
 
-// take admits the request, or refuses it at once.
+// admitCall admits the request, or refuses it at once.
 func (s *Service) admitCall(c *call) error {
 	release, refusal := s.p.Admission.Admit(c.customer, c.admissionWork(), len(c.body))
 	if refusal != nil {
@@ -190,14 +189,14 @@
 	requestsVar.Add(e.Verdict.String(), 1)
 	s.p.Ring.Record(timeline.Event{Kind: "request-failed", Request: string(c.id), Customer: c.customerName(), Detail: e.Error()})
 	if c.headerSent {
-		// The status line is gone: cutting the connection is the only way to
-		// keep the caller from taking a part for the whole.
+		// The status line was sent already: only cutting the connection keeps the caller from taking a
+		// partial response for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 	s.writeFailure(w, c.id, e)
 }
 
-// fail answers with an error before any part of an answer was sent.
+// writeFailure sends an error response; nothing may have been sent before.
 func (s *Service) writeFailure(w http.ResponseWriter, id wire.RequestID, e *verdict.Error) {
 	writeError(w, id, e)
 }
--- a/node/gateway/gateway_test.go
+++ b/node/gateway/gateway_test.go
@@ -56,7 +56,7 @@
 rate = 0.5
 `
 
-// fakeGate answers every attempt by the function, framed as a gate does.
+// fakeGate answers every attempt by calling answer, framed as a gate does.
 type fakeGate struct {
 	mu       sync.Mutex
 	attempts int
@@ -101,8 +101,8 @@
 	stop    []func()
 }
 
-// newSystem starts an entry. Each of the functions is called with every view
-// before the entry's own services have it.
+// newSystem starts an entry. The functions in first are called with every view before the entry's own
+// services are.
 func newSystem(members bool, first ...func(*configsync.View)) *system {
 	s := &system{gate: &fakeGate{answer: func(w io.Writer, _ int, _ string, body []byte) (int, string) {
 		w.Write(body)
@@ -182,7 +182,7 @@
 	return resp, string(data)
 }
 
-// listen lets requests reach the gateway's own server, and returns its address.
+// listen starts the gateway's own HTTP server and returns its address.
 func (s *system) listen() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -205,7 +205,7 @@
 		Eventually(s.service.notReady, "30s").Should(BeEmpty())
 	}
 
-	DescribeTable("refuses at once and says what to do",
+	DescribeTable("refuses invalid requests at once and names the remedy",
 		func(method, path, customer, body string, status int, code, remedy string, headers ...string) {
 			start(true)
 			resp, data := s.do(method, path, customer, body, headers...)
@@ -220,11 +220,11 @@
 			Expect(s.gate.attempts).To(BeZero())
 		},
 		Entry("bad JSON", "POST", chatPath, "foundry", "{", 400, "invalid_request", "JSON"),
-		Entry("messages of another shape", "POST", chatPath, "foundry", `{"model":"desk-chat","messages":"hi"}`, 400, "invalid_request", "list"),
+		Entry("messages that are not a list", "POST", chatPath, "foundry", `{"model":"desk-chat","messages":"hi"}`, 400, "invalid_request", "list"),
 		Entry("no messages", "POST", chatPath, "foundry", `{"model":"desk-chat"}`, 400, "invalid_request", "no messages"),
 		Entry("unknown model", "POST", chatPath, "foundry", `{"model":"x","messages":[]}`, 404, "not_found", "model"),
-		Entry("unknown pipeline", "POST", "/v1/pipelines/x", "foundry", "{}", 404, "not_found", "operators' text"),
-		Entry("unknown service", "POST", "/v1/services/x/y", "foundry", "{}", 404, "not_found", "operators' text"),
+		Entry("unknown pipeline", "POST", "/v1/pipelines/x", "foundry", "{}", 404, "not_found", "operators' configuration"),
+		Entry("unknown service", "POST", "/v1/services/x/y", "foundry", "{}", 404, "not_found", "operators' configuration"),
 		Entry("no customer", "POST", chatPath, "", chatBody, 400, "invalid_request", wire.HeaderCustomer),
 		Entry("unknown customer", "POST", chatPath, "x", chatBody, 400, "invalid_request", wire.HeaderCustomer),
 		Entry("oversized body", "POST", chatPath, "foundry", strings.Repeat("x", 1<<10+1), 413, "body_too_large", "max_body_bytes"),
@@ -240,7 +240,7 @@
 		Expect(resp.StatusCode).To(Equal(http.StatusRequestHeaderFieldsTooLarge))
 	})
 
-	It("holds a customer to its rate, with a time to come back", func() {
+	It("limits a customer to its rate and sets Retry-After", func() {
 		start(true)
 		first, _ := s.do("POST", "/v1/services/price-list/p", "limited", "{}")
 		second, data := s.do("POST", "/v1/services/price-list/p", "limited", "{}")
@@ -251,7 +251,7 @@
 		Expect(data).To(ContainSubstring(`"rate_limit_error"`))
 	})
 
-	It("refuses at once when nothing can take the call", func() {
+	It("refuses at once when no endpoint can take the call", func() {
 		start(false)
 		resp, _ := s.do("POST", chatPath, "foundry", chatBody, wire.HeaderTimeout, "1h")
 		Expect(resp.StatusCode).To(Equal(503))
@@ -259,7 +259,7 @@
 		Expect(resp.Header.Get(wire.HeaderRetryAfter)).NotTo(BeEmpty())
 	})
 
-	It("passes a chat request on unchanged, unknown fields too, and lists its models", func() {
+	It("forwards a chat request unchanged, including unknown fields, and lists its models", func() {
 		start(true)
 		body := `{"model":"desk-chat", "messages":[{"role":"user","content":"q"}],"stream_options":{"include_usage":true},"x":[1]}`
 		resp, data := s.do("POST", chatPath, "foundry", body)
@@ -270,7 +270,7 @@
 		Expect(data).To(MatchJSON(`{"object":"list","data":[{"id":"desk-chat","object":"model","created":0,"owned_by":"caperdrum"}]}`))
 	})
 
-	It("retries a 5xx of a repeatable service and not one of another", func() {
+	It("retries a 5xx of a repeatable service only", func() {
 		start(true)
 		s.gate.answer = func(w io.Writer, n int, _ string, _ []byte) (int, string) {
 			fmt.Fprint(w, n)
@@ -288,16 +288,16 @@
 		Expect(resp.StatusCode).To(Equal(500))
 		Expect(s.gate.attempts).To(Equal(3))
 		Eventually(func() string { return fmt.Sprint(attainmentVar.Get("service:order-desk.all")) }, "30s").ShouldNot(Equal(all))
-		Expect(fmt.Sprint(attainmentVar.Get("service:order-desk.whole"))).To(Equal(whole), "a 5xx is not attained")
+		Expect(fmt.Sprint(attainmentVar.Get("service:order-desk.whole"))).To(Equal(whole), "a 5xx counted as attained")
 	})
 
-	It("is not ready before its services have the first view", func() {
-		goOn := make(chan struct{})
-		release := sync.OnceFunc(func() { close(goOn) })
-		s = newSystem(true, func(*configsync.View) { <-goOn })
+	It("is not ready before its services have applied the first view", func() {
+		proceed := make(chan struct{})
+		release := sync.OnceFunc(func() { close(proceed) })
+		s = newSystem(true, func(*configsync.View) { <-proceed })
 		DeferCleanup(s.close)
-		DeferCleanup(release)                                                    // before close, which waits for it
-		Eventually(s.sync.StampAge, "30s").Should(BeNumerically("<", time.Hour)) // the view is held and confirmed
+		DeferCleanup(release)                                                    // before close, which waits for the blocked callback
+		Eventually(s.sync.StampAge, "30s").Should(BeNumerically("<", time.Hour)) // the view has arrived and is confirmed
 		Expect(s.service.notReady()).To(Equal("no configuration yet"))
 		release()
 		Eventually(s.service.notReady, "30s").Should(BeEmpty())
@@ -305,12 +305,12 @@
 		Expect(resp.StatusCode).To(Equal(200), data)
 	})
 
-	It("is ready until it stops, and its stop cuts nothing", func() {
+	It("is ready until it stops, and stopping interrupts no request", func() {
 		start(true)
-		arrived, goOn := make(chan struct{}), make(chan struct{})
+		arrived, proceed := make(chan struct{}), make(chan struct{})
 		s.gate.answer = func(w io.Writer, _ int, _ string, _ []byte) (int, string) {
 			close(arrived)
-			<-goOn
+			<-proceed
 			io.WriteString(w, "whole")
 			return 200, "text/plain"
 		}
@@ -333,9 +333,9 @@
 				c.Close()
 			}
 			return err
-		}, "30s").Should(HaveOccurred()) // the listener is closed, the request is still open
+		}, "30s").Should(HaveOccurred()) // the listener is closed, the request is still in flight
 		Expect(stopped).NotTo(Receive())
-		close(goOn)
+		close(proceed)
 		Eventually(answered, "30s").Should(Receive(Equal("whole")))
 		Eventually(stopped, "30s").Should(Receive(BeNil()))
 	})
--- a/node/gateway/models.go
+++ b/node/gateway/models.go
@@ -8,7 +8,7 @@
 	"caperdrum.org/api/verdict"
 )
 
-// modelList is the answer to GET /v1/models in the OpenAI API.
+// modelList is the response to GET /v1/models in the OpenAI API.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
@@ -21,7 +21,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the model names that select a pipeline.
+// handleModels lists the model names that select a pipeline.
 func (s *Service) handleModels(w http.ResponseWriter, _ *http.Request) {
 	if refusal := s.checkServing(); refusal != nil {
 		s.writeFailure(w, "", refusal)
