--- a/node/upstream/call.go
+++ b/node/upstream/call.go
@@ -13,40 +13,38 @@
 	"caperdrum.org/api/wire"
 )
 
-// Request is one call of an upstream.
+// Request is one call to an upstream.
 type Request struct {
-	Upstream wire.Start // that is called
+	Upstream wire.Start // the incarnation of the upstream that is called
 	Address  string
 	Method   string
-	Target   string // path and query as the caller wrote them
+	Target   string // path and query as the caller sent them
 	Host     string
-	Header   http.Header // without those that concern one connection
+	Header   http.Header // without hop-by-hop headers
 	Body     []byte
-	ID       string // the answer must carry it; empty when answers carry none
-	Limit    int    // connections to the address; zero is no limit
-	Fresh    bool   // use a new connection, since an answer that carries no id may be another call's
+	ID       string // the response must carry it; empty if responses carry none
+	Limit    int    // maximum of connections to the address; zero is no limit
+	Fresh    bool   // use a new connection, since a response without an id may belong to another call
 }
 
-// Response is an upstream's answer whose body is still to be read. It must be
-// closed.
+// Response is an upstream's response whose body is still to be read. It must be closed.
 type Response struct {
 	Status int
 	Header http.Header
-	Body   io.Reader // an error other than io.EOF says that the answer is cut
+	Body   io.Reader // an error other than io.EOF means that the response is truncated
 	Answer Answer
 
 	conn      *conn
 	resp      *http.Response
 	sent      <-chan error // result of sending the request
 	bodyEnded bool
-	noReuse   bool // the connection was opened for this call only
+	noReuse   bool // the connection is used for this call only
 	detach    func() bool
 }
 
-// Do sends the request once and reads the head of the answer. An error carries
-// the verdict NotRun only if no byte of the request was sent, as to an upstream that wants no
-// calls; see Notices. When ctx ends the connection is closed, which most upstreams take as a
-// cancellation.
+// Do sends the request once and reads the head of the response. An error has the verdict NotRun only if no
+// byte of the request was sent, for example because the upstream accepts no calls; see Notices. When ctx ends
+// the connection is closed, which most upstreams take as a cancellation.
 func (p *Pool) Do(ctx context.Context, req *Request) (*Response, error) {
 	if err := p.notices.checkAvailable(req.Upstream); err != nil {
 		return nil, err
@@ -55,7 +53,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The upstream may have spoken while the connection was made.
+	// A response to another call may have announced a pause or the upstream's leaving while the connection
+	// was made.
 	if err := p.notices.checkAvailable(req.Upstream); err != nil {
 		c.Close()
 		return nil, err
@@ -73,18 +72,18 @@
 		detach()
 		c.Close()
 		if ctx.Err() != nil {
-			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "no answer of %s in time", req.Address)
+			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "no response from %s in time", req.Address)
 		}
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "%s: %v", req.Address, err)
 	}
-	if r.Status != http.StatusMisdirectedRequest { // that is another upstream's
+	if r.Status != http.StatusMisdirectedRequest { // then another upstream responded
 		p.notices.Heard(req.Upstream, r.Answer)
 	}
 	return r, nil
 }
 
-// writeAtOnce is the size of a request that fits into a connection's send
-// buffer, so that the writer does not wait for the upstream to read.
+// inlineWriteMax is the size in bytes of a request that fits into a connection's send buffer, so that writing
+// it does not wait for the upstream to read.
 const inlineWriteMax = 32 << 10
 
 func writeAll(w io.Writer, parts ...[]byte) error {
@@ -105,7 +104,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(req.Host)
 	b.WriteString("\r\n")
-	req.Header.Write(&b) // cannot fail on a buffer
+	req.Header.Write(&b) // writing to a bytes.Buffer cannot fail
 	if len(req.Body) > 0 || req.Method == http.MethodPost || req.Method == http.MethodPut {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(req.Body)))
@@ -118,11 +117,11 @@
 	return b.Bytes()
 }
 
-// errStray says that only answers to other calls came.
-var errStrayResponses = errors.New("upstream: the answer belongs to another call")
+// errStrayResponses is returned if only responses to other calls arrived.
+var errStrayResponses = errors.New("upstream: the response belongs to another call")
 
-// readHead reads until the answer to this call begins. Informational answers
-// and those to earlier calls are skipped.
+// readHead reads until the response to this call begins. It skips informational responses and those to
+// earlier calls.
 func (r *Response) readHead(protocol Protocol, req *Request) error {
 	for stray := 0; stray <= maxStrayResponses; {
 		resp, err := http.ReadResponse(r.conn.br, &http.Request{Method: req.Method})
@@ -146,7 +145,7 @@
 	return errStrayResponses
 }
 
-// answerBody notes the end of the body.
+// responseBody records the end of the body.
 type responseBody Response
 
 // Read implements io.Reader.
@@ -158,20 +157,19 @@
 	return n, err
 }
 
-// Framed reports whether the answer says where its body ends. Any other ends with its connection.
+// Framed reports whether the response has a length or is chunked. The body of any other ends with its
+// connection.
 func (r *Response) Framed() bool {
 	return r.resp.ContentLength >= 0 || len(r.resp.TransferEncoding) > 0
 }
 
-// Buffered returns how many bytes of the connection can be read without
-// waiting.
+// Buffered returns how many bytes of the connection can be read without blocking.
 func (r *Response) Buffered() int { return r.conn.br.Buffered() }
 
-// Abort closes the connection, and so ends a read of the body that waits.
+// Abort closes the connection, which ends a blocked read of the body.
 func (r *Response) Abort() { r.conn.Close() }
 
-// Close ends the call. The connection is kept if answer and request are
-// complete and nothing follows.
+// Close ends the call. The connection is kept if request and response are complete and nothing follows.
 func (r *Response) Close() {
 	if !r.detach() { // ctx ended and closed the connection
 		return
@@ -192,7 +190,7 @@
 		return false
 	}
 	select {
-	case err := <-r.sent: // an early answer leaves the rest of the request unsent
+	case err := <-r.sent: // the response came before the request was sent completely
 		return err == nil
 	default:
 		return false
--- a/node/upstream/native.go
+++ b/node/upstream/native.go
@@ -12,17 +12,17 @@
 	"caperdrum.org/api/wire"
 )
 
-// Headers of Native beside those of package wire.
+// Headers of Native besides those of package wire.
 const (
 	headerPromptParts   = "Caperdrum-Prompt-Parts" // ID:TOKENS, comma-separated
-	headerPieces        = "Caperdrum-Pieces"       // of each stage, comma-separated
+	headerPieces        = "Caperdrum-Pieces"       // number of pieces in each stage, comma-separated
 	headerPieceKey      = "Caperdrum-Piece-Key"
-	headerInstance      = "Caperdrum-Instance" // for which start of the upstream a call is; in answers: which one answered
+	headerInstance      = "Caperdrum-Instance" // in calls: the incarnation addressed; in responses: the one that responded
 	headerCustomer      = "Caperdrum-Customer"
 	headerInputs        = "Caperdrum-Inputs" // handles, comma-separated
 	headerFetch         = "Caperdrum-Fetch-From"
 	headerLeaving       = "Caperdrum-Leaving"
-	headerLastEventID   = "Last-Event-Id" // of the WHATWG's server-sent events
+	headerLastEventID   = "Last-Event-Id" // of server-sent events (WHATWG HTML)
 	headerAuthorization = "Authorization"
 
 	pathPieces = "/v1/pieces"
@@ -43,14 +43,14 @@
 	if raw := h.Get(wire.HeaderTimeout); raw != "" {
 		wait, err := time.ParseDuration(raw)
 		if err != nil || wait <= 0 {
-			return c, fmt.Errorf("%s: %q is no duration; write one such as 2s", wire.HeaderTimeout, raw)
+			return c, fmt.Errorf("%s: %q is not a duration; write it like 2s", wire.HeaderTimeout, raw)
 		}
 		c.Wait = wait
 	}
 	for _, part := range splitList(h.Get(headerPieces)) {
 		n, err := strconv.Atoi(part)
 		if err != nil || n < 0 {
-			return c, fmt.Errorf("%s: %q is no number; write one a stage", headerPieces, part)
+			return c, fmt.Errorf("%s: %q is not a number; write one number for each stage", headerPieces, part)
 		}
 		c.Pieces = append(c.Pieces, n)
 	}
@@ -58,7 +58,7 @@
 		id, number, _ := strings.Cut(part, ":")
 		tokens, err := strconv.ParseInt(number, 10, 64)
 		if err != nil {
-			return c, fmt.Errorf("%s: %q is no part; write ID:TOKENS", headerPromptParts, part)
+			return c, fmt.Errorf("%s: %q is not a prompt part; write ID:TOKENS", headerPromptParts, part)
 		}
 		c.Prefix = append(c.Prefix, PromptPart{ID: id, Tokens: tokens})
 	}
@@ -140,7 +140,7 @@
 		return nil, err
 	}
 	if report.Free == nil {
-		return nil, fmt.Errorf("a report without free; send the bytes that are free")
+		return nil, fmt.Errorf("the report has no field free; send the number of free bytes")
 	}
 	return &Room{Free: *report.Free, FreeMost: *report.Free, Busy: report.Busy}, nil
 }
@@ -148,7 +148,7 @@
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic("upstream: " + err.Error()) // these types always encode
+		panic("upstream: " + err.Error()) // these types always marshal
 	}
 	return data
 }
--- a/node/upstream/notices.go
+++ b/node/upstream/notices.go
@@ -12,24 +12,23 @@
 	"caperdrum.org/api/wire"
 )
 
-// Counters since the start of the process.
+// Counters since the process started.
 var (
-	pausesVar   = expvar.NewInt("upstream_pauses_asked")   // answers that ask for a pause
-	leavingVar  = expvar.NewInt("upstream_leaving_said")   // starts that said in an answer that they leave
-	withheldVar = expvar.NewInt("upstream_calls_withheld") // calls that were not sent, within a pause or after the upstream had said that it leaves
+	pausesVar   = expvar.NewInt("upstream_pauses_asked")   // responses that ask for a pause
+	leavingVar  = expvar.NewInt("upstream_leaving_said")   // incarnations that announced in a response that they are leaving
+	withheldVar = expvar.NewInt("upstream_calls_withheld") // calls not sent because the upstream asked for a pause or is leaving
 )
 
 const (
-	// longestPause bounds what an upstream may ask for, so that a mistaken number does not take it
-	// out of use for good.
+	// maxPause bounds the pause that an upstream may ask for, so that a wrong value does not disable it for
+	// good.
 	maxPause = time.Hour
-	// noticeTime is how long a notice is kept that is no longer needed: upstreams that have ended
-	// are forgotten.
+	// noticeRetention is how long an expired notice is kept, so that upstreams which have ended are removed.
 	noticeRetention = 10 * time.Minute
 )
 
-// Notices are what upstreams say of themselves in answers to this process: that they want no calls
-// for a while, or that they leave. They hold for one start of an upstream.
+// Notices record what upstreams announced in their responses to this process: that they accept no calls for a
+// while, or that they are leaving. A notice holds for one incarnation of an upstream.
 type Notices struct {
 	log   logr.Logger
 	clock clockwork.Clock
@@ -39,17 +38,17 @@
 }
 
 type notice struct {
-	pausedUntil time.Time // the upstream wants no calls until then
+	pausedUntil time.Time // the upstream accepts no calls until then
 	leaving     bool
-	lastHeard   time.Time // of the last answer that said so
+	lastHeard   time.Time // time of the last response that said so
 }
 
-// NewNotices returns notices of a process that has just started.
+// NewNotices returns an empty set of notices.
 func NewNotices(log logr.Logger, clock clockwork.Clock) *Notices {
 	return &Notices{log: log, clock: clock, byStart: map[wire.Start]notice{}}
 }
 
-// Heard takes over what an answer says.
+// Heard records what a response announces.
 func (n *Notices) Heard(start wire.Start, a Answer) {
 	if a.Pause <= 0 && !a.Leaving {
 		return
@@ -61,11 +60,11 @@
 	current := n.byStart[start]
 	if a.Leaving && !current.leaving {
 		leavingVar.Add(1)
-		n.log.Info("upstream says that it leaves", "upstream", start.ID)
+		n.log.Info("upstream announced that it is leaving", "upstream", start.ID)
 	}
 	if a.Pause > 0 {
 		pausesVar.Add(1)
-		n.log.Info("upstream asks for a pause", "upstream", start.ID, "pause", a.Pause)
+		n.log.Info("upstream asked for a pause", "upstream", start.ID, "pause", a.Pause)
 	}
 	if until := now.Add(min(a.Pause, maxPause)); until.After(current.pausedUntil) {
 		current.pausedUntil = until
@@ -83,13 +82,13 @@
 	}
 }
 
-// refuse returns why nothing may be sent to the upstream now, or nil.
+// checkAvailable returns why nothing may be sent to the upstream now, or nil.
 func (n *Notices) checkAvailable(start wire.Start) error {
 	pause, leaving := n.Of(start)
 	switch {
 	case leaving:
 		withheldVar.Add(1)
-		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "upstream %s leaves", start.ID)
+		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "upstream %s is leaving", start.ID)
 	case pause > 0:
 		withheldVar.Add(1)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s has asked for a pause", start.ID).After(pause)
@@ -97,14 +96,14 @@
 	return nil
 }
 
-// Wants reports whether the upstream wants calls now.
+// Wants reports whether the upstream accepts calls now.
 func (n *Notices) Wants(start wire.Start) bool {
 	pause, leaving := n.Of(start)
 	return pause == 0 && !leaving
 }
 
-// LeastPause returns how long it takes until one of the upstreams wants calls again; zero where one
-// does now, or where none will.
+// LeastPause returns the time until one of the upstreams accepts calls again; zero if one does now, or if
+// none will.
 func (n *Notices) LeastPause(members []wire.Member) time.Duration {
 	least := time.Duration(0)
 	for _, m := range members {
@@ -120,7 +119,7 @@
 	return least
 }
 
-// Of returns for how long the upstream still wants no calls, and whether it leaves.
+// Of returns for how long the upstream still accepts no calls, and whether it is leaving.
 func (n *Notices) Of(start wire.Start) (pause time.Duration, leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/upstream/notices_test.go
+++ b/node/upstream/notices_test.go
@@ -11,7 +11,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestPauseOf reads what upstreams write into Retry-After.
+// TestPauseOf parses values of the header Retry-After.
 func TestPauseOf(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for raw, want := range map[string]time.Duration{
@@ -27,7 +27,8 @@
 	}
 }
 
-// TestNotices keeps what one start of an upstream has said apart from the next, and the longer of two pauses.
+// TestNotices checks that notices of one incarnation do not apply to the next, and that the longer of two
+// pauses holds.
 func TestNotices(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := NewNotices(logr.Discard(), clock)
@@ -35,7 +36,7 @@
 	expect := func(start wire.Start, pause time.Duration, leaving bool) {
 		t.Helper()
 		if p, l := n.Of(start); p != pause || l != leaving {
-			t.Fatalf("%v: a pause of %v, leaving %v; want %v, %v", start, p, l, pause, leaving)
+			t.Fatalf("%v: pause %v, leaving %v; want %v, %v", start, p, l, pause, leaving)
 		}
 	}
 	n.Heard(first, Answer{})
--- a/node/upstream/pool.go
+++ b/node/upstream/pool.go
@@ -19,35 +19,35 @@
 )
 
 const (
-	// dialTimeout bounds the wait for an upstream that is dark. Above the retry
-	// of a lost packet on a link within a region, far below any deadline.
+	// dialTimeout bounds the wait for an unreachable upstream. It is longer than the retransmission of a lost
+	// packet on a link within a region, and far below any deadline.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout ends a connection whose bytes are not acknowledged: a peer
-	// behind a cut says nothing at all.
+	// userTimeout ends a connection whose bytes are not acknowledged: a peer behind a network partition sends
+	// nothing at all.
 	userTimeout = 3 * time.Second
-	// idleMargin is left of the time for which an upstream says that it keeps
-	// an idle connection, since the close travels too.
+	// idleMargin is subtracted from the upstream's keep-alive timeout, because its close takes time to
+	// arrive.
 	idleMargin = 500 * time.Millisecond
-	// idleDefault is how long a connection is kept where it does not say.
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream states no timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// maxStrayAnswers are answers to earlier calls that are skipped before the
-	// connection is given up.
+	// maxStrayResponses is the number of responses to earlier calls that are skipped before the connection is
+	// closed.
 	maxStrayResponses = 2
 	readBuffer        = 4 << 10
 	trimInterval      = time.Second
 )
 
-// Pool keeps connections to upstreams, by address.
+// Pool keeps idle connections to upstreams, by address.
 type Pool struct {
 	protocol Protocol
 	notices  *Notices
 
 	mu   sync.Mutex
 	idle map[string][]*conn
-	open map[string]int // connections by address, idle ones included
+	open map[string]int // connections by address, including idle ones
 }
 
-// NewPool returns an empty pool. Its answers are told to the notices.
+// NewPool returns an empty pool. What responses announce is recorded in n.
 func NewPool(p Protocol, n *Notices) *Pool {
 	return &Pool{protocol: p, notices: n, idle: map[string][]*conn{}, open: map[string]int{}}
 }
@@ -57,11 +57,11 @@
 	pool    *Pool
 	address string
 	br      *bufio.Reader
-	expires time.Time // when it must not be used again
+	expires time.Time // when it must no longer be used
 	once    sync.Once
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection and removes it from the count of open connections.
 func (c *conn) Close() error {
 	var err error
 	c.once.Do(func() {
@@ -75,12 +75,13 @@
 	return err
 }
 
-// errNoConnection says that the share of connections to an upstream is used.
+// errNoConnection returns the error for an address whose limit of connections is reached.
 func errNoConnection(address string) error {
 	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "all connections to %s are in use", address)
 }
 
-// unreached is the error of a connection that nothing answered in time, not even the upstream's VM.
+// unreachableError is the error of a connection attempt that got no response in time, not even from the
+// upstream's VM.
 type unreachableError struct{ cause *verdict.Error }
 
 // Error implements error.
@@ -89,14 +90,15 @@
 // Unwrap returns the verdict.
 func (u unreachableError) Unwrap() error { return u.cause }
 
-// Unreached reports whether a call was not sent since nothing answered at the upstream's address. A VM
-// that runs refuses connections to an upstream that does not.
+// Unreached reports whether a call was not sent because nothing responded at the upstream's address. A VM
+// that runs refuses connections if the upstream does not listen.
 func Unreached(err error) bool {
 	var u unreachableError
 	return errors.As(err, &u)
 }
 
-// errConnect says why a connection was not made. A call whose own time is over has not waited long enough to tell.
+// connectError returns the error of a failed connection attempt. If the call's own deadline ended it, the
+// wait was too short to call the upstream unreachable.
 func connectError(ctx context.Context, address string, err error) error {
 	cause := verdict.New(verdict.NotRun, verdict.CodeUpstream, "connect to %s: %v", address, err)
 	var timed net.Error
@@ -106,7 +108,7 @@
 	return cause
 }
 
-// get returns a connection. With fresh it is a new one.
+// get returns an idle connection or a new one. With fresh it is always new.
 func (p *Pool) get(ctx context.Context, address string, limit int, fresh bool) (*conn, error) {
 	if !fresh {
 		for {
@@ -135,8 +137,8 @@
 	return c, nil
 }
 
-// Listens connects to an address and closes the connection at once. A nil error says that a
-// process listens there.
+// Listens connects to an address and closes the connection at once. A nil error means that a process listens
+// there.
 func (p *Pool) Listens(address string) error {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	c, err := d.Dial("tcp", address)
@@ -146,7 +148,7 @@
 	return c.Close()
 }
 
-// noConn stands for a connection that was never made.
+// unconnected stands in for a connection that could not be made.
 type unconnected struct{ net.Conn }
 
 // Close implements net.Conn.
@@ -177,7 +179,7 @@
 	return true
 }
 
-// put keeps a connection that is between two calls.
+// put keeps an idle connection for later calls.
 func (p *Pool) put(c *conn, keep time.Duration) {
 	c.expires = time.Now().Add(keep)
 	p.mu.Lock()
@@ -185,7 +187,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Run closes idle connections that must not be used again, until ctx ends.
+// Run closes expired idle connections until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	periodic.Run(ctx, clockwork.NewRealClock(), trimInterval, p.trim)
 }
@@ -213,8 +215,8 @@
 	}
 }
 
-// Forget closes the idle connections to an address. The process behind it has started
-// again: a call on one of them would be lost, and might have run.
+// Forget closes the idle connections to an address whose process was restarted. A call on one of them would
+// be lost, and might have run.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -238,8 +240,8 @@
 	}
 }
 
-// quiet reports whether nothing came since the last answer: neither bytes that
-// belong to no call nor the end of the connection.
+// idleAndEmpty reports whether nothing arrived since the last response: neither stray bytes nor the end of
+// the connection.
 func (c *conn) idleAndEmpty() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -276,8 +278,8 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which package syscall lacks.
 const tcpUserTimeout = 18
 
-// keepFor returns for how long the connection may stay idle after the answer,
-// zero when it may not.
+// idleTimeoutOf returns how long the connection may stay idle after the response, or zero if it must be
+// closed.
 func idleTimeoutOf(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/node/upstream/prefix.go
+++ b/node/upstream/prefix.go
@@ -6,8 +6,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// PrefixHash hashes the parts of a prompt that other calls may share: all but the last.
-// It is zero where there are none.
+// PrefixHash hashes the parts of a prompt that other calls may share: all but the last. It is zero if there
+// are none.
 func PrefixHash(parts []PromptPart) uint64 {
 	if len(parts) < 2 {
 		return 0
@@ -20,15 +20,15 @@
 	return max(h.Sum64(), 1)
 }
 
-// Weight is an upstream's weight for a hash, for rendezvous hashing: the least goes
-// first, and an upstream that leaves moves only what it had.
+// Weight is the weight of an upstream for a hash in rendezvous hashing: the lowest weight is selected, and
+// when an upstream leaves, only its own hashes move.
 func Weight(hash uint64, id wire.MemberID) uint64 {
 	h := xxhash.NewWithSeed(hash)
 	h.WriteString(string(id))
 	return h.Sum64()
 }
 
-// ByPrefix returns the member that goes first for the shared parts of a prompt.
+// ByPrefix returns the member with the lowest weight for the shared parts of a prompt.
 func ByPrefix(parts []PromptPart, members []wire.Member) (first wire.Member, found bool) {
 	hash := PrefixHash(parts)
 	var least uint64
--- a/node/upstream/protocol.go
+++ b/node/upstream/protocol.go
@@ -1,6 +1,5 @@
-// Package upstream calls announced upstreams directly over HTTP/1.1. It sends
-// each request at most once: what may be repeated is for its callers to decide,
-// by the verdict of the error.
+// Package upstream calls announced upstreams directly over HTTP/1.1. It sends each request at most once; its
+// callers decide by the verdict of the error whether to send it again.
 package upstream
 
 import (
@@ -10,100 +9,98 @@
 	"caperdrum.org/api/wire"
 )
 
-// Call is what a caller's headers say of a call on a route.
+// Call holds the values that a caller's headers set for a call on a route.
 type Call struct {
-	ID        string        // of this try of the caller; every answer to it carries it
-	Key       string        // bearer key; empty when there is none
-	Wait      time.Duration // for which the caller waits; zero when it does not say
+	ID        string        // of this call; every response to it carries it
+	Key       string        // bearer key; empty if there is none
+	Wait      time.Duration // how long the caller waits; zero if not stated
 	Prefix    []PromptPart  // parts of the prompt in order, shared ones first
-	Pieces    []int         // of each stage of the route; nil when it does not say
-	PieceKey  string        // names the input of stages that follow no other
-	LastEvent string        // the last event of the stream that the caller has
+	Pieces    []int         // number of pieces in each stage of the route; nil if not stated
+	PieceKey  string        // identifies the input of stages that depend on no other
+	LastEvent string        // id of the last event that the caller received of the stream
 }
 
-// PromptPart is a part of a prompt that requests may share.
+// PromptPart is a part of a prompt that several requests may share.
 type PromptPart struct {
 	ID     string
 	Tokens int64
 }
 
-// Told is what caperdrum tells an upstream of a call, beside what the caller
-// sent.
+// Told holds the values that caperdrum sets on a call to an upstream, in addition to the caller's request.
 type Told struct {
-	Left      time.Duration // until the call is worthless
-	Instance  wire.MemberID // the start of the upstream that it is meant for
+	Left      time.Duration // time until the deadline; zero for none
+	Instance  wire.MemberID // the incarnation of the upstream that the call is addressed to
 	Customer  string        // empty on public routes
-	LastEvent string        // the stream goes on after it; empty for a whole one
-	Inputs    []string      // handles of the results that it is made of
-	FetchFrom string        // address of an engine that keeps shared parts of the prompt; empty: they are read
+	LastEvent string        // resume the stream after this event; empty for the whole stream
+	Inputs    []string      // handles of the input results
+	FetchFrom string        // address of an engine that has shared parts of the prompt cached; empty to compute them
 }
 
-// Answer is what an upstream's headers say of its answer.
+// Answer holds what an upstream states in the headers of a response.
 type Answer struct {
-	ID       string        // of the call that it answers
-	NotRun   bool          // the upstream promises that the call has not run and never will
-	Instance wire.MemberID // the start that answered, if it says so
-	Load     *Load         // nil when it does not say
-	Pause    time.Duration // for which the upstream wants no calls of this process; zero when it does not say
-	Leaving  bool          // the upstream leaves: it wants no further calls
+	ID       string        // of the call that it belongs to
+	NotRun   bool          // the upstream guarantees that the call has not run and never will
+	Instance wire.MemberID // the incarnation that responded; empty if not stated
+	Load     *Load         // nil if not stated
+	Pause    time.Duration // how long the upstream accepts no calls from this process; zero if not stated
+	Leaving  bool          // the upstream is leaving and accepts no further calls
 }
 
-// Load is what a batching upstream tells of itself.
+// Load is the load that a batching upstream reports, in requests.
 type Load struct{ Running, Waiting, Slots int }
 
-// Piece is one piece of a stage that an upstream is asked for.
+// Piece is one piece of a stage that an upstream is asked to compute.
 type Piece struct {
 	ID     string // of the call
 	Stage  int
 	Number int
 	Left   time.Duration
-	Key    string   // for stages that follow no other
-	Inputs []string // handles, for the others
+	Key    string   // for stages that depend on no other
+	Inputs []string // handles of the inputs, for the other stages
 }
 
-// Failure says why a piece was not made.
+// Failure is the reason why a piece was not computed.
 type Failure string
 
 // Failures of pieces.
 const (
-	Late      Failure = "late"       // no time was left at its turn
-	InputGone Failure = "input_gone" // a result that it is made of is gone
+	Late      Failure = "late"       // no time was left when its turn came
+	InputGone Failure = "input_gone" // an input result no longer exists
 	NoRoom    Failure = "no_room"    // the upstream has no room for the result
 	Failed    Failure = "failed"
 )
 
-// PieceResult is what became of a piece: a handle or a failure.
+// PieceResult is the outcome of a piece: a handle or a failure.
 type PieceResult struct {
 	Handle  string
 	Failure Failure
 }
 
-// Room is what an upstream that makes pieces says of its room for results, in bytes:
-// between Free and FreeMost of it are free, since some report it in whole units.
+// Room is the free memory for results that an upstream reports, in bytes. The true value is between Free and
+// FreeMost, since some upstreams report whole units.
 type Room struct {
 	Free, FreeMost int64
-	Started        uint64 // incarnation of the start that reports; zero where it does not say
-	Busy           bool   // it works on a call
+	Started        uint64 // reporting incarnation; zero if not stated
+	Busy           bool   // the upstream is working on a call
 }
 
-// Protocol translates between caperdrum's terms and the headers and bodies
-// that callers and upstreams speak.
+// Protocol translates between caperdrum's terms and the headers and bodies that callers and upstreams use.
 type Protocol interface {
-	// Call reads a caller's headers.
+	// Call parses a caller's headers.
 	Call(h http.Header) (Call, error)
-	// Tell writes to the headers of a call that go to an upstream, and takes out
-	// those that only caperdrum may set and the caller's key.
+	// Tell sets the headers of a call to an upstream. It removes the caller's key and headers that only
+	// caperdrum may set.
 	Tell(h http.Header, t Told)
-	// Answer reads the headers of an upstream's answer.
+	// Answer parses the headers of an upstream's response.
 	Answer(status int, h http.Header) Answer
-	// RunPieces returns the path and body of a call for pieces.
+	// RunPieces returns the path and body of a call that computes pieces.
 	RunPieces(pieces []Piece) (path string, body []byte)
-	// PieceResults reads the answer to RunPieces, one result for each piece.
+	// PieceResults parses the response to RunPieces, one result for each piece.
 	PieceResults(body []byte) ([]PieceResult, error)
-	// FreeResults returns the path and body of a call that gives results up.
+	// FreeResults returns the path and body of a call that releases results.
 	FreeResults(handles []string) (path string, body []byte)
-	// RoomPath is the path at which an upstream that makes pieces reports its room.
+	// RoomPath returns the path at which an upstream reports its room for results.
 	RoomPath() string
-	// Room reads an upstream's report of its room.
+	// Room parses an upstream's report of its room for results.
 	Room(body []byte) (*Room, error)
 }
--- a/node/upstream/unreachable_test.go
+++ b/node/upstream/unreachable_test.go
@@ -11,8 +11,8 @@
 	"caperdrum.org/api/verdict"
 )
 
-// TestUnreached tells a VM that does not answer from one that refuses a connection, and from a call that had no time
-// to wait. None of them has been sent.
+// TestUnreached distinguishes a VM that does not respond from one that refuses a connection, and from a call
+// that had no time to wait. In each case nothing was sent.
 func TestUnreached(t *testing.T) {
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -21,11 +21,11 @@
 		cause error
 		want  bool
 	}{
-		"times out":       {context.Background(), os.ErrDeadlineExceeded, true},
-		"given up by TCP": {context.Background(), syscall.ETIMEDOUT, true},
-		"refused":         {context.Background(), syscall.ECONNREFUSED, false},
-		"reset":           {context.Background(), syscall.ECONNRESET, false},
-		"no time left":    {over, os.ErrDeadlineExceeded, false},
+		"times out":    {context.Background(), os.ErrDeadlineExceeded, true},
+		"TCP gave up":  {context.Background(), syscall.ETIMEDOUT, true},
+		"refused":      {context.Background(), syscall.ECONNREFUSED, false},
+		"reset":        {context.Background(), syscall.ECONNRESET, false},
+		"no time left": {over, os.ErrDeadlineExceeded, false},
 	} {
 		err := connectError(c.ctx, "10.0.0.9:80", &net.OpError{Op: "dial", Net: "tcp", Err: c.cause})
 		if Unreached(err) != c.want {
@@ -36,6 +36,6 @@
 		}
 	}
 	if Unreached(nil) || Unreached(errors.New("dial")) {
-		t.Error("another error counts")
+		t.Error("an unrelated error counts as unreachable")
 	}
 }
--- a/node/upstream/upstream_test.go
+++ b/node/upstream/upstream_test.go
@@ -17,18 +17,18 @@
 	"caperdrum.org/api/verdict"
 )
 
-// plainProtocol answers by the header Id alone.
+// plainProtocol reads only the id of a response, from the header Id.
 type plainProtocol struct{ Protocol }
 
 func (plainProtocol) Answer(status int, h http.Header) Answer {
 	return Answer{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
 }
 
-// script is an upstream that answers the n-th request of each connection by the
-// n-th text, and then closes. It counts connections and requests.
+// script is an upstream that answers the n-th request of each connection with the n-th text, and then closes
+// it. It counts connections and requests.
 type script struct {
 	listener net.Listener
-	conns    chan int // number of requests read, as each connection ends
+	conns    chan int // requests read on each connection, sent when it ends
 }
 
 const closeNow = "close"
@@ -69,7 +69,7 @@
 		}
 		io.WriteString(c, a)
 	}
-	io.Copy(io.Discard, br) // keeps the connection until the caller closes it
+	io.Copy(io.Discard, br) // keeps the connection open until the client closes it
 }
 
 func answer(id, body string) string {
@@ -93,8 +93,8 @@
 	return string(body), err
 }
 
-// TestAnswerToAnotherCallIsSkipped puts a late second answer to the first call
-// before the answer to the second one, on one connection.
+// TestAnswerToAnotherCallIsSkipped sends a late second response to the first call before the response to the
+// second one, on one connection.
 func TestAnswerToAnotherCallIsSkipped(t *testing.T) {
 	s := newScript(t, answer("1", "one"), answer("1", "one again")+answer("2", "two"))
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestOnlyStrayAnswersMayHaveRun gives answers to other calls only.
+// TestOnlyStrayAnswersMayHaveRun sends only responses to other calls.
 func TestOnlyStrayAnswersMayHaveRun(t *testing.T) {
 	s := newScript(t, strings.Repeat(answer("9", "x"), maxStrayResponses+1))
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestBytesAfterAnAnswerEndTheConnection lets bytes follow a whole answer: the
-// next call uses a new connection.
+// TestBytesAfterAnAnswerEndTheConnection sends extra bytes after a complete response: the next call must use
+// a new connection.
 func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
 	s := newScript(t, answer("1", "one")+"more")
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestNoRequestIsSentTwice closes each connection after it has read a request:
-// the call fails as may-have-run and the upstream has read one request.
+// TestNoRequestIsSentTwice closes each connection after reading a request: the call fails as may-have-run and
+// the upstream has read one request.
 func TestNoRequestIsSentTwice(t *testing.T) {
 	s := newScript(t, answer("1", "one"), closeNow)
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
@@ -157,7 +157,7 @@
 	}
 }
 
-// TestRefusedConnectionHasNotRun calls an address where nobody listens.
+// TestRefusedConnectionHasNotRun calls an address where no process listens.
 func TestRefusedConnectionHasNotRun(t *testing.T) {
 	s := newScript(t)
 	s.listener.Close()
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestConnectionsAreLimited holds one connection and asks for a second one.
+// TestConnectionsAreLimited holds one connection and requests a second one.
 func TestConnectionsAreLimited(t *testing.T) {
 	s := newScript(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\n")
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
@@ -187,19 +187,19 @@
 	}
 }
 
-// TestEndsOfBodies lists answers and whether their body is whole.
+// TestEndsOfBodies lists responses and whether their body is complete.
 func TestEndsOfBodies(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: 1\r\n"
 	cases := map[string]struct {
 		answer string
 		whole  bool
 	}{
-		"a length":              {answer("1", "abc"), true},
-		"chunks":                {head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", true},
-		"the end of connection": {head + "\r\nabc", true},
-		"less than the length":  {head + "Content-Length: 5\r\n\r\nabc", false},
-		"chunks without an end": {head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", false},
-		"informational first":   {"HTTP/1.1 100 Continue\r\n\r\n" + answer("1", "abc"), true},
+		"content length":                  {answer("1", "abc"), true},
+		"chunks":                          {head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", true},
+		"end of connection":               {head + "\r\nabc", true},
+		"shorter than the content length": {head + "Content-Length: 5\r\n\r\nabc", false},
+		"no final chunk":                  {head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", false},
+		"informational first":             {"HTTP/1.1 100 Continue\r\n\r\n" + answer("1", "abc"), true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestEarlyAnswerEndsTheConnection answers before a long body is read: the rest
-// of it is never followed by another request.
+// TestEarlyAnswerEndsTheConnection responds before a long body is read: no other request may follow the rest
+// of it.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -265,7 +265,7 @@
 	}
 }
 
-// TestKeepFor lists what upstreams say of idle connections.
+// TestKeepFor lists values of the header Keep-Alive.
 func TestKeepFor(t *testing.T) {
 	cases := map[string]time.Duration{
 		"":                  defaultIdleTimeout,
@@ -285,8 +285,8 @@
 	}
 }
 
-// TestFreshConnectionIsNotKept makes calls that ask for connections of their own
-// to an upstream that would keep them: none stays open.
+// TestFreshConnectionIsNotKept makes calls that ask for a connection of their own to an upstream that would
+// keep it open: none stays open.
 func TestFreshConnectionIsNotKept(t *testing.T) {
 	s := newScript(t, answer("1", "one"))
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
