--- a/node/dispatch/dispatch_test.go
+++ b/node/dispatch/dispatch_test.go
@@ -140,7 +140,7 @@
 	u := newUpstream(t)
 	g, incarnation := startGate(t, u)
 	const requestBytes, responseBytes = 700, 1100
-	wholeAnswers := 0
+	complete := 0
 	try := func(name string, at cut) {
 		r := newRelay(t, g.Address(), at)
 		defer r.listener.Close()
@@ -150,7 +150,7 @@
 		case err == nil && (got != streamed || runs != 1):
 			t.Errorf("%s: response %q after %d runs", name, got, runs)
 		case err == nil:
-			wholeAnswers++
+			complete++
 		case verdict.Of(err) == verdict.NotRun && runs != 0:
 			t.Errorf("%s: reported as not run, but ran %d times: %v", name, runs, err)
 		case verdict.Of(err) == verdict.Ran && runs != 1, runs > 1:
@@ -166,8 +166,8 @@
 	for at := 0; at < requestBytes; at += step {
 		try(fmt.Sprint("up ", at), cut{up: at, down: -1})
 	}
-	if wholeAnswers < responseBytes/step {
-		t.Errorf("%d responses were complete", wholeAnswers)
+	if complete < responseBytes/step {
+		t.Errorf("%d responses were complete", complete)
 	}
 }
 
@@ -239,11 +239,11 @@
 
 // A gate that restarts while an attempt runs makes the outcome unknown (may have run), also after an attempt
 // to attach again.
-func TestGateRestartsInTheMiddle(t *testing.T) {
+func TestGateRestartsDuringAttempt(t *testing.T) {
 	u := newUpstream(t)
 	first, incarnation := startGate(t, u)
 	second, _ := startGate(t, u)
-	r := newRelay(t, first.Address(), whole)
+	r := newRelay(t, first.Address(), noCut)
 	result := make(chan error, 1)
 	go func() {
 		_, _, err := do(context.Background(), endpoint(r.address(), incarnation), newCall("/hang", "middle"))
--- a/node/dispatch/mismatch_test.go
+++ b/node/dispatch/mismatch_test.go
@@ -13,7 +13,7 @@
 )
 
 // A response that ends cleanly but is incomplete or belongs to another attempt is rejected.
-func TestWrongResponsesAreNotTaken(t *testing.T) {
+func TestMismatchedResponsesAreRejected(t *testing.T) {
 	const incarnation, sum = 7, "44bc2cf5ad770999" // xxhash64 of "abc"
 	right := map[string]string{wire.HeaderIncarnation: "7", wire.HeaderStage: "s", wire.HeaderStatus: "200",
 		wire.TrailerEnd: wire.EndWhole, wire.TrailerLength: "3", wire.TrailerSum: sum}
--- a/node/dispatch/relay_test.go
+++ b/node/dispatch/relay_test.go
@@ -20,7 +20,7 @@
 // cut is the number of bytes per direction after which a connection breaks; negative is never.
 type cut struct{ up, down int }
 
-var whole = cut{-1, -1}
+var noCut = cut{-1, -1}
 
 func newRelay(t *testing.T, target string, cuts ...cut) *relay {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.cuts) == 0 {
-		return whole
+		return noCut
 	}
 	c := r.cuts[0]
 	r.cuts = r.cuts[1:]
--- a/node/gate/guarantees_test.go
+++ b/node/gate/guarantees_test.go
@@ -19,7 +19,7 @@
 
 // A single slow run must not make the gate refuse everything from then on: only attempts that run can lower
 // the run time estimate again.
-func TestSlowRunDoesNotShutTheGate(t *testing.T) {
+func TestSlowRunDoesNotBlockAdmission(t *testing.T) {
 	m := newGateModel()
 	slow, _ := m.submit("a", true, time.Hour)
 	m.clock.Advance(30 * time.Second)
@@ -60,7 +60,7 @@
 }
 
 // A queue filled by one customer does not lock out another one.
-func TestFloodDoesNotKeepASmallCustomerOut(t *testing.T) {
+func TestFloodDoesNotLockOutSmallCustomer(t *testing.T) {
 	m := newGateModel()
 	var last *attempt
 	for range m.table.limits.concurrency + m.table.limits.queueLength {
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -98,9 +98,9 @@
 }
 
 func (r *overloadRun) end(a *attempt) {
-	whole := !r.ends[a].After(a.deadline)
+	complete := !r.ends[a].After(a.deadline)
 	delete(r.ends, a)
-	if !whole {
+	if !complete {
 		r.table.finished(a, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "ended"))
 		return
 	}
--- a/node/gate/table_test.go
+++ b/node/gate/table_test.go
@@ -84,15 +84,15 @@
 	return a
 }
 
-func (m *gateModel) any(t *rapid.T) *attempt {
+func (m *gateModel) anySent(t *rapid.T) *attempt {
 	if len(m.sent) == 0 {
 		t.Skip()
 	}
 	return rapid.SampledFrom(m.sent).Draw(t, "attempt")
 }
 
-// arrive submits a copy of an attempt, which the network may deliver at any time.
-func (m *gateModel) arrive(t *rapid.T, of *attempt) {
+// deliver submits a copy of an attempt, which the network may deliver at any time.
+func (m *gateModel) deliver(t *rapid.T, of *attempt) {
 	a := &attempt{id: of.id, incarnation: of.incarnation, customer: of.customer, class: of.class, share: 1, repeatable: of.repeatable,
 		deadline: of.deadline, readers: 1}
 	if a.deadline.Before(m.clock.Now()) { // a late copy's budget counts from its arrival
@@ -126,7 +126,7 @@
 	return ids
 }
 
-func (m *gateModel) pick(t *rapid.T) *attempt {
+func (m *gateModel) anyRunning(t *rapid.T) *attempt {
 	if len(m.running) == 0 {
 		t.Skip()
 	}
@@ -169,13 +169,13 @@
 		t.Fatalf("%d bytes kept, the limit is %d", idle, tb.limits.keepBytes)
 	}
 	for _, a := range m.sent {
-		m.checkAnswer(t, m.admitted[a.id])
+		m.checkResponse(t, m.admitted[a.id])
 	}
 }
 
 func (r *records) evictableLen() int { return len(r.evictable[0]) + len(r.evictable[1]) }
 
-func (m *gateModel) checkAnswer(t *rapid.T, a *attempt) {
+func (m *gateModel) checkResponse(t *rapid.T, a *attempt) {
 	if a == nil {
 		return
 	}
@@ -186,7 +186,7 @@
 	if want := m.written[a.id]; length != int64(len(want)) || !dropped && !bytes.Equal(a.response.data, want) {
 		t.Fatalf("%s: response %q, want %q", a.id, a.response.data, want)
 	}
-	if whole := bytes.HasSuffix(m.written[a.id], []byte("end")); (end == wire.EndWhole) != whole {
+	if complete := bytes.HasSuffix(m.written[a.id], []byte("end")); (end == wire.EndWhole) != complete {
 		t.Fatalf("%s: end mark %q, wrote %q", a.id, end, m.written[a.id])
 	}
 }
@@ -198,7 +198,7 @@
 
 // attach reads from an offset, as after a broken connection.
 func (m *gateModel) attach(t *rapid.T) {
-	of := m.any(t)
+	of := m.anySent(t)
 	a := m.table.addReader(of.id)
 	if a == nil {
 		return
@@ -233,28 +233,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newGateModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"submit":         func(t *rapid.T) { m.arrive(t, m.newAttempt(t)) },
-			"submit more":    func(t *rapid.T) { m.arrive(t, m.newAttempt(t)) },
-			"late copy":      func(t *rapid.T) { m.arrive(t, m.any(t)) },
-			"cancel":         func(t *rapid.T) { m.cancel(t, m.any(t), rapid.Bool().Draw(t, "abandon")) },
+			"submit":         func(t *rapid.T) { m.deliver(t, m.newAttempt(t)) },
+			"submit more":    func(t *rapid.T) { m.deliver(t, m.newAttempt(t)) },
+			"late copy":      func(t *rapid.T) { m.deliver(t, m.anySent(t)) },
+			"cancel":         func(t *rapid.T) { m.cancel(t, m.anySent(t), rapid.Bool().Draw(t, "abandon")) },
 			"cancel first":   func(t *rapid.T) { m.cancel(t, m.newAttempt(t), false) },
-			"cut submission": func(t *rapid.T) { m.reject(m.any(t)) },
+			"cut submission": func(t *rapid.T) { m.reject(m.anySent(t)) },
 			"attach":         m.attach,
-			"reader leaves":  func(t *rapid.T) { m.leave(m.any(t)) },
+			"reader leaves":  func(t *rapid.T) { m.removeReader(m.anySent(t)) },
 			"upstream writes": func(t *rapid.T) {
-				a := m.pick(t)
+				a := m.anyRunning(t)
 				a.response.start(200, nil)
 				m.write(a, "abc")
 			},
 			"upstream ends": func(t *rapid.T) {
-				a := m.pick(t)
+				a := m.anyRunning(t)
 				a.response.start(200, nil)
 				m.write(a, "end")
 				m.finish(a, nil)
 			},
-			"upstream cuts": func(t *rapid.T) { m.finish(m.pick(t), verdict.New(verdict.Ran, verdict.CodeCut, "cut")) },
+			"upstream cuts": func(t *rapid.T) { m.finish(m.anyRunning(t), verdict.New(verdict.Ran, verdict.CodeCut, "cut")) },
 			"upstream refuses the connection": func(t *rapid.T) {
-				a := m.pick(t)
+				a := m.anyRunning(t)
 				if len(m.written[a.id]) == 0 {
 					m.finish(a, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "down"))
 				}
@@ -292,7 +292,7 @@
 	}
 }
 
-func (m *gateModel) leave(of *attempt) {
+func (m *gateModel) removeReader(of *attempt) {
 	if a := m.admitted[of.id]; a != nil && a.readers > 0 {
 		m.table.removeReader(a)
 	}
--- a/node/gate/upstream_test.go
+++ b/node/gate/upstream_test.go
@@ -26,12 +26,12 @@
 	runs        map[string]int // by path and body
 }
 
-func newClosingUpstream(t *testing.T, perConnection int, readNext bool) *closingUpstream {
+func newClosingUpstream(t *testing.T, perConnection int, runUnanswered bool) *closingUpstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &closingUpstream{Listener: l, perConnection: perConnection, runUnanswered: readNext, runs: map[string]int{}}
+	u := &closingUpstream{Listener: l, perConnection: perConnection, runUnanswered: runUnanswered, runs: map[string]int{}}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
--- a/node/gateway/attainment.go
+++ b/node/gateway/attainment.go
@@ -12,9 +12,9 @@
 var attainmentVar = expvar.NewMap("attainment")
 
 func (c *call) countAttainment(err error) {
-	whole := err == nil && c.status < http.StatusInternalServerError && (c.deadlineAt.IsZero() || !time.Now().After(c.deadlineAt))
+	complete := err == nil && c.status < http.StatusInternalServerError && (c.deadlineAt.IsZero() || !time.Now().After(c.deadlineAt))
 	for _, key := range c.attainmentKeys() {
-		if whole {
+		if complete {
 			attainmentVar.Add(key+".whole", 1)
 		}
 		attainmentVar.Add(key+".all", 1)
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -282,17 +282,17 @@
 func (c *call) writeResponse(w http.ResponseWriter, status int, contentType string, body io.Reader) error {
 	c.status = status
 	if !strings.HasPrefix(contentType, wire.ContentEventStream) {
-		whole, err := io.ReadAll(body)
+		complete, err := io.ReadAll(body)
 		if err != nil {
 			return err
 		}
 		h := w.Header()
 		h.Set(wire.HeaderVerdict, verdict.Ran.String())
 		h.Set("Content-Type", contentType)
-		h.Set("Content-Length", strconv.Itoa(len(whole)))
+		h.Set("Content-Length", strconv.Itoa(len(complete)))
 		c.headerSent = true
 		w.WriteHeader(status)
-		_, err = w.Write(whole)
+		_, err = w.Write(complete)
 		return err
 	}
 	h := w.Header()
--- a/node/gateway/gateway_test.go
+++ b/node/gateway/gateway_test.go
@@ -56,11 +56,11 @@
 rate = 0.5
 `
 
-// fakeGate answers every attempt by calling answer, framed as a gate does.
+// fakeGate answers every attempt by calling respond, framed as a gate does.
 type fakeGate struct {
 	mu       sync.Mutex
 	attempts int
-	answer   func(w io.Writer, n int, path string, body []byte) (status int, contentType string)
+	respond  func(w io.Writer, n int, path string, body []byte) (status int, contentType string)
 }
 
 func (g *fakeGate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -75,7 +75,7 @@
 	g.attempts++
 	g.mu.Unlock()
 	var out bytes.Buffer
-	status, contentType := g.answer(&out, n, r.Header.Get(wire.HeaderPath), body)
+	status, contentType := g.respond(&out, n, r.Header.Get(wire.HeaderPath), body)
 	h := w.Header()
 	h.Set("Trailer", wire.TrailerEnd+","+wire.TrailerLength+","+wire.TrailerSum)
 	h.Set(wire.HeaderAttempt, rest)
@@ -104,7 +104,7 @@
 // newSystem starts an entry. The functions in first are called with every view before the entry's own
 // services are.
 func newSystem(members bool, first ...func(*configsync.View)) *system {
-	s := &system{gate: &fakeGate{answer: func(w io.Writer, _ int, _ string, body []byte) (int, string) {
+	s := &system{gate: &fakeGate{respond: func(w io.Writer, _ int, _ string, body []byte) (int, string) {
 		w.Write(body)
 		return http.StatusOK, "application/json"
 	}}}
@@ -272,7 +272,7 @@
 
 	It("retries a 5xx of a repeatable service only", func() {
 		start(true)
-		s.gate.answer = func(w io.Writer, n int, _ string, _ []byte) (int, string) {
+		s.gate.respond = func(w io.Writer, n int, _ string, _ []byte) (int, string) {
 			fmt.Fprint(w, n)
 			if n%2 == 0 {
 				return 500, "text/plain"
@@ -308,7 +308,7 @@
 	It("is ready until it stops, and stopping interrupts no request", func() {
 		start(true)
 		arrived, proceed := make(chan struct{}), make(chan struct{})
-		s.gate.answer = func(w io.Writer, _ int, _ string, _ []byte) (int, string) {
+		s.gate.respond = func(w io.Writer, _ int, _ string, _ []byte) (int, string) {
 			close(arrived)
 			<-proceed
 			io.WriteString(w, "whole")
--- a/node/pipeline/attempt.go
+++ b/node/pipeline/attempt.go
@@ -18,17 +18,17 @@
 	"caperdrum.org/node/routing"
 )
 
-// work is a call and what its attempts need to be chosen and judged.
+// callSpec is a call and the parameters that select an endpoint for its attempts.
 type callSpec struct {
 	dispatch.Call
 	service *optext.Service
 	stream  bool // an event stream is expected
-	size    int  // bytes of the request
+	size    int  // of the request, in bytes
 	model   string
 	prefix  []uint64
 }
 
-// answer is an upstream's answer: whole, or an event stream that has begun.
+// response is an upstream's response: either its complete body, or an event stream that has begun.
 type response struct {
 	status      int
 	contentType string
@@ -36,16 +36,15 @@
 	stream      *stream
 }
 
-// stream is an event stream under way.
+// stream is an event stream that is being read.
 type stream struct {
 	events *bufio.Reader
 	body   *trackedBody
 	cancel context.CancelFunc // abandons the attempt
-	timer  *time.Timer        // fails the stream when it fires; nil until it is first needed
+	timer  *time.Timer        // fails the stream when it fires; nil until first needed
 }
 
-// event reads an event into e. When it does not come within the given time the
-// stream fails.
+// nextEvent reads an event into e. The stream fails if the event does not arrive within the given time.
 func (s *stream) nextEvent(e *event, patience func() time.Duration) error {
 	if s.buffered() {
 		return readEvent(s.events, e)
@@ -59,15 +58,14 @@
 	return readEvent(s.events, e)
 }
 
-// buffered reports whether an event with data was received whole, so that to
-// read it waits for nothing. It may say no for one whose lines end otherwise
-// than with a newline.
+// buffered reports whether an event with data was received completely, so that reading it does not block. It
+// may report false for an event with other line ends than a newline.
 func (s *stream) buffered() bool {
-	b, _ := s.events.Peek(s.events.Buffered()) // as many as there are
+	b, _ := s.events.Peek(s.events.Buffered()) // all that is buffered
 	return bytes.HasPrefix(b, dataField) && bytes.Contains(b, eventEnd)
 }
 
-// fail abandons the attempt as one that failed by falling silent.
+// failSilent abandons the attempt and marks it as failed by a timeout.
 func (s *stream) failSilent() {
 	s.body.timedOut.Store(true)
 	s.cancel()
@@ -96,22 +94,22 @@
 	}
 }
 
-// failure returns the error that a status stands for.
+// statusError returns the error that the status stands for, or nil.
 func (a *response) statusError() error {
 	switch {
 	case a.status >= http.StatusInternalServerError || a.status == http.StatusTooManyRequests:
-		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the upstream answered with status %d", a.status).After(defaultRetryAfter)
+		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the upstream returned status %d", a.status).After(defaultRetryAfter)
 	case a.status >= http.StatusMultipleChoices:
-		return verdict.New(verdict.Ran, verdict.CodeInvalid, "the upstream refused the request with status %d", a.status)
+		return verdict.New(verdict.Ran, verdict.CodeInvalid, "the upstream rejected the request with status %d", a.status)
 	}
 	return nil
 }
 
 const streamBuffer = 16 << 10
 
-// attempt sends the call to an endpoint and waits for the whole answer, or for
-// the first byte of an event stream. Cached is how many bytes of the prompt the
-// endpoint is expected to have cached. When ctx ends the attempt is abandoned.
+// attempt sends the call to an endpoint and waits for the complete response, or for the first byte of an
+// event stream. cached is how many bytes of the prompt the endpoint is expected to have cached. When ctx ends
+// the attempt is abandoned.
 func (s *Service) attempt(ctx context.Context, e *routing.Endpoint, w *callSpec, cached int) (*response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := w.Call
@@ -147,7 +145,8 @@
 	return out, nil
 }
 
-// begun waits for the first byte of a stream that may still be run elsewhere.
+// openStream starts to read an event stream. With wait set it waits for the first byte, because the call may
+// still be run elsewhere until then.
 func openStream(m *trackedBody, cancel context.CancelFunc, wait bool) (*stream, error) {
 	st := &stream{events: bufio.NewReaderSize(m, streamBuffer), body: m, cancel: cancel}
 	if !wait {
@@ -163,8 +162,7 @@
 	return st, nil
 }
 
-// readWhole reads an answer to its end. One that is too long is an error, not
-// a shorter answer.
+// readComplete reads a response to its end. One that exceeds maxResponse is an error, not truncated.
 func readComplete(r io.Reader) ([]byte, error) {
 	var b bytes.Buffer
 	n, err := b.ReadFrom(io.LimitReader(r, maxResponse+1))
@@ -172,13 +170,13 @@
 		return nil, err
 	}
 	if n > maxResponse {
-		return nil, verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", maxResponse)
+		return nil, verdict.New(verdict.Ran, verdict.CodeTooLarge, "the response exceeds %d bytes", maxResponse)
 	}
 	return b.Bytes(), nil
 }
 
-// measured counts an attempt out when its answer was read, and keeps its last
-// bytes, where the usage stands.
+// trackedBody records the end of an attempt once its response was read, and keeps the last bytes, which
+// contain the token usage.
 type trackedBody struct {
 	io.ReadCloser
 	s              *Service
@@ -187,7 +185,7 @@
 	endpoint       *routing.Endpoint
 	flight         routing.Flight
 	started        time.Time
-	status         int     // of the answer
+	status         int     // of the response
 	expectedCached float64 // share of the prompt that was expected to be cached
 	tail           []byte
 	timedOut       atomic.Bool
@@ -227,7 +225,7 @@
 	return m.ReadCloser.Close()
 }
 
-var errAbandoned = verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the attempt was given up")
+var errAbandoned = verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the attempt was abandoned")
 
 func (m *trackedBody) finish(err error) {
 	m.once.Do(func() {
@@ -257,7 +255,7 @@
 	})
 }
 
-// orNil lets a nil error be asked for its code.
+// orEmpty makes a nil error safe to inspect.
 func orEmpty(err error) error {
 	if err == nil {
 		return &verdict.Error{}
@@ -282,8 +280,7 @@
 	return routing.Failed
 }
 
-// outcomeOfStatus keeps an upstream that answers errors at once from looking
-// like the fastest one.
+// outcomeOfStatus keeps an upstream that returns errors at once from appearing to be the fastest one.
 func outcomeOfStatus(status int) routing.Outcome {
 	switch {
 	case status >= http.StatusInternalServerError:
--- a/node/pipeline/attempt_test.go
+++ b/node/pipeline/attempt_test.go
@@ -21,11 +21,11 @@
 	notRun = verdict.NotRun
 )
 
-// script answers the n-th attempt by the n-th entry, and later ones by the last.
+// script responds to the n-th attempt with the n-th entry, and to later ones with the last.
 type script func(ctx context.Context) (*dispatch.Answer, error)
 
 func scripted(list ...script) *fakeGate {
-	return &fakeGate{answer: func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+	return &fakeGate{respond: func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
 		return list[min(n, len(list)-1)](ctx)
 	}}
 }
@@ -33,8 +33,8 @@
 func good(ctx context.Context) (*dispatch.Answer, error)      { return after(ctx, quick, 200, "good") }
 func status500(ctx context.Context) (*dispatch.Answer, error) { return after(ctx, quick, 500, "oops") }
 func silent(ctx context.Context) (*dispatch.Answer, error)    { return after(ctx, time.Hour, 200, "") }
-func cutWhole(ctx context.Context) (*dispatch.Answer, error) {
-	return &dispatch.Answer{Status: 200, Body: &cutBody{ctx: ctx, data: []byte("go"), end: errCut()}}, nil
+func truncated(ctx context.Context) (*dispatch.Answer, error) {
+	return &dispatch.Answer{Status: 200, Body: &cutBody{ctx: ctx, data: []byte("go"), end: errTruncated()}}, nil
 }
 func tooLong(ctx context.Context) (*dispatch.Answer, error) {
 	return &dispatch.Answer{Status: 200, Body: &cutBody{ctx: ctx, data: make([]byte, maxResponse+1), end: io.EOF}}, nil
@@ -43,8 +43,7 @@
 	return func(context.Context) (*dispatch.Answer, error) { return nil, verdict.New(v, c, "refused") }
 }
 
-// TestAttempts has a row per way that attempts can go: how many are made, and
-// how the call ends.
+// TestAttempts lists how attempts can end, how many are made, and how the call ends.
 func TestAttempts(t *testing.T) {
 	lost := refusal(verdict.MayHaveRun, verdict.CodeUpstream)
 	full := refusal(notRun, verdict.CodeOverloaded)
@@ -58,13 +57,13 @@
 		status     int // zero for an error
 		verdict    verdict.Verdict
 	}{
-		{"answered", true, 100, []script{good}, 1, 200, verdict.Ran},
+		{"first succeeds", true, 100, []script{good}, 1, 200, verdict.Ran},
 		{"5xx elsewhere", true, 100, []script{status500, good}, 2, 200, verdict.Ran},
 		{"5xx everywhere", true, 100, []script{status500}, 4, 500, verdict.Ran},
 		{"5xx, not repeatable", false, 100, []script{status500, good}, 1, 500, verdict.Ran},
-		{"cut whole answer", true, 100, []script{cutWhole, good}, 2, 200, verdict.Ran},
-		{"cut whole answer, not repeatable", false, 100, []script{cutWhole, good}, 1, 0, verdict.Ran},
-		{"too long an answer is no shorter answer", false, 100, []script{tooLong}, 1, 0, verdict.Ran},
+		{"truncated response", true, 100, []script{truncated, good}, 2, 200, verdict.Ran},
+		{"truncated response, not repeatable", false, 100, []script{truncated, good}, 1, 0, verdict.Ran},
+		{"an oversized response is not truncated", false, 100, []script{tooLong}, 1, 0, verdict.Ran},
 		{"lost", true, 100, []script{lost, good}, 2, 200, verdict.Ran},
 		{"lost, not repeatable", false, 100, []script{lost, good}, 1, 0, verdict.MayHaveRun},
 		{"full, not repeatable", false, 100, []script{full, good}, 2, 200, verdict.Ran},
@@ -103,14 +102,14 @@
 	}
 }
 
-// TestHedge: an attempt far beyond the usual time is made again elsewhere, the
-// loser is abandoned, and hedges stay within their budget.
+// TestHedge checks that an attempt far slower than usual is hedged at another endpoint, that the loser is
+// abandoned, and that hedges stay within their budget.
 func TestHedge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const calls = 1000
 		var abandoned atomic.Int64
 		g := &fakeGate{}
-		g.answer = func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+		g.respond = func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
 			if n%20 != 19 {
 				return good(ctx)
 			}
@@ -140,13 +139,13 @@
 	})
 }
 
-// TestSlowServiceIsFollowed: when all of a service becomes ten times slower,
-// attempts are not given up for ever at what was usual before.
-func TestSlowServiceIsFollowed(t *testing.T) {
+// TestEstimatesFollowSlowService checks that the estimates follow when a whole service becomes ten times slower,
+// so that attempts are no longer abandoned at the old delay.
+func TestEstimatesFollowSlowService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took := quick
 		g := &fakeGate{}
-		g.answer = func(ctx context.Context, _ int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+		g.respond = func(ctx context.Context, _ int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
 			return after(ctx, took, 200, "good")
 		}
 		sv := serviceOf("encoder", optext.Encoder, true)
@@ -169,7 +168,7 @@
 	})
 }
 
-// stagesOf returns a pipeline of services one after the other.
+// stagesOf returns a pipeline that runs the services one after the other.
 func stagesOf(services ...*optext.Service) *optext.Pipeline {
 	p := &optext.Pipeline{Name: "quote", Refuse: true}
 	for i, sv := range services {
@@ -182,7 +181,7 @@
 	return p
 }
 
-// TestVerdictOfPipeline: a request is NotRun only if none of its stages ran.
+// TestVerdictOfPipeline checks that a request is NotRun only if no stage ran.
 func TestVerdictOfPipeline(t *testing.T) {
 	first := serviceOf("first", optext.Plain, true)
 	second := serviceOf("second", optext.Plain, true)
@@ -190,14 +189,14 @@
 		first, second script
 		want          verdict.Verdict
 	}{
-		"first refused":      {refusal(notRun, verdict.CodeOverloaded), good, notRun},
-		"second refused":     {good, refusal(notRun, verdict.CodeOverloaded), verdict.Ran},
-		"first perhaps ran":  {refusal(verdict.MayHaveRun, verdict.CodeUpstream), good, verdict.MayHaveRun},
-		"second perhaps ran": {good, refusal(verdict.MayHaveRun, verdict.CodeUpstream), verdict.MayHaveRun},
+		"first refused":       {refusal(notRun, verdict.CodeOverloaded), good, notRun},
+		"second refused":      {good, refusal(notRun, verdict.CodeOverloaded), verdict.Ran},
+		"first may have run":  {refusal(verdict.MayHaveRun, verdict.CodeUpstream), good, verdict.MayHaveRun},
+		"second may have run": {good, refusal(verdict.MayHaveRun, verdict.CodeUpstream), verdict.MayHaveRun},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := &fakeGate{answer: func(ctx context.Context, _ int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+				g := &fakeGate{respond: func(ctx context.Context, _ int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
 					if c.Service == "first" {
 						return row.first(ctx)
 					}
@@ -219,9 +218,9 @@
 		Deadline: time.Now().Add(timeout), Input: Input{Query: "q", Raw: []byte(`{"query":"q"}`)}}
 }
 
-// TestDeadlineBudget: once the stages' times are known, a request that cannot
-// be in time is refused before any stage runs, one that falls behind is given
-// up between stages, and refuse_late = false switches both off.
+// TestDeadlineBudget checks, with known stage times, that a request that cannot finish in time is refused
+// before any stage runs, that one that falls behind is ended between stages, and that refuse_late = false
+// disables both.
 func TestDeadlineBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second := serviceOf("first", optext.Plain, true), serviceOf("second", optext.Plain, true)
@@ -229,7 +228,7 @@
 			sv.HedgePercent, sv.RetryPercent = 0, 0
 		}
 		slow := time.Duration(0)
-		g := &fakeGate{answer: func(ctx context.Context, _ int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+		g := &fakeGate{respond: func(ctx context.Context, _ int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
 			if c.Service == "first" {
 				return after(ctx, 10*quick+slow, 200, "good")
 			}
@@ -255,11 +254,11 @@
 				t.Fatal(err)
 			}
 		}
-		run(15 * quick) // the probe that finds out whether the estimates still hold
+		run(15 * quick) // the probe that checks whether the estimates still hold
 		attempts, took, err := run(15 * quick)
 		e := verdict.From(errOrNil(err))
 		if attempts != 0 || took != 0 || e.Verdict != notRun || e.Code != verdict.CodeDeadline || e.RetryAfter <= 0 {
-			t.Errorf("too late from the start: %d attempts, %v after %v", attempts, err, took)
+			t.Errorf("hopeless from the start: %d attempts, %v after %v", attempts, err, took)
 		}
 		slow = 10 * quick
 		time.Sleep(time.Second)
@@ -281,8 +280,8 @@
 	return err
 }
 
-// TestCallersFieldsAreKept: a chat request behind earlier stages carries the
-// caller's unknown fields.
+// TestCallersFieldsAreKept checks that a chat request that follows earlier stages keeps the caller's unknown
+// fields.
 func TestCallersFieldsAreKept(t *testing.T) {
 	in := Input{Raw: []byte(`{"query":"q","top_k":3,"temperature":0.5,"stream_options":{"include_usage":true},"messages":[]}`)}
 	body, err := mergeCallerFields(in, chatRequest{Model: "m", Messages: []message{{"user", "q"}}, Stream: true})
@@ -295,17 +294,17 @@
 		}
 	}
 	if strings.Contains(string(body), "top_k") {
-		t.Errorf("%s holds a pipeline's field", body)
+		t.Errorf("%s contains a field of the pipeline's input", body)
 	}
 }
 
-// TestErrorAnswersSpeakAgainstTheUpstream: one of four that answers 500 at once
-// must lose its traffic instead of drawing it as the fastest one.
-func TestErrorAnswersSpeakAgainstTheUpstream(t *testing.T) {
+// TestErrorResponsesCostTraffic checks that one of four upstreams that returns 500 at once loses
+// its traffic, instead of attracting it as the fastest one.
+func TestErrorResponsesCostTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		failed, bad := 0, 0
 		g := &fakeGate{}
-		g.answer = func(ctx context.Context, _ int, e *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+		g.respond = func(ctx context.Context, _ int, e *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
 			if e.Member.ID == "s-0" {
 				failed++
 				return after(ctx, time.Millisecond, 500, "{}")
--- a/node/pipeline/body.go
+++ b/node/pipeline/body.go
@@ -75,22 +75,22 @@
 	Inputs map[string]json.RawMessage `json:"inputs,omitempty"`
 }
 
-// buildBody makes a stage's request from the caller's input and the answers of
-// the stages it comes after.
-func buildBody(sv *optext.Service, st *optext.Stage, r *Request, answers map[string][]byte, stream bool) (path string, body []byte, err error) {
+// buildBody builds a stage's request from the caller's input and the responses of the stages that it depends
+// on.
+func buildBody(sv *optext.Service, st *optext.Stage, r *Request, responses map[string][]byte, stream bool) (path string, body []byte, err error) {
 	in := r.Input
 	var v any
 	switch optext.Kind(sv.Kind) {
 	case optext.Encoder:
 		path, v = pathEmbeddings, embedRequest{Input: in.Query}
 	case optext.Retriever:
-		vector, err := vectorOf(st, r, answers)
+		vector, err := vectorOf(st, r, responses)
 		if err != nil {
 			return "", nil, err
 		}
 		path, v = pathSearch, searchRequest{Query: in.Query, Vector: vector, TopK: topK(in)}
 	case optext.Reranker:
-		docs, err := documentsOf(st, r, answers)
+		docs, err := documentsOf(st, r, responses)
 		if err != nil {
 			return "", nil, err
 		}
@@ -99,14 +99,14 @@
 		if len(st.After) == 0 && len(in.Messages) > 0 {
 			return pathChat, in.Raw, nil // the caller's own chat request, unchanged
 		}
-		chat, err := chatOf(st, r, answers, stream)
+		chat, err := chatOf(st, r, responses, stream)
 		if err != nil {
 			return "", nil, err
 		}
 		body, err = mergeCallerFields(in, chat)
 		return pathChat, body, err
 	default:
-		path, v = pathPlain, plainOf(st, in, answers)
+		path, v = pathPlain, plainOf(st, in, responses)
 	}
 	body, err = json.Marshal(v)
 	return path, body, errors.Trace(err)
@@ -119,25 +119,24 @@
 	return defaultTopK
 }
 
-// inputsOf calls f with the answer of each stage that st comes after and whose
-// service has the given kind.
-func eachInput(st *optext.Stage, r *Request, answers map[string][]byte, kind optext.Kind, f func([]byte) error) error {
+// eachInput calls f with the response of each stage that st depends on and whose service has the given kind.
+func eachInput(st *optext.Stage, r *Request, responses map[string][]byte, kind optext.Kind, f func([]byte) error) error {
 	for _, name := range st.After {
 		for _, other := range r.Pipeline.Stages {
 			if other.Name != name || optext.Kind(r.Config.Services[other.Service].Kind) != kind {
 				continue
 			}
-			if err := f(answers[name]); err != nil {
-				return errors.Annotatef(err, "answer of stage %s", name)
+			if err := f(responses[name]); err != nil {
+				return errors.Annotatef(err, "response of stage %s", name)
 			}
 		}
 	}
 	return nil
 }
 
-func vectorOf(st *optext.Stage, r *Request, answers map[string][]byte) ([]float64, error) {
+func vectorOf(st *optext.Stage, r *Request, responses map[string][]byte) ([]float64, error) {
 	var vector []float64
-	err := eachInput(st, r, answers, optext.Encoder, func(b []byte) error {
+	err := eachInput(st, r, responses, optext.Encoder, func(b []byte) error {
 		var a embedResponse
 		if err := json.Unmarshal(b, &a); err != nil {
 			return err
@@ -151,10 +150,10 @@
 	return vector, err
 }
 
-// documentsOf collects retrieved documents, reranked ones in their new order.
-func documentsOf(st *optext.Stage, r *Request, answers map[string][]byte) ([]Document, error) {
+// documentsOf collects the retrieved documents; reranked ones are in their new order.
+func documentsOf(st *optext.Stage, r *Request, responses map[string][]byte) ([]Document, error) {
 	var docs []Document
-	err := eachInput(st, r, answers, optext.Retriever, func(b []byte) error {
+	err := eachInput(st, r, responses, optext.Retriever, func(b []byte) error {
 		var a searchResponse
 		err := json.Unmarshal(b, &a)
 		docs = append(docs, a.Documents...)
@@ -163,7 +162,7 @@
 	if err != nil {
 		return nil, err
 	}
-	err = eachInput(st, r, answers, optext.Reranker, func(b []byte) error {
+	err = eachInput(st, r, responses, optext.Reranker, func(b []byte) error {
 		var a rerankResponse
 		err := json.Unmarshal(b, &a)
 		docs = append(docs, a.Documents...)
@@ -172,8 +171,8 @@
 	return docs, err
 }
 
-func chatOf(st *optext.Stage, r *Request, answers map[string][]byte, stream bool) (chatRequest, error) {
-	docs, err := documentsOf(st, r, answers)
+func chatOf(st *optext.Stage, r *Request, responses map[string][]byte, stream bool) (chatRequest, error) {
+	docs, err := documentsOf(st, r, responses)
 	if err != nil {
 		return chatRequest{}, err
 	}
@@ -187,12 +186,11 @@
 	}}, nil
 }
 
-// notForEngines are the fields of a pipeline's request that are not the chat
-// API's.
+// pipelineOnlyFields are fields of a pipeline's input that the chat API lacks.
 var pipelineOnlyFields = []string{"query", "top_k"}
 
-// withCallersFields encodes a chat request. Fields of the caller's body that
-// this package does not know, such as temperature or stream_options, are kept.
+// mergeCallerFields encodes a chat request and adds the caller's fields that this package does not know, such
+// as temperature or stream_options.
 func mergeCallerFields(in Input, c chatRequest) ([]byte, error) {
 	own, err := json.Marshal(c)
 	if err != nil || len(in.Raw) == 0 {
@@ -213,11 +211,11 @@
 	return body, errors.Trace(err)
 }
 
-func plainOf(st *optext.Stage, in Input, answers map[string][]byte) plainRequest {
+func plainOf(st *optext.Stage, in Input, responses map[string][]byte) plainRequest {
 	p := plainRequest{Query: in.Query, Inputs: map[string]json.RawMessage{}}
 	for _, name := range st.After {
-		if json.Valid(answers[name]) {
-			p.Inputs[name] = answers[name]
+		if json.Valid(responses[name]) {
+			p.Inputs[name] = responses[name]
 		}
 	}
 	return p
--- a/node/pipeline/cached_tokens.go
+++ b/node/pipeline/cached_tokens.go
@@ -10,8 +10,8 @@
 	keyPrompt = []byte(`"prompt_tokens":`)
 )
 
-// cachedShare reads from the end of an engine's answer the share of the prompt
-// that it had cached, if its usage tells.
+// cachedShare returns the share of the prompt that the engine had cached, from the token usage at the end of
+// its response. It reports false if there is none.
 func cachedShare(tail []byte) (float64, bool) {
 	cached, ok := numberAfter(tail, keyCached)
 	if !ok {
--- a/node/pipeline/continuation.go
+++ b/node/pipeline/continuation.go
@@ -6,15 +6,15 @@
 	"github.com/juju/errors"
 )
 
-// tokenLimits are the fields that bound or demand generated tokens.
+// tokenLimits are the fields that set a maximum or minimum of generated tokens.
 var tokenLimits = []string{"max_tokens", "max_completion_tokens", "min_tokens"}
 
-// errComplete says that the limit of tokens was reached before the cut.
-var errTokenLimitReached = errors.New("pipeline: all tokens were generated")
+// errTokenLimitReached means that all requested tokens were generated before the stream broke off.
+var errTokenLimitReached = errors.New("pipeline: token limit reached")
 
-// continuation returns the chat request that goes on after what was passed on:
-// the text so far stands as the final assistant message, to be continued, and
-// the limits are lower by the tokens generated. Every other field is kept.
+// continuation returns the chat request that continues after the text forwarded so far. That text becomes the
+// final assistant message, to be continued, and the token limits are lowered by the tokens generated. Every
+// other field is kept.
 func continuation(request []byte, p *progress) ([]byte, error) {
 	if p.text == "" {
 		return request, nil
@@ -53,13 +53,13 @@
 		if rest <= 0 && name != "min_tokens" {
 			return errTokenLimitReached
 		}
-		fields[name], _ = json.Marshal(max(rest, 0)) // cannot fail for an int
+		fields[name], _ = json.Marshal(max(rest, 0)) // marshalling an int cannot fail
 	}
 	return nil
 }
 
-// appendText adds an assistant message, or lengthens the final one when the
-// caller's own request was to continue it.
+// appendText adds an assistant message, or extends the final one if the caller's request already asked to
+// continue it.
 func appendText(messages []json.RawMessage, text string, continues bool) ([]json.RawMessage, error) {
 	last := message{Role: "assistant", Content: text}
 	if !continues || len(messages) == 0 {
@@ -74,7 +74,7 @@
 	if err := json.Unmarshal(fields["content"], &before); err != nil {
 		return nil, errors.Annotate(err, "the final message is not plain text")
 	}
-	fields["content"], _ = json.Marshal(before + text) // cannot fail for a string
+	fields["content"], _ = json.Marshal(before + text) // marshalling a string cannot fail
 	raw, err := json.Marshal(fields)
 	out := append(append([]json.RawMessage(nil), messages[:len(messages)-1]...), raw)
 	return out, errors.Trace(err)
--- a/node/pipeline/cost.go
+++ b/node/pipeline/cost.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Cost by stage. Held is the time that attempts of the stage held an upstream;
-// wasted is the part of it whose answer was not used: losers of hedges,
-// attempts that failed, and streams that were cut.
+// Cost by stage. stageSeconds is the time in seconds that attempts of a stage occupied an upstream;
+// stageWasted is the part of it whose response was not used: losing hedges, failed attempts and streams that
+// broke off.
 var (
 	stageSeconds = expvar.NewMap("stage_upstream_seconds")
 	stageWasted  = expvar.NewMap("stage_wasted_seconds")
@@ -16,7 +16,7 @@
 	hedgesVar    = expvar.NewInt("hedges")
 	hedgesWon    = expvar.NewInt("hedges_won")
 	resumesVar   = expvar.NewInt("streams_resumed")
-	recomputed   = expvar.NewInt("tokens_recomputed") // prefixes of resumed streams
+	recomputed   = expvar.NewInt("tokens_recomputed") // text forwarded before a resumption
 )
 
 func countStage(stage string, took time.Duration, used bool) {
--- a/node/pipeline/deadline.go
+++ b/node/pipeline/deadline.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	admitQuantile     = 0.5 // a request is refused when the usual time does not fit any more
-	remainingQuantile = 0.1 // later it is given up only when even a quick rest does not fit
+	admitQuantile     = 0.5 // a request is refused if the median time no longer fits
+	remainingQuantile = 0.1 // a running request is ended only if even a fast remainder does not fit
 	probeInterval     = time.Second
 )
 
-// probes lets a request pass now and then that the estimates speak against,
-// so that estimates which have become wrong are found out.
+// probeLimiter admits a request per pipeline and probeInterval that the estimates would refuse, so that
+// estimates which became wrong are corrected.
 type probeLimiter struct{ m sync.Map }
 
 func (p *probeLimiter) allow(pipeline string) bool {
@@ -27,8 +27,8 @@
 	return now-old >= int64(probeInterval) && last.CompareAndSwap(old, now)
 }
 
-// ahead returns, for each stage, the estimated time from its start to the end
-// of the request: its own time and the longest way behind it.
+// remainingTimes returns, for each stage, the estimated time from its start to the end of the request: its
+// own time and the longest path of stages after it.
 func (p *pipelineRun) remainingTimes(q float64) map[string]time.Duration {
 	list := p.r.Pipeline.Stages
 	behind := make(map[string]time.Duration, len(list))
@@ -48,8 +48,7 @@
 	return p.s.estimates.get(p.r.Pipeline.Name + "/" + st.Name)
 }
 
-// refuseLate refuses a request that cannot be expected to end in time, before
-// any stage runs.
+// refuseLate refuses a request that is not expected to finish in time, before any stage runs.
 func (p *pipelineRun) refuseLate() error {
 	left := time.Until(p.r.Deadline)
 	if left <= 0 {
@@ -65,19 +64,19 @@
 	if need <= left || p.s.probes.allow(p.r.Pipeline.Name) {
 		return nil
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met: pipeline %s takes about %s, %s are left",
+	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met: pipeline %s takes about %s, %s left",
 		p.r.Pipeline.Name, need.Round(time.Millisecond), left.Round(time.Millisecond)).After(max(need-left, defaultRetryAfter))
 }
 
-// giveUp ends a request between two stages when what is still ahead does not
-// fit any more, and returns the stage's own deadline otherwise.
+// stageDeadline returns the stage's own deadline. It returns an error if the stages that remain no longer fit
+// into the request's deadline.
 func (p *pipelineRun) stageDeadline(st *optext.Stage) (time.Time, error) {
 	if !p.r.Pipeline.Refuse {
 		return p.r.Deadline, nil
 	}
 	ahead := p.remainingTimes(remainingQuantile)[st.Name]
 	if len(st.After) > 0 && time.Now().Add(ahead).After(p.r.Deadline) {
-		return time.Time{}, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met any more").After(defaultRetryAfter)
+		return time.Time{}, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline can no longer be met").After(defaultRetryAfter)
 	}
 	own, _ := p.estimate(st).quantile(p.size, remainingQuantile)
 	return p.r.Deadline.Add(own - ahead), nil
--- a/node/pipeline/estimate.go
+++ b/node/pipeline/estimate.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// histogram holds times in exponential buckets. Old samples lose weight: all
-// counts are halved when there are many, and every agePeriod as long as enough
-// remain, so that a rare service keeps what it learned.
+// histogram holds durations in exponential buckets. Old samples lose weight: all counts are halved when there
+// are halveAt of them, and every agePeriod while more than minAgedSamples remain, so that a rarely used
+// service keeps its estimate.
 type histogram struct {
 	mu     sync.Mutex
 	counts [buckets]float32
@@ -23,9 +23,9 @@
 	bucketsPerOctave = 8
 	minDuration      = 100 * time.Microsecond
 	halveAt          = 512 // samples at which counts are halved
-	minAgedSamples   = 64  // samples that are kept however old
+	minAgedSamples   = 64  // samples that are kept regardless of age
 	agePeriod        = 5 * time.Second
-	minSamples       = 16 // fewer say nothing
+	minSamples       = 16 // with fewer there is no estimate
 )
 
 func bucketOf(d time.Duration) int {
@@ -36,7 +36,7 @@
 	return min(i, buckets-1)
 }
 
-// boundOf returns the upper bound of a bucket.
+// upperBound returns the upper bound of a bucket.
 func upperBound(i int) time.Duration {
 	return time.Duration(float64(minDuration) * math.Exp2(float64(i)/bucketsPerOctave))
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-// quantile returns the time that a share q of the samples does not exceed.
+// quantile returns the duration that a share q of the samples does not exceed.
 func (h *histogram) quantile(q float64) (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,7 +79,7 @@
 
 const sizeClasses = 8
 
-// estimate holds the times of one kind of work, by the size of its request.
+// estimate holds the durations of one kind of work, by the size of its request.
 type estimate struct {
 	all    histogram
 	bySize [sizeClasses]histogram
@@ -100,7 +100,7 @@
 	return e.all.quantile(q)
 }
 
-// estimates holds an estimate per name.
+// estimates holds an estimate for each name.
 type estimates struct{ m sync.Map }
 
 func (e *estimates) get(name string) *estimate {
@@ -111,13 +111,13 @@
 	return v.(*estimate)
 }
 
-// gaps holds the usual time between two events of a service's streams.
+// eventGaps holds the average time between two events of a service's streams.
 type eventGaps struct{ m sync.Map }
 
-// gap is a moving average in nanoseconds.
+// movingAverage is an exponential moving average in nanoseconds.
 type movingAverage struct{ value atomic.Int64 }
 
-const gapWeight = 16 // one over the weight of a new sample
+const gapWeight = 16 // reciprocal of the weight of a new sample
 
 func (g *eventGaps) get(service string) *movingAverage {
 	if v, ok := g.m.Load(service); ok {
--- a/node/pipeline/fake_test.go
+++ b/node/pipeline/fake_test.go
@@ -20,12 +20,12 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, "seed=1") }
 
-// fakeGate answers attempts by a function and notes them.
+// fakeGate responds to attempts by calling respond, and records them.
 type fakeGate struct {
-	mu     sync.Mutex
-	calls  []dispatch.Call
-	at     []wire.MemberID
-	answer func(ctx context.Context, n int, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error)
+	mu      sync.Mutex
+	calls   []dispatch.Call
+	at      []wire.MemberID
+	respond func(ctx context.Context, n int, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error)
 }
 
 func (g *fakeGate) Do(ctx context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
@@ -34,7 +34,7 @@
 	g.calls = append(g.calls, c)
 	g.at = append(g.at, e.Member.ID)
 	g.mu.Unlock()
-	return g.answer(ctx, n, e, c)
+	return g.respond(ctx, n, e, c)
 }
 
 func (g *fakeGate) attempts() int {
@@ -43,11 +43,11 @@
 	return len(g.calls)
 }
 
-type noPressure struct{}
+type noCapacityReports struct{}
 
-func (noPressure) Report(string, bool) {}
+func (noCapacityReports) Report(string, bool) {}
 
-// newFake returns a service whose members all answer by g.
+// newFake returns a service whose members all respond through g.
 func newFake(g *fakeGate, members int, services ...*optext.Service) *Service {
 	v := &configsync.View{Config: configOf(services...), ByService: map[string][]wire.Member{}}
 	for _, sv := range services {
@@ -57,7 +57,7 @@
 	}
 	table := routing.NewTable("entry", "")
 	table.Update(v)
-	return newService(timeline.NewRing("entry", "vm", 16), table, g, noPressure{})
+	return newService(timeline.NewRing("entry", "vm", 16), table, g, noCapacityReports{})
 }
 
 func configOf(services ...*optext.Service) *optext.Config {
@@ -77,8 +77,7 @@
 		Method: "POST", Path: "/", Body: []byte("{}"), Deadline: time.Now().Add(timeout)}
 }
 
-// after answers with a body when the time has passed, unless the attempt is
-// abandoned first.
+// after responds with a body after the given time, unless the attempt is abandoned first.
 func after(ctx context.Context, d time.Duration, status int, body string) (*dispatch.Answer, error) {
 	select {
 	case <-time.After(d):
@@ -88,8 +87,7 @@
 	}
 }
 
-// cutBody gives its data and then ends: with an error, or by silence until the
-// attempt is abandoned when end is nil.
+// cutBody returns its data and then the error end. If end is nil it blocks until the attempt is abandoned.
 type cutBody struct {
 	ctx  context.Context
 	data []byte
@@ -111,4 +109,4 @@
 
 func (b *cutBody) Close() error { return nil }
 
-func errCut() error { return verdict.New(verdict.Ran, verdict.CodeCut, "cut") }
+func errTruncated() error { return verdict.New(verdict.Ran, verdict.CodeCut, "cut") }
--- a/node/pipeline/pipeline.go
+++ b/node/pipeline/pipeline.go
@@ -1,5 +1,5 @@
-// Package pipeline runs the stages of one request in the order of their
-// dependencies, all under one deadline.
+// Package pipeline runs the stages of a request in the order of their dependencies, under one deadline. It
+// retries, hedges and resumes the calls that it makes.
 package pipeline
 
 import (
@@ -21,7 +21,7 @@
 	"caperdrum.org/node/routing"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	Ring      *timeline.Ring
@@ -31,19 +31,19 @@
 	Admission *admission.Service  `name:"admission"`
 }
 
-// router chooses endpoints.
+// router selects endpoints.
 type router interface {
 	Choose(routing.Request) *routing.Endpoint
 	Size(service string) int
 }
 
-// dispatcher sends one attempt. A context that ends abandons the attempt.
+// dispatcher sends one attempt, and abandons it when the context ends.
 type dispatcher interface {
 	Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Answer, error)
 }
 
-// pressure is told of every attempt that is sent, and of those that were
-// refused for lack of capacity.
+// capacityReporter is told of every attempt that is sent, and of those that were refused for lack of
+// capacity.
 type capacityReporter interface {
 	Report(service string, refused bool)
 }
@@ -80,17 +80,17 @@
 	Input    Input
 }
 
-// Input is the caller's body.
+// Input is the body of the caller's request.
 type Input struct {
 	Query    string          `json:"query"`
 	Messages json.RawMessage `json:"messages,omitempty"` // as in the OpenAI chat API
 	Model    string          `json:"model,omitempty"`
 	Stream   bool            `json:"stream,omitempty"`
 	TopK     int             `json:"top_k,omitempty"`
-	Raw      []byte          `json:"-"` // the body as it came
+	Raw      []byte          `json:"-"` // the body as received
 }
 
-// Result is the answer of the last stage. Body must be closed.
+// Result is the response of the last stage. Body must be closed.
 type Result struct {
 	Status      int
 	ContentType string
@@ -98,12 +98,12 @@
 }
 
 const (
-	defaultRetryAfter = time.Second // after a refusal that gave no time of its own
-	maxResponse       = 16 << 20    // bytes of an answer that is held until it is whole
+	defaultRetryAfter = time.Second // for a refusal that states none
+	maxResponse       = 16 << 20    // bytes of a response that is buffered until it is complete
 )
 
-// Run runs all stages. The last one's event stream is passed on as it comes;
-// every other answer is read whole.
+// Run runs all stages. The last one's event stream is forwarded as it arrives; every other response is read
+// completely.
 func (s *Service) Run(ctx context.Context, r *Request) (*Result, error) {
 	run := newPipelineRun(s, r)
 	if err := run.refuseLate(); err != nil {
@@ -112,7 +112,7 @@
 	return run.run(ctx)
 }
 
-// Call makes attempts of a single call until one is answered.
+// Call makes attempts of a single call until one succeeds.
 func (s *Service) Call(ctx context.Context, c dispatch.Call, sv *optext.Service) (*dispatch.Answer, error) {
 	w := &callSpec{Call: c, service: sv, size: len(c.Body)}
 	a, err := s.exchange(ctx, w)
@@ -122,7 +122,7 @@
 	return &dispatch.Answer{Status: a.status, ContentType: a.contentType, Body: a.bodyReader()}, nil
 }
 
-// budgetOf is a budget and the percentage it was made for.
+// sizedBudget is a budget and the percentage that it was created for.
 type sizedBudget struct {
 	percent int
 	budget  *retry.Budget
--- a/node/pipeline/policy_test.go
+++ b/node/pipeline/policy_test.go
@@ -25,8 +25,8 @@
 	"caperdrum.org/node/routing"
 )
 
-// The trials run three entries against stand-in gates on a virtual clock. They
-// compare policies with each other; they say nothing of absolute times.
+// The trials run three entries against simulated gates on a virtual clock. They compare policies with each
+// other and do not predict absolute times.
 const (
 	trialEntries  = 3
 	trialMembers  = 12
@@ -34,21 +34,21 @@
 	trialMean     = 200 * time.Millisecond
 	trialDeadline = 1500 * time.Millisecond
 	trialTime     = 30 * time.Second
-	trialFault    = 10 * time.Second // when the fault begins
-	shortTrial    = 8 * time.Second  // under the race detector, of trials without a fault
-	runNoise      = 0.2              // points by which two runs may differ: goroutines interleave differently
-	noise         = 0.35             // sigma of the logarithm of an attempt's time
+	trialFault    = 10 * time.Second // start of the fault
+	shortTrial    = 8 * time.Second  // length of trials without a fault under the race detector
+	runNoise      = 0.2              // percentage points by which two runs may differ, because goroutines interleave differently
+	noise         = 0.35             // sigma of the log-normal factor on an attempt's time
 )
 
-// upstream is a stand-in with a number of places, a queue and a prefix cache.
+// upstream simulates an upstream with a number of slots, a queue and a prefix cache.
 type upstream struct {
-	places  chan struct{}
+	slots   chan struct{}
 	waiting atomic.Int64
 	fault   func() (factor float64, silent, refuses bool)
 	cache   *lru
 }
 
-// lru is a cache of sessions.
+// lru is a cache of sessions with least-recently-used eviction.
 type lru struct {
 	mu    sync.Mutex
 	size  int
@@ -79,62 +79,62 @@
 // trial is one scenario under one policy.
 type trial struct {
 	policy   optext.Service
-	load     float64 // share of the capacity
-	sessions int     // chats with a cached prefix; zero for none
+	load     float64 // as a share of the capacity
+	sessions int     // chat sessions with a cached prefix; zero for none
 	fault    func(member int, at time.Duration) (factor float64, silent, refuses bool)
 
 	length    time.Duration // trialTime if zero
-	began     time.Time
+	started   time.Time
 	upstreams map[wire.MemberID]*upstream
 	ideal     *lru
 	mu        sync.Mutex
 
-	sent, whole, hits, idealHits, runs int
-	refused                            int // as not run
-	held, used                         time.Duration
-	times                              []time.Duration
+	sent, completed, hits, idealHits, runs int
+	refused                                int // as not run
+	occupied, used                         time.Duration
+	times                                  []time.Duration
 }
 
 func (tr *trial) Do(ctx context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
 	u := tr.upstreams[e.Member.ID]
 	factor, silent, refuses := u.fault()
 	if refuses {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "not reached")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "unreachable")
 	}
 	if silent {
 		<-ctx.Done()
-		abandoned(e)
+		delayByMember(e)
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "silent")
 	}
 	wait := time.Duration(float64(u.waiting.Load()) / trialSlots * float64(trialMean))
-	if len(u.places) == trialSlots && time.Now().Add(wait+trialMean).After(c.Deadline) {
+	if len(u.slots) == trialSlots && time.Now().Add(wait+trialMean).After(c.Deadline) {
 		tr.report(e, u)
-		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the queue is long").After(wait)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the queue is too long").After(wait)
 	}
 	u.waiting.Add(1)
 	select {
-	case u.places <- struct{}{}:
+	case u.slots <- struct{}{}:
 		u.waiting.Add(-1)
 	case <-ctx.Done():
 		u.waiting.Add(-1)
-		abandoned(e)
+		delayByMember(e)
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "abandoned")
 	}
-	defer func() { <-u.places }()
+	defer func() { <-u.slots }()
 	return tr.run(ctx, e, u, c, factor)
 }
 
-// abandoned lets attempts that are abandoned at the same moment, as by the
-// deadline of their request, end in the order of their members: a context ends
-// its children in random order.
-func abandoned(e *routing.Endpoint) {
+// delayByMember makes attempts that are abandoned at the same moment, for example by the deadline of their
+// request, end in an order given by their members. Otherwise the order is random, as contexts cancel their
+// children in random order.
+func delayByMember(e *routing.Endpoint) {
 	time.Sleep(time.Duration(xxhash.Sum64String(string(e.Member.ID)) % 1000))
 }
 
 func (tr *trial) run(ctx context.Context, e *routing.Endpoint, u *upstream, c dispatch.Call, factor float64) (*dispatch.Answer, error) {
 	base := math.Float64frombits(binary.LittleEndian.Uint64(c.Body))
 	session := binary.LittleEndian.Uint64(c.Body[8:])
-	random := rand.New(rand.NewPCG(math.Float64bits(base), xxhash.Sum64String(string(e.Member.ID)))) // whatever the order of goroutines
+	random := rand.New(rand.NewPCG(math.Float64bits(base), xxhash.Sum64String(string(e.Member.ID)))) // independent of the order of goroutines
 	factor *= math.Exp(noise * random.NormFloat64())
 	tr.mu.Lock()
 	tr.runs++
@@ -147,16 +147,16 @@
 		tr.hits++
 		tr.mu.Unlock()
 	}
-	began := time.Now()
+	started := time.Now()
 	a, err := after(ctx, time.Duration(base*factor*float64(trialMean)), 200,
 		fmt.Sprintf(`{"usage":{"prompt_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}}`, len(c.Body), cached))
 	if err != nil {
-		abandoned(e)
+		delayByMember(e)
 	}
 	tr.mu.Lock()
-	tr.held += time.Since(began)
+	tr.occupied += time.Since(started)
 	if err == nil {
-		tr.used += time.Since(began)
+		tr.used += time.Since(started)
 	}
 	tr.mu.Unlock()
 	tr.report(e, u)
@@ -164,11 +164,11 @@
 }
 
 func (tr *trial) report(e *routing.Endpoint, u *upstream) {
-	e.Report(u.waiting.Load(), int64(len(u.places)), trialSlots)
+	e.Report(u.waiting.Load(), int64(len(u.slots)), trialSlots)
 }
 
-func (tr *trial) play() {
-	tr.began = time.Now()
+func (tr *trial) simulate() {
+	tr.started = time.Now()
 	tr.upstreams = map[wire.MemberID]*upstream{}
 	tr.ideal = newLRU(trialMembers * 40)
 	sv := tr.policy
@@ -177,11 +177,11 @@
 	for i := range trialMembers {
 		id := wire.MemberID(fmt.Sprintf("llm-%02d", i))
 		v.ByService["llm"] = append(v.ByService["llm"], wire.Member{ID: id})
-		tr.upstreams[id] = &upstream{places: make(chan struct{}, trialSlots), cache: newLRU(40), fault: func() (float64, bool, bool) {
-			if tr.fault == nil || time.Since(tr.began) < trialFault {
+		tr.upstreams[id] = &upstream{slots: make(chan struct{}, trialSlots), cache: newLRU(40), fault: func() (float64, bool, bool) {
+			if tr.fault == nil || time.Since(tr.started) < trialFault {
 				return 1, false, false
 			}
-			return tr.fault(i, time.Since(tr.began))
+			return tr.fault(i, time.Since(tr.started))
 		}}
 	}
 	entries := make([]*Service, trialEntries)
@@ -189,7 +189,7 @@
 		table := routing.NewTable(fmt.Sprint("entry-", i), "")
 		table.Seed(uint64(i))
 		table.Update(v)
-		entries[i] = newService(newFake(&fakeGate{}, 1, &sv).ring, table, tr, noPressure{})
+		entries[i] = newService(newFake(&fakeGate{}, 1, &sv).ring, table, tr, noCapacityReports{})
 	}
 	tr.arrivals(entries, &sv)
 	time.Sleep(2 * trialDeadline)
@@ -202,8 +202,8 @@
 		tr.length = trialTime
 	}
 	random := rand.New(rand.NewPCG(1, 1))
-	rate := tr.load * trialMembers * trialSlots / trialMean.Seconds() / 1.2 // 1.2: mean of work and noise
-	for time.Since(tr.began) < tr.length {
+	rate := tr.load * trialMembers * trialSlots / trialMean.Seconds() / 1.2 // 1.2 is the mean of work and noise
+	for time.Since(tr.started) < tr.length {
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		body := make([]byte, 2048)
 		binary.LittleEndian.PutUint64(body, math.Float64bits(math.Exp(0.5*random.NormFloat64())))
@@ -221,10 +221,10 @@
 }
 
 func (tr *trial) request(entry *Service, sv *optext.Service, body []byte) {
-	began := time.Now()
+	started := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), trialDeadline)
 	defer cancel()
-	w := &callSpec{service: sv, size: len(body), Call: dispatch.Call{Stage: "llm", Service: "llm", Repeatable: true, Body: body, Deadline: began.Add(trialDeadline)}}
+	w := &callSpec{service: sv, size: len(body), Call: dispatch.Call{Stage: "llm", Service: "llm", Repeatable: true, Body: body, Deadline: started.Add(trialDeadline)}}
 	if tr.sessions > 0 {
 		prompt := make([]byte, len(body))
 		copy(prompt, body[8:16])
@@ -236,24 +236,24 @@
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.times = append(tr.times, time.Since(began))
+	tr.times = append(tr.times, time.Since(started))
 	switch {
 	case err == nil:
-		tr.whole++
+		tr.completed++
 	case verdict.Of(err) == verdict.NotRun:
 		tr.refused++
 	}
 }
 
-func (tr *trial) attained() float64 { return 100 * float64(tr.whole) / float64(tr.sent) }
+func (tr *trial) attained() float64 { return 100 * float64(tr.completed) / float64(tr.sent) }
 
 func (tr *trial) percentile(q float64) time.Duration {
 	sort.Slice(tr.times, func(i, j int) bool { return tr.times[i] < tr.times[j] })
 	return tr.times[int(q*float64(len(tr.times)-1))]
 }
 
-// extra is the part of the upstreams' time whose answer was not used, percent.
-func (tr *trial) extra() float64 { return 100 * float64(tr.held-tr.used) / float64(tr.held) }
+// extra is the percentage of the upstreams' time whose response was not used.
+func (tr *trial) extra() float64 { return 100 * float64(tr.occupied-tr.used) / float64(tr.occupied) }
 
 var (
 	plainRoundRobin = optext.Service{RoutingPolicy: "round-robin"}
@@ -264,7 +264,7 @@
 	defaults        = optext.Service{RoutingPolicy: "predicted", Ejection: true, RetryPercent: 10, HedgePercent: 3}
 )
 
-func slowOnes(n int) func(int, time.Duration) (float64, bool, bool) {
+func slowMembers(n int) func(int, time.Duration) (float64, bool, bool) {
 	return func(member int, _ time.Duration) (float64, bool, bool) {
 		if member < n {
 			return 10, false, false
@@ -273,9 +273,9 @@
 	}
 }
 
-// TestPolicies compares the default policy with its parts and the baselines.
-// In every scenario within capacity the default must attain 99.5%, do no worse
-// than any baseline, and its retries and hedges must cost under 3% extra. With -v it prints the table.
+// TestPolicies compares the default policy with its parts and the baselines. In every scenario within
+// capacity the default must attain 99.5%, be no worse than any baseline, and spend under 3% extra on retries
+// and hedges. With -v it prints the table.
 func TestPolicies(t *testing.T) {
 	policies := []struct {
 		name   string
@@ -289,22 +289,22 @@
 		fault    func(int, time.Duration) (float64, bool, bool)
 	}{
 		{"steady", 0.6, 0, nil},
-		{"one of 12 ten times slower", 0.6, 0, slowOnes(1)},
-		{"four of 12 ten times slower", 0.5, 0, slowOnes(4)},
+		{"one of 12 ten times slower", 0.6, 0, slowMembers(1)},
+		{"four of 12 ten times slower", 0.5, 0, slowMembers(4)},
 		{"one silent", 0.6, 0, func(m int, _ time.Duration) (float64, bool, bool) { return 1, m == 0, false }},
 		{"one refusing", 0.6, 0, func(m int, _ time.Duration) (float64, bool, bool) { return 1, false, m == 0 }},
 		{"chats, 400 sessions", 0.5, 400, nil},
 	}
-	if testing.Short() { // the race detector is slow: the baseline and the default, in one scenario
+	if testing.Short() { // the race detector is slow: run the baseline and the default in one scenario
 		policies = append(policies[:1:1], policies[3], policies[5])
 		scenarios = scenarios[1:2]
 	}
 	for _, sc := range scenarios {
-		best, without := 0.0, 0.0 // without: extra of the policy without retries and hedges
+		best, without := 0.0, 0.0 // without is the extra of the policy without retries and hedges
 		for i, p := range policies {
 			synctest.Test(t, func(t *testing.T) {
 				tr := &trial{policy: p.policy, load: sc.load, sessions: sc.sessions, fault: sc.fault}
-				tr.play()
+				tr.simulate()
 				line := fmt.Sprintf("%-28s %-18s attained %6.2f%%  p50 %4d ms  p99 %4d ms  extra %5.2f%%", sc.name, p.name, tr.attained(),
 					tr.percentile(0.5).Milliseconds(), tr.percentile(0.99).Milliseconds(), tr.extra())
 				if sc.sessions > 0 {
@@ -329,9 +329,9 @@
 	}
 }
 
-// TestOverload: at three times the capacity retries and hedges must not take
-// places away from answers in time. The stand-in gate is first in, first out,
-// so the goodput itself says nothing of the real gate's queue.
+// TestOverload checks that at three times the capacity retries and hedges do not take slots from responses
+// within their deadline. The simulated gate is first in, first out, so the absolute goodput does not describe
+// the real gate's queue.
 func TestOverload(t *testing.T) {
 	baseline := 0.0
 	for _, p := range []struct {
@@ -343,9 +343,9 @@
 			if testing.Short() {
 				tr.length = shortTrial
 			}
-			tr.play()
+			tr.simulate()
 			goodput := 100 * tr.used.Seconds() / (trialMembers * trialSlots * tr.length.Seconds())
-			t.Logf("%-12s goodput %.1f%% of capacity, %.2f%% whole, %.2f%% refused as not run, extra %.2f%%", p.name, goodput,
+			t.Logf("%-12s goodput %.1f%% of capacity, %.2f%% complete, %.2f%% refused as not run, extra %.2f%%", p.name, goodput,
 				tr.attained(), 100*float64(tr.refused)/float64(tr.sent), tr.extra())
 			if goodput < baseline-3 {
 				t.Errorf("goodput %.1f%%, %.1f%% without retries and hedges", goodput, baseline)
--- a/node/pipeline/race.go
+++ b/node/pipeline/race.go
@@ -14,20 +14,20 @@
 
 const (
 	maxAttempts       = 4
-	lateFactor        = 3 // times the 99th percentile: an attempt this late is taken to be lost
+	lateFactor        = 3 // times the 99th percentile: an attempt slower than this counts as lost
 	lateQuantile      = 0.99
 	minHedgeDelay     = time.Millisecond
 	minLateDelay      = 50 * time.Millisecond
-	unknownSpeedShare = 3    // of the time left, one of this many for an attempt of unknown speed
-	usualQuantile     = 0.75 // no attempt is late before
-	highQuantile      = 0.9  // a further attempt is expected to take at most this
-	suspectQuantile   = 0.75 // of the hedge of an attempt that probes a suspect endpoint
+	unknownSpeedShare = 3    // an attempt of unknown speed counts as lost after the time left divided by this
+	usualQuantile     = 0.75 // no attempt counts as late before this quantile
+	highQuantile      = 0.9  // expected duration of a further attempt
+	suspectQuantile   = 0.75 // delay before hedging an attempt that probes a suspect endpoint
 	minHedgeQuantile  = 0.9
-	sameEndpointDelay = 25 * time.Millisecond // pause before an endpoint is tried again
+	sameEndpointDelay = 25 * time.Millisecond // before the same endpoint is tried again
 )
 
-// race makes attempts of one call until one is answered: one after the other
-// when they fail, side by side when one is late and the call is repeatable.
+// race makes attempts of one call until one succeeds: sequentially when they fail, and concurrently when one
+// is late and the call is repeatable.
 type race struct {
 	s       *Service
 	ctx     context.Context
@@ -37,27 +37,27 @@
 	tried    map[wire.MemberID]bool
 	results  chan result
 	cancels  [maxAttempts]context.CancelFunc
-	inFlight [maxAttempts]*routing.Endpoint // of attempts that run
+	inFlight [maxAttempts]*routing.Endpoint // endpoints of the running attempts, by attempt number
 	launched int
 	running  int
-	hedge    int // number of the attempt that was a hedge; zero for none
+	hedge    int // number of the hedged attempt; zero if there is none
 	started  time.Time
-	size     int // of the first attempt's request, without what its endpoint has cached
+	size     int // of the first attempt's request, without the part cached by its endpoint
 
 	strongestVerdict verdict.Verdict // over all attempts that ended
 	last             *verdict.Error
-	errorResponse    *response // with a status that speaks for another try
+	errorResponse    *response // has a status that calls for another attempt
 }
 
 type result struct {
 	number   int
-	answer   *response
+	response *response
 	err      error
 	endpoint *routing.Endpoint
 }
 
-// exchange makes attempts until one is answered. After a NotRun it tries
-// another endpoint; after any other failure only if the service is repeatable.
+// exchange makes attempts until one succeeds. After NotRun it tries another endpoint; after any other failure
+// it does so only if the service is repeatable.
 func (s *Service) exchange(ctx context.Context, w *callSpec) (*response, error) {
 	r := &race{s: s, ctx: ctx, w: w, retries: s.retryBudget(w.service), tried: map[wire.MemberID]bool{},
 		results: make(chan result, maxAttempts), started: time.Now(), strongestVerdict: verdict.NotRun}
@@ -83,7 +83,7 @@
 			r.running--
 			r.inFlight[res.number] = nil
 			if r.accept(res) {
-				return res.answer, nil
+				return res.response, nil
 			}
 			if r.running == 0 && !r.retry() {
 				return r.failure()
@@ -98,7 +98,7 @@
 	}
 }
 
-// next returns the endpoint of the next attempt, or nil.
+// nextEndpoint selects the endpoint of the next attempt, or returns nil.
 func (r *race) nextEndpoint() *routing.Endpoint {
 	if r.launched == maxAttempts {
 		return nil
@@ -108,7 +108,7 @@
 		Size: w.size, Prefix: w.prefix, Model: w.model})
 }
 
-// start begins an attempt.
+// start starts an attempt at the endpoint.
 func (r *race) start(e *routing.Endpoint) {
 	r.tried[e.Member.ID] = true
 	ctx, cancel := context.WithCancel(r.ctx)
@@ -130,7 +130,7 @@
 	}()
 }
 
-// forget lets endpoints be tried again where no attempt is under way.
+// allowRepeats allows endpoints to be tried again if no attempt runs there.
 func (r *race) allowRepeats() {
 	clear(r.tried)
 	for _, e := range r.inFlight {
@@ -140,9 +140,8 @@
 	}
 }
 
-// learn notes the time of an answer, and of an attempt that was given up if it
-// took longer than usual: without those the estimate would never follow a
-// service that becomes slow as a whole.
+// recordDuration records the duration of a successful attempt, and of an abandoned one if it exceeds the
+// median. Without the latter the estimate would never follow a service that becomes slow as a whole.
 func (s *Service) recordDuration(w *callSpec, size int, took time.Duration, ok, abandoned bool) {
 	est := s.estimates.get(w.estimateName())
 	if ok {
@@ -161,18 +160,18 @@
 	return "whole " + w.Service
 }
 
-// accept reports whether the result ends the race; otherwise it is noted.
+// accept reports whether the result ends the race; otherwise it records it.
 func (r *race) accept(res result) bool {
 	if res.err == nil && !r.tryElsewhere(res) {
 		if r.hedge > 0 && res.number == r.hedge {
 			hedgesWon.Add(1)
 		}
-		r.cancels[res.number] = nil // a stream goes on; it is released when it is closed
+		r.cancels[res.number] = nil // the stream goes on; closing it releases the context
 		return true
 	}
 	if res.err == nil {
-		r.errorResponse = res.answer
-		r.last = verdict.From(res.answer.statusError())
+		r.errorResponse = res.response
+		r.last = verdict.From(res.response.statusError())
 		r.strongestVerdict = verdict.Ran
 		return false
 	}
@@ -183,10 +182,10 @@
 	return false
 }
 
-// tryElsewhere reports whether an answer's status speaks for another endpoint.
+// tryElsewhere reports whether a response's status calls for another endpoint.
 func (r *race) tryElsewhere(res result) bool {
-	status := res.answer.status
-	if !r.w.Repeatable || res.answer.stream != nil {
+	status := res.response.status
+	if !r.w.Repeatable || res.response.stream != nil {
 		return false
 	}
 	if optext.Kind(r.w.service.Kind) == optext.Engine && status == http.StatusNotFound {
@@ -196,7 +195,7 @@
 	return status >= http.StatusInternalServerError || status == http.StatusTooManyRequests
 }
 
-// again starts another attempt after all failed, if that is allowed.
+// retry starts another attempt after all have failed, if that is allowed.
 func (r *race) retry() bool {
 	if r.strongestVerdict != verdict.NotRun && !r.w.Repeatable || r.launched == maxAttempts || !r.timeLeft() {
 		return false
@@ -214,8 +213,8 @@
 	return true
 }
 
-// free reports whether a retry needs no budget: the failure cost no upstream
-// anything and is a sign of a late members list, not of load.
+// budgetExempt reports whether a retry takes nothing from the budget, because the failure cost no upstream
+// anything and points to an outdated member list, not to load.
 func (r *race) budgetExempt() bool {
 	if r.last.Verdict != verdict.NotRun {
 		return false
@@ -223,9 +222,8 @@
 	return r.last.Code == verdict.CodeLeaving || r.last.Code == verdict.CodeNoEndpoint
 }
 
-// pause waits before endpoints are tried a second time because there is no
-// other one. After a refusal they are not: it came from a gate that knows its
-// load.
+// waitToRepeat waits before endpoints are tried again for lack of others. It returns false after a refusal,
+// which came from a gate that knows its load.
 func (r *race) waitToRepeat() bool {
 	if r.last.Verdict == verdict.NotRun {
 		return false
@@ -241,8 +239,8 @@
 
 func (r *race) timeLeft() bool { return r.ctx.Err() == nil && time.Now().Before(r.w.Deadline) }
 
-// firstTimer returns the timer of the hedge, or of the first late attempt when
-// there is nothing to base a hedge on.
+// firstTimer returns the timer of the hedge, or of the first late attempt if there is no estimate for a
+// hedge.
 func (r *race) firstTimer() (timer *time.Timer, hedge bool) {
 	if !r.w.Repeatable || r.s.routing.Size(r.w.Service) < 2 {
 		t := time.NewTimer(time.Hour)
@@ -255,15 +253,15 @@
 	return time.NewTimer(r.lateDelay()), false
 }
 
-// hedgeDelay is the percentile that leaves half as many attempts over as the
-// budget allows to hedge (Dean and Barroso, "The Tail at Scale", 2013). The
-// other half is for times when more of them are late; and an attempt that is
-// late costs more than an average one.
+// hedgeDelay returns the delay after which the first attempt is hedged, and false if it is not. The delay is the
+// quantile that half as many attempts exceed as the budget allows to hedge (Dean and Barroso, "The Tail at
+// Scale", 2013). The other half is for times when more attempts are late, and because a late attempt costs more
+// than an average one.
 func (r *race) hedgeDelay() (time.Duration, bool) {
 	percent := r.w.service.HedgePercent
 	if percent <= 0 || 2*r.size < r.w.size {
-		// Elsewhere the cached prefix would have to be computed again, and its
-		// copy would push another one out.
+		// Another endpoint would have to compute the cached prefix again, and caching it there would evict
+		// another one.
 		return 0, false
 	}
 	q := max(1-float64(percent)/200, minHedgeQuantile)
@@ -274,8 +272,8 @@
 	return max(d, minHedgeDelay), ok
 }
 
-// lateDelay is the time after which an attempt is taken to be lost: far beyond
-// the usual time, or when another one could only just be in time.
+// lateDelay is the time after which an attempt counts as lost: far beyond the usual duration, or the latest
+// time at which another attempt could still finish within the deadline.
 func (r *race) lateDelay() time.Duration {
 	left := time.Until(r.w.Deadline)
 	est := r.s.estimates.get(r.w.estimateName())
@@ -288,8 +286,8 @@
 	return max(min(lateFactor*d, max(left-most, usual)), minLateDelay)
 }
 
-// late starts an attempt beside those that run. The earlier ones go on, as one
-// of them may still be first.
+// startExtra starts an attempt beside those that run. The earlier ones continue, since one of them may still
+// finish first.
 func (r *race) startExtra(hedge bool) {
 	if r.running == 0 || r.launched == maxAttempts || !r.timeLeft() {
 		return
@@ -304,7 +302,7 @@
 		e = r.nextEndpoint()
 	}
 	if e == nil && !hedge {
-		clear(r.tried) // an attempt hangs at every endpoint; not the next one, perhaps
+		clear(r.tried) // an attempt hangs at every endpoint; a new one may not
 		e = r.nextEndpoint()
 	}
 	if e == nil || !budget.Take() {
@@ -333,19 +331,19 @@
 	}
 	go func(n int) {
 		for range n {
-			if res := <-r.results; res.answer != nil {
-				res.answer.close()
+			if res := <-r.results; res.response != nil {
+				res.response.close()
 			}
 		}
 	}(r.running)
 }
 
 func (r *race) timeout() error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before an answer came").After(defaultRetryAfter)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before the response arrived").After(defaultRetryAfter)
 }
 
-// failure is the outcome when all attempts failed: the last error, with the
-// verdict that is true of all of them; or the last answer with a bad status.
+// failure returns the outcome if all attempts failed: the last response with an error status, or else the
+// last error, with the verdict that holds for all attempts.
 func (r *race) failure() (*response, error) {
 	if r.errorResponse != nil {
 		return r.errorResponse, nil
--- a/node/pipeline/resume.go
+++ b/node/pipeline/resume.go
@@ -11,11 +11,10 @@
 	"caperdrum.org/api/verdict"
 )
 
-// resumer passes on a chat's event stream, whole events only. When the stream
-// is cut, falls silent or ends without its final event, another engine goes on
-// after the last event passed on, so the caller sees one stream without a gap
-// or a repetition. The engine recomputes the prefix: the request carries the
-// text so far as a final assistant message to be continued.
+// resumer forwards a chat's event stream, complete events only. When the stream breaks off, stalls or ends
+// without its final event, another engine continues after the last forwarded event, so that the caller sees
+// one stream without a gap or a repetition. That engine recomputes the prefix: its request carries the text
+// so far as a final assistant message to be continued.
 type resumer struct {
 	ctx     context.Context
 	s       *Service
@@ -23,22 +22,22 @@
 	current *stream
 
 	forwarded     transcript
-	prior         *progress // what was passed on before the current engine; nil for the first one
+	prior         *progress // what was forwarded before the current engine; nil for the first one
 	pending       []byte    // events that the caller has not read yet
 	event         event
-	ended         bool // the final event was passed on
+	ended         bool // the final event was forwarded
 	err           error
 	lastData      time.Time
 	awaitingFirst bool // no event of the current engine was read yet
-	emptyResumes  int  // resumptions in a row without any new text
+	emptyResumes  int  // consecutive resumptions without new text
 	gap           *movingAverage
 }
 
 const (
-	maxGapFactor      = 20 // times the usual gap between events
+	maxGapFactor      = 20 // times the average gap between events
 	minEventTimeout   = 500 * time.Millisecond
 	firstEventTimeout = 2 * time.Second
-	doneWait          = 250 * time.Millisecond // for the end mark after the final event
+	doneWait          = 250 * time.Millisecond // for the end of the stream after the final event
 	maxEmptyResumes   = 4
 )
 
@@ -46,7 +45,7 @@
 	return &resumer{ctx: ctx, s: s, w: w, current: st, lastData: time.Now(), awaitingFirst: true, gap: s.gaps.get(w.Service)}
 }
 
-// Read implements io.Reader. It returns as many whole events as have come.
+// Read implements io.Reader. It returns as many complete events as have arrived.
 func (r *resumer) Read(p []byte) (int, error) {
 	for len(r.pending) == 0 {
 		if r.err != nil {
@@ -62,7 +61,7 @@
 // Close implements io.Closer.
 func (r *resumer) Close() error { return r.current.Close() }
 
-// fill reads at least one event, and those that follow without a wait.
+// fill reads at least one event, and those after it that are buffered.
 func (r *resumer) fill() {
 	r.pending = r.pending[:0]
 	if r.ended {
@@ -85,8 +84,7 @@
 	}
 }
 
-// next reads an event, and abandons the attempt when none comes for much
-// longer than usual.
+// readNext reads an event. It abandons the attempt if none arrives within eventTimeout.
 func (r *resumer) readNext() error {
 	err := r.current.nextEvent(&r.event, r.eventTimeout)
 	if err == io.EOF {
@@ -96,12 +94,12 @@
 		return err
 	}
 	if len(r.event.data) > 0 {
-		r.noteData(time.Now())
+		r.recordGap(time.Now())
 	}
 	return nil
 }
 
-func (r *resumer) noteData(now time.Time) {
+func (r *resumer) recordGap(now time.Time) {
 	if !r.awaitingFirst {
 		r.gap.add(now.Sub(r.lastData))
 	}
@@ -109,8 +107,8 @@
 	r.lastData = now
 }
 
-// patience returns how long to wait for the next event. Comments do not renew
-// it: an engine that hangs may still send them.
+// eventTimeout returns how long to wait for the next event. Comments do not extend it: an engine that hangs
+// may still send them.
 func (r *resumer) eventTimeout() time.Duration {
 	limit := firstEventTimeout
 	if usual := time.Duration(r.gap.value.Load()); usual > 0 && !r.awaitingFirst {
@@ -120,15 +118,15 @@
 	return max(limit-time.Since(r.lastData), 0)
 }
 
-// pass hands the event to the caller.
+// forwardEvent appends the event to those that the caller reads.
 func (r *resumer) forwardEvent() error {
 	switch {
 	case r.event.data == nil:
 		r.pending = append(r.pending, r.event.raw...) // a comment
 	case !r.event.isObject() && !r.event.isDone():
-		// Neither a chunk nor the final event: a caller could not read it.
+		// Neither a chunk nor the final event: callers could not parse it.
 	case r.event.isObject() && !json.Valid(r.event.data):
-		return verdict.New(verdict.Ran, verdict.CodeCut, "an event of the stream was cut")
+		return verdict.New(verdict.Ran, verdict.CodeCut, "an event of the stream was truncated")
 	case r.event.isError():
 		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the engine reported an error in its stream")
 	case r.event.isDone():
@@ -150,16 +148,16 @@
 	return nil
 }
 
-// drain reads the end mark behind the final event, so that the connection can
-// be used again. All events were passed on, so a failure means nothing.
+// drain reads to the end of the stream behind the final event, so that the connection can be reused. All
+// events were forwarded, so failures are ignored.
 func (r *resumer) drain() {
 	watch := time.AfterFunc(doneWait, r.current.cancel)
 	defer watch.Stop()
 	io.Copy(io.Discard, r.current)
 }
 
-// cut goes on elsewhere after the given failure, or ends the stream with an
-// error event and the failure.
+// handleCut resumes the stream at another engine after the given failure, or ends it with an error event and
+// the error.
 func (r *resumer) handleCut(cause error) {
 	r.current.Close()
 	err := r.resume()
@@ -180,20 +178,20 @@
 		r.complete()
 		return nil
 	case r.ctx.Err() != nil || !time.Now().Before(r.w.Deadline):
-		return verdict.New(verdict.Ran, verdict.CodeTimeout, "the deadline passed before the whole answer came")
+		return verdict.New(verdict.Ran, verdict.CodeTimeout, "the deadline passed before the complete response arrived")
 	case !p.resumable:
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut and holds more than one choice of plain text")
+		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream broke off and cannot be resumed: it is not a single choice of plain text")
 	case r.noProgress(&p):
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut again and again without any new text")
+		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream broke off repeatedly without new text")
 	case !r.s.retryBudget(r.w.service).Take():
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut and the retry budget is used up")
+		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream broke off and the retry budget is used up")
 	}
 	body, err := continuation(r.w.Body, &p)
 	if errors.Is(err, errTokenLimitReached) {
 		return r.completeAtLimit(&p)
 	}
 	if err != nil {
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut and cannot go on: %v", err)
+		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream broke off and cannot be resumed: %v", err)
 	}
 	return r.continueWith(body, &p)
 }
@@ -213,11 +211,11 @@
 	a, err := r.s.exchange(r.ctx, &next)
 	if err != nil {
 		e := *verdict.From(err)
-		e.Verdict = verdict.Ran // the part before the cut did
+		e.Verdict = verdict.Ran // the part before the failure ran
 		return &e
 	}
 	if a.stream == nil {
-		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the engine that was to go on answered with status %d", a.status)
+		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the engine that was to resume the stream returned status %d", a.status)
 	}
 	resumesVar.Add(1)
 	recomputed.Add(int64(p.tokens))
@@ -233,8 +231,7 @@
 	r.ended = true
 }
 
-// completeAtLimit ends a stream whose last token was passed on, but not the
-// chunk that says so.
+// completeAtLimit ends a stream whose last token was forwarded, but not the chunk with the finish reason.
 func (r *resumer) completeAtLimit(p *progress) error {
 	p.first["choices"] = json.RawMessage(`[{"index":0,"delta":{},"finish_reason":"length"}]`)
 	delete(p.first, "usage")
--- a/node/pipeline/resume_bench_test.go
+++ b/node/pipeline/resume_bench_test.go
@@ -17,8 +17,8 @@
 	burstEvents = 5
 )
 
-// BenchmarkResume passes on streams of 200 tokens: one event a read, as an
-// engine sends them, and five a read, as they come when the entry is busy.
+// BenchmarkResume forwards streams of 200 tokens with one event per read, as an engine sends them, and with
+// five, as they arrive at a busy entry.
 func BenchmarkResume(b *testing.B) {
 	for _, events := range []int{1, burstEvents} {
 		b.Run(fmt.Sprintf("events=%d", events), func(b *testing.B) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// partReader returns one part a read.
+// partReader returns one part per read.
 type partReader struct{ parts [][]byte }
 
 func (r *partReader) Read(p []byte) (int, error) {
--- a/node/pipeline/resume_test.go
+++ b/node/pipeline/resume_test.go
@@ -22,14 +22,14 @@
 	"caperdrum.org/node/routing"
 )
 
-// engineStyle is how one engine writes its stream.
+// engineStyle is how an engine formats its stream.
 type engineStyle struct {
 	id        string
-	roleFirst bool // a chunk with the role and no content goes first
+	roleFirst bool // sends a first chunk with the role and no content
 	lineEnd   string
 	space     string // after "data:"
 	comments  bool
-	split     bool // the data of an event stands on two lines
+	split     bool // splits the data of an event over two lines
 }
 
 func drawStyle(t *rapid.T, n int) engineStyle {
@@ -61,8 +61,8 @@
 		s.id, delta, finish))
 }
 
-// write returns the whole stream of the tokens from the first-th on, and the
-// length up to the end of its first content event.
+// write returns the complete stream of the tokens from index first on, and the length up to the end of its
+// first content event.
 func (s engineStyle) write(tokens []string, first int, usage bool, finish string) (stream []byte, progress int) {
 	var b bytes.Buffer
 	if s.roleFirst {
@@ -87,14 +87,14 @@
 	return b.Bytes(), progress
 }
 
-// cut is how one engine's stream ends.
+// cut is how one engine's stream breaks off.
 type cut struct {
 	style engineStyle
-	at    float64 // share of the stream
+	at    float64 // as a share of the stream
 	by    string
 }
 
-// drawCuts draws how the streams of a run are cut; the last one is not.
+// drawCuts draws how the streams of a run break off; the last one is complete.
 func drawCuts(t *rapid.T) []cut {
 	cuts := make([]cut, rapid.IntRange(1, 9).Draw(t, "streams"))
 	for i := range cuts {
@@ -108,7 +108,7 @@
 	body.data = body.data[:at]
 	switch c.by {
 	case "kill":
-		body.end = errCut()
+		body.end = errTruncated()
 	case "silence":
 		body.end = nil
 	case "error event":
@@ -116,7 +116,7 @@
 	}
 }
 
-// resumedRequest is what an engine reads of a request.
+// resumedRequest holds the fields of a request that an engine reads.
 type resumedRequest struct {
 	Messages []struct{ Role, Content string }
 	Continue bool `json:"continue_final_message"`
@@ -124,8 +124,8 @@
 	Extra    int  `json:"vendor_field"`
 }
 
-// generated returns how many tokens the request holds already, or -1 when its
-// text is not exactly a number of whole tokens.
+// generated returns how many tokens the request already contains, or -1 if its text is not a whole number of
+// tokens.
 func (r resumedRequest) generated(tokens []string, own string) int {
 	if !r.Continue {
 		return 0
@@ -139,7 +139,7 @@
 	return -1
 }
 
-// callerView is what a caller reads from a stream.
+// callerView is what a caller parses from a stream.
 type callerView struct {
 	text       string
 	done       int
@@ -187,7 +187,7 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
-		t.Fatalf("the caller cannot read %q: %v", data, err)
+		t.Fatalf("the caller cannot parse %q: %v", data, err)
 	}
 	v.ids[c.ID] = true
 	for _, choice := range c.Choices {
@@ -207,17 +207,16 @@
 	}
 }
 
-// TestStreamIsWhole: an engine's stream is cut at any byte, any number of
-// times, by a broken connection, silence, an early end or an error event, and
-// every engine writes differently. The caller reads the text of an uncut
-// stream, under one id, with one role, one finish reason and one final event.
+// TestStreamIsWhole cuts an engine's stream at any byte, any number of times, by a broken connection, a
+// stall, an early end or an error event, with every engine formatting differently. The caller must read the
+// text of an uncut stream, under one id, with one role, one finish reason and one final event.
 func TestStreamIsWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(rapidtest.Bubbled{TB: t}, streamIsWhole)
+		rapid.Check(rapidtest.Bubbled{TB: t}, checkStream)
 	})
 }
 
-func streamIsWhole(t *rapid.T) {
+func checkStream(t *rapid.T) {
 	tokens := rapid.SliceOfN(rapid.StringMatching(`[a-z "\\\n{}:é☕]{1,6}`), 1, 10).Draw(t, "tokens")
 	usage := rapid.Bool().Draw(t, "usage")
 	own := rapid.SampledFrom([]string{"", "begun by the caller "}).Draw(t, "own")
@@ -228,10 +227,10 @@
 	}
 	cuts := drawCuts(t)
 	barren := 0
-	var fault error // of a request that an engine got
+	var fault error // of a request that an engine received
 	var mu sync.Mutex
 	g := &fakeGate{}
-	g.answer = func(ctx context.Context, n int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+	g.respond = func(ctx context.Context, n int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		var req resumedRequest
@@ -247,7 +246,7 @@
 		if n < len(cuts)-1 && (barren < 3 || progress > 0) {
 			low := 0
 			if barren == 3 {
-				low = progress // the next one after four without any text is refused
+				low = progress // after four resumptions without text the next one is refused
 			}
 			at := low + int(cut.at*float64(len(stream)-low))
 			if at < progress || progress == 0 {
@@ -297,9 +296,9 @@
 	}
 }
 
-// TestStreamThatCannotGoOn ends with an error event and an error, and never
-// with the final event.
-func TestStreamThatCannotGoOn(t *testing.T) {
+// TestUnresumableStream checks that a stream that cannot be resumed ends with an error event and an error,
+// and never with the final event.
+func TestUnresumableStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := `data: {"choices":[{"index":0,"delta":{"content":"a"}}]}` + "\n\n"
 		for name, row := range map[string]struct {
@@ -311,11 +310,11 @@
 			"tool calls":      {`data: {"choices":[{"index":0,"delta":{"tool_calls":[{"index":0}]}}]}` + "\n\n", 100},
 			"no other engine": {begun, 100},
 		} {
-			g := &fakeGate{answer: func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+			g := &fakeGate{respond: func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
 				if n > 0 {
 					return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "full")
 				}
-				return &dispatch.Answer{Status: 200, ContentType: wire.ContentEventStream, Body: &cutBody{ctx: ctx, data: []byte(row.stream), end: errCut()}}, nil
+				return &dispatch.Answer{Status: 200, ContentType: wire.ContentEventStream, Body: &cutBody{ctx: ctx, data: []byte(row.stream), end: errTruncated()}}, nil
 			}}
 			sv := serviceOf("llm", optext.Engine, true)
 			sv.RetryPercent = row.budget
--- a/node/pipeline/sse.go
+++ b/node/pipeline/sse.go
@@ -8,9 +8,9 @@
 	"caperdrum.org/api/verdict"
 )
 
-// event is one event of an event stream (WHATWG HTML, "Server-sent events").
+// event is one server-sent event (WHATWG HTML, "Server-sent events").
 type event struct {
-	raw  []byte // with its empty line; line ends are normalized to a newline
+	raw  []byte // including its empty line; line ends are normalized to a newline
 	data []byte // the data lines joined by newlines; nil for a comment
 }
 
@@ -23,10 +23,10 @@
 
 func (e *event) isDone() bool { return bytes.Equal(e.data, donePayload) }
 
-// object reports whether the data is meant to be a JSON object.
+// isObject reports whether the data starts like a JSON object.
 func (e *event) isObject() bool { return len(e.data) > 0 && e.data[0] == '{' }
 
-// failed reports whether the event is an engine's error instead of a chunk.
+// isError reports whether the event is an engine's error instead of a chunk.
 func (e *event) isError() bool {
 	if !e.isObject() || !bytes.HasPrefix(bytes.TrimLeft(e.data[1:], " \t\r\n"), []byte(`"error"`)) {
 		return false
@@ -37,8 +37,8 @@
 	return json.Unmarshal(e.data, &c) == nil && len(c.Error) > 0 && string(c.Error) != "null"
 }
 
-// readEvent reads one whole event into e, whose memory it uses again. A part
-// of an event before the end of the stream is dropped.
+// readEvent reads one complete event into e and reuses its buffer. An incomplete event at the end of the
+// stream is dropped.
 func readEvent(r *bufio.Reader, e *event) error {
 	e.raw, e.data = e.raw[:0], nil
 	for {
@@ -52,7 +52,7 @@
 				e.joinData()
 				return nil
 			}
-			e.raw = e.raw[:0] // empty lines before an event mean nothing
+			e.raw = e.raw[:0] // empty lines before an event are ignored
 		}
 		if len(e.raw) > maxResponse {
 			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "an event exceeds %d bytes", maxResponse)
@@ -60,7 +60,7 @@
 	}
 }
 
-// readLine appends a line to b and ends it with a newline only.
+// readLine appends a line to b and normalizes its end to a newline.
 func readLine(r *bufio.Reader, b *[]byte) error {
 	for {
 		part, err := r.ReadSlice('\n')
@@ -78,7 +78,7 @@
 	}
 }
 
-// collect finds the data of the event. A single data line is not copied.
+// joinData sets the data of the event. A single data line is not copied.
 func (e *event) joinData() {
 	lines := 0
 	for line := range bytes.Lines(e.raw) {
@@ -107,7 +107,7 @@
 	return append(b, '\n')
 }
 
-// errorEvent is how a stream that cannot go on tells why.
+// errorEvent returns the event that reports why a stream cannot be resumed.
 func errorEvent(e *verdict.Error) []byte {
 	var body struct {
 		Error struct {
@@ -118,6 +118,6 @@
 		} `json:"error"`
 	}
 	body.Error.Message, body.Error.Type, body.Error.Code, body.Error.Verdict = e.Message, "server_error", e.Code, e.Verdict
-	data, _ := json.Marshal(body) // cannot fail for these types
+	data, _ := json.Marshal(body) // marshalling these types cannot fail
 	return appendEvent(nil, data)
 }
--- a/node/pipeline/stages.go
+++ b/node/pipeline/stages.go
@@ -14,18 +14,18 @@
 	"caperdrum.org/node/routing"
 )
 
-// stages is the state of one running request.
+// pipelineRun is the state of one running request.
 type pipelineRun struct {
 	s    *Service
 	r    *Request
-	size int // bytes of the caller's input
+	size int // of the caller's input, in bytes
 
 	mu         sync.Mutex
-	completed  map[string]chan struct{} // closed when the stage's answer is whole
+	completed  map[string]chan struct{} // by stage; closed when its response is complete
 	responses  map[string][]byte
 	undecided  int  // stages whose outcome is not known yet
 	mayHaveRun bool // a stage ran, or may have
-	ran        bool // a stage ran
+	ran        bool // a stage certainly ran
 }
 
 func newPipelineRun(s *Service, r *Request) *pipelineRun {
@@ -70,8 +70,7 @@
 	}
 }
 
-// whole turns a stage's error into the request's: NotRun holds for a request
-// only if no stage of it ran.
+// requestError turns a stage's error into the request's: a request is NotRun only if no stage of it ran.
 func (p *pipelineRun) requestError(err error) error {
 	e := *verdict.From(err)
 	p.mu.Lock()
@@ -90,7 +89,7 @@
 	return &e
 }
 
-// begin and end note that a stage's outcome is open, and what became of it.
+// stageStarted and stageEnded record that a stage's outcome is open, and what it became.
 func (p *pipelineRun) stageStarted() {
 	p.mu.Lock()
 	p.undecided++
@@ -105,7 +104,7 @@
 	p.mu.Unlock()
 }
 
-// closer releases the request's context when the answer was read.
+// cancelOnClose releases the request's context when the body is closed.
 type cancelOnClose struct {
 	io.ReadCloser
 	cancel context.CancelFunc
@@ -122,7 +121,7 @@
 		select {
 		case <-p.completed[name]:
 		case <-ctx.Done():
-			return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "stage %s: an earlier stage did not end in time", st.Name)
+			return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "stage %s: an earlier stage did not finish in time", st.Name)
 		}
 	}
 	return nil
@@ -167,7 +166,7 @@
 	return &Result{Status: a.status, ContentType: a.contentType, Body: body}, nil
 }
 
-// timed calls done when all was read.
+// callbackOnEOF calls done when the body was read to its end.
 type callbackOnEOF struct {
 	io.ReadCloser
 	done func()
@@ -225,7 +224,7 @@
 	return w, nil
 }
 
-// prompt returns the part of an engine's request whose prefixes it caches.
+// prompt returns the part of a request to an engine that prefix caching covers.
 func prompt(r *Request, st *optext.Stage, body []byte) []byte {
 	if len(st.After) == 0 && len(r.Input.Messages) > 0 {
 		return r.Input.Messages
--- a/node/pipeline/transcript.go
+++ b/node/pipeline/transcript.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// transcript is the data of all chunks of a chat that were passed on. It is
-// kept as bytes and read only when the stream is cut, since most never are.
+// transcript holds the data of all forwarded chunks of a chat. It is kept as bytes and parsed only if the
+// stream breaks off, since most never do.
 type transcript struct {
-	chunks [][]byte // parts of blocks
+	chunks [][]byte // slices of blocks
 	block  []byte
 	size   int
 }
@@ -26,13 +26,13 @@
 	t.size += len(data)
 }
 
-// progress is what a transcript says.
+// progress is the parsed content of a transcript.
 type progress struct {
-	first     map[string]json.RawMessage // of the first chunk: id, created, model
+	first     map[string]json.RawMessage // fields of the first chunk, such as id, created and model
 	text      string
-	tokens    int  // chunks with content, which stand for tokens
-	finished  bool // a finish reason was passed on
-	resumable bool // one choice of plain text
+	tokens    int  // chunks with content; each counts as one token
+	finished  bool // a finish reason was forwarded
+	resumable bool // the stream is one choice of plain text
 }
 
 type chunk struct {
@@ -87,16 +87,15 @@
 
 func nonEmpty(s *string) bool { return s != nil && *s != "" }
 
-// identity are the fields that name a stream and must not change within it.
+// identityFields identify a stream and must not change within it.
 var identityFields = []string{"id", "created", "model", "system_fingerprint", "object"}
 
-// rewrite makes a chunk of another engine part of the stream that began
-// elsewhere: its identity is the first engine's, the role is not told again,
-// and the usage counts what was generated before. It returns nil for a chunk
-// that says nothing new.
+// rewrite makes a chunk of another engine part of the stream that began elsewhere: it gets the identity of
+// the first engine's chunks, no second role, and a usage that includes the text generated before. It returns
+// nil for a chunk without new content.
 func (p *progress) rewrite(data []byte) ([]byte, error) {
 	if p.first == nil {
-		return data, nil // nothing was passed on: this engine's stream is the first one
+		return data, nil // nothing was forwarded yet, so this engine's stream is the first one
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(data, &fields); err != nil {
@@ -125,7 +124,7 @@
 	return json.Marshal(fields)
 }
 
-// rewriteChoices removes roles and reports whether any choice says something.
+// rewriteChoices removes roles and reports whether any choice has new content.
 func rewriteChoices(fields map[string]json.RawMessage) (news bool, err error) {
 	if absent(fields["choices"]) {
 		return true, nil
@@ -168,7 +167,7 @@
 		if json.Unmarshal(u[name], &n) != nil {
 			continue
 		}
-		u[name], _ = json.Marshal(max(n+by, 0)) // cannot fail for an int
+		u[name], _ = json.Marshal(max(n+by, 0)) // marshalling an int cannot fail
 	}
 	return json.Marshal(u)
 }
--- a/node/upstream/call.go
+++ b/node/upstream/call.go
@@ -131,9 +131,9 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		answer := protocol.Answer(resp.StatusCode, resp.Header)
-		if req.ID == "" || answer.ID == req.ID || answer.ID == "" && answer.NotRun {
-			r.Status, r.Header, r.Answer, r.resp = resp.StatusCode, resp.Header, answer, resp
+		info := protocol.Answer(resp.StatusCode, resp.Header)
+		if req.ID == "" || info.ID == req.ID || info.ID == "" && info.NotRun {
+			r.Status, r.Header, r.Answer, r.resp = resp.StatusCode, resp.Header, info, resp
 			r.Body = (*responseBody)(r)
 			return nil
 		}
--- a/node/upstream/upstream_test.go
+++ b/node/upstream/upstream_test.go
@@ -24,7 +24,7 @@
 	return Answer{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
 }
 
-// script is an upstream that answers the n-th request of each connection with the n-th text, and then closes
+// script is an upstream that responses the n-th request of each connection with the n-th text, and then closes
 // it. It counts connections and requests.
 type script struct {
 	listener net.Listener
@@ -33,7 +33,7 @@
 
 const closeNow = "close"
 
-func newScript(t *testing.T, answers ...string) *script {
+func newScript(t *testing.T, responses ...string) *script {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,18 +46,18 @@
 			if err != nil {
 				return
 			}
-			go s.serve(c, answers)
+			go s.serveConn(c, responses)
 		}
 	}()
 	return s
 }
 
-func (s *script) serve(c net.Conn, answers []string) {
+func (s *script) serveConn(c net.Conn, responses []string) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	n := 0
 	defer func() { s.conns <- n }()
-	for _, a := range answers {
+	for _, a := range responses {
 		req, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -72,7 +72,7 @@
 	io.Copy(io.Discard, br) // keeps the connection open until the client closes it
 }
 
-func answer(id, body string) string {
+func textResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -93,10 +93,10 @@
 	return string(body), err
 }
 
-// TestAnswerToAnotherCallIsSkipped sends a late second response to the first call before the response to the
+// TestResponseToAnotherCallIsSkipped sends a late second response to the first call before the response to the
 // second one, on one connection.
-func TestAnswerToAnotherCallIsSkipped(t *testing.T) {
-	s := newScript(t, answer("1", "one"), answer("1", "one again")+answer("2", "two"))
+func TestResponseToAnotherCallIsSkipped(t *testing.T) {
+	s := newScript(t, textResponse("1", "one"), textResponse("1", "one again")+textResponse("2", "two"))
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 	defer p.Close()
 	for id, want := range map[string]string{"1": "one"} {
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestOnlyStrayAnswersMayHaveRun sends only responses to other calls.
-func TestOnlyStrayAnswersMayHaveRun(t *testing.T) {
-	s := newScript(t, strings.Repeat(answer("9", "x"), maxStrayResponses+1))
+// TestOnlyStrayResponsesMayHaveRun sends only responses to other calls.
+func TestOnlyStrayResponsesMayHaveRun(t *testing.T) {
+	s := newScript(t, strings.Repeat(textResponse("9", "x"), maxStrayResponses+1))
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 	defer p.Close()
 	if _, err := call(t, p, s.request("1")); verdict.Of(err) != verdict.MayHaveRun || err == nil {
@@ -119,10 +119,10 @@
 	}
 }
 
-// TestBytesAfterAnAnswerEndTheConnection sends extra bytes after a complete response: the next call must use
+// TestBytesAfterAResponseEndTheConnection sends extra bytes after a complete response: the next call must use
 // a new connection.
-func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
-	s := newScript(t, answer("1", "one")+"more")
+func TestBytesAfterAResponseEndTheConnection(t *testing.T) {
+	s := newScript(t, textResponse("1", "one")+"more")
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 	defer p.Close()
 	for range 2 {
@@ -138,7 +138,7 @@
 // TestNoRequestIsSentTwice closes each connection after reading a request: the call fails as may-have-run and
 // the upstream has read one request.
 func TestNoRequestIsSentTwice(t *testing.T) {
-	s := newScript(t, answer("1", "one"), closeNow)
+	s := newScript(t, textResponse("1", "one"), closeNow)
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 	defer p.Close()
 	if _, err := call(t, p, s.request("1")); err != nil {
@@ -191,15 +191,15 @@
 func TestEndsOfBodies(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: 1\r\n"
 	cases := map[string]struct {
-		answer string
-		whole  bool
+		response string
+		complete bool
 	}{
-		"content length":                  {answer("1", "abc"), true},
+		"content length":                  {textResponse("1", "abc"), true},
 		"chunks":                          {head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", true},
 		"end of connection":               {head + "\r\nabc", true},
 		"shorter than the content length": {head + "Content-Length: 5\r\n\r\nabc", false},
 		"no final chunk":                  {head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", false},
-		"informational first":             {"HTTP/1.1 100 Continue\r\n\r\n" + answer("1", "abc"), true},
+		"informational first":             {"HTTP/1.1 100 Continue\r\n\r\n" + textResponse("1", "abc"), true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -215,21 +215,21 @@
 				}
 				defer conn.Close()
 				if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-					io.WriteString(conn, c.answer)
+					io.WriteString(conn, c.response)
 				}
 			}()
 			p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 			got, err := call(t, p, &Request{Address: l.Addr().String(), Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}, ID: "1"})
-			if got != "abc" || (err == nil) != c.whole {
+			if got != "abc" || (err == nil) != c.complete {
 				t.Fatalf("%q, %v", got, err)
 			}
 		})
 	}
 }
 
-// TestEarlyAnswerEndsTheConnection responds before a long body is read: no other request may follow the rest
+// TestEarlyResponseEndsTheConnection responds before a long body is read: no other request may follow the rest
 // of it.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+func TestEarlyResponseEndsTheConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -245,7 +245,7 @@
 			conns <- c
 			br := bufio.NewReader(c)
 			if _, err := http.ReadRequest(br); err == nil {
-				io.WriteString(c, answer("1", "early"))
+				io.WriteString(c, textResponse("1", "early"))
 			}
 		}
 	}()
@@ -265,8 +265,8 @@
 	}
 }
 
-// TestKeepFor lists values of the header Keep-Alive.
-func TestKeepFor(t *testing.T) {
+// TestIdleTimeoutOf lists values of the header Keep-Alive.
+func TestIdleTimeoutOf(t *testing.T) {
 	cases := map[string]time.Duration{
 		"":                  defaultIdleTimeout,
 		"timeout=5":         5*time.Second - idleMargin,
@@ -288,7 +288,7 @@
 // TestFreshConnectionIsNotKept makes calls that ask for a connection of their own to an upstream that would
 // keep it open: none stays open.
 func TestFreshConnectionIsNotKept(t *testing.T) {
-	s := newScript(t, answer("1", "one"))
+	s := newScript(t, textResponse("1", "one"))
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 	r := s.request("1")
 	r.Fresh = true
