--- a/node/pipeline/cost.go
+++ b/node/pipeline/cost.go
@@ -16,7 +16,7 @@
 	hedgesVar    = expvar.NewInt("hedges")
 	hedgesWon    = expvar.NewInt("hedges_won")
 	resumesVar   = expvar.NewInt("streams_resumed")
-	recomputed   = expvar.NewInt("tokens_recomputed") // text forwarded before a resumption
+	recomputed   = expvar.NewInt("tokens_recomputed") // tokens forwarded before resumptions
 )
 
 func countStage(stage string, took time.Duration, used bool) {
