--- a/node/gate/traffic.go
+++ b/node/gate/traffic.go
@@ -14,11 +14,11 @@
 	return Traffic{Arrived: ranVar.Value() + refusedVar.Value() + int64(queued+running), Queued: queued, InFlight: running, Limit: limit}
 }
 
-// SetParked sets whether the upstream has no model to serve. Such an upstream gets no new work; admitted
+// SetModelUnavailable sets whether the upstream has no model to serve. Such an upstream gets no new work; admitted
 // attempts are completed.
-func (s *Service) SetParked(parked bool) {
+func (s *Service) SetModelUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noModel = parked
+	s.noModel = unavailable
 	s.applyLeaving()
 }
--- a/node/order/service.go
+++ b/node/order/service.go
@@ -172,7 +172,7 @@
 	}
 	s.state = st
 	s.sync.SetHolds(wire.JoinArtifacts(st.Holds))
-	s.gate.SetParked(st.TakesOrders && (len(st.Holds) == 0 || s.draining))
+	s.gate.SetModelUnavailable(st.TakesOrders && (len(st.Holds) == 0 || s.draining))
 	return st.TakesOrders
 }
 
@@ -251,7 +251,7 @@
 	defer s.mu.Unlock()
 	s.draining = draining
 	if draining {
-		s.gate.SetParked(true)
+		s.gate.SetModelUnavailable(true)
 	}
 }
 
