--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -76,9 +76,9 @@
 	return &Service{ring: p.Ring, sync: p.Sync, client: client}
 }
 
-// Answer is an upstream's response. Body returns io.EOF only when the response was complete; any other end is
+// Response is an upstream's response. Body returns io.EOF only when the response was complete; any other end is
 // an error with a verdict. Body must be closed.
-type Answer struct {
+type Response struct {
 	Status      int
 	ContentType string
 	Header      http.Header // the headers that are forwarded to the caller
@@ -87,10 +87,10 @@
 
 // Do submits an attempt and returns once the upstream's response header arrived. The attempt's id must come
 // from wire.NewAttemptID and be used once.
-func (s *Service) Do(ctx context.Context, e *routing.Endpoint, c Call) (*Answer, error) {
+func (s *Service) Do(ctx context.Context, e *routing.Endpoint, c Call) (*Response, error) {
 	resp, err := s.submit(ctx, e, c)
 	if err == nil {
-		var a *Answer
+		var a *Response
 		if a, err = s.openResponse(ctx, e, c, resp); !errors.Is(err, errNotOurResponse) {
 			return a, err
 		}
@@ -169,7 +169,7 @@
 
 // openResponse checks a gate's response and wraps its body. The error is a verdict.Error from the gate, or
 // errNotOurResponse.
-func (s *Service) openResponse(ctx context.Context, e *routing.Endpoint, c Call, resp *http.Response) (*Answer, error) {
+func (s *Service) openResponse(ctx context.Context, e *routing.Endpoint, c Call, resp *http.Response) (*Response, error) {
 	s.observeHeaders(e, resp.Header)
 	if resp.Header.Get(wire.HeaderError) != "" {
 		defer resp.Body.Close()
@@ -181,7 +181,7 @@
 		return nil, errNotOurResponse
 	}
 	body := &bodyReader{s: s, ctx: ctx, endpoint: e, call: c, resp: resp, sum: xxhash.New()}
-	a := &Answer{Status: status, ContentType: resp.Header.Get("Content-Type"), Header: http.Header{}, Body: body}
+	a := &Response{Status: status, ContentType: resp.Header.Get("Content-Type"), Header: http.Header{}, Body: body}
 	wire.PassToCaller(a.Header, resp.Header)
 	return a, nil
 }
@@ -204,7 +204,7 @@
 
 // recoverAttempt finds out what became of an attempt whose response was lost. It cancels the attempt if it
 // has not started, and otherwise attaches to its response.
-func (s *Service) recoverAttempt(ctx context.Context, e *routing.Endpoint, c Call, cause error) (*Answer, error) {
+func (s *Service) recoverAttempt(ctx context.Context, e *routing.Endpoint, c Call, cause error) (*Response, error) {
 	var op *net.OpError
 	if errors.As(cause, &op) && op.Op == "dial" {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "the gate of %s is unreachable", e.Member.ID)
@@ -304,7 +304,7 @@
 }
 
 // Attach reads an attempt's response from the given byte offset.
-func (s *Service) Attach(ctx context.Context, e *routing.Endpoint, c Call, offset int64) (*Answer, error) {
+func (s *Service) Attach(ctx context.Context, e *routing.Endpoint, c Call, offset int64) (*Response, error) {
 	resp, err := s.attach(ctx, e, c, offset)
 	if err != nil {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "attach: %v", err)
--- a/node/dispatch/dispatch_test.go
+++ b/node/dispatch/dispatch_test.go
@@ -124,7 +124,7 @@
 }
 
 // do makes a call and reads the response to the end.
-func do(ctx context.Context, e *routing.Endpoint, c dispatch.Call) (string, *dispatch.Answer, error) {
+func do(ctx context.Context, e *routing.Endpoint, c dispatch.Call) (string, *dispatch.Response, error) {
 	a, err := newDispatch().Do(ctx, e, c)
 	if err != nil {
 		return "", nil, err
--- a/node/ledger/fakes_test.go
+++ b/node/ledger/fakes_test.go
@@ -123,7 +123,7 @@
 // The gates interface follows node/dispatch: the same reactions to the same
 // failures.
 
-func (r *request) Do(_ context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+func (r *request) Do(_ context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Response, error) {
 	g := r.w.gate(e)
 	refusal, err := exchange(r, g, func() (*verdict.Error, error) { return g.submit(e, c, r.key), nil })
 	if err != nil {
@@ -148,8 +148,8 @@
 }
 
 // await reads an answer once it has ended at the gate.
-func (r *request) await(g *fakeGate, e *routing.Endpoint, id wire.AttemptID, lost func() error) (*dispatch.Answer, error) {
-	var answer *dispatch.Answer
+func (r *request) await(g *fakeGate, e *routing.Endpoint, id wire.AttemptID, lost func() error) (*dispatch.Response, error) {
+	var answer *dispatch.Response
 	var err error
 	same := func() bool { return g.incarnation == e.Member.Incarnation && g.attempts[id] != nil }
 	r.park(&operation{gate: g,
@@ -168,7 +168,7 @@
 	return answer, err
 }
 
-func (r *request) Attach(_ context.Context, e *routing.Endpoint, c dispatch.Call, _ int64) (*dispatch.Answer, error) {
+func (r *request) Attach(_ context.Context, e *routing.Endpoint, c dispatch.Call, _ int64) (*dispatch.Response, error) {
 	g := r.w.gate(e)
 	known, err := exchange(r, g, func() (bool, error) { g.forget(); return g.attempts[c.Attempt] != nil, nil })
 	cut := verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "attach failed")
@@ -285,11 +285,11 @@
 	return a.state == wire.AttemptDone || a.state == wire.AttemptTombstoned
 }
 
-func (a *fakeAttempt) read() (*dispatch.Answer, error) {
+func (a *fakeAttempt) read() (*dispatch.Response, error) {
 	if a.fault != nil {
 		return nil, a.fault
 	}
-	return &dispatch.Answer{Status: a.status, Body: io.NopCloser(strings.NewReader(a.answer))}, nil
+	return &dispatch.Response{Status: a.status, Body: io.NopCloser(strings.NewReader(a.answer))}, nil
 }
 
 func (g *fakeGate) GoString() string { return string(g.id) }
--- a/node/ledger/interfaces.go
+++ b/node/ledger/interfaces.go
@@ -17,8 +17,8 @@
 
 // gates carries attempts, and questions about them, to the gates.
 type gates interface {
-	Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Answer, error)
-	Attach(ctx context.Context, e *routing.Endpoint, c dispatch.Call, offset int64) (*dispatch.Answer, error)
+	Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Response, error)
+	Attach(ctx context.Context, e *routing.Endpoint, c dispatch.Call, offset int64) (*dispatch.Response, error)
 	Status(context.Context, *routing.Endpoint, wire.AttemptID) (wire.AttemptStatus, error)
 	CancelClaimed(ctx context.Context, e *routing.Endpoint, id wire.AttemptID) (wire.AttemptStatus, error)
 }
--- a/node/ledger/overload_test.go
+++ b/node/ledger/overload_test.go
@@ -32,7 +32,7 @@
 	return wire.SettleReply{Outcome: r.Outcome}, nil
 }
 
-func (f *fullGates) Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Answer, error) {
+func (f *fullGates) Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Response, error) {
 	return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(time.Second)
 }
 
--- a/node/ledger/run.go
+++ b/node/ledger/run.go
@@ -183,7 +183,7 @@
 
 // readOutcome reads an answer to its end. It returns an error unless the
 // answer was whole.
-func readOutcome(a *dispatch.Answer, err error) (wire.Outcome, error) {
+func readOutcome(a *dispatch.Response, err error) (wire.Outcome, error) {
 	if err != nil {
 		return wire.Outcome{Verdict: verdict.Of(err)}, err
 	}
--- a/node/pipeline/attempt_test.go
+++ b/node/pipeline/attempt_test.go
@@ -22,25 +22,27 @@
 )
 
 // script responds to the n-th attempt with the n-th entry, and to later ones with the last.
-type script func(ctx context.Context) (*dispatch.Answer, error)
+type script func(ctx context.Context) (*dispatch.Response, error)
 
 func scripted(list ...script) *fakeGate {
-	return &fakeGate{respond: func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+	return &fakeGate{respond: func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Response, error) {
 		return list[min(n, len(list)-1)](ctx)
 	}}
 }
 
-func good(ctx context.Context) (*dispatch.Answer, error)      { return after(ctx, quick, 200, "good") }
-func status500(ctx context.Context) (*dispatch.Answer, error) { return after(ctx, quick, 500, "oops") }
-func silent(ctx context.Context) (*dispatch.Answer, error)    { return after(ctx, time.Hour, 200, "") }
-func truncated(ctx context.Context) (*dispatch.Answer, error) {
-	return &dispatch.Answer{Status: 200, Body: &cutBody{ctx: ctx, data: []byte("go"), end: errTruncated()}}, nil
+func good(ctx context.Context) (*dispatch.Response, error) { return after(ctx, quick, 200, "good") }
+func status500(ctx context.Context) (*dispatch.Response, error) {
+	return after(ctx, quick, 500, "oops")
 }
-func tooLong(ctx context.Context) (*dispatch.Answer, error) {
-	return &dispatch.Answer{Status: 200, Body: &cutBody{ctx: ctx, data: make([]byte, maxResponse+1), end: io.EOF}}, nil
+func silent(ctx context.Context) (*dispatch.Response, error) { return after(ctx, time.Hour, 200, "") }
+func truncated(ctx context.Context) (*dispatch.Response, error) {
+	return &dispatch.Response{Status: 200, Body: &cutBody{ctx: ctx, data: []byte("go"), end: errTruncated()}}, nil
+}
+func tooLong(ctx context.Context) (*dispatch.Response, error) {
+	return &dispatch.Response{Status: 200, Body: &cutBody{ctx: ctx, data: make([]byte, maxResponse+1), end: io.EOF}}, nil
 }
 func refusal(v verdict.Verdict, c verdict.Code) script {
-	return func(context.Context) (*dispatch.Answer, error) { return nil, verdict.New(v, c, "refused") }
+	return func(context.Context) (*dispatch.Response, error) { return nil, verdict.New(v, c, "refused") }
 }
 
 // TestAttempts lists how attempts can end, how many are made, and how the call ends.
@@ -109,7 +111,7 @@
 		const calls = 1000
 		var abandoned atomic.Int64
 		g := &fakeGate{}
-		g.respond = func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+		g.respond = func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Response, error) {
 			if n%20 != 19 {
 				return good(ctx)
 			}
@@ -145,7 +147,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		took := quick
 		g := &fakeGate{}
-		g.respond = func(ctx context.Context, _ int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+		g.respond = func(ctx context.Context, _ int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Response, error) {
 			return after(ctx, took, 200, "good")
 		}
 		sv := serviceOf("encoder", optext.Encoder, true)
@@ -196,7 +198,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := &fakeGate{respond: func(ctx context.Context, _ int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+				g := &fakeGate{respond: func(ctx context.Context, _ int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Response, error) {
 					if c.Service == "first" {
 						return row.first(ctx)
 					}
@@ -228,7 +230,7 @@
 			sv.HedgePercent, sv.RetryPercent = 0, 0
 		}
 		slow := time.Duration(0)
-		g := &fakeGate{respond: func(ctx context.Context, _ int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+		g := &fakeGate{respond: func(ctx context.Context, _ int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Response, error) {
 			if c.Service == "first" {
 				return after(ctx, 10*quick+slow, 200, "good")
 			}
@@ -304,7 +306,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		failed, bad := 0, 0
 		g := &fakeGate{}
-		g.respond = func(ctx context.Context, _ int, e *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+		g.respond = func(ctx context.Context, _ int, e *routing.Endpoint, _ dispatch.Call) (*dispatch.Response, error) {
 			if e.Member.ID == "s-0" {
 				failed++
 				return after(ctx, time.Millisecond, 500, "{}")
--- a/node/pipeline/fake_test.go
+++ b/node/pipeline/fake_test.go
@@ -25,10 +25,10 @@
 	mu      sync.Mutex
 	calls   []dispatch.Call
 	at      []wire.MemberID
-	respond func(ctx context.Context, n int, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error)
+	respond func(ctx context.Context, n int, e *routing.Endpoint, c dispatch.Call) (*dispatch.Response, error)
 }
 
-func (g *fakeGate) Do(ctx context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+func (g *fakeGate) Do(ctx context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Response, error) {
 	g.mu.Lock()
 	n := len(g.calls)
 	g.calls = append(g.calls, c)
@@ -78,10 +78,10 @@
 }
 
 // after responds with a body after the given time, unless the attempt is abandoned first.
-func after(ctx context.Context, d time.Duration, status int, body string) (*dispatch.Answer, error) {
+func after(ctx context.Context, d time.Duration, status int, body string) (*dispatch.Response, error) {
 	select {
 	case <-time.After(d):
-		return &dispatch.Answer{Status: status, ContentType: "application/json", Body: &cutBody{ctx: ctx, data: []byte(body), end: io.EOF}}, nil
+		return &dispatch.Response{Status: status, ContentType: "application/json", Body: &cutBody{ctx: ctx, data: []byte(body), end: io.EOF}}, nil
 	case <-ctx.Done():
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "abandoned")
 	}
--- a/node/pipeline/pipeline.go
+++ b/node/pipeline/pipeline.go
@@ -39,7 +39,7 @@
 
 // dispatcher sends one attempt, and abandons it when the context ends.
 type dispatcher interface {
-	Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Answer, error)
+	Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Response, error)
 }
 
 // capacityReporter is told of every attempt that is sent, and of those that were refused for lack of
@@ -113,13 +113,13 @@
 }
 
 // Call makes attempts of a single call until one succeeds.
-func (s *Service) Call(ctx context.Context, c dispatch.Call, sv *optext.Service) (*dispatch.Answer, error) {
+func (s *Service) Call(ctx context.Context, c dispatch.Call, sv *optext.Service) (*dispatch.Response, error) {
 	w := &callSpec{Call: c, service: sv, size: len(c.Body)}
 	a, err := s.exchange(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	return &dispatch.Answer{Status: a.status, ContentType: a.contentType, Body: a.bodyReader()}, nil
+	return &dispatch.Response{Status: a.status, ContentType: a.contentType, Body: a.bodyReader()}, nil
 }
 
 // sizedBudget is a budget and the percentage that it was created for.
--- a/node/pipeline/policy_test.go
+++ b/node/pipeline/policy_test.go
@@ -95,7 +95,7 @@
 	times                                  []time.Duration
 }
 
-func (tr *trial) Do(ctx context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+func (tr *trial) Do(ctx context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Response, error) {
 	u := tr.upstreams[e.Member.ID]
 	factor, silent, refuses := u.fault()
 	if refuses {
@@ -131,7 +131,7 @@
 	time.Sleep(time.Duration(xxhash.Sum64String(string(e.Member.ID)) % 1000))
 }
 
-func (tr *trial) run(ctx context.Context, e *routing.Endpoint, u *upstream, c dispatch.Call, factor float64) (*dispatch.Answer, error) {
+func (tr *trial) run(ctx context.Context, e *routing.Endpoint, u *upstream, c dispatch.Call, factor float64) (*dispatch.Response, error) {
 	base := math.Float64frombits(binary.LittleEndian.Uint64(c.Body))
 	session := binary.LittleEndian.Uint64(c.Body[8:])
 	random := rand.New(rand.NewPCG(math.Float64bits(base), xxhash.Sum64String(string(e.Member.ID)))) // independent of the order of goroutines
--- a/node/pipeline/resume_test.go
+++ b/node/pipeline/resume_test.go
@@ -230,7 +230,7 @@
 	var fault error // of a request that an engine received
 	var mu sync.Mutex
 	g := &fakeGate{}
-	g.respond = func(ctx context.Context, n int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+	g.respond = func(ctx context.Context, n int, _ *routing.Endpoint, c dispatch.Call) (*dispatch.Response, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		var req resumedRequest
@@ -254,7 +254,7 @@
 			}
 			cut.apply(body, at)
 		}
-		return &dispatch.Answer{Status: 200, ContentType: wire.ContentEventStream, Body: body}, nil
+		return &dispatch.Response{Status: 200, ContentType: wire.ContentEventStream, Body: body}, nil
 	}
 	sv := serviceOf("llm", optext.Engine, true)
 	s := newFake(g, 3, sv)
@@ -310,11 +310,11 @@
 			"tool calls":      {`data: {"choices":[{"index":0,"delta":{"tool_calls":[{"index":0}]}}]}` + "\n\n", 100},
 			"no other engine": {begun, 100},
 		} {
-			g := &fakeGate{respond: func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Answer, error) {
+			g := &fakeGate{respond: func(ctx context.Context, n int, _ *routing.Endpoint, _ dispatch.Call) (*dispatch.Response, error) {
 				if n > 0 {
 					return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "full")
 				}
-				return &dispatch.Answer{Status: 200, ContentType: wire.ContentEventStream, Body: &cutBody{ctx: ctx, data: []byte(row.stream), end: errTruncated()}}, nil
+				return &dispatch.Response{Status: 200, ContentType: wire.ContentEventStream, Body: &cutBody{ctx: ctx, data: []byte(row.stream), end: errTruncated()}}, nil
 			}}
 			sv := serviceOf("llm", optext.Engine, true)
 			sv.RetryPercent = row.budget
