--- a/node/pipeline/attempt_test.go
+++ b/node/pipeline/attempt_test.go
@@ -30,10 +30,8 @@
 	}}
 }
 
-func good(ctx context.Context) (*dispatch.Response, error) { return after(ctx, quick, 200, "good") }
-func status500(ctx context.Context) (*dispatch.Response, error) {
-	return after(ctx, quick, 500, "oops")
-}
+func good(ctx context.Context) (*dispatch.Response, error)   { return after(ctx, quick, 200, "good") }
+func err500(ctx context.Context) (*dispatch.Response, error) { return after(ctx, quick, 500, "oops") }
 func silent(ctx context.Context) (*dispatch.Response, error) { return after(ctx, time.Hour, 200, "") }
 func truncated(ctx context.Context) (*dispatch.Response, error) {
 	return &dispatch.Response{Status: 200, Body: &cutBody{ctx: ctx, data: []byte("go"), end: errTruncated()}}, nil
@@ -60,9 +58,9 @@
 		verdict    verdict.Verdict
 	}{
 		{"first succeeds", true, 100, []script{good}, 1, 200, verdict.Ran},
-		{"5xx elsewhere", true, 100, []script{status500, good}, 2, 200, verdict.Ran},
-		{"5xx everywhere", true, 100, []script{status500}, 4, 500, verdict.Ran},
-		{"5xx, not repeatable", false, 100, []script{status500, good}, 1, 500, verdict.Ran},
+		{"5xx elsewhere", true, 100, []script{err500, good}, 2, 200, verdict.Ran},
+		{"5xx everywhere", true, 100, []script{err500}, 4, 500, verdict.Ran},
+		{"5xx, not repeatable", false, 100, []script{err500, good}, 1, 500, verdict.Ran},
 		{"truncated response", true, 100, []script{truncated, good}, 2, 200, verdict.Ran},
 		{"truncated response, not repeatable", false, 100, []script{truncated, good}, 1, 0, verdict.Ran},
 		{"an oversized response is not truncated", false, 100, []script{tooLong}, 1, 0, verdict.Ran},
