--- a/node/proxy/admit.go
+++ b/node/proxy/admit.go
@@ -14,7 +14,7 @@
 func (x *exchange) admit() error {
 	s := x.s
 	var invalid error
-	x.call, invalid = s.protocol.Call(x.r.Header)
+	x.call, invalid = s.protocol.ParseCall(x.r.Header)
 	if err := x.awaitConfiguration(); err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	x.within = x.table.regions.Within(x.route.Regions, x.customerRegions())
 	x.service = x.table.config.Services[service(x.route, rand.Float64())]
 	x.deadline = x.began.Add(x.route.Timeout)
-	if wait := x.call.Wait; wait > 0 && wait < x.route.Timeout {
+	if wait := x.call.Timeout; wait > 0 && wait < x.route.Timeout {
 		x.deadline = x.began.Add(wait)
 	}
 	return nil
@@ -45,7 +45,7 @@
 	if x.table.configured() {
 		return nil
 	}
-	tooLate := x.s.first.wait(x.r.Context(), x.call.Wait)
+	tooLate := x.s.first.wait(x.r.Context(), x.call.Timeout)
 	x.table = x.s.table.Load()
 	switch {
 	case tooLate:
@@ -72,7 +72,7 @@
 	if x.s.sync.StampAge() > x.s.set.Proxy.KeyAge {
 		return verdict.New(verdict.NotRun, verdict.CodeStale, "keys cannot be checked here now").After(afterOutage())
 	}
-	if x.customer = x.table.customer(x.call.Key); x.customer != nil {
+	if x.customer = x.table.customer(x.call.BearerKey); x.customer != nil {
 		return nil
 	}
 	if x.s.stale() {
--- a/node/proxy/endpoints.go
+++ b/node/proxy/endpoints.go
@@ -195,7 +195,7 @@
 	var bestRank rank
 	for i, m := range list {
 		ep := e.get(m.Start())
-		if ep.moved || slices.Contains(c.tried, m.Start()) || !e.mayWarm(m, c, now) || !e.notices.Wants(m.Start()) {
+		if ep.moved || slices.Contains(c.tried, m.Start()) || !e.mayWarm(m, c, now) || !e.notices.Accepts(m.Start()) {
 			continue
 		}
 		r := e.rank(ep, m, c, now)
@@ -243,13 +243,13 @@
 		r.paused = true
 	}
 	if c.affinity != 0 {
-		r.load, r.tie = float64(ep.inFlight/affinitySlack), upstream.Weight(c.affinity, m.ID)
+		r.load, r.tie = float64(ep.inFlight/affinitySlack), upstream.RendezvousWeight(c.affinity, m.ID)
 		return r
 	}
 	if m.DataCenter != c.dataCenter {
 		r.load += 0.5 // of a call: another data centre costs less than waiting
 	}
-	r.tie = upstream.Weight(uint64(now.UnixNano()), m.ID)
+	r.tie = upstream.RendezvousWeight(uint64(now.UnixNano()), m.ID)
 	return r
 }
 
--- a/node/proxy/pause_test.go
+++ b/node/proxy/pause_test.go
@@ -81,7 +81,7 @@
 	if !ok || m.Start() != start {
 		t.Fatal(m, ok)
 	}
-	b.service.notices.Heard(start, upstream.Answer{Leaving: true})
+	b.service.notices.Record(start, upstream.ResponseInfo{Leaving: true})
 	_, err := b.service.pool.Do(t.Context(), &upstream.Request{Upstream: start, Address: m.Direct, Method: http.MethodGet, Target: "/confirm/1", Host: "desk.example", Header: http.Header{}})
 	if v := verdict.From(err); err == nil || v.Verdict != verdict.NotRun || v.Code != verdict.CodeLeaving || arrived.Load() != 0 {
 		t.Fatalf("%v, %d arrived", err, arrived.Load())
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -142,7 +142,7 @@
 	s.running, s.counter = newRunning(), rollout.NewCounter()
 	s.holdings = newHoldings(set.Node.Memory)
 	s.guard, s.answers, s.reporter = quarantine.NewGuard(), quarantine.NewAnswers(), quarantine.NewReporter(noReports)
-	s.inquiries = quarantine.NewInquiries(s.pool.Listens, s.endedUnder, boottime.System())
+	s.inquiries = quarantine.NewInquiries(s.pool.Probe, s.endedUnder, boottime.System())
 	s.ending, s.end = context.WithCancel(context.Background())
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader}
 	s.ready = &http.Server{Handler: http.HandlerFunc(s.answerReady), ReadHeaderTimeout: headerTimeout}
@@ -173,7 +173,7 @@
 		s.first.set()
 	}
 	for _, address := range s.endpoints.keep(v.Announced) {
-		s.pool.Forget(address)
+		s.pool.CloseIdle(address)
 	}
 }
 
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -74,19 +74,19 @@
 func (x *exchange) sendTo(ctx context.Context, m wire.Member, candidates int, lastEvent string) *attempt {
 	header := x.r.Header.Clone()
 	dropHopByHop(header)
-	told := upstream.Told{Left: time.Until(x.deadline), Instance: m.ID, LastEvent: lastEvent, Inputs: x.inputs}
+	told := upstream.CallMetadata{Remaining: time.Until(x.deadline), Instance: m.ID, LastEventID: lastEvent, Inputs: x.inputs}
 	if x.customer != nil {
 		told.Customer = x.customer.Name
 	}
 	if m.ID == x.engine {
 		told.FetchFrom = x.fetchFrom
 	}
-	x.s.protocol.Tell(header, told)
+	x.s.protocol.SetHeaders(header, told)
 	began := time.Now()
 	x.s.log.V(logging.Routine).Info("attempt sent", "request", x.call.ID, "upstream", m.ID, "address", m.Direct, "data_center", m.DataCenter, "candidates", candidates,
-		"in_flight", x.s.endpoints.load(m.Start()), "tried", x.sends, "again", x.again, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", told.FetchFrom, "left", told.Left, "members_seq", x.s.table.Load().seq)
+		"in_flight", x.s.endpoints.load(m.Start()), "tried", x.sends, "again", x.again, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", told.FetchFrom, "left", told.Remaining, "members_seq", x.s.table.Load().seq)
 	resp, err := x.s.pool.Do(ctx, &upstream.Request{Upstream: m.Start(), Address: m.Direct, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: header, Body: x.body, ID: x.call.ID, Limit: x.connections()})
+		Header: header, Body: x.body, ID: x.call.ID, MaxConnections: x.connections()})
 	now := time.Now()
 	sendsVar.Add(x.service.Name, 1)
 	if err != nil {
@@ -111,9 +111,9 @@
 		return a
 	}
 	x.s.endpoints.heard(m.Start(), now)
-	x.answering.Store(!resp.Answer.NotRun)
+	x.answering.Store(!resp.Info.NotRun)
 	a := &attempt{member: m, response: resp, took: now.Sub(began)}
-	if resp.Answer.NotRun {
+	if resp.Info.NotRun {
 		a.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s refused the call", m.ID).After(max(comeBack, x.pause()))
 	}
 	return a
@@ -128,7 +128,7 @@
 
 // outcomeOf is what the owner of the stages is told of an engine at which an attempt failed.
 func outcomeOf(err error) stagework.EngineOutcome {
-	if upstream.Unreached(err) {
+	if upstream.IsUnreachable(err) {
 		return stagework.EngineUnreached
 	}
 	return stagework.EngineFailed
@@ -136,7 +136,7 @@
 
 // pause is how long it takes until an upstream of the service wants calls again, where none does.
 func (x *exchange) pause() time.Duration {
-	return x.s.notices.LeastPause(x.s.table.Load().announced[x.service.Name])
+	return x.s.notices.ShortestPause(x.s.table.Load().announced[x.service.Name])
 }
 
 // hopeless returns why there is no use in having the stages of the call done, or nil.
--- a/node/proxy/stream.go
+++ b/node/proxy/stream.go
@@ -22,7 +22,7 @@
 	var tried []wire.Start
 	c := x.choice()
 	out := &streamWriter{x: x}
-	out.events.last = x.call.LastEvent
+	out.events.last = x.call.LastEventID
 	remade := false
 	for {
 		if err := x.runStages(ctx); err != nil {
@@ -56,7 +56,7 @@
 // inputsGone reports whether results of the stages were lost before the
 // upstream had fetched them.
 func (a *attempt) inputsGone() bool {
-	return a.response != nil && a.response.Status == http.StatusConflict && a.response.Answer.NotRun
+	return a.response != nil && a.response.Status == http.StatusConflict && a.response.Info.NotRun
 }
 
 func errInputsLost(engine wire.MemberID) *verdict.Error {
--- a/node/stagework/again_test.go
+++ b/node/stagework/again_test.go
@@ -157,11 +157,11 @@
 	a.add(a.now, chain("j", "j1", nil), func(Result, error) {})
 	a.make(t, "old")
 	w := a.services["a"].workers["a0"]
-	a.reported(a.now, w, &upstream.Room{Free: 1, FreeMost: 1, Started: 9})
+	a.reported(a.now, w, &upstream.Room{Free: 1, FreeMax: 1, Incarnation: 9})
 	if a.services["a"].workers["a0"] != w {
 		t.Fatal("a late report ends a later start")
 	}
-	a.reported(a.now, w, &upstream.Room{Free: 1, FreeMost: 1, Started: 11})
+	a.reported(a.now, w, &upstream.Room{Free: 1, FreeMax: 1, Incarnation: 11})
 	a.remake(a.now, a.takeLost())
 	if next := a.make(t, "new"); len(next) != 1 || next[0] != "a" {
 		t.Fatalf("calls of %v", next)
@@ -173,7 +173,7 @@
 			t.Fatalf("the members' start %d ends start 11", members)
 		}
 	}
-	a.reported(a.now, w, &upstream.Room{Started: 12})
+	a.reported(a.now, w, &upstream.Room{Incarnation: 12})
 	if a.services["a"].workers["a0"] != after {
 		t.Fatal("a report of a worker that is gone counts")
 	}
--- a/node/stagework/calls.go
+++ b/node/stagework/calls.go
@@ -34,15 +34,15 @@
 	defer cancel()
 	path, body := s.protocol.RunPieces(c.request)
 	header := http.Header{"Content-Type": {"application/json"}}
-	s.protocol.Tell(header, upstream.Told{Instance: c.worker.member.ID})
+	s.protocol.SetHeaders(header, upstream.CallMetadata{Instance: c.worker.member.ID})
 	resp, err := s.pool.Do(ctx, &upstream.Request{Upstream: c.worker.member.Start(), Address: c.worker.member.Direct, Method: http.MethodPost, Target: path,
-		Host: c.worker.member.Direct, Header: header, Body: body, Fresh: true})
+		Host: c.worker.member.Direct, Header: header, Body: body, NewConnection: true})
 	if err != nil {
 		return withheld(err)
 	}
 	defer resp.Close()
 	o := s.readPieces(c, resp)
-	o.pause, o.leaving = resp.Answer.Pause, resp.Answer.Leaving
+	o.pause, o.leaving = resp.Info.Pause, resp.Info.Leaving
 	return o
 }
 
@@ -55,14 +55,14 @@
 	case v.Verdict == verdict.NotRun && v.Code == verdict.CodeLeaving:
 		return outcome{full: true, leaving: true, err: err.Error()}
 	}
-	return outcome{err: err.Error(), dark: upstream.Unreached(err)}
+	return outcome{err: err.Error(), dark: upstream.IsUnreachable(err)}
 }
 
 func (s *Service) readPieces(c *call, resp *upstream.Response) outcome {
 	switch {
 	case resp.Status == http.StatusMisdirectedRequest:
 		return outcome{moved: true, err: "another upstream has the address"}
-	case resp.Answer.NotRun:
+	case resp.Info.NotRun:
 		return outcome{full: true, err: "full"}
 	case resp.Status != http.StatusOK:
 		return outcome{err: http.StatusText(resp.Status)}
@@ -71,7 +71,7 @@
 	if err != nil {
 		return outcome{err: err.Error()}
 	}
-	results, err := s.protocol.PieceResults(data)
+	results, err := s.protocol.ParsePieceResults(data)
 	if err == nil && len(results) != len(c.pieces) {
 		err = errors.Errorf("%d results for %d pieces", len(results), len(c.pieces))
 	}
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
 	defer cancel()
 	header := http.Header{}
-	s.protocol.Tell(header, upstream.Told{Instance: m.ID})
+	s.protocol.SetHeaders(header, upstream.CallMetadata{Instance: m.ID})
 	resp, err := s.pool.Do(ctx, &upstream.Request{Upstream: m.Start(), Address: m.Direct, Method: http.MethodGet, Target: s.protocol.RoomPath(), Host: m.Direct, Header: header})
 	if err != nil {
 		return nil, err
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.protocol.Room(data)
+	return s.protocol.ParseRoom(data)
 }
 
 // free collects results that are given up and frees them a little later, many
@@ -150,7 +150,7 @@
 	defer cancel()
 	path, body := s.protocol.FreeResults(handles)
 	header := http.Header{"Content-Type": {"application/json"}}
-	s.protocol.Tell(header, upstream.Told{Instance: m.ID})
+	s.protocol.SetHeaders(header, upstream.CallMetadata{Instance: m.ID})
 	resp, err := s.pool.Do(ctx, &upstream.Request{Upstream: m.Start(), Address: m.Direct, Method: http.MethodPost, Target: path, Host: m.Direct, Header: header, Body: body})
 	if err != nil {
 		s.log.V(logging.Detail).Info("results not freed", "upstream", m.ID, "error", err.Error())
--- a/node/stagework/engines.go
+++ b/node/stagework/engines.go
@@ -234,7 +234,7 @@
 	if len(shared(p.Parts)) == 0 || len(e.holders.of(p)) > 0 {
 		return ""
 	}
-	m, _ := upstream.ByPrefix(p.Parts, e.members[p.Service])
+	m, _ := upstream.SelectByPrefix(p.Parts, e.members[p.Service])
 	return m.ID
 }
 
--- a/node/stagework/engines_test.go
+++ b/node/stagework/engines_test.go
@@ -47,7 +47,7 @@
 func TestEngineThatHasReadThePrompt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := newPark()
-	first, _ := upstream.ByPrefix(prompt("shared", 1).Parts, p.members["llm"])
+	first, _ := upstream.SelectByPrefix(prompt("shared", 1).Parts, p.members["llm"])
 	var used []wire.MemberID
 	for range 20 {
 		id, _ := p.call(prompt("shared", 1000))
--- a/node/stagework/loadmodel_test.go
+++ b/node/stagework/loadmodel_test.go
@@ -206,7 +206,7 @@
 }
 
 func (m *loadModel) hashed(c *modelCall) wire.Member {
-	member, _ := upstream.ByPrefix(c.prompt.Parts, modelMembers()["llm"])
+	member, _ := upstream.SelectByPrefix(c.prompt.Parts, modelMembers()["llm"])
 	return member
 }
 
@@ -353,7 +353,7 @@
 		m.after(2*time.Millisecond, func() {
 			free := m.specs[w.member.Service].ResultRoom - m.room(w.member.ID).used
 			whole := free / megabyte * megabyte
-			s.reported(m.now, w, &upstream.Room{Free: whole, FreeMost: whole + megabyte - 1})
+			s.reported(m.now, w, &upstream.Room{Free: whole, FreeMax: whole + megabyte - 1})
 		})
 	}
 	for _, c := range s.start(m.now) {
--- a/node/stagework/machine_test.go
+++ b/node/stagework/machine_test.go
@@ -174,7 +174,7 @@
 		if free < 0 {
 			w.s.reported(w.now, asked, nil)
 		} else {
-			w.s.reported(w.now, asked, &upstream.Room{Free: free, FreeMost: free + int64(rapid.IntRange(0, 500).Draw(w.t, "more"))})
+			w.s.reported(w.now, asked, &upstream.Room{Free: free, FreeMax: free + int64(rapid.IntRange(0, 500).Draw(w.t, "more"))})
 		}
 		if asked.foreign < 0 || free >= 0 && asked.foreign > services[asked.member.Service].ResultRoom {
 			w.t.Fatalf("%s holds %d bytes of others", asked.member.ID, asked.foreign)
--- a/node/stagework/queue.go
+++ b/node/stagework/queue.go
@@ -285,7 +285,7 @@
 }
 
 func (p *piece) request(now time.Time) upstream.Piece {
-	r := upstream.Piece{ID: p.job.ID, Stage: p.stage, Number: p.number, Left: p.job.deadline.Sub(now)}
+	r := upstream.Piece{ID: p.job.ID, Stage: p.stage, Number: p.number, Remaining: p.job.deadline.Sub(now)}
 	if len(p.job.Stages[p.stage].After) == 0 {
 		r.Key = p.job.Key
 	} else {
--- a/node/stagework/room.go
+++ b/node/stagework/room.go
@@ -142,13 +142,13 @@
 	w.asking = false
 	w.askAt = now.Add(reportInterval)
 	q := s.services[w.member.Service]
-	if r == nil || q == nil || !s.sameStart(q, w, r.Started) {
+	if r == nil || q == nil || !s.sameStart(q, w, r.Incarnation) {
 		return
 	}
 	if w.failures == 0 {
 		w.until = time.Time{}
 	}
-	w.held.reported(q.spec.ResultRoom, r.Free, r.FreeMost, q.spec.ResultRoom/roomSteps)
+	w.held.reported(q.spec.ResultRoom, r.Free, r.FreeMax, q.spec.ResultRoom/roomSteps)
 	if w.foreign == 0 {
 		w.askAt = time.Time{}
 	}
--- a/node/stagework/room_test.go
+++ b/node/stagework/room_test.go
@@ -37,7 +37,7 @@
 			if string(a.member.ID) == empty {
 				free = services["a"].ResultRoom
 			}
-			w.s.reported(w.now, a, &upstream.Room{Free: free, FreeMost: free})
+			w.s.reported(w.now, a, &upstream.Room{Free: free, FreeMax: free})
 		}
 		calls := w.s.start(w.now)
 		if len(calls) != 1 || string(calls[0].worker.member.ID) != empty || len(calls[0].pieces) != 4 {
@@ -86,7 +86,7 @@
 			if len(asked) != 1 {
 				t.Fatalf("%d upstreams are asked", len(asked))
 			}
-			w.s.reported(w.now, asked[0], &upstream.Room{Free: free, FreeMost: free})
+			w.s.reported(w.now, asked[0], &upstream.Room{Free: free, FreeMax: free})
 			w.now = w.now.Add(max(reportInterval, fullPause))
 			if calls := w.s.start(w.now); len(calls) == 1 != (free > 0) {
 				t.Fatalf("%d calls with %d bytes free", len(calls), free)
@@ -149,7 +149,7 @@
 		idle := rapid.SampledFrom([]string{"a0", "a1", "a2"}).Draw(t, "idle")
 		room := services["a"].ResultRoom
 		for _, a := range w.s.reports(w.now) {
-			w.s.reported(w.now, a, &upstream.Room{Free: room, FreeMost: room, Busy: string(a.member.ID) != idle})
+			w.s.reported(w.now, a, &upstream.Room{Free: room, FreeMax: room, Busy: string(a.member.ID) != idle})
 		}
 		calls := w.s.start(w.now)
 		if len(calls) != 1 || string(calls[0].worker.member.ID) != idle {
@@ -161,7 +161,7 @@
 		}
 		worked := calls[0].worker
 		w.free(w.s.finish(w.now, calls[0], outcome{results: make([]upstream.PieceResult, 4)}))
-		w.s.reported(w.now, worked, &upstream.Room{Free: room, FreeMost: room, Busy: true})
+		w.s.reported(w.now, worked, &upstream.Room{Free: room, FreeMax: room, Busy: true})
 		if !w.s.services["a"].takes(worked, w.now) {
 			t.Fatal("an upstream that this owner has seen end its call gets none")
 		}
--- a/node/stagework/service.go
+++ b/node/stagework/service.go
@@ -133,7 +133,7 @@
 // startedAgain ends what is known of upstreams that have started again.
 func (s *Service) startedAgain(now time.Time, lost []*worker) {
 	for _, w := range lost {
-		s.pool.Forget(w.member.Direct)
+		s.pool.CloseIdle(w.member.Direct)
 		s.log.Info("upstream has started again", "service", w.member.Service, "upstream", w.member.ID, "address", w.member.Direct, "before", w.member.Incarnation, "held", w.own)
 	}
 	s.free(s.scheduler.remake(now, lost))
--- a/node/upstream/call.go
+++ b/node/upstream/call.go
@@ -15,16 +15,16 @@
 
 // Request is one call to an upstream.
 type Request struct {
-	Upstream wire.Start // the incarnation of the upstream that is called
-	Address  string
-	Method   string
-	Target   string // path and query as the caller sent them
-	Host     string
-	Header   http.Header // without hop-by-hop headers
-	Body     []byte
-	ID       string // the response must carry it; empty if responses carry none
-	Limit    int    // maximum of connections to the address; zero is no limit
-	Fresh    bool   // use a new connection, since a response without an id may belong to another call
+	Upstream       wire.Start // the incarnation of the upstream that is called
+	Address        string
+	Method         string
+	Target         string // path and query as the caller sent them
+	Host           string
+	Header         http.Header // without hop-by-hop headers
+	Body           []byte
+	ID             string // the response must carry it; empty if responses carry none
+	MaxConnections int    // maximum of connections to the address; zero is no limit
+	NewConnection  bool   // use a new connection, since a response without an id may belong to another call
 }
 
 // Response is an upstream's response whose body is still to be read. It must be closed.
@@ -32,7 +32,7 @@
 	Status int
 	Header http.Header
 	Body   io.Reader // an error other than io.EOF means that the response is truncated
-	Answer Answer
+	Info   ResponseInfo
 
 	conn      *conn
 	resp      *http.Response
@@ -49,7 +49,7 @@
 	if err := p.notices.checkAvailable(req.Upstream); err != nil {
 		return nil, err
 	}
-	c, err := p.get(ctx, req.Address, req.Limit, req.Fresh)
+	c, err := p.get(ctx, req.Address, req.MaxConnections, req.NewConnection)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 	} else {
 		go func() { sent <- writeAll(c, head, req.Body) }()
 	}
-	r := &Response{conn: c, sent: sent, noReuse: req.Fresh, detach: detach}
+	r := &Response{conn: c, sent: sent, noReuse: req.NewConnection, detach: detach}
 	if err := r.readHead(p.protocol, req); err != nil {
 		detach()
 		c.Close()
@@ -77,7 +77,7 @@
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "%s: %v", req.Address, err)
 	}
 	if r.Status != http.StatusMisdirectedRequest { // then another upstream responded
-		p.notices.Heard(req.Upstream, r.Answer)
+		p.notices.Record(req.Upstream, r.Info)
 	}
 	return r, nil
 }
@@ -110,7 +110,7 @@
 		b.WriteString(strconv.Itoa(len(req.Body)))
 		b.WriteString("\r\n")
 	}
-	if req.Fresh {
+	if req.NewConnection {
 		b.WriteString("Connection: close\r\n")
 	}
 	b.WriteString("\r\n")
@@ -131,9 +131,9 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		info := protocol.Answer(resp.StatusCode, resp.Header)
+		info := protocol.ParseResponse(resp.StatusCode, resp.Header)
 		if req.ID == "" || info.ID == req.ID || info.ID == "" && info.NotRun {
-			r.Status, r.Header, r.Answer, r.resp = resp.StatusCode, resp.Header, info, resp
+			r.Status, r.Header, r.Info, r.resp = resp.StatusCode, resp.Header, info, resp
 			r.Body = (*responseBody)(r)
 			return nil
 		}
--- a/node/upstream/native.go
+++ b/node/upstream/native.go
@@ -36,16 +36,16 @@
 
 var _ Protocol = Native{}
 
-// Call implements Protocol.
-func (Native) Call(h http.Header) (Call, error) {
-	c := Call{ID: h.Get(wire.HeaderRequestID), PieceKey: h.Get(headerPieceKey), LastEvent: h.Get(headerLastEventID)}
-	c.Key, _ = strings.CutPrefix(h.Get(headerAuthorization), bearer)
+// ParseCall implements Protocol.
+func (Native) ParseCall(h http.Header) (Call, error) {
+	c := Call{ID: h.Get(wire.HeaderRequestID), PieceKey: h.Get(headerPieceKey), LastEventID: h.Get(headerLastEventID)}
+	c.BearerKey, _ = strings.CutPrefix(h.Get(headerAuthorization), bearer)
 	if raw := h.Get(wire.HeaderTimeout); raw != "" {
 		wait, err := time.ParseDuration(raw)
 		if err != nil || wait <= 0 {
 			return c, fmt.Errorf("%s: %q is not a duration; write it like 2s", wire.HeaderTimeout, raw)
 		}
-		c.Wait = wait
+		c.Timeout = wait
 	}
 	for _, part := range splitList(h.Get(headerPieces)) {
 		n, err := strconv.Atoi(part)
@@ -76,26 +76,26 @@
 	return parts
 }
 
-// Tell implements Protocol.
-func (Native) Tell(h http.Header, t Told) {
+// SetHeaders implements Protocol.
+func (Native) SetHeaders(h http.Header, t CallMetadata) {
 	for _, name := range []string{headerAuthorization, headerInstance, headerCustomer, headerInputs, headerFetch, wire.HeaderTimeout} {
 		h.Del(name)
 	}
-	if t.Left > 0 {
-		h.Set(wire.HeaderTimeout, t.Left.String())
+	if t.Remaining > 0 {
+		h.Set(wire.HeaderTimeout, t.Remaining.String())
 	}
-	for name, value := range map[string]string{headerInstance: string(t.Instance), headerCustomer: t.Customer, headerLastEventID: t.LastEvent, headerInputs: strings.Join(t.Inputs, ","), headerFetch: t.FetchFrom} {
+	for name, value := range map[string]string{headerInstance: string(t.Instance), headerCustomer: t.Customer, headerLastEventID: t.LastEventID, headerInputs: strings.Join(t.Inputs, ","), headerFetch: t.FetchFrom} {
 		if value != "" {
 			h.Set(name, value)
 		}
 	}
 }
 
-// Answer implements Protocol.
-func (Native) Answer(status int, h http.Header) Answer {
+// ParseResponse implements Protocol.
+func (Native) ParseResponse(status int, h http.Header) ResponseInfo {
 	notRun := verdict.Parse(h.Get(wire.HeaderVerdict)) == verdict.NotRun || status == http.StatusMisdirectedRequest
-	return Answer{ID: h.Get(wire.HeaderRequestID), NotRun: notRun, Instance: wire.MemberID(h.Get(headerInstance)),
-		Pause: PauseOf(status, h, time.Now()), Leaving: h.Get(headerLeaving) != ""}
+	return ResponseInfo{ID: h.Get(wire.HeaderRequestID), NotRun: notRun, Instance: wire.MemberID(h.Get(headerInstance)),
+		Pause: ParseRetryAfter(status, h, time.Now()), Leaving: h.Get(headerLeaving) != ""}
 }
 
 // nativePiece is a piece in the body of a call.
@@ -112,13 +112,13 @@
 func (Native) RunPieces(pieces []Piece) (string, []byte) {
 	out := make([]nativePiece, len(pieces))
 	for i, p := range pieces {
-		out[i] = nativePiece{p.ID, p.Stage, p.Number, p.Left.Milliseconds(), p.Key, p.Inputs}
+		out[i] = nativePiece{p.ID, p.Stage, p.Number, p.Remaining.Milliseconds(), p.Key, p.Inputs}
 	}
 	return pathPieces, encode(out)
 }
 
-// PieceResults implements Protocol.
-func (Native) PieceResults(body []byte) ([]PieceResult, error) {
+// ParsePieceResults implements Protocol.
+func (Native) ParsePieceResults(body []byte) ([]PieceResult, error) {
 	var out []PieceResult
 	err := json.Unmarshal(body, &out)
 	return out, err
@@ -130,8 +130,8 @@
 // RoomPath implements Protocol.
 func (Native) RoomPath() string { return pathRoom }
 
-// Room implements Protocol.
-func (Native) Room(body []byte) (*Room, error) {
+// ParseRoom implements Protocol.
+func (Native) ParseRoom(body []byte) (*Room, error) {
 	var report struct {
 		Free *int64 `json:"free"` // bytes
 		Busy bool   `json:"busy"`
@@ -142,7 +142,7 @@
 	if report.Free == nil {
 		return nil, fmt.Errorf("the report has no field free; send the number of free bytes")
 	}
-	return &Room{Free: *report.Free, FreeMost: *report.Free, Busy: report.Busy}, nil
+	return &Room{Free: *report.Free, FreeMax: *report.Free, Busy: report.Busy}, nil
 }
 
 func encode(v any) []byte {
--- a/node/upstream/notices.go
+++ b/node/upstream/notices.go
@@ -48,8 +48,8 @@
 	return &Notices{log: log, clock: clock, byStart: map[wire.Start]notice{}}
 }
 
-// Heard records what a response announces.
-func (n *Notices) Heard(start wire.Start, a Answer) {
+// Record records what a response announces.
+func (n *Notices) Record(start wire.Start, a ResponseInfo) {
 	if a.Pause <= 0 && !a.Leaving {
 		return
 	}
@@ -84,7 +84,7 @@
 
 // checkAvailable returns why nothing may be sent to the upstream now, or nil.
 func (n *Notices) checkAvailable(start wire.Start) error {
-	pause, leaving := n.Of(start)
+	pause, leaving := n.State(start)
 	switch {
 	case leaving:
 		withheldVar.Add(1)
@@ -96,18 +96,18 @@
 	return nil
 }
 
-// Wants reports whether the upstream accepts calls now.
-func (n *Notices) Wants(start wire.Start) bool {
-	pause, leaving := n.Of(start)
+// Accepts reports whether the upstream accepts calls now.
+func (n *Notices) Accepts(start wire.Start) bool {
+	pause, leaving := n.State(start)
 	return pause == 0 && !leaving
 }
 
-// LeastPause returns the time until one of the upstreams accepts calls again; zero if one does now, or if
+// ShortestPause returns the time until one of the upstreams accepts calls again; zero if one does now, or if
 // none will.
-func (n *Notices) LeastPause(members []wire.Member) time.Duration {
+func (n *Notices) ShortestPause(members []wire.Member) time.Duration {
 	least := time.Duration(0)
 	for _, m := range members {
-		pause, leaving := n.Of(m.Start())
+		pause, leaving := n.State(m.Start())
 		switch {
 		case leaving:
 		case pause == 0:
@@ -119,8 +119,8 @@
 	return least
 }
 
-// Of returns for how long the upstream still accepts no calls, and whether it is leaving.
-func (n *Notices) Of(start wire.Start) (pause time.Duration, leaving bool) {
+// State returns for how long the upstream still accepts no calls, and whether it is leaving.
+func (n *Notices) State(start wire.Start) (pause time.Duration, leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	x, known := n.byStart[start]
--- a/node/upstream/notices_test.go
+++ b/node/upstream/notices_test.go
@@ -20,7 +20,7 @@
 		now.Add(-time.Second).Format(http.TimeFormat):     0,
 	} {
 		for status, expected := range map[int]time.Duration{http.StatusServiceUnavailable: want, http.StatusTooManyRequests: want, http.StatusOK: 0, http.StatusMovedPermanently: 0} {
-			if got := PauseOf(status, http.Header{"Retry-After": {raw}}, now); got != expected {
+			if got := ParseRetryAfter(status, http.Header{"Retry-After": {raw}}, now); got != expected {
 				t.Errorf("%d with %q: %v, want %v", status, raw, got, expected)
 			}
 		}
@@ -35,24 +35,24 @@
 	first, second := wire.Start{ID: "i-1", Incarnation: 1}, wire.Start{ID: "i-1", Incarnation: 2}
 	expect := func(start wire.Start, pause time.Duration, leaving bool) {
 		t.Helper()
-		if p, l := n.Of(start); p != pause || l != leaving {
+		if p, l := n.State(start); p != pause || l != leaving {
 			t.Fatalf("%v: pause %v, leaving %v; want %v, %v", start, p, l, pause, leaving)
 		}
 	}
-	n.Heard(first, Answer{})
+	n.Record(first, ResponseInfo{})
 	expect(first, 0, false)
-	n.Heard(first, Answer{Pause: 3 * time.Second})
-	n.Heard(first, Answer{Pause: time.Second, Leaving: true})
+	n.Record(first, ResponseInfo{Pause: 3 * time.Second})
+	n.Record(first, ResponseInfo{Pause: time.Second, Leaving: true})
 	expect(first, 3*time.Second, true)
 	expect(second, 0, false)
 	clock.Advance(2 * time.Second)
 	expect(first, time.Second, true)
 	clock.Advance(2 * time.Second)
 	expect(first, 0, true)
-	n.Heard(second, Answer{Pause: 24 * time.Hour})
+	n.Record(second, ResponseInfo{Pause: 24 * time.Hour})
 	expect(second, maxPause, false)
 	clock.Advance(noticeRetention)
-	n.Heard(wire.Start{ID: "i-2"}, Answer{Leaving: true})
+	n.Record(wire.Start{ID: "i-2"}, ResponseInfo{Leaving: true})
 	if len(n.byStart) != 2 {
 		t.Fatalf("%d notices are kept", len(n.byStart))
 	}
--- a/node/upstream/pool.go
+++ b/node/upstream/pool.go
@@ -90,9 +90,9 @@
 // Unwrap returns the verdict.
 func (u unreachableError) Unwrap() error { return u.cause }
 
-// Unreached reports whether a call was not sent because nothing responded at the upstream's address. A VM
+// IsUnreachable reports whether a call was not sent because nothing responded at the upstream's address. A VM
 // that runs refuses connections if the upstream does not listen.
-func Unreached(err error) bool {
+func IsUnreachable(err error) bool {
 	var u unreachableError
 	return errors.As(err, &u)
 }
@@ -137,9 +137,9 @@
 	return c, nil
 }
 
-// Listens connects to an address and closes the connection at once. A nil error means that a process listens
+// Probe connects to an address and closes the connection at once. A nil error means that a process listens
 // there.
-func (p *Pool) Listens(address string) error {
+func (p *Pool) Probe(address string) error {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	c, err := d.Dial("tcp", address)
 	if err != nil {
@@ -215,9 +215,9 @@
 	}
 }
 
-// Forget closes the idle connections to an address whose process was restarted. A call on one of them would
+// CloseIdle closes the idle connections to an address whose process was restarted. A call on one of them would
 // be lost, and might have run.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
--- a/node/upstream/prefix.go
+++ b/node/upstream/prefix.go
@@ -20,20 +20,20 @@
 	return max(h.Sum64(), 1)
 }
 
-// Weight is the weight of an upstream for a hash in rendezvous hashing: the lowest weight is selected, and
+// RendezvousWeight is the weight of an upstream for a hash in rendezvous hashing: the lowest weight is selected, and
 // when an upstream leaves, only its own hashes move.
-func Weight(hash uint64, id wire.MemberID) uint64 {
+func RendezvousWeight(hash uint64, id wire.MemberID) uint64 {
 	h := xxhash.NewWithSeed(hash)
 	h.WriteString(string(id))
 	return h.Sum64()
 }
 
-// ByPrefix returns the member with the lowest weight for the shared parts of a prompt.
-func ByPrefix(parts []PromptPart, members []wire.Member) (first wire.Member, found bool) {
+// SelectByPrefix returns the member with the lowest weight for the shared parts of a prompt.
+func SelectByPrefix(parts []PromptPart, members []wire.Member) (first wire.Member, found bool) {
 	hash := PrefixHash(parts)
 	var least uint64
 	for _, m := range members {
-		if w := Weight(hash, m.ID); !found || w < least {
+		if w := RendezvousWeight(hash, m.ID); !found || w < least {
 			first, least, found = m, w, true
 		}
 	}
--- a/node/upstream/protocol.go
+++ b/node/upstream/protocol.go
@@ -11,13 +11,13 @@
 
 // Call holds the values that a caller's headers set for a call on a route.
 type Call struct {
-	ID        string        // of this call; every response to it carries it
-	Key       string        // bearer key; empty if there is none
-	Wait      time.Duration // how long the caller waits; zero if not stated
-	Prefix    []PromptPart  // parts of the prompt in order, shared ones first
-	Pieces    []int         // number of pieces in each stage of the route; nil if not stated
-	PieceKey  string        // identifies the input of stages that depend on no other
-	LastEvent string        // id of the last event that the caller received of the stream
+	ID          string        // of this call; every response to it carries it
+	BearerKey   string        // bearer key; empty if there is none
+	Timeout     time.Duration // how long the caller waits; zero if not stated
+	Prefix      []PromptPart  // parts of the prompt in order, shared ones first
+	Pieces      []int         // number of pieces in each stage of the route; nil if not stated
+	PieceKey    string        // identifies the input of stages that depend on no other
+	LastEventID string        // id of the last event that the caller received of the stream
 }
 
 // PromptPart is a part of a prompt that several requests may share.
@@ -26,18 +26,18 @@
 	Tokens int64
 }
 
-// Told holds the values that caperdrum sets on a call to an upstream, in addition to the caller's request.
-type Told struct {
-	Left      time.Duration // time until the deadline; zero for none
-	Instance  wire.MemberID // the incarnation of the upstream that the call is addressed to
-	Customer  string        // empty on public routes
-	LastEvent string        // resume the stream after this event; empty for the whole stream
-	Inputs    []string      // handles of the input results
-	FetchFrom string        // address of an engine that has shared parts of the prompt cached; empty to compute them
+// CallMetadata holds the values that caperdrum sets on a call to an upstream, in addition to the caller's request.
+type CallMetadata struct {
+	Remaining   time.Duration // time until the deadline; zero for none
+	Instance    wire.MemberID // the incarnation of the upstream that the call is addressed to
+	Customer    string        // empty on public routes
+	LastEventID string        // resume the stream after this event; empty for the whole stream
+	Inputs      []string      // handles of the input results
+	FetchFrom   string        // address of an engine that has shared parts of the prompt cached; empty to compute them
 }
 
-// Answer holds what an upstream states in the headers of a response.
-type Answer struct {
+// ResponseInfo holds what an upstream states in the headers of a response.
+type ResponseInfo struct {
 	ID       string        // of the call that it belongs to
 	NotRun   bool          // the upstream guarantees that the call has not run and never will
 	Instance wire.MemberID // the incarnation that responded; empty if not stated
@@ -51,12 +51,12 @@
 
 // Piece is one piece of a stage that an upstream is asked to compute.
 type Piece struct {
-	ID     string // of the call
-	Stage  int
-	Number int
-	Left   time.Duration
-	Key    string   // for stages that depend on no other
-	Inputs []string // handles of the inputs, for the other stages
+	ID        string // of the call
+	Stage     int
+	Number    int
+	Remaining time.Duration
+	Key       string   // for stages that depend on no other
+	Inputs    []string // handles of the inputs, for the other stages
 }
 
 // Failure is the reason why a piece was not computed.
@@ -77,30 +77,30 @@
 }
 
 // Room is the free memory for results that an upstream reports, in bytes. The true value is between Free and
-// FreeMost, since some upstreams report whole units.
+// FreeMax, since some upstreams report whole units.
 type Room struct {
-	Free, FreeMost int64
-	Started        uint64 // reporting incarnation; zero if not stated
-	Busy           bool   // the upstream is working on a call
+	Free, FreeMax int64
+	Incarnation   uint64 // reporting incarnation; zero if not stated
+	Busy          bool   // the upstream is working on a call
 }
 
 // Protocol translates between caperdrum's terms and the headers and bodies that callers and upstreams use.
 type Protocol interface {
-	// Call parses a caller's headers.
-	Call(h http.Header) (Call, error)
-	// Tell sets the headers of a call to an upstream. It removes the caller's key and headers that only
+	// ParseCall parses a caller's headers.
+	ParseCall(h http.Header) (Call, error)
+	// SetHeaders sets the headers of a call to an upstream. It removes the caller's key and headers that only
 	// caperdrum may set.
-	Tell(h http.Header, t Told)
-	// Answer parses the headers of an upstream's response.
-	Answer(status int, h http.Header) Answer
+	SetHeaders(h http.Header, t CallMetadata)
+	// ParseResponse parses the headers of an upstream's response.
+	ParseResponse(status int, h http.Header) ResponseInfo
 	// RunPieces returns the path and body of a call that computes pieces.
 	RunPieces(pieces []Piece) (path string, body []byte)
-	// PieceResults parses the response to RunPieces, one result for each piece.
-	PieceResults(body []byte) ([]PieceResult, error)
+	// ParsePieceResults parses the response to RunPieces, one result for each piece.
+	ParsePieceResults(body []byte) ([]PieceResult, error)
 	// FreeResults returns the path and body of a call that releases results.
 	FreeResults(handles []string) (path string, body []byte)
 	// RoomPath returns the path at which an upstream reports its room for results.
 	RoomPath() string
-	// Room parses an upstream's report of its room for results.
-	Room(body []byte) (*Room, error)
+	// ParseRoom parses an upstream's report of its room for results.
+	ParseRoom(body []byte) (*Room, error)
 }
--- a/node/upstream/retry_after.go
+++ b/node/upstream/retry_after.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// PauseOf parses the header Retry-After (RFC 9110, section 10.2.3) of a response with status 429 or 503: a
+// ParseRetryAfter parses the header Retry-After (RFC 9110, section 10.2.3) of a response with status 429 or 503: a
 // number of seconds, possibly with a fraction, or a date. It returns zero for anything else.
-func PauseOf(status int, h http.Header, now time.Time) time.Duration {
+func ParseRetryAfter(status int, h http.Header, now time.Time) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
 	}
--- a/node/upstream/unreachable_test.go
+++ b/node/upstream/unreachable_test.go
@@ -28,14 +28,14 @@
 		"no time left": {over, os.ErrDeadlineExceeded, false},
 	} {
 		err := connectError(c.ctx, "10.0.0.9:80", &net.OpError{Op: "dial", Net: "tcp", Err: c.cause})
-		if Unreached(err) != c.want {
-			t.Errorf("%s: %v", name, Unreached(err))
+		if IsUnreachable(err) != c.want {
+			t.Errorf("%s: %v", name, IsUnreachable(err))
 		}
 		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeUpstream {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
-	if Unreached(nil) || Unreached(errors.New("dial")) {
+	if IsUnreachable(nil) || IsUnreachable(errors.New("dial")) {
 		t.Error("an unrelated error counts as unreachable")
 	}
 }
--- a/node/upstream/upstream_test.go
+++ b/node/upstream/upstream_test.go
@@ -20,8 +20,8 @@
 // plainProtocol reads only the id of a response, from the header Id.
 type plainProtocol struct{ Protocol }
 
-func (plainProtocol) Answer(status int, h http.Header) Answer {
-	return Answer{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
+func (plainProtocol) ParseResponse(status int, h http.Header) ResponseInfo {
+	return ResponseInfo{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
 }
 
 // script is an upstream that responses the n-th request of each connection with the n-th text, and then closes
@@ -176,7 +176,7 @@
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 	defer p.Close()
 	r := s.request("1")
-	r.Limit = 1
+	r.MaxConnections = 1
 	first, err := p.Do(context.Background(), r)
 	if err != nil {
 		t.Fatal(err)
@@ -291,7 +291,7 @@
 	s := newScript(t, textResponse("1", "one"))
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 	r := s.request("1")
-	r.Fresh = true
+	r.NewConnection = true
 	for range 3 {
 		if got, err := call(t, p, r); err != nil || got != "one" {
 			t.Fatalf("%q, %v", got, err)
