--- a/node/gate/http.go
+++ b/node/gate/http.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	maxRequestBody = 64 << 20
+	maxRequestBody = 64 << 20 // bytes
 	maxBudget      = 24 * time.Hour
 )
 
--- a/node/gate/run.go
+++ b/node/gate/run.go
@@ -18,7 +18,7 @@
 	"caperdrum.org/api/wire"
 )
 
-const readChunk = 32 << 10
+const readChunk = 32 << 10 // bytes
 
 // startRun implements startFunc.
 func (s *Service) startRun(ctx context.Context, a *attempt) { go s.run(ctx, a) }
@@ -104,7 +104,7 @@
 	}
 }
 
-const tailSize = 64
+const tailSize = 64 // bytes; longer than the final event of a stream
 
 // lastBytes returns the last tailSize bytes of tail followed by p.
 func lastBytes(tail, p []byte) []byte {
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -274,7 +274,7 @@
 	return err
 }
 
-const copyChunk = 32 << 10
+const copyChunk = 32 << 10 // bytes
 
 // writeResponse copies a response to the caller. A plain response is buffered until it is complete, so that a
 // failure can still be reported by status. An event stream is forwarded as it arrives, and cut if its source
--- a/node/pipeline/attempt.go
+++ b/node/pipeline/attempt.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-const streamBuffer = 16 << 10
+const streamBuffer = 16 << 10 // bytes
 
 // attempt sends the call to an endpoint and waits for the complete response, or for the first byte of an
 // event stream. cached is how many bytes of the prompt the endpoint is expected to have cached. When ctx ends
@@ -192,7 +192,7 @@
 	once           sync.Once
 }
 
-const usageTail = 512
+const usageTail = 512 // bytes
 
 // Read implements io.Reader.
 func (m *trackedBody) Read(p []byte) (int, error) {
@@ -237,8 +237,8 @@
 		if m.timedOut.Load() {
 			o = routing.Failed
 		}
-		found, told := cachedShare(m.tail)
-		if told {
+		found, reported := cachedShare(m.tail)
+		if reported {
 			m.flight.Resize(int(float64(m.w.size) * (1 - found)))
 		}
 		m.flight.End(o)
@@ -249,7 +249,7 @@
 		if verdict.From(orEmpty(err)).Code == verdict.CodeLeaving {
 			m.endpoint.Leaves()
 		}
-		if told && o == routing.Answered {
+		if reported && o == routing.Answered {
 			m.endpoint.Found(found, m.expectedCached)
 		}
 	})
--- a/node/pipeline/pipeline.go
+++ b/node/pipeline/pipeline.go
@@ -42,7 +42,7 @@
 	Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Response, error)
 }
 
-// capacityReporter is told of every attempt that is sent, and of those that were refused for lack of
+// capacityReporter is notified of every attempt that is sent, and of those that were refused for lack of
 // capacity.
 type capacityReporter interface {
 	Report(service string, refused bool)
--- a/node/pipeline/transcript.go
+++ b/node/pipeline/transcript.go
@@ -14,7 +14,7 @@
 	size   int
 }
 
-const transcriptBlock = 16 << 10
+const transcriptBlock = 16 << 10 // bytes
 
 func (t *transcript) add(data []byte) {
 	if len(t.block)+len(data) > cap(t.block) {
--- a/node/upstream/pool.go
+++ b/node/upstream/pool.go
@@ -33,7 +33,7 @@
 	// maxStrayResponses is the number of responses to earlier calls that are skipped before the connection is
 	// closed.
 	maxStrayResponses = 2
-	readBuffer        = 4 << 10
+	readBuffer        = 4 << 10 // bytes
 	trimInterval      = time.Second
 )
 
