--- a/node/gate/http.go
+++ b/node/gate/http.go
@@ -19,38 +19,37 @@
 )
 
 const (
-	maxRequestBody = 64 << 20
+	maxRequestBody = 64 << 20 // bytes
 	maxBudget      = 24 * time.Hour
 )
 
 func (s *Service) handleSubmit(w http.ResponseWriter, r *http.Request) {
-	s.observe(r)
+	s.observeHeaders(r)
 	a, refusal := s.readAttempt(w, r)
 	if refusal != nil {
-		s.refuse(w, s.table.reject(attemptID(r), refusal))
+		s.writeRefusal(w, s.table.reject(attemptID(r), refusal))
 		return
 	}
 	if refusal := s.table.submit(a); refusal != nil {
-		s.refuse(w, refusal)
+		s.writeRefusal(w, refusal)
 		return
 	}
-	defer s.table.leave(a)
-	s.record("attempt-admitted", a, "")
-	s.writeAnswer(w, r, a, 0)
+	defer s.table.removeReader(a)
+	s.recordEvent("attempt-admitted", a, "")
+	s.writeResponse(w, r, a, 0)
 }
 
 func attemptID(r *http.Request) wire.AttemptID { return wire.AttemptID(chi.URLParam(r, "id")) }
 
-func (s *Service) observe(r *http.Request) {
+func (s *Service) observeHeaders(r *http.Request) {
 	s.ring.Clock.Observe(timeline.ParseStamp(r.Header.Get(wire.HeaderClock)))
 	if v, err := strconv.ParseUint(r.Header.Get(wire.HeaderVersion), 10, 64); err == nil {
 		s.sync.ObserveVersion(v)
 	}
 }
 
-// readAttempt reads an attempt. Its incarnation is the one of the gate that it
-// is meant for: an earlier start of this process may hold a tombstone that this
-// one does not know.
+// readAttempt parses a submitted attempt. Its incarnation is that of the gate it was addressed to: an earlier
+// incarnation of this process may hold a tombstone that this one does not know.
 func (s *Service) readAttempt(w http.ResponseWriter, r *http.Request) (*attempt, *verdict.Error) {
 	h := r.Header
 	received := time.Now()
@@ -72,7 +71,7 @@
 	}
 	body, err := readBody(w, r)
 	if err != nil {
-		return nil, invalid("the request body was cut: %v", err)
+		return nil, invalid("the request body was truncated: %v", err)
 	}
 	a := &attempt{
 		id: attemptID(r), incarnation: incarnation, request: wire.RequestID(h.Get(wire.HeaderRequestID)),
@@ -90,7 +89,7 @@
 	return verdict.New(verdict.NotRun, verdict.CodeInvalid, format, args...)
 }
 
-// readBody reads a whole body into one piece when its length is known.
+// readBody reads the body into a single allocation if its length is known.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body := http.MaxBytesReader(w, r.Body, maxRequestBody)
 	if r.ContentLength < 0 || r.ContentLength > maxRequestBody {
@@ -101,16 +100,16 @@
 	return buf, err
 }
 
-func (s *Service) refuse(w http.ResponseWriter, e *verdict.Error) {
+func (s *Service) writeRefusal(w http.ResponseWriter, e *verdict.Error) {
 	refusedVar.Add(1)
-	s.setCommon(w.Header())
+	s.setCommonHeaders(w.Header())
 	w.Header().Set(wire.HeaderError, "true")
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(e.Status)
 	json.NewEncoder(w).Encode(e)
 }
 
-func (s *Service) setCommon(h http.Header) {
+func (s *Service) setCommonHeaders(h http.Header) {
 	h.Set(wire.HeaderIncarnation, strconv.FormatUint(s.incarnation, 10))
 	h.Set(wire.HeaderLoad, s.loadString())
 	h.Set(wire.HeaderClock, s.ring.Clock.Now().String())
@@ -124,41 +123,40 @@
 	return fmt.Sprintf("%d/%d/%d", queued, running, limit)
 }
 
-// writeAnswer streams an attempt's answer from offset, then the end mark,
-// length and checksum as trailers.
-func (s *Service) writeAnswer(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
-	status, passed, failure, err := a.answer.head(r.Context())
+// writeResponse streams the attempt's response from offset, followed by trailers with the end mark, length
+// and checksum.
+func (s *Service) writeResponse(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
+	status, upstreamHeader, failure, err := a.response.head(r.Context())
 	if err != nil {
-		return // the entry went away; it can attach again
+		return // the entry disconnected; it can attach again
 	}
 	if status == 0 {
-		s.refuse(w, failure)
+		s.writeRefusal(w, failure)
 		return
 	}
 	h := w.Header()
-	s.setCommon(h)
-	wire.PassToCaller(h, passed)
+	s.setCommonHeaders(h)
+	wire.PassToCaller(h, upstreamHeader)
 	if h["Content-Type"] == nil {
-		h["Content-Type"] = nil // no guess from the bytes
+		h["Content-Type"] = nil // keeps net/http from sniffing a content type
 	}
 	h.Set(wire.HeaderAttempt, string(a.id))
 	h.Set(wire.HeaderStage, a.stage)
 	h.Set(wire.HeaderStatus, strconv.Itoa(status))
-	h.Set("Trailer", answerTrailers)
+	h.Set("Trailer", responseTrailers)
 	w.WriteHeader(http.StatusOK)
-	s.copyAnswer(w, r, a, offset)
+	s.copyResponse(w, r, a, offset)
 }
 
-const answerTrailers = wire.TrailerEnd + "," + wire.TrailerLength + "," + wire.TrailerSum + "," + wire.TrailerLoad
+const responseTrailers = wire.TrailerEnd + "," + wire.TrailerLength + "," + wire.TrailerSum + "," + wire.TrailerLoad
 
-// copyAnswer sends an event stream's bytes on as they come. An entry passes on
-// any other answer only when it is whole, so that one leaves in as few writes
-// as its length allows.
-func (s *Service) copyAnswer(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
+// copyResponse flushes an event stream as it arrives. The entry forwards any other response only once it is
+// complete, so that one is written without flushes.
+func (s *Service) copyResponse(w http.ResponseWriter, r *http.Request, a *attempt, offset int64) {
 	flusher := http.NewResponseController(w)
 	streams := strings.HasPrefix(w.Header().Get("Content-Type"), wire.ContentEventStream)
 	for {
-		data, end, err := a.answer.next(r.Context(), offset)
+		data, end, err := a.response.next(r.Context(), offset)
 		if err != nil {
 			return
 		}
@@ -170,7 +168,7 @@
 			h := w.Header()
 			h.Set(wire.TrailerEnd, end)
 			h.Set(wire.TrailerLength, strconv.FormatInt(offset, 10))
-			h.Set(wire.TrailerSum, strconv.FormatUint(a.answer.checksum(), 16))
+			h.Set(wire.TrailerSum, strconv.FormatUint(a.response.checksum(), 16))
 			h.Set(wire.TrailerLoad, s.loadString())
 			return
 		}
@@ -182,7 +180,7 @@
 
 func (s *Service) writeStatus(w http.ResponseWriter, st wire.AttemptStatus) {
 	st.Incarnation = s.incarnation
-	s.setCommon(w.Header())
+	s.setCommonHeaders(w.Header())
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(st)
 }
@@ -191,8 +189,8 @@
 	s.writeStatus(w, s.table.status(attemptID(r)))
 }
 
-// handleCancel answers with the state after the cancellation. The caller must
-// compare the incarnation: a tombstone of another incarnation proves nothing.
+// handleCancel replies with the state after the cancellation. The caller must compare the incarnation: a
+// tombstone of another incarnation proves nothing.
 func (s *Service) handleCancel(w http.ResponseWriter, r *http.Request) {
 	id := attemptID(r)
 	st := s.table.cancelAttempt(id, r.URL.Query().Get("abandon") == "true")
@@ -201,26 +199,26 @@
 }
 
 func (s *Service) handleAttach(w http.ResponseWriter, r *http.Request) {
-	a := s.table.join(attemptID(r))
+	a := s.table.addReader(attemptID(r))
 	if a == nil {
-		s.refuse(w, verdict.New(verdict.MayHaveRun, verdict.CodeUnknown, "attempt unknown to incarnation %d", s.incarnation))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeUnknown, "attempt is unknown to incarnation %d", s.incarnation))
 		return
 	}
-	defer s.table.leave(a)
+	defer s.table.removeReader(a)
 	offset, err := strconv.ParseInt(r.URL.Query().Get("offset"), 10, 64)
-	length, _, dropped := a.answer.size()
+	length, _, dropped := a.response.size()
 	switch {
 	case dropped:
-		s.refuse(w, verdict.New(verdict.Ran, verdict.CodeCut, "the attempt ran; its answer is no longer kept"))
+		s.writeRefusal(w, verdict.New(verdict.Ran, verdict.CodeCut, "the attempt ran; its response is no longer kept"))
 	case err != nil || offset < 0 || offset > length:
-		s.refuse(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "offset out of range"))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "offset is out of range"))
 	default:
-		s.writeAnswer(w, r, a, offset)
+		s.writeResponse(w, r, a, offset)
 	}
 }
 
-// handleLeave is how an upstream, or the operator of its VM, takes it out of
-// service: POST /v1/leave, and POST /v1/leave?cancel=true to come back.
+// handleLeave lets an upstream, or the operator of its VM, take the upstream out of service with POST
+// /v1/leave and return it with POST /v1/leave?cancel=true.
 func (s *Service) handleLeave(w http.ResponseWriter, r *http.Request) {
 	leaving := r.URL.Query().Get("cancel") != "true"
 	s.Leave(leaving)
@@ -228,6 +226,6 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Service) record(kind timeline.Kind, a *attempt, detail string) {
+func (s *Service) recordEvent(kind timeline.Kind, a *attempt, detail string) {
 	s.ring.Record(timeline.Event{Kind: kind, Request: string(a.request), Attempt: string(a.id), Customer: a.customer, Detail: detail})
 }
--- a/node/gate/queue.go
+++ b/node/gate/queue.go
@@ -7,17 +7,16 @@
 	"caperdrum.org/api/optext"
 )
 
-// fairQueue orders waiting attempts: by class first, within a class by
-// start-time fair queueing over customers (Goyal, Vin and Cheng, 1996), within
-// a customer by deadline. A class that waits is passed over at most
-// maxPassedOver times in a row, so that a flood of a more urgent class slows a
-// less urgent one down but never stops it. With fifo set it is a plain queue,
-// the baseline. Every operation is O(log n) in attempts and customers, but for
-// ahead and victim, which are linear in the customers and attempts that wait.
+// fairQueue orders waiting attempts by class, within a class by start-time fair queueing over customers
+// (Goyal, Vin and Cheng, 1996), and within a customer by deadline. A non-empty class is passed over at most
+// maxPassedOver times in a row, so that a flood of a more urgent class slows a less urgent one but never
+// starves it. With fifo set it is a plain FIFO queue, the baseline for comparisons. Operations are O(log n)
+// in attempts and customers, except attemptsAhead and victim, which are linear in the waiting customers and
+// attempts.
 type fairQueue struct {
 	fifo      bool
 	classes   [numClasses]classQueue
-	deadlines attemptHeap // all attempts that wait, by deadline
+	deadlines attemptHeap // all waiting attempts
 	arrival   uint64
 }
 
@@ -26,8 +25,8 @@
 	maxPassedOver = 16
 	minShare      = 0.01
 	maxShare      = 1e6
-	// burstCredit is how many attempts a customer that used less than its share
-	// may have run ahead of its turn. Its share in the long run stays the same.
+	// burstCredit is how many attempts a customer that used less than its share may run ahead of its turn. It
+	// does not change the customer's long-term share.
 	burstCredit = 2
 	maxCredit   = burstCredit / minShare
 )
@@ -43,7 +42,7 @@
 	}
 }
 
-// clampShare makes a usable weight of any number, also of NaN.
+// clampShare returns a usable weight for any number, including NaN.
 func clampShare(share float64) float64 {
 	if !(share >= minShare) {
 		return minShare
@@ -53,22 +52,22 @@
 
 // classQueue is the fair queue of one class.
 type classQueue struct {
-	virtual    float64 // greatest start tag taken
-	customers  map[string]*customerQueue
-	active     tagHeap // customers with waiting attempts, by start tag
-	idle       tagHeap // customers without, that have not earned the whole credit yet
-	length     int
-	passedOver int
+	virtualTime float64 // highest start tag popped so far
+	customers   map[string]*customerQueue
+	active      tagHeap // customers with waiting attempts, by start tag
+	idle        tagHeap // customers without waiting attempts whose credit is not full yet
+	length      int
+	passedOver  int
 }
 
-// customerQueue holds a customer's waiting attempts of one class. Its tag is
-// the start tag of its next attempt.
+// customerQueue holds a customer's waiting attempts of one class. Its tag is the start tag of the customer's
+// next attempt.
 type customerQueue struct {
 	name     string
 	tag      float64
 	share    float64
 	waiting  attemptHeap
-	position int // in active or idle
+	position int // index in active or idle
 }
 
 func newFairQueue(fifo bool) fairQueue {
@@ -98,16 +97,16 @@
 func (q *fairQueue) push(a *attempt) {
 	q.arrival++
 	a.arrival = q.arrival
-	a.order = a.deadline
+	a.sortTime = a.deadline
 	if q.fifo {
-		a.order = time.Time{}
+		a.sortTime = time.Time{}
 	}
 	a.waiting = true
 	q.class(a).push(a, q.customer(a))
 	heap.Push(&q.deadlines, a)
 }
 
-// pop returns the attempt to run next, or nil.
+// pop removes and returns the attempt to run next, or nil.
 func (q *fairQueue) pop() *attempt {
 	c := q.nextClass()
 	if c == nil {
@@ -119,8 +118,7 @@
 	return a
 }
 
-// nextClass returns the most urgent class that waits, or one that was passed
-// over too often.
+// nextClass returns the most urgent non-empty class, or one that was passed over maxPassedOver times.
 func (q *fairQueue) nextClass() *classQueue {
 	var first, next *classQueue
 	for i := range q.classes {
@@ -150,7 +148,7 @@
 	return next
 }
 
-// remove takes a waiting attempt out. It reports whether a was waiting.
+// remove removes a waiting attempt. It reports whether a was waiting.
 func (q *fairQueue) remove(a *attempt) bool {
 	if !a.waiting {
 		return false
@@ -161,19 +159,18 @@
 	return true
 }
 
-// earliest returns the waiting attempt with the earliest deadline, or nil.
-func (q *fairQueue) earliest() *attempt {
+// earliestDeadline returns the waiting attempt with the earliest deadline, or nil.
+func (q *fairQueue) earliestDeadline() *attempt {
 	if q.len() == 0 {
 		return nil
 	}
 	return q.deadlines.list[0]
 }
 
-// ahead estimates how many waiting attempts would be taken before a new one:
-// those of more urgent classes, and of its own class what the shares allow.
-// While a more urgent class waits, more of it is taken to come, up to what may
-// pass over each attempt of this class.
-func (q *fairQueue) ahead(a *attempt) int {
+// attemptsAhead estimates how many waiting attempts would run before a new one: those of more urgent classes,
+// and those of its own class with a lower start tag. While a more urgent class is non-empty, more of it is
+// assumed to arrive, up to the maxPassedOver attempts that may pass over each attempt of this class.
+func (q *fairQueue) attemptsAhead(a *attempt) int {
 	urgent := 0
 	own := q.class(a)
 	for i := range q.classes {
@@ -182,23 +179,22 @@
 		}
 		urgent += q.classes[i].length
 	}
-	n := own.ahead(q.customer(a), clampShare(a.share))
+	n := own.attemptsAhead(q.customer(a), clampShare(a.share))
 	if urgent == 0 {
 		return n
 	}
 	return n + max(urgent, (n+1)*maxPassedOver)
 }
 
-// waits reports whether an attempt's customer has others of its class waiting.
-func (q *fairQueue) waits(a *attempt) bool {
+// customerWaits reports whether the attempt's customer has others of its class waiting.
+func (q *fairQueue) customerWaits(a *attempt) bool {
 	cq := q.class(a).customers[q.customer(a)]
 	return cq != nil && cq.waiting.Len() > 0
 }
 
-// victim returns the waiting attempt that a new one may push out of a full
-// queue, or nil: one of a less urgent class, or else of the customer of the
-// same class that waits with the most attempts for its share, if that is more
-// than the new one's customer would then have.
+// victim returns the waiting attempt that a new one may displace from a full queue, or nil. It is one of a
+// less urgent class, or else of the customer in the same class with the most waiting attempts relative to its
+// share, if that is more than the new attempt's customer would then have.
 func (q *fairQueue) victim(a *attempt) *attempt {
 	own := q.class(a)
 	for i := numClasses - 1; i >= 0 && !q.fifo; i-- {
@@ -207,26 +203,26 @@
 			break
 		}
 		if c.length > 0 {
-			return c.longest().latest()
+			return c.longestBacklog().lastAttempt()
 		}
 	}
 	if own.length == 0 {
 		return nil
 	}
-	cq, have := own.longest(), 1.0
+	cq, have := own.longestBacklog(), 1.0
 	if mine := own.customers[q.customer(a)]; mine != nil {
 		have += float64(mine.waiting.Len())
 	}
 	if cq.name == q.customer(a) || cq.backlog() <= have/clampShare(a.share) {
 		return nil
 	}
-	return cq.latest()
+	return cq.lastAttempt()
 }
 
 func (c *classQueue) push(a *attempt, customer string) {
 	cq := c.customers[customer]
 	if cq == nil {
-		cq = &customerQueue{name: customer, tag: c.virtual - maxCredit, position: -1, waiting: attemptHeap{slot: slotCustomer}}
+		cq = &customerQueue{name: customer, tag: c.virtualTime - maxCredit, position: -1, waiting: attemptHeap{slot: slotCustomer}}
 		c.customers[customer] = cq
 	}
 	if cq.waiting.Len() == 0 {
@@ -241,7 +237,7 @@
 	if cq.position >= 0 {
 		heap.Remove(&c.idle, cq.position)
 	}
-	cq.tag = max(cq.tag, c.virtual-burstCredit/share)
+	cq.tag = max(cq.tag, c.virtualTime-burstCredit/share)
 	heap.Push(&c.active, cq)
 }
 
@@ -249,11 +245,11 @@
 	cq := c.active[0]
 	a := heap.Pop(&cq.waiting).(*attempt)
 	c.length--
-	c.virtual = max(c.virtual, cq.tag)
+	c.virtualTime = max(c.virtualTime, cq.tag)
 	cq.tag += 1 / clampShare(a.share)
 	heap.Fix(&c.active, 0)
-	c.settle(cq)
-	for len(c.idle) > 0 && c.idle[0].tag <= c.virtual-maxCredit {
+	c.deactivateIfEmpty(cq)
+	for len(c.idle) > 0 && c.idle[0].tag <= c.virtualTime-maxCredit {
 		delete(c.customers, heap.Pop(&c.idle).(*customerQueue).name)
 	}
 	return a
@@ -263,28 +259,28 @@
 	cq := c.customers[customer]
 	heap.Remove(&cq.waiting, a.position[slotCustomer])
 	c.length--
-	c.settle(cq)
+	c.deactivateIfEmpty(cq)
 }
 
-// settle moves a customer without waiting attempts out of active. When the
-// last one leaves, a busy period of the class ends and all debts with it.
-func (c *classQueue) settle(cq *customerQueue) {
+// deactivateIfEmpty moves a customer without waiting attempts from active to idle. When the last one leaves,
+// the busy period of the class ends and all tags are reset.
+func (c *classQueue) deactivateIfEmpty(cq *customerQueue) {
 	if cq.waiting.Len() > 0 {
 		return
 	}
 	heap.Remove(&c.active, cq.position)
 	if len(c.active) == 0 {
 		clear(c.customers)
-		c.idle, c.virtual = nil, 0
+		c.idle, c.virtualTime = nil, 0
 		return
 	}
 	heap.Push(&c.idle, cq)
 }
 
-// ahead returns how many of the class's waiting attempts have a start tag up to
-// that of a new one. It is linear in the customers that wait.
-func (c *classQueue) ahead(customer string, share float64) int {
-	tag, n := c.virtual-burstCredit/share, 0
+// attemptsAhead returns how many of the class's waiting attempts have a start tag up to that of a new one. It
+// is linear in the waiting customers.
+func (c *classQueue) attemptsAhead(customer string, share float64) int {
+	tag, n := c.virtualTime-burstCredit/share, 0
 	if cq := c.customers[customer]; cq != nil {
 		n = cq.waiting.Len()
 		tag = max(cq.tag, tag)
@@ -298,9 +294,8 @@
 	return n
 }
 
-// longest returns the active customer with the most waiting attempts for its
-// share.
-func (c *classQueue) longest() *customerQueue {
+// longestBacklog returns the active customer with the most waiting attempts relative to its share.
+func (c *classQueue) longestBacklog() *customerQueue {
 	var most *customerQueue
 	for _, cq := range c.active {
 		if most == nil || cq.backlog() > most.backlog() || cq.backlog() == most.backlog() && cq.name < most.name {
@@ -312,8 +307,8 @@
 
 func (cq *customerQueue) backlog() float64 { return float64(cq.waiting.Len()) / cq.share }
 
-// latest returns the attempt that the customer would run last.
-func (cq *customerQueue) latest() *attempt {
+// lastAttempt returns the attempt that the customer would run last.
+func (cq *customerQueue) lastAttempt() *attempt {
 	last := 0
 	for i := range cq.waiting.list {
 		if cq.waiting.Less(last, i) {
--- a/node/gate/run.go
+++ b/node/gate/run.go
@@ -18,20 +18,20 @@
 	"caperdrum.org/api/wire"
 )
 
-const readChunk = 32 << 10
+const readChunk = 32 << 10 // bytes
 
-// begin implements starter.
-func (s *Service) begin(ctx context.Context, a *attempt) { go s.run(ctx, a) }
+// startRun implements startFunc.
+func (s *Service) startRun(ctx context.Context, a *attempt) { go s.run(ctx, a) }
 
-// run performs one started attempt against the upstream.
+// run sends one started attempt to the upstream and reads the response.
 func (s *Service) run(ctx context.Context, a *attempt) {
 	started := time.Now()
-	s.record("attempt-started", a, a.stage)
+	s.recordEvent("attempt-started", a, a.stage)
 	failure := s.call(ctx, a)
 	took := time.Since(started)
 	ranVar.Add(1)
 	busyVar.Add(took.Seconds())
-	s.record("attempt-done", a, runDetail(a, failure, took))
+	s.recordEvent("attempt-done", a, runDetail(a, failure, took))
 	s.table.finished(a, failure)
 }
 
@@ -39,33 +39,33 @@
 	if failure != nil {
 		return a.stage + " failed: " + failure.Error()
 	}
-	length, _, _ := a.answer.size()
+	length, _, _ := a.response.size()
 	return a.stage + " bytes=" + strconv.FormatInt(length, 10) + " ms=" + strconv.FormatFloat(took.Seconds()*1e3, 'f', 1, 64)
 }
 
 func (s *Service) call(ctx context.Context, a *attempt) *verdict.Error {
-	// The transport may repeat a repeatable attempt on a new connection, so a
-	// failed dial proves nothing once a header was written.
+	// The transport may resend a repeatable attempt on a new connection, so a failed dial proves nothing once
+	// a header was written.
 	var written atomic.Bool
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { written.Store(true) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), a.method, "http://"+s.set.Upstream+a.path, bytes.NewReader(a.body))
 	if err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "no request can be made of %s %s", a.method, a.path)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "invalid request %s %s", a.method, a.path)
 	}
 	req.Header = a.header
 	req.Header.Set(wire.HeaderRequestID, string(a.request))
 	if req.Header["User-Agent"] == nil {
 		req.Header["User-Agent"] = nil
 	}
-	resp, err := s.upstream.of(req, a.repeatable).Do(req)
+	resp, err := s.upstream.clientFor(req, a.repeatable).Do(req)
 	if err != nil {
 		return callFailure(ctx, err, written.Load())
 	}
 	defer resp.Body.Close()
-	passed := http.Header{}
-	wire.PassToCaller(passed, resp.Header)
-	a.answer.start(resp.StatusCode, passed)
-	return s.readAnswer(a, resp)
+	header := http.Header{}
+	wire.PassToCaller(header, resp.Header)
+	a.response.start(resp.StatusCode, header)
+	return s.readResponse(a, resp)
 }
 
 func callFailure(ctx context.Context, err error, written bool) *verdict.Error {
@@ -74,14 +74,14 @@
 		v = verdict.NotRun
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return verdict.New(v, verdict.CodeTimeout, "the deadline passed while the upstream worked")
+		return verdict.New(v, verdict.CodeTimeout, "the deadline passed before the upstream finished")
 	}
 	return verdict.New(v, verdict.CodeUpstream, "upstream: %v", err).After(time.Second)
 }
 
 var readBuffers = sync.Pool{New: func() any { return new([readChunk]byte) }}
 
-func (s *Service) readAnswer(a *attempt, resp *http.Response) *verdict.Error {
+func (s *Service) readResponse(a *attempt, resp *http.Response) *verdict.Error {
 	buf := readBuffers.Get().(*[readChunk]byte)
 	defer readBuffers.Put(buf)
 	var tail []byte
@@ -89,22 +89,22 @@
 	for {
 		n, err := resp.Body.Read(buf[:])
 		if length+int64(n) > s.set.MaxAnswer {
-			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", s.set.MaxAnswer)
+			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the response exceeds %d bytes", s.set.MaxAnswer)
 		}
 		if n > 0 {
-			length = a.answer.append(buf[:n])
+			length = a.response.append(buf[:n])
 			tail = lastBytes(tail, buf[:n])
 		}
 		if err == io.EOF {
-			return checkWhole(resp, tail)
+			return checkComplete(resp, tail)
 		}
 		if err != nil {
-			return verdict.New(verdict.Ran, verdict.CodeCut, "the upstream's answer was cut: %v", err)
+			return verdict.New(verdict.Ran, verdict.CodeCut, "the upstream's response was truncated: %v", err)
 		}
 	}
 }
 
-const tailSize = 64
+const tailSize = 64 // bytes; longer than the final event of a stream
 
 // lastBytes returns the last tailSize bytes of tail followed by p.
 func lastBytes(tail, p []byte) []byte {
@@ -117,8 +117,8 @@
 	return append(tail, p...)
 }
 
-// checkWhole tells a whole event stream from one that ended early but cleanly.
-func checkWhole(resp *http.Response, tail []byte) *verdict.Error {
+// checkComplete detects an event stream that ended cleanly but without its final event.
+func checkComplete(resp *http.Response, tail []byte) *verdict.Error {
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), wire.ContentEventStream) || resp.StatusCode != http.StatusOK {
 		return nil
 	}
--- a/node/gate/table.go
+++ b/node/gate/table.go
@@ -13,10 +13,10 @@
 	"caperdrum.org/api/wire"
 )
 
-// attempt is one try that this gate knows of.
+// attempt is one try of a request that this gate knows of.
 type attempt struct {
 	id          wire.AttemptID
-	incarnation uint64 // of the gate that it is meant for
+	incarnation uint64 // of the gate that it is addressed to
 	request     wire.RequestID
 	stage       string
 	customer    string
@@ -25,42 +25,41 @@
 	repeatable  bool
 	method      string
 	path        string
-	header      http.Header // passed on to the upstream
+	header      http.Header // forwarded to the upstream
 	body        []byte
 	deadline    time.Time
 	claimed     bool // an idempotency key is claimed for it
 
-	state   wire.AttemptState
-	answer  *answer
-	cancel  context.CancelFunc // ends a running call
-	started time.Time
-	ended   time.Time
+	state    wire.AttemptState
+	response *responseBuffer
+	cancel   context.CancelFunc // cancels the run
+	started  time.Time
+	ended    time.Time
 
 	// Set by the queue.
 	waiting  bool
 	arrival  uint64
-	order    time.Time
+	sortTime time.Time
 	position [numSlots]int
 
 	// Set by the records.
-	readers   int
-	unread    time.Time // since when a repeatable attempt has no reader; zero while it has
-	kept      int64     // bytes of the answer that count as kept
-	evictable bool      // stands in a list of evictable answers
+	readers     int
+	unreadSince time.Time // since when a repeatable attempt has no reader; zero while it has one
+	keptBytes   int64     // bytes of the response that count toward the retention limit
+	evictable   bool      // is in a list of evictable responses
 }
 
-// starter begins to perform an attempt and returns at once. When the attempt
-// ended it calls finished, once. ctx ends with the deadline.
-type starter func(ctx context.Context, a *attempt)
+// startFunc starts to run an attempt and returns at once. When the attempt ends, finished must be called
+// exactly once. ctx ends at the run deadline.
+type startFunc func(ctx context.Context, a *attempt)
 
-// table is the gate's memory of attempts. Its promise: an attempt runs at most
-// once, and one that was reported as not run never runs. That holds because a
-// tombstone stands before the report is given, an id is not admitted again
-// while it is remembered, and no id is admitted that was issued at or before
-// the horizon, the latest time of issue among the forgotten ones.
+// table holds the attempts that the gate knows. It guarantees that an attempt runs at most once, and that one
+// reported as not run never runs: a tombstone is stored before the report is sent, a known id is not admitted
+// again, and no id is admitted that was issued at or before the horizon, the latest issue time of all expired
+// attempts.
 type table struct {
 	clock       clockwork.Clock
-	start       starter
+	startRun    startFunc
 	incarnation uint64
 
 	mu       sync.Mutex
@@ -71,20 +70,20 @@
 	limits   limits
 	limiter  limiter
 	leaving  bool
-	service  ewma // seconds an attempt runs
+	runTime  ewma // seconds an attempt runs
 	timer    clockwork.Timer
-	due      time.Time // when timer fires; zero while it is not set
+	timerAt  time.Time // when timer fires; zero while it is not set
 }
 
-// limits are what the operators' text and the settings say for this gate.
+// limits are the limits of this gate from configuration and settings.
 type limits struct {
 	concurrency int
 	queueLength int
 	refuseLate  bool
 	fifo        bool
 	limiter     string
-	keep        time.Duration // how long answers and tombstones are kept
-	keepBytes   int64         // bytes of ended answers, over all attempts
+	keep        time.Duration // how long responses and tombstones are kept
+	keepBytes   int64         // bytes of ended responses, over all attempts
 }
 
 // ewma is an exponentially weighted moving average.
@@ -95,10 +94,9 @@
 
 const (
 	ewmaWeight = 0.1
-	// backlogMargin is how many times over the expected wait must fit into the
-	// time left of an attempt whose customer has others waiting. The rest is for
-	// runs longer than the average and for customers that go ahead; a longer
-	// queue would not get more work done, and its end is refused late.
+	// backlogMargin is how many times the expected wait must fit into the time left of an attempt whose
+	// customer has others waiting. The surplus covers runs longer than the average and customers that go
+	// ahead. A longer queue would not complete more work, and its tail would be refused late.
 	backlogMargin = 2
 	retryAfterMin = 100 * time.Millisecond
 )
@@ -111,29 +109,29 @@
 	e.value += ewmaWeight * (x - e.value)
 }
 
-func newTable(clock clockwork.Clock, incarnation uint64, start starter, l limits) *table {
-	t := &table{clock: clock, start: start, incarnation: incarnation, attempts: map[wire.AttemptID]*attempt{}, limits: l,
+func newTable(clock clockwork.Clock, incarnation uint64, start startFunc, l limits) *table {
+	t := &table{clock: clock, startRun: start, incarnation: incarnation, attempts: map[wire.AttemptID]*attempt{}, limits: l,
 		queue: newFairQueue(l.fifo), limiter: newLimiter(l.limiter, l.concurrency)}
 	return t
 }
 
-// submit admits a new attempt, or refuses it. A refusal with verdict NotRun
-// leaves a tombstone. An id that is known is refused without a new run.
+// submit admits a new attempt or refuses it. A refusal with verdict NotRun leaves a tombstone. A known id is
+// refused and not run again.
 func (t *table) submit(a *attempt) *verdict.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
-	t.forget()
-	if refusal := t.unknown(a.id); refusal != nil {
+	defer t.resetTimer()
+	t.expireRecords()
+	if refusal := t.checkID(a.id); refusal != nil {
 		return refusal
 	}
-	t.remember(a)
-	if refusal := t.refuse(a); refusal != nil {
-		t.bury(a, refusal)
+	t.register(a)
+	if refusal := t.checkAdmission(a); refusal != nil {
+		t.tombstone(a, refusal)
 		return refusal
 	}
 	if t.running < t.limit() {
-		t.begin(a)
+		t.startAttempt(a)
 		return nil
 	}
 	a.state = wire.AttemptQueued
@@ -141,92 +139,91 @@
 	return nil
 }
 
-// reject leaves a tombstone for an attempt that could not be read whole, so
-// that it can be reported as not run.
+// reject leaves a tombstone for an attempt that could not be read completely, so that it can be reported as
+// not run.
 func (t *table) reject(id wire.AttemptID, why *verdict.Error) *verdict.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
-	t.forget()
-	if refusal := t.unknown(id); refusal != nil {
+	defer t.resetTimer()
+	t.expireRecords()
+	if refusal := t.checkID(id); refusal != nil {
 		return refusal
 	}
-	t.bury(t.remember(&attempt{id: id}), why)
+	t.tombstone(t.register(&attempt{id: id}), why)
 	return why
 }
 
-// unknown returns nil for an id that never came and may still be admitted.
-func (t *table) unknown(id wire.AttemptID) *verdict.Error {
+// checkID returns nil for an id that is new and may be admitted.
+func (t *table) checkID(id wire.AttemptID) *verdict.Error {
 	if known := t.attempts[id]; known != nil {
 		if known.state == wire.AttemptTombstoned {
-			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it came", id).After(retryAfterMin)
+			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it arrived", id).After(retryAfterMin)
 		}
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "attempt %s is known already; attach to it", id)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "attempt %s is already known; attach to it", id)
 	}
 	issued, ok := id.Issued()
 	switch {
 	case !ok:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "attempt id %q carries no time of issue", id)
-	case t.records.forgot(issued):
-		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "attempt %s is older than what this gate remembers", id)
-	case t.ahead(issued):
+		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "attempt id %q contains no issue time", id)
+	case t.records.mayHaveExpired(issued):
+		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "attempt %s is older than the retention time of this gate", id)
+	case t.issuedTooFarAhead(issued):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "attempt %s was issued in the future: compare the clocks of entry and agent", id)
 	}
 	return nil
 }
 
-// ahead reports whether a time of issue is too far ahead of this clock. Such
-// an attempt is not remembered, because to forget it would move the horizon
-// past attempts that are still to come.
-func (t *table) ahead(issued time.Time) bool {
+// issuedTooFarAhead reports whether an issue time is too far ahead of this clock. Such an attempt is not
+// stored, because its expiry would move the horizon past attempts that are yet to arrive.
+func (t *table) issuedTooFarAhead(issued time.Time) bool {
 	return issued.After(t.clock.Now().Add(t.limits.keep / 2))
 }
 
-func (t *table) remember(a *attempt) *attempt {
-	a.answer = newAnswer()
+func (t *table) register(a *attempt) *attempt {
+	a.response = newResponseBuffer()
 	t.attempts[a.id] = a
 	return a
 }
 
-// refuse says why a new attempt cannot be taken. It makes room in a full queue
-// where the shares say so.
-func (t *table) refuse(a *attempt) *verdict.Error {
+// checkAdmission returns why a new attempt cannot be taken, or nil. It displaces a waiting attempt from a
+// full queue if the shares allow it.
+func (t *table) checkAdmission(a *attempt) *verdict.Error {
 	wait := t.expectedWait(a)
 	left := a.deadline.Sub(t.clock.Now())
 	switch {
 	case a.incarnation != t.incarnation:
-		return verdict.New(verdict.NotRun, verdict.CodeIncarnation, "this gate was restarted; choose again").After(retryAfterMin)
+		return verdict.New(verdict.NotRun, verdict.CodeIncarnation, "this gate was restarted; choose an endpoint again").After(retryAfterMin)
 	case t.leaving:
 		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "the upstream is leaving").After(time.Second)
-	case left <= 0 || t.estimates() && t.margin(a)*wait+t.expectedRun() > left:
-		return lateError(wait)
-	case t.running >= t.limit() && t.queue.len() >= t.limits.queueLength && !t.pushOut(a):
+	case left <= 0 || t.usesEstimates() && t.waitMargin(a)*wait+t.expectedRun() > left:
+		return deadlineRefusal(wait)
+	case t.running >= t.limit() && t.queue.len() >= t.limits.queueLength && !t.displaceFor(a):
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(wait, retryAfterMin))
 	}
 	return nil
 }
 
-func lateError(wait time.Duration) *verdict.Error {
+func deadlineRefusal(wait time.Duration) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met: expected wait %s", wait.Round(time.Millisecond)).After(max(wait, retryAfterMin))
 }
 
-// pushOut makes room in a full queue for a, if the shares entitle it.
-func (t *table) pushOut(a *attempt) bool {
+// displaceFor makes room in a full queue for a, if its share entitles it.
+func (t *table) displaceFor(a *attempt) bool {
 	victim := t.queue.victim(a)
 	if victim == nil {
 		return false
 	}
 	t.queue.remove(victim)
-	t.bury(victim, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(t.expectedWait(victim), retryAfterMin)))
+	t.tombstone(victim, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(t.expectedWait(victim), retryAfterMin)))
 	return true
 }
 
-// estimates reports whether refusals go by the expected run time. An idle
-// upstream takes every attempt: without a run the estimate could never mend.
-func (t *table) estimates() bool { return t.limits.refuseLate && t.running > 0 }
+// usesEstimates reports whether attempts are refused by the expected run time. An idle upstream takes every
+// attempt: without a run a wrong estimate could never be corrected.
+func (t *table) usesEstimates() bool { return t.limits.refuseLate && t.running > 0 }
 
 func (t *table) expectedRun() time.Duration {
-	return time.Duration(t.service.value * float64(time.Second))
+	return time.Duration(t.runTime.value * float64(time.Second))
 }
 
 // expectedWait estimates the time until a new attempt would start.
@@ -234,12 +231,12 @@
 	if t.running < t.limit() {
 		return 0
 	}
-	rounds := float64(t.queue.ahead(a)+1) / float64(t.limit())
-	return time.Duration(rounds * t.service.value * float64(time.Second))
+	rounds := float64(t.queue.attemptsAhead(a)+1) / float64(t.limit())
+	return time.Duration(rounds * t.runTime.value * float64(time.Second))
 }
 
-func (t *table) margin(a *attempt) time.Duration {
-	if t.queue.waits(a) {
+func (t *table) waitMargin(a *attempt) time.Duration {
+	if t.queue.customerWaits(a) {
 		return backlogMargin
 	}
 	return 1
@@ -247,91 +244,91 @@
 
 func (t *table) limit() int { return t.limiter.limit() }
 
-// lateAnswer is how long past its caller's deadline a claimed attempt that has
-// started may run on, so that a resend of the key still gets the answer.
-const lateAnswer = 30 * time.Second
+// claimedOverrun is how long past its deadline a started attempt with a claimed idempotency key may run on,
+// so that a resend of the key still gets the response.
+const claimedOverrun = 30 * time.Second
 
-func (a *attempt) runLimit() time.Time {
+func (a *attempt) runDeadline() time.Time {
 	if a.claimed {
-		return a.deadline.Add(lateAnswer)
+		return a.deadline.Add(claimedOverrun)
 	}
 	return a.deadline
 }
 
-func (t *table) begin(a *attempt) {
+func (t *table) startAttempt(a *attempt) {
 	a.state = wire.AttemptRunning
 	a.started = t.clock.Now()
 	t.running++
-	ctx, cancel := clockwork.WithDeadline(context.Background(), t.clock, a.runLimit())
+	ctx, cancel := clockwork.WithDeadline(context.Background(), t.clock, a.runDeadline())
 	a.cancel = cancel
-	t.start(ctx, a)
+	t.startRun(ctx, a)
 }
 
-// finished records the end of a run and starts what waits.
+// finished records the end of a run and starts queued attempts.
 func (t *table) finished(a *attempt, failure *verdict.Error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
+	defer t.resetTimer()
 	a.cancel()
 	a.state = wire.AttemptDone
 	took := t.clock.Since(a.started)
-	t.limiter.done(t.clock.Now(), took, t.running, failure)
+	t.limiter.runEnded(t.clock.Now(), took, t.running, failure)
 	if failure == nil {
-		t.service.add(took.Seconds())
+		t.runTime.add(took.Seconds())
 	}
 	t.running--
-	t.end(a, failure)
-	t.startWaiting()
+	t.recordEnd(a, failure)
+	t.startQueued()
 	t.refuseLate() // the expected run time may have grown
 }
 
-// startWaiting begins what the limit allows.
-func (t *table) startWaiting() {
+// startQueued starts queued attempts up to the limit.
+func (t *table) startQueued() {
 	for t.running < t.limit() {
 		a := t.queue.pop()
 		if a == nil {
 			return
 		}
-		if t.late(a) {
-			t.bury(a, lateError(t.expectedWait(a)))
+		if t.cannotFinish(a) {
+			t.tombstone(a, deadlineRefusal(t.expectedWait(a)))
 			continue
 		}
-		t.begin(a)
+		t.startAttempt(a)
 	}
 }
 
-// late reports whether a waiting attempt can no longer finish.
-func (t *table) late(a *attempt) bool { return !t.latestStart(a).After(t.clock.Now()) }
+// cannotFinish reports whether a waiting attempt can no longer finish in time.
+func (t *table) cannotFinish(a *attempt) bool { return !t.latestStart(a).After(t.clock.Now()) }
 
 func (t *table) latestStart(a *attempt) time.Time {
-	if !t.estimates() {
+	if !t.usesEstimates() {
 		return a.deadline
 	}
 	return a.deadline.Add(-t.expectedRun())
 }
 
-// cancelAttempt makes a tombstone if the attempt has not started, also when it
-// was never seen. With abandon set, a running attempt is ended as well.
+// cancelAttempt tombstones an attempt that has not started, including one that was never seen. With abandon
+// set, a running attempt is cancelled as well.
 func (t *table) cancelAttempt(id wire.AttemptID, abandon bool) wire.AttemptStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
-	t.forget()
+	defer t.resetTimer()
+	t.expireRecords()
 	a := t.attempts[id]
 	cancelled := verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled").After(retryAfterMin)
 	switch {
 	case a == nil:
-		refusal := t.unknown(id)
+		refusal := t.checkID(id)
 		if refusal != nil && refusal.Verdict != verdict.NotRun {
 			return wire.AttemptStatus{Attempt: id, State: wire.AttemptForgotten}
 		}
 		if refusal != nil {
 			return wire.AttemptStatus{Attempt: id, State: wire.AttemptTombstoned}
 		}
-		t.bury(t.remember(&attempt{id: id}), cancelled)
+		t.tombstone(t.register(&attempt{id: id}), cancelled)
 	case a.state == wire.AttemptQueued:
 		t.queue.remove(a)
-		t.bury(a, cancelled)
+		t.tombstone(a, cancelled)
 	case a.state == wire.AttemptRunning && abandon:
 		a.cancel()
 	}
@@ -348,19 +345,19 @@
 	a := t.attempts[id]
 	if a == nil {
 		st := wire.AttemptStatus{Attempt: id, State: wire.AttemptUnseen}
-		if issued, ok := id.Issued(); ok && (t.records.forgot(issued) || t.ahead(issued)) {
+		if issued, ok := id.Issued(); ok && (t.records.mayHaveExpired(issued) || t.issuedTooFarAhead(issued)) {
 			st.State = wire.AttemptForgotten
 		}
 		return st
 	}
-	length, end, _ := a.answer.size()
+	length, end, _ := a.response.size()
 	return wire.AttemptStatus{Attempt: id, State: a.state, Length: length, End: end}
 }
 
 func (t *table) setLimits(l limits) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arm()
+	defer t.resetTimer()
 	if l.fifo != t.limits.fifo {
 		t.requeue(l.fifo)
 	}
@@ -368,10 +365,10 @@
 		t.limiter = newLimiter(l.limiter, l.concurrency)
 	}
 	t.limits = l
-	t.startWaiting()
+	t.startQueued()
 }
 
-// requeue changes the discipline without losing what waits.
+// requeue changes the queue discipline and keeps the waiting attempts.
 func (t *table) requeue(fifo bool) {
 	q := newFairQueue(fifo)
 	for a := t.queue.pop(); a != nil; a = t.queue.pop() {
@@ -386,7 +383,7 @@
 	t.leaving = leaving
 }
 
-// load returns the attempts waiting and running and the limit.
+// load returns the numbers of queued and running attempts and the limit.
 func (t *table) load() (queued, running, limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/gate/table_test.go
+++ b/node/gate/table_test.go
@@ -17,20 +17,20 @@
 
 const testKeep = 20 * time.Second
 
-// gateModel drives a table and keeps the oracle: how often each attempt ran,
-// and which were reported as not run.
+// gateModel drives a table and keeps the reference state: how often each attempt ran, and which were reported
+// as not run.
 type gateModel struct {
-	clock     *clockwork.FakeClock
-	table     *table
-	start     int // number of this start of the gate
-	sent      []*attempt
-	admitted  map[wire.AttemptID]*attempt
-	runs      map[wire.AttemptID]int
-	notRun    map[wire.AttemptID]string
-	running   map[wire.AttemptID]context.Context
-	wrote     map[wire.AttemptID][]byte
-	next      uint64
-	violation string
+	clock       *clockwork.FakeClock
+	table       *table
+	incarnation int // of the current gate
+	sent        []*attempt
+	admitted    map[wire.AttemptID]*attempt
+	runs        map[wire.AttemptID]int
+	notRun      map[wire.AttemptID]string
+	running     map[wire.AttemptID]context.Context
+	written     map[wire.AttemptID][]byte
+	next        uint64
+	violation   string
 }
 
 func newGateModel() *gateModel {
@@ -39,15 +39,15 @@
 	return m
 }
 
-// restart begins a new start of the gate, which knows nothing of earlier ones.
+// restart replaces the gate by one that knows nothing of earlier attempts.
 func (m *gateModel) restart(l limits) {
-	m.start++
-	m.admitted, m.running, m.wrote = map[wire.AttemptID]*attempt{}, map[wire.AttemptID]context.Context{}, map[wire.AttemptID][]byte{}
-	m.table = newTable(m.clock, uint64(m.start), m.begin, l)
+	m.incarnation++
+	m.admitted, m.running, m.written = map[wire.AttemptID]*attempt{}, map[wire.AttemptID]context.Context{}, map[wire.AttemptID][]byte{}
+	m.table = newTable(m.clock, uint64(m.incarnation), m.startRun, l)
 }
 
-// begin is the controllable upstream.
-func (m *gateModel) begin(ctx context.Context, a *attempt) {
+// startRun is the upstream under the test's control.
+func (m *gateModel) startRun(ctx context.Context, a *attempt) {
 	m.runs[a.id]++
 	m.running[a.id] = ctx
 	cancel := a.cancel
@@ -76,7 +76,7 @@
 func (m *gateModel) newAttempt(t *rapid.T) *attempt {
 	m.next++
 	skew := time.Duration(rapid.IntRange(-9, 9).Draw(t, "clock skew")) * time.Second
-	a := &attempt{id: wire.AttemptIDAt(m.clock.Now().Add(skew), m.next), incarnation: uint64(m.start),
+	a := &attempt{id: wire.AttemptIDAt(m.clock.Now().Add(skew), m.next), incarnation: uint64(m.incarnation),
 		customer: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "customer"), share: 1, repeatable: rapid.Bool().Draw(t, "repeatable"),
 		class:    rapid.SampledFrom(testClasses).Draw(t, "class"),
 		deadline: m.clock.Now().Add(time.Duration(rapid.IntRange(-1, 8).Draw(t, "budget")) * time.Second)}
@@ -84,15 +84,15 @@
 	return a
 }
 
-func (m *gateModel) any(t *rapid.T) *attempt {
+func (m *gateModel) anySent(t *rapid.T) *attempt {
 	if len(m.sent) == 0 {
 		t.Skip()
 	}
 	return rapid.SampledFrom(m.sent).Draw(t, "attempt")
 }
 
-// arrive submits a copy of an attempt, as the network may at any time.
-func (m *gateModel) arrive(t *rapid.T, of *attempt) {
+// deliver submits a copy of an attempt, which the network may deliver at any time.
+func (m *gateModel) deliver(t *rapid.T, of *attempt) {
 	a := &attempt{id: of.id, incarnation: of.incarnation, customer: of.customer, class: of.class, share: 1, repeatable: of.repeatable,
 		deadline: of.deadline, readers: 1}
 	if a.deadline.Before(m.clock.Now()) { // a late copy's budget counts from its arrival
@@ -111,11 +111,10 @@
 	}
 }
 
-// ranBefore reports whether a copy came to a later start of the gate than the
-// one that ran the attempt. The refusal speaks of this copy; the entry reads
-// the answer to the first one.
+// ranBefore reports whether an earlier incarnation of the gate ran the attempt. The refusal concerns only
+// this copy; the entry reads the response to the first one.
 func (m *gateModel) ranBefore(a *attempt) bool {
-	return a.incarnation != uint64(m.start) && m.runs[a.id] > 0
+	return a.incarnation != uint64(m.incarnation) && m.runs[a.id] > 0
 }
 
 func (m *gateModel) ids() []wire.AttemptID {
@@ -127,7 +126,7 @@
 	return ids
 }
 
-func (m *gateModel) pick(t *rapid.T) *attempt {
+func (m *gateModel) anyRunning(t *rapid.T) *attempt {
 	if len(m.running) == 0 {
 		t.Skip()
 	}
@@ -139,80 +138,80 @@
 	m.table.finished(a, failure)
 }
 
-// check holds after every step.
+// check verifies the invariants after every step.
 func (m *gateModel) check(t *rapid.T) {
-	for _, id := range m.ids() { // the upstream stops a call whose deadline has passed
+	for _, id := range m.ids() { // the upstream ends a run whose deadline has passed
 		select {
 		case <-m.running[id].Done():
 			m.finish(m.admitted[id], verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "ended"))
 		default:
 		}
 	}
-	m.table.mu.Lock() // the timer's own sweep may run
+	m.table.mu.Lock() // the timer may call sweep concurrently
 	defer m.table.mu.Unlock()
 	if m.violation != "" {
 		t.Fatal(m.violation)
 	}
 	tb := m.table
 	if tb.queue.len() > 0 && tb.running < tb.limit() {
-		t.Fatalf("%d wait while %d of %d run", tb.queue.len(), tb.running, tb.limit())
+		t.Fatalf("%d attempts wait while %d of %d run", tb.queue.len(), tb.running, tb.limit())
 	}
 	if tb.running != len(m.running) {
-		t.Fatalf("counts %d running, want %d", tb.running, len(m.running))
+		t.Fatalf("%d counted as running, want %d", tb.running, len(m.running))
 	}
-	if a := tb.queue.earliest(); a != nil && tb.late(a) {
-		t.Fatalf("%s waits and can no longer finish", a.id)
+	if a := tb.queue.earliestDeadline(); a != nil && tb.cannotFinish(a) {
+		t.Fatalf("%s is queued and can no longer finish in time", a.id)
 	}
-	if tb.queue.len() > 0 && (tb.due.IsZero() || tb.due.After(tb.latestStart(tb.queue.earliest())) && tb.due.After(m.clock.Now().Add(minTimer))) {
-		t.Fatal("no timer for the attempt that falls due next")
+	if tb.queue.len() > 0 && (tb.timerAt.IsZero() || tb.timerAt.After(tb.latestStart(tb.queue.earliestDeadline())) && tb.timerAt.After(m.clock.Now().Add(minTimerWait))) {
+		t.Fatal("no timer is set for the next due attempt")
 	}
-	if idle := tb.records.kept; idle > tb.limits.keepBytes && tb.records.evictableLen() > 0 {
+	if idle := tb.records.keptBytes; idle > tb.limits.keepBytes && tb.records.evictableLen() > 0 {
 		t.Fatalf("%d bytes kept, the limit is %d", idle, tb.limits.keepBytes)
 	}
 	for _, a := range m.sent {
-		m.checkAnswer(t, m.admitted[a.id])
+		m.checkResponse(t, m.admitted[a.id])
 	}
 }
 
 func (r *records) evictableLen() int { return len(r.evictable[0]) + len(r.evictable[1]) }
 
-func (m *gateModel) checkAnswer(t *rapid.T, a *attempt) {
+func (m *gateModel) checkResponse(t *rapid.T, a *attempt) {
 	if a == nil {
 		return
 	}
-	if f := a.answer.failure; f != nil && f.Verdict == verdict.NotRun {
-		m.reportNotRun(a.id, "its answer")
+	if f := a.response.failure; f != nil && f.Verdict == verdict.NotRun {
+		m.reportNotRun(a.id, "its response")
 	}
-	length, end, dropped := a.answer.size()
-	if want := m.wrote[a.id]; length != int64(len(want)) || !dropped && !bytes.Equal(a.answer.data, want) {
-		t.Fatalf("%s: answer %q, want %q", a.id, a.answer.data, want)
+	length, end, dropped := a.response.size()
+	if want := m.written[a.id]; length != int64(len(want)) || !dropped && !bytes.Equal(a.response.data, want) {
+		t.Fatalf("%s: response %q, want %q", a.id, a.response.data, want)
 	}
-	if whole := bytes.HasSuffix(m.wrote[a.id], []byte("end")); (end == wire.EndWhole) != whole {
-		t.Fatalf("%s: end mark %q, wrote %q", a.id, end, m.wrote[a.id])
+	if complete := bytes.HasSuffix(m.written[a.id], []byte("end")); (end == wire.EndWhole) != complete {
+		t.Fatalf("%s: end mark %q, wrote %q", a.id, end, m.written[a.id])
 	}
 }
 
 func (m *gateModel) write(a *attempt, text string) {
-	m.wrote[a.id] = append(m.wrote[a.id], text...)
-	a.answer.append([]byte(text))
+	m.written[a.id] = append(m.written[a.id], text...)
+	a.response.append([]byte(text))
 }
 
-// attach reads what there is from an offset, as after a broken connection.
+// attach reads from an offset, as after a broken connection.
 func (m *gateModel) attach(t *rapid.T) {
-	of := m.any(t)
-	a := m.table.join(of.id)
+	of := m.anySent(t)
+	a := m.table.addReader(of.id)
 	if a == nil {
 		return
 	}
-	defer m.table.leave(a)
-	length, _, dropped := a.answer.size()
+	defer m.table.removeReader(a)
+	length, _, dropped := a.response.size()
 	if length == 0 || dropped {
 		return
 	}
 	offset := rapid.Int64Range(0, length-1).Draw(t, "offset")
-	data, _, err := a.answer.next(context.Background(), offset)
-	if err != nil || !bytes.Equal(data, m.wrote[of.id][offset:]) {
-		t.Fatalf("%s from %d: %q %v, want %q", of.id, offset, data, err, m.wrote[of.id][offset:])
+	data, _, err := a.response.next(context.Background(), offset)
+	if err != nil || !bytes.Equal(data, m.written[of.id][offset:]) {
+		t.Fatalf("%s from %d: %q %v, want %q", of.id, offset, data, err, m.written[of.id][offset:])
 	}
 }
 
@@ -220,7 +219,7 @@
 	st := m.table.cancelAttempt(a.id, abandon)
 	switch st.State {
 	case wire.AttemptTombstoned:
-		if a.incarnation == uint64(m.start) { // otherwise the entry sees another incarnation and concludes nothing
+		if a.incarnation == uint64(m.incarnation) { // otherwise the entry sees another incarnation and concludes nothing
 			m.reportNotRun(a.id, "cancel")
 		}
 	case wire.AttemptRunning, wire.AttemptDone:
@@ -234,29 +233,29 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newGateModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"submit":         func(t *rapid.T) { m.arrive(t, m.newAttempt(t)) },
-			"submit more":    func(t *rapid.T) { m.arrive(t, m.newAttempt(t)) },
-			"late copy":      func(t *rapid.T) { m.arrive(t, m.any(t)) },
-			"cancel":         func(t *rapid.T) { m.cancel(t, m.any(t), rapid.Bool().Draw(t, "abandon")) },
+			"submit":         func(t *rapid.T) { m.deliver(t, m.newAttempt(t)) },
+			"submit more":    func(t *rapid.T) { m.deliver(t, m.newAttempt(t)) },
+			"late copy":      func(t *rapid.T) { m.deliver(t, m.anySent(t)) },
+			"cancel":         func(t *rapid.T) { m.cancel(t, m.anySent(t), rapid.Bool().Draw(t, "abandon")) },
 			"cancel first":   func(t *rapid.T) { m.cancel(t, m.newAttempt(t), false) },
-			"cut submission": func(t *rapid.T) { m.reject(m.any(t)) },
+			"cut submission": func(t *rapid.T) { m.reject(m.anySent(t)) },
 			"attach":         m.attach,
-			"reader leaves":  func(t *rapid.T) { m.leave(m.any(t)) },
+			"reader leaves":  func(t *rapid.T) { m.removeReader(m.anySent(t)) },
 			"upstream writes": func(t *rapid.T) {
-				a := m.pick(t)
-				a.answer.start(200, nil)
+				a := m.anyRunning(t)
+				a.response.start(200, nil)
 				m.write(a, "abc")
 			},
 			"upstream ends": func(t *rapid.T) {
-				a := m.pick(t)
-				a.answer.start(200, nil)
+				a := m.anyRunning(t)
+				a.response.start(200, nil)
 				m.write(a, "end")
 				m.finish(a, nil)
 			},
-			"upstream cuts": func(t *rapid.T) { m.finish(m.pick(t), verdict.New(verdict.Ran, verdict.CodeCut, "cut")) },
+			"upstream cuts": func(t *rapid.T) { m.finish(m.anyRunning(t), verdict.New(verdict.Ran, verdict.CodeCut, "cut")) },
 			"upstream refuses the connection": func(t *rapid.T) {
-				a := m.pick(t)
-				if len(m.wrote[a.id]) == 0 {
+				a := m.anyRunning(t)
+				if len(m.written[a.id]) == 0 {
 					m.finish(a, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "down"))
 				}
 			},
@@ -293,8 +292,8 @@
 	}
 }
 
-func (m *gateModel) leave(of *attempt) {
+func (m *gateModel) removeReader(of *attempt) {
 	if a := m.admitted[of.id]; a != nil && a.readers > 0 {
-		m.table.leave(a)
+		m.table.removeReader(a)
 	}
 }
--- a/node/gate/upstream_test.go
+++ b/node/gate/upstream_test.go
@@ -14,24 +14,24 @@
 	"caperdrum.org/node/settings"
 )
 
-// fickleUpstream answers the first requests of each connection and closes it
-// without an answer, or before the next request came.
-type fickleUpstream struct {
+// closingUpstream answers the first requests of each connection, then closes it, either after reading the
+// next request without answering or before that.
+type closingUpstream struct {
 	net.Listener
 	perConnection int  // requests answered
-	readNext      bool // the next one is run and not answered
+	runUnanswered bool // run the next request without answering it
 
 	mu          sync.Mutex
 	connections int
-	runs        map[string]int // by body
+	runs        map[string]int // by path and body
 }
 
-func newFickleUpstream(t *testing.T, perConnection int, readNext bool) *fickleUpstream {
+func newClosingUpstream(t *testing.T, perConnection int, runUnanswered bool) *closingUpstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &fickleUpstream{Listener: l, perConnection: perConnection, readNext: readNext, runs: map[string]int{}}
+	u := &closingUpstream{Listener: l, perConnection: perConnection, runUnanswered: runUnanswered, runs: map[string]int{}}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -45,7 +45,7 @@
 	return u
 }
 
-func (u *fickleUpstream) serve(conn net.Conn) {
+func (u *closingUpstream) serve(conn net.Conn) {
 	defer conn.Close()
 	u.mu.Lock()
 	u.connections++
@@ -57,12 +57,12 @@
 		}
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}
-	if u.readNext {
+	if u.runUnanswered {
 		u.run(r)
 	}
 }
 
-func (u *fickleUpstream) run(r *bufio.Reader) bool {
+func (u *closingUpstream) run(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return false
@@ -77,19 +77,19 @@
 	return true
 }
 
-// A call that may not be repeated runs at most once, whatever its method and
-// headers, when the upstream closes kept connections under it.
+// A non-repeatable call runs at most once, whatever its method and headers, when the upstream closes kept
+// connections.
 func TestUnrepeatableCallsRunOnceOnKeptConnections(t *testing.T) {
 	const calls = 60
 	for _, readNext := range []bool{true, false} {
 		for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut} {
 			for _, body := range []string{"", "order"} {
 				t.Run(fmt.Sprintf("%s %q read=%v", method, body, readNext), func(t *testing.T) {
-					u := newFickleUpstream(t, 3, readNext)
+					u := newClosingUpstream(t, 3, readNext)
 					s := &Service{set: settings.AgentRole{Upstream: u.Addr().String(), MaxAnswer: 1 << 20}, upstream: newUpstreamClients()}
 					failed := 0
 					for i := range calls {
-						a := &attempt{method: method, path: fmt.Sprintf("/%d", i), header: http.Header{"Idempotency-Key": {"k"}}, body: []byte(body), answer: newAnswer()}
+						a := &attempt{method: method, path: fmt.Sprintf("/%d", i), header: http.Header{"Idempotency-Key": {"k"}}, body: []byte(body), response: newResponseBuffer()}
 						e := s.call(context.Background(), a)
 						u.mu.Lock()
 						runs := u.runs[a.path+body]
@@ -100,7 +100,7 @@
 						case e == nil && runs != 1:
 							t.Fatalf("call %d was answered without a run", i)
 						case e != nil && e.Verdict == verdict.NotRun && runs > 0:
-							t.Fatalf("call %d ran and was told as not run", i)
+							t.Fatalf("call %d ran and was reported as not run", i)
 						case e != nil:
 							failed++
 						}
@@ -111,7 +111,7 @@
 						t.Errorf("%d of %d calls without a body failed on %d connections", failed, calls, u.connections)
 					}
 					if body != "" && u.connections > calls/2 {
-						t.Errorf("%d connections for %d calls: none is kept", u.connections, calls)
+						t.Errorf("%d connections for %d calls: none is reused", u.connections, calls)
 					}
 				})
 			}
--- a/node/gateway/errors.go
+++ b/node/gateway/errors.go
@@ -10,8 +10,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// errorBody is the JSON that a caller gets instead of an answer: the shape of
-// the OpenAI API, and the verdict.
+// errorBody is the JSON body of an error response: the format of the OpenAI API with the verdict added.
 type errorBody struct {
 	Error errorObject `json:"error"`
 }
@@ -25,8 +24,8 @@
 	RequestID wire.RequestID  `json:"request_id"`
 }
 
-// typeOf returns the error type that clients of the OpenAI API know.
-func typeOf(status int) string {
+// errorType returns the matching error type of the OpenAI API.
+func errorType(status int) string {
 	switch {
 	case status == http.StatusTooManyRequests:
 		return "rate_limit_error"
@@ -38,7 +37,7 @@
 }
 
 func writeError(w http.ResponseWriter, id wire.RequestID, e *verdict.Error) {
-	b := errorBody{errorObject{Message: e.Message, Type: typeOf(e.Status), Code: e.Code, Verdict: e.Verdict, RequestID: id}}
+	b := errorBody{errorObject{Message: e.Message, Type: errorType(e.Status), Code: e.Code, Verdict: e.Verdict, RequestID: id}}
 	h := w.Header()
 	h.Set(wire.HeaderVerdict, e.Verdict.String())
 	h.Set("Content-Type", "application/json")
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway is the callers' HTTP interface of an entry.
+// Package gateway implements the HTTP interface of an entry for callers.
 package gateway
 
 import (
@@ -24,7 +24,7 @@
 	"caperdrum.org/node/settings"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	Settings  *settings.Settings
@@ -37,18 +37,18 @@
 	Security  *security.Store     `optional:"true"`
 }
 
-// Service is the callers' listener.
+// Service serves the callers' listener.
 type Service struct {
-	p         Params
-	set       settings.EntryRole
-	server    *http.Server
-	taken     atomic.Bool // the entry's services have a view
-	draining  atomic.Bool
-	receiving atomic.Int64 // requests that are read, refused, served or answered
+	p           Params
+	set         settings.EntryRole
+	server      *http.Server
+	viewApplied atomic.Bool // the entry's other services have applied a configuration view
+	draining    atomic.Bool
+	receiving   atomic.Int64 // requests being read, refused or served
 }
 
 var (
-	requestsVar = expvar.NewMap("requests") // by verdict or "whole"
+	requestsVar = expvar.NewMap("requests") // by verdict; "whole" counts complete responses
 	inFlightVar = expvar.NewInt("requests_in_flight")
 )
 
@@ -56,30 +56,30 @@
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 32 << 10
-	receivingFactor   = 2                      // times the requests in service: others are being read or refused
-	balancerGrace     = 500 * time.Millisecond // time for the balancer to see that readiness ended
+	receivingFactor   = 2                      // times MaxInFlight: some requests are still being read or refused
+	balancerGrace     = 500 * time.Millisecond // for the load balancer to notice that the entry is not ready
 )
 
 // New returns the gateway; Start opens its listener.
 func New(p Params) *Service {
 	s := &Service{p: p, set: p.Settings.Entry}
-	// The services that New was given were told of the view before.
-	p.Sync.OnChange(func(*configsync.View) { s.taken.Store(true) })
+	// Callbacks run in order: the services passed to New have applied the view before.
+	p.Sync.OnChange(func(*configsync.View) { s.viewApplied.Store(true) })
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	r.Get("/readyz", s.ready)
-	r.Get("/v1/models", s.models)
-	r.Post("/v1/chat/completions", s.serve(s.chat))
-	r.Post("/v1/pipelines/{pipeline}", s.serve(s.pipeline))
-	r.HandleFunc("/v1/services/{service}", s.serve(s.service))
-	r.HandleFunc("/v1/services/{service}/*", s.serve(s.service))
+	r.Get("/readyz", s.handleReady)
+	r.Get("/v1/models", s.handleModels)
+	r.Post("/v1/chat/completions", s.wrapHandler(s.handleChat))
+	r.Post("/v1/pipelines/{pipeline}", s.wrapHandler(s.handlePipeline))
+	r.HandleFunc("/v1/services/{service}", s.wrapHandler(s.handleService))
+	r.HandleFunc("/v1/services/{service}/*", s.wrapHandler(s.handleService))
 	r.NotFound(func(w http.ResponseWriter, req *http.Request) {
-		s.fail(w, "", verdict.New(verdict.NotRun, verdict.CodeUnknown, "no such path: %s; use /v1/chat/completions, /v1/pipelines/NAME or /v1/services/NAME/PATH", req.URL.Path))
+		s.writeFailure(w, "", verdict.New(verdict.NotRun, verdict.CodeUnknown, "no such path: %s; use /v1/chat/completions, /v1/pipelines/NAME or /v1/services/NAME/PATH", req.URL.Path))
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, req *http.Request) {
 		e := verdict.New(verdict.NotRun, verdict.CodeInvalid, "method %s is not allowed for %s: use POST", req.Method, req.URL.Path)
 		e.Status = http.StatusMethodNotAllowed
-		s.fail(w, "", e)
+		s.writeFailure(w, "", e)
 	})
 	s.server = &http.Server{Handler: r, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	return s
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// Stop implements kernel.Stopper: readiness ends first, so that the balancer
-// sends nothing more, then requests in flight are finished.
+// Stop implements kernel.Stopper. It ends readiness first, so that the load balancer sends no more requests,
+// then waits for those in flight.
 func (s *Service) Stop(ctx context.Context) error {
 	s.draining.Store(true)
 	select {
@@ -106,7 +106,7 @@
 	return s.server.Shutdown(ctx)
 }
 
-func (s *Service) ready(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if reason := s.notReady(); reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
@@ -119,7 +119,7 @@
 	switch {
 	case s.draining.Load():
 		return "draining"
-	case v == nil || v.Version == 0 || !s.taken.Load():
+	case v == nil || v.Version == 0 || !s.viewApplied.Load():
 		return "no configuration yet"
 	case !s.p.Sync.ViewApplied():
 		return "configuration not taken over yet"
@@ -129,8 +129,8 @@
 	return ""
 }
 
-// admit refuses what cannot be served at all.
-func (s *Service) admit() *verdict.Error {
+// checkServing refuses requests while the entry cannot serve any.
+func (s *Service) checkServing() *verdict.Error {
 	v := s.p.Sync.View()
 	switch {
 	case v == nil || v.Version == 0:
@@ -138,14 +138,13 @@
 	case s.set.RefuseStale && s.p.Sync.StampAge() > s.set.StaleAfter:
 		return verdict.New(verdict.NotRun, verdict.CodeStale, "this entry's configuration is not confirmed").After(time.Second)
 	case s.receiving.Load() > receivingFactor*int64(s.set.MaxInFlight):
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this entry receives too many requests").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this entry has too many requests in flight").After(time.Second)
 	}
 	return nil
 }
 
-// serve wraps a handler with admission, the request id and the accounting of
-// outcomes.
-func (s *Service) serve(handle func(http.ResponseWriter, *http.Request, *call) error) http.HandlerFunc {
+// wrapHandler wraps a handler with the checks before it, the request id and the accounting of outcomes.
+func (s *Service) wrapHandler(handle func(http.ResponseWriter, *http.Request, *call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.receiving.Add(1)
 		inFlightVar.Add(1)
@@ -156,7 +155,7 @@
 		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
-		c, err := s.begin(w, r)
+		c, err := s.readRequest(w, r)
 		defer func() {
 			if c.release != nil {
 				c.release()
@@ -165,13 +164,13 @@
 		if err == nil {
 			err = handle(w, r, c)
 		}
-		s.end(w, r, c, err)
+		s.finishRequest(w, r, c, err)
 	}
 }
 
-// take admits the request, or refuses it at once.
-func (s *Service) take(c *call) error {
-	release, refusal := s.p.Admission.Admit(c.customer, c.work(), len(c.body))
+// admitCall admits the request, or refuses it at once.
+func (s *Service) admitCall(c *call) error {
+	release, refusal := s.p.Admission.Admit(c.customer, c.admissionWork(), len(c.body))
 	if refusal != nil {
 		return refusal
 	}
@@ -179,7 +178,7 @@
 	return nil
 }
 
-func (s *Service) end(w http.ResponseWriter, r *http.Request, c *call, err error) {
+func (s *Service) finishRequest(w http.ResponseWriter, r *http.Request, c *call, err error) {
 	c.countAttainment(err)
 	if err == nil {
 		requestsVar.Add("whole", 1)
@@ -189,15 +188,15 @@
 	e := verdict.From(err)
 	requestsVar.Add(e.Verdict.String(), 1)
 	s.p.Ring.Record(timeline.Event{Kind: "request-failed", Request: string(c.id), Customer: c.customerName(), Detail: e.Error()})
-	if c.begun {
-		// The status line is gone: cutting the connection is the only way to
-		// keep the caller from taking a part for the whole.
+	if c.headerSent {
+		// The status line was sent already: only cutting the connection keeps the caller from taking a
+		// partial response for a complete one.
 		panic(http.ErrAbortHandler)
 	}
-	s.fail(w, c.id, e)
+	s.writeFailure(w, c.id, e)
 }
 
-// fail answers with an error before any part of an answer was sent.
-func (s *Service) fail(w http.ResponseWriter, id wire.RequestID, e *verdict.Error) {
+// writeFailure sends an error response; nothing may have been sent before.
+func (s *Service) writeFailure(w http.ResponseWriter, id wire.RequestID, e *verdict.Error) {
 	writeError(w, id, e)
 }
--- a/node/gateway/models.go
+++ b/node/gateway/models.go
@@ -8,7 +8,7 @@
 	"caperdrum.org/api/verdict"
 )
 
-// modelList is the answer to GET /v1/models in the OpenAI API.
+// modelList is the response to GET /v1/models in the OpenAI API.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
@@ -21,10 +21,10 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the model names that select a pipeline.
-func (s *Service) models(w http.ResponseWriter, _ *http.Request) {
-	if refusal := s.admit(); refusal != nil {
-		s.fail(w, "", refusal)
+// handleModels lists the model names that select a pipeline.
+func (s *Service) handleModels(w http.ResponseWriter, _ *http.Request) {
+	if refusal := s.checkServing(); refusal != nil {
+		s.writeFailure(w, "", refusal)
 		return
 	}
 	list := modelList{Object: "list", Data: []model{}}
@@ -41,7 +41,7 @@
 	})
 	data, err := json.Marshal(list)
 	if err != nil {
-		s.fail(w, "", verdict.From(err))
+		s.writeFailure(w, "", verdict.From(err))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/node/ledger/fakes_test.go
+++ b/node/ledger/fakes_test.go
@@ -122,7 +122,7 @@
 
 // The gates interface follows node/dispatch: it reacts in the same way to the same failures.
 
-func (r *request) Do(_ context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Answer, error) {
+func (r *request) Do(_ context.Context, e *routing.Endpoint, c dispatch.Call) (*dispatch.Response, error) {
 	g := r.sim.gate(e)
 	refusal, err := exchange(r, g, func() (*verdict.Error, error) { return g.submit(e, c, r.key), nil })
 	if err != nil {
@@ -147,8 +147,8 @@
 }
 
 // await reads an answer once its attempt has ended at the gate.
-func (r *request) await(g *fakeGate, e *routing.Endpoint, id wire.AttemptID, lost func() error) (*dispatch.Answer, error) {
-	var answer *dispatch.Answer
+func (r *request) await(g *fakeGate, e *routing.Endpoint, id wire.AttemptID, lost func() error) (*dispatch.Response, error) {
+	var answer *dispatch.Response
 	var err error
 	same := func() bool { return g.incarnation == e.Member.Incarnation && g.attempts[id] != nil }
 	r.park(&operation{gate: g,
@@ -167,7 +167,7 @@
 	return answer, err
 }
 
-func (r *request) Attach(_ context.Context, e *routing.Endpoint, c dispatch.Call, _ int64) (*dispatch.Answer, error) {
+func (r *request) Attach(_ context.Context, e *routing.Endpoint, c dispatch.Call, _ int64) (*dispatch.Response, error) {
 	g := r.sim.gate(e)
 	known, err := exchange(r, g, func() (bool, error) { g.forget(); return g.attempts[c.Attempt] != nil, nil })
 	cut := verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "attach failed")
@@ -284,11 +284,11 @@
 	return a.state == wire.AttemptDone || a.state == wire.AttemptTombstoned
 }
 
-func (a *fakeAttempt) read() (*dispatch.Answer, error) {
+func (a *fakeAttempt) read() (*dispatch.Response, error) {
 	if a.fault != nil {
 		return nil, a.fault
 	}
-	return &dispatch.Answer{Status: a.status, Body: io.NopCloser(strings.NewReader(a.answer))}, nil
+	return &dispatch.Response{Status: a.status, Body: io.NopCloser(strings.NewReader(a.answer))}, nil
 }
 
 func (g *fakeGate) GoString() string { return string(g.id) }
--- a/node/ledger/run.go
+++ b/node/ledger/run.go
@@ -181,7 +181,7 @@
 }
 
 // readOutcome reads the complete answer. It returns an error if the answer is incomplete.
-func readOutcome(a *dispatch.Answer, err error) (wire.Outcome, error) {
+func readOutcome(a *dispatch.Response, err error) (wire.Outcome, error) {
 	if err != nil {
 		return wire.Outcome{Verdict: verdict.Of(err)}, err
 	}
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -139,7 +139,7 @@
 	s.running, s.counter = newRunning(), rollout.NewCounter()
 	s.memory = newMemoryBudget(set.Node.Memory)
 	s.guard, s.answers, s.reporter = quarantine.NewGuard(), quarantine.NewAnsweredCalls(), quarantine.NewReporter(noReports)
-	s.inquiries = quarantine.NewCrashDetector(s.pool.Listens, s.upstreamCrashed, boottime.System())
+	s.inquiries = quarantine.NewCrashDetector(s.pool.Probe, s.upstreamCrashed, boottime.System())
 	s.callsContext, s.cancelCalls = context.WithCancel(context.Background())
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	s.readyServer = &http.Server{Handler: http.HandlerFunc(s.serveReady), ReadHeaderTimeout: headerTimeout}
@@ -170,7 +170,7 @@
 		s.startup.setConfigured()
 	}
 	for _, address := range s.endpoints.update(v.Announced) {
-		s.pool.Forget(address)
+		s.pool.CloseIdle(address)
 	}
 }
 
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -72,19 +72,19 @@
 func (x *exchange) sendTo(ctx context.Context, m wire.Member, candidates int, lastEvent string) *attempt {
 	header := x.r.Header.Clone()
 	dropHopByHop(header)
-	told := upstream.Told{Left: time.Until(x.deadline), Instance: m.ID, LastEvent: lastEvent, Inputs: x.inputs}
+	told := upstream.CallMetadata{Remaining: time.Until(x.deadline), Instance: m.ID, LastEventID: lastEvent, Inputs: x.inputs}
 	if x.customer != nil {
 		told.Customer = x.customer.Name
 	}
 	if m.ID == x.engine {
 		told.FetchFrom = x.fetchFrom
 	}
-	x.s.protocol.Tell(header, told)
+	x.s.protocol.SetHeaders(header, told)
 	began := time.Now()
 	x.s.log.V(logging.Routine).Info("attempt sent", "request", x.call.ID, "upstream", m.ID, "address", m.Direct, "data_center", m.DataCenter, "candidates", candidates,
-		"in_flight", x.s.endpoints.callsInFlight(m.Start()), "tried", x.sends, "again", x.repeatReason, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", told.FetchFrom, "left", told.Left, "members_seq", x.s.table.Load().membersSeq)
+		"in_flight", x.s.endpoints.callsInFlight(m.Start()), "tried", x.sends, "again", x.repeatReason, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", told.FetchFrom, "left", told.Remaining, "members_seq", x.s.table.Load().membersSeq)
 	resp, err := x.s.pool.Do(ctx, &upstream.Request{Upstream: m.Start(), Address: m.Direct, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: header, Body: x.body, ID: x.call.ID, Limit: x.maxConnections()})
+		Header: header, Body: x.body, ID: x.call.ID, MaxConnections: x.maxConnections()})
 	now := time.Now()
 	sendsVar.Add(x.service.Name, 1)
 	if err != nil {
@@ -109,9 +109,9 @@
 		return a
 	}
 	x.s.endpoints.noteAnswer(m.Start(), now)
-	x.answering.Store(!resp.Answer.NotRun)
+	x.answering.Store(!resp.Info.NotRun)
 	a := &attempt{member: m, response: resp, latency: now.Sub(began)}
-	if resp.Answer.NotRun {
+	if resp.Info.NotRun {
 		a.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s refused the call", m.ID).After(max(defaultRetryAfter, x.upstreamPause()))
 	}
 	return a
@@ -127,7 +127,7 @@
 
 // engineOutcomeOf returns what is reported to the stage owner about an engine at which an attempt failed.
 func engineOutcomeOf(err error) stagework.EngineOutcome {
-	if upstream.Unreached(err) {
+	if upstream.IsUnreachable(err) {
 		return stagework.EngineUnreachable
 	}
 	return stagework.EngineFailed
@@ -135,7 +135,7 @@
 
 // upstreamPause returns the time until the first upstream of the service accepts calls again, or zero if one does now.
 func (x *exchange) upstreamPause() time.Duration {
-	return x.s.notices.LeastPause(x.s.table.Load().announced[x.service.Name])
+	return x.s.notices.ShortestPause(x.s.table.Load().announced[x.service.Name])
 }
 
 // checkServable returns an error if running the stages of the call would be pointless, else nil.
--- a/node/proxy/stream.go
+++ b/node/proxy/stream.go
@@ -22,7 +22,7 @@
 	var tried []wire.Start
 	c := x.selectionCriteria()
 	out := &streamWriter{x: x}
-	out.events.lastID = x.call.LastEvent
+	out.events.lastID = x.call.LastEventID
 	rerun := false
 	for {
 		if err := x.runStages(ctx); err != nil {
@@ -55,7 +55,7 @@
 
 // inputsGone reports whether results of the stages were lost before the upstream had fetched them.
 func (a *attempt) inputsGone() bool {
-	return a.response != nil && a.response.Status == http.StatusConflict && a.response.Answer.NotRun
+	return a.response != nil && a.response.Status == http.StatusConflict && a.response.Info.NotRun
 }
 
 func errInputsLost(engine wire.MemberID) *verdict.Error {
--- a/node/stagework/engines.go
+++ b/node/stagework/engines.go
@@ -233,7 +233,7 @@
 	if len(sharedParts(p.Parts)) == 0 || len(e.holders.find(p)) > 0 {
 		return ""
 	}
-	m, _ := upstream.ByPrefix(p.Parts, e.members[p.Service])
+	m, _ := upstream.SelectByPrefix(p.Parts, e.members[p.Service])
 	return m.ID
 }
 
--- a/node/stagework/engines_test.go
+++ b/node/stagework/engines_test.go
@@ -47,7 +47,7 @@
 func TestCallsGoWhereSharedPartsAreCached(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := newEngineFleet()
-	first, _ := upstream.ByPrefix(prompt("shared", 1).Parts, p.members["llm"])
+	first, _ := upstream.SelectByPrefix(prompt("shared", 1).Parts, p.members["llm"])
 	var used []wire.MemberID
 	for range 20 {
 		id, _ := p.sendCall(prompt("shared", 1000))
--- a/node/stagework/machine_test.go
+++ b/node/stagework/machine_test.go
@@ -173,7 +173,7 @@
 		if free < 0 {
 			w.s.applyReport(w.now, asked, nil)
 		} else {
-			w.s.applyReport(w.now, asked, &upstream.Room{Free: free, FreeMost: free + int64(rapid.IntRange(0, 500).Draw(w.t, "more"))})
+			w.s.applyReport(w.now, asked, &upstream.Room{Free: free, FreeMax: free + int64(rapid.IntRange(0, 500).Draw(w.t, "more"))})
 		}
 		if asked.foreignBytes < 0 || free >= 0 && asked.foreignBytes > services[asked.member.Service].ResultRoom {
 			w.t.Fatalf("%s: %d foreign bytes", asked.member.ID, asked.foreignBytes)
--- a/node/stagework/restart_test.go
+++ b/node/stagework/restart_test.go
@@ -154,11 +154,11 @@
 	a.submit(a.now, chainJob("j", "j1", nil), func(Result, error) {})
 	a.runCalls(t, "old")
 	w := a.services["a"].workers["a0"]
-	a.applyReport(a.now, w, &upstream.Room{Free: 1, FreeMost: 1, Started: 9})
+	a.applyReport(a.now, w, &upstream.Room{Free: 1, FreeMax: 1, Incarnation: 9})
 	if a.services["a"].workers["a0"] != w {
 		t.Fatal("a report of an earlier incarnation replaced a later one")
 	}
-	a.applyReport(a.now, w, &upstream.Room{Free: 1, FreeMost: 1, Started: 11})
+	a.applyReport(a.now, w, &upstream.Room{Free: 1, FreeMax: 1, Incarnation: 11})
 	a.restartLostJobs(a.now, a.takeRestarted())
 	if next := a.runCalls(t, "new"); len(next) != 1 || next[0] != "a" {
 		t.Fatalf("calls of %v", next)
@@ -170,7 +170,7 @@
 			t.Fatalf("incarnation %d in the member list replaced incarnation 11", members)
 		}
 	}
-	a.applyReport(a.now, w, &upstream.Room{Started: 12})
+	a.applyReport(a.now, w, &upstream.Room{Incarnation: 12})
 	if a.services["a"].workers["a0"] != after {
 		t.Fatal("a report of a replaced worker counts")
 	}
--- a/node/stagework/room.go
+++ b/node/stagework/room.go
@@ -139,13 +139,13 @@
 	w.reportPending = false
 	w.reportAt = now.Add(reportInterval)
 	q := s.services[w.member.Service]
-	if r == nil || q == nil || !s.sameIncarnation(q, w, r.Started) {
+	if r == nil || q == nil || !s.sameIncarnation(q, w, r.Incarnation) {
 		return
 	}
 	if w.failures == 0 {
 		w.backoffUntil = time.Time{}
 	}
-	w.roomUsage.applyReport(q.spec.ResultRoom, r.Free, r.FreeMost, q.spec.ResultRoom/roomProbeSteps)
+	w.roomUsage.applyReport(q.spec.ResultRoom, r.Free, r.FreeMax, q.spec.ResultRoom/roomProbeSteps)
 	if w.foreignBytes == 0 {
 		w.reportAt = time.Time{}
 	}
--- a/node/stagework/room_test.go
+++ b/node/stagework/room_test.go
@@ -37,7 +37,7 @@
 			if string(a.member.ID) == empty {
 				free = services["a"].ResultRoom
 			}
-			w.s.applyReport(w.now, a, &upstream.Room{Free: free, FreeMost: free})
+			w.s.applyReport(w.now, a, &upstream.Room{Free: free, FreeMax: free})
 		}
 		calls := w.s.startCalls(w.now)
 		if len(calls) != 1 || string(calls[0].worker.member.ID) != empty || len(calls[0].pieces) != 4 {
@@ -85,7 +85,7 @@
 			if len(asked) != 1 {
 				t.Fatalf("%d reports requested", len(asked))
 			}
-			w.s.applyReport(w.now, asked[0], &upstream.Room{Free: free, FreeMost: free})
+			w.s.applyReport(w.now, asked[0], &upstream.Room{Free: free, FreeMax: free})
 			w.now = w.now.Add(max(reportInterval, fullBackoff))
 			if calls := w.s.startCalls(w.now); len(calls) == 1 != (free > 0) {
 				t.Fatalf("%d calls with %d bytes free", len(calls), free)
@@ -148,7 +148,7 @@
 		idle := rapid.SampledFrom([]string{"a0", "a1", "a2"}).Draw(t, "idle")
 		room := services["a"].ResultRoom
 		for _, a := range w.s.dueReports(w.now) {
-			w.s.applyReport(w.now, a, &upstream.Room{Free: room, FreeMost: room, Busy: string(a.member.ID) != idle})
+			w.s.applyReport(w.now, a, &upstream.Room{Free: room, FreeMax: room, Busy: string(a.member.ID) != idle})
 		}
 		calls := w.s.startCalls(w.now)
 		if len(calls) != 1 || string(calls[0].worker.member.ID) != idle {
@@ -160,7 +160,7 @@
 		}
 		worked := calls[0].worker
 		w.free(w.s.finishCall(w.now, calls[0], outcome{results: make([]upstream.PieceResult, 4)}))
-		w.s.applyReport(w.now, worked, &upstream.Room{Free: room, FreeMost: room, Busy: true})
+		w.s.applyReport(w.now, worked, &upstream.Room{Free: room, FreeMax: room, Busy: true})
 		if !w.s.services["a"].canTake(worked, w.now) {
 			t.Fatal("an upstream that has completed a call of this owner gets none")
 		}
--- a/node/stagework/service.go
+++ b/node/stagework/service.go
@@ -134,7 +134,7 @@
 // results were lost.
 func (s *Service) upstreamsRestarted(now time.Time, lost []*worker) {
 	for _, w := range lost {
-		s.pool.Forget(w.member.Direct)
+		s.pool.CloseIdle(w.member.Direct)
 		s.log.Info("upstream restarted", "service", w.member.Service, "upstream", w.member.ID, "address", w.member.Direct, "before", w.member.Incarnation, "held", w.ownBytes)
 	}
 	s.scheduleFree(s.scheduler.restartLostJobs(now, lost))
--- a/node/upstream/notices.go
+++ b/node/upstream/notices.go
@@ -12,84 +12,83 @@
 	"caperdrum.org/api/wire"
 )
 
-// Counters since the start of the process.
+// Counters since the process started.
 var (
-	pausesVar   = expvar.NewInt("upstream_pauses_asked")   // answers that ask for a pause
-	leavingVar  = expvar.NewInt("upstream_leaving_said")   // starts that said in an answer that they leave
-	withheldVar = expvar.NewInt("upstream_calls_withheld") // calls that were not sent, within a pause or after the upstream had said that it leaves
+	pausesVar   = expvar.NewInt("upstream_pauses_asked")   // responses that ask for a pause
+	leavingVar  = expvar.NewInt("upstream_leaving_said")   // incarnations that announced in a response that they are leaving
+	withheldVar = expvar.NewInt("upstream_calls_withheld") // calls not sent because the upstream asked for a pause or is leaving
 )
 
 const (
-	// longestPause bounds what an upstream may ask for, so that a mistaken number does not take it
-	// out of use for good.
-	longestPause = time.Hour
-	// noticeTime is how long a notice is kept that is no longer needed: upstreams that have ended
-	// are forgotten.
-	noticeTime = 10 * time.Minute
+	// maxPause bounds the pause that an upstream may ask for, so that a wrong value does not disable it for
+	// good.
+	maxPause = time.Hour
+	// noticeRetention is how long an expired notice is kept, so that upstreams which have ended are removed.
+	noticeRetention = 10 * time.Minute
 )
 
-// Notices are what upstreams say of themselves in answers to this process: that they want no calls
-// for a while, or that they leave. They hold for one start of an upstream.
+// Notices record what upstreams announced in their responses to this process: that they accept no calls for a
+// while, or that they are leaving. A notice holds for one incarnation of an upstream.
 type Notices struct {
 	log   logr.Logger
 	clock clockwork.Clock
 
-	mu sync.Mutex
-	by map[wire.Start]notice
+	mu      sync.Mutex
+	byStart map[wire.Start]notice
 }
 
 type notice struct {
-	until   time.Time // the upstream wants no calls until then
-	leaving bool
-	at      time.Time // of the last answer that said so
+	pausedUntil time.Time // the upstream accepts no calls until then
+	leaving     bool
+	lastHeard   time.Time // time of the last response that said so
 }
 
-// NewNotices returns notices of a process that has just started.
+// NewNotices returns an empty set of notices.
 func NewNotices(log logr.Logger, clock clockwork.Clock) *Notices {
-	return &Notices{log: log, clock: clock, by: map[wire.Start]notice{}}
+	return &Notices{log: log, clock: clock, byStart: map[wire.Start]notice{}}
 }
 
-// Heard takes over what an answer says.
-func (n *Notices) Heard(start wire.Start, a Answer) {
+// Record records what a response announces.
+func (n *Notices) Record(start wire.Start, a ResponseInfo) {
 	if a.Pause <= 0 && !a.Leaving {
 		return
 	}
 	now := n.clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.forget(now)
-	current := n.by[start]
+	n.expire(now)
+	current := n.byStart[start]
 	if a.Leaving && !current.leaving {
 		leavingVar.Add(1)
-		n.log.Info("upstream says that it leaves", "upstream", start.ID)
+		n.log.Info("upstream announced that it is leaving", "upstream", start.ID)
 	}
 	if a.Pause > 0 {
 		pausesVar.Add(1)
-		n.log.Info("upstream asks for a pause", "upstream", start.ID, "pause", a.Pause)
+		n.log.Info("upstream asked for a pause", "upstream", start.ID, "pause", a.Pause)
 	}
-	if until := now.Add(min(a.Pause, longestPause)); until.After(current.until) {
-		current.until = until
+	if until := now.Add(min(a.Pause, maxPause)); until.After(current.pausedUntil) {
+		current.pausedUntil = until
 	}
 	current.leaving = current.leaving || a.Leaving
-	current.at = now
-	n.by[start] = current
+	current.lastHeard = now
+	n.byStart[start] = current
 }
 
-func (n *Notices) forget(now time.Time) {
-	for start, x := range n.by {
-		if now.Sub(x.at) > noticeTime && now.After(x.until) {
-			delete(n.by, start)
+func (n *Notices) expire(now time.Time) {
+	for start, x := range n.byStart {
+		if now.Sub(x.lastHeard) > noticeRetention && now.After(x.pausedUntil) {
+			delete(n.byStart, start)
 		}
 	}
 }
 
-// refuse returns why nothing may be sent to the upstream now, or nil.
-func (n *Notices) refuse(start wire.Start) error {
-	pause, leaving := n.Of(start)
+// checkAvailable returns why nothing may be sent to the upstream now, or nil.
+func (n *Notices) checkAvailable(start wire.Start) error {
+	pause, leaving := n.State(start)
 	switch {
 	case leaving:
 		withheldVar.Add(1)
-		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "upstream %s leaves", start.ID)
+		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "upstream %s is leaving", start.ID)
 	case pause > 0:
 		withheldVar.Add(1)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s has asked for a pause", start.ID).After(pause)
@@ -97,18 +96,18 @@
 	return nil
 }
 
-// Wants reports whether the upstream wants calls now.
-func (n *Notices) Wants(start wire.Start) bool {
-	pause, leaving := n.Of(start)
+// Accepts reports whether the upstream accepts calls now.
+func (n *Notices) Accepts(start wire.Start) bool {
+	pause, leaving := n.State(start)
 	return pause == 0 && !leaving
 }
 
-// LeastPause returns how long it takes until one of the upstreams wants calls again; zero where one
-// does now, or where none will.
-func (n *Notices) LeastPause(members []wire.Member) time.Duration {
+// ShortestPause returns the time until one of the upstreams accepts calls again; zero if one does now, or if
+// none will.
+func (n *Notices) ShortestPause(members []wire.Member) time.Duration {
 	least := time.Duration(0)
 	for _, m := range members {
-		pause, leaving := n.Of(m.Start())
+		pause, leaving := n.State(m.Start())
 		switch {
 		case leaving:
 		case pause == 0:
@@ -120,13 +119,13 @@
 	return least
 }
 
-// Of returns for how long the upstream still wants no calls, and whether it leaves.
-func (n *Notices) Of(start wire.Start) (pause time.Duration, leaving bool) {
+// State returns for how long the upstream still accepts no calls, and whether it is leaving.
+func (n *Notices) State(start wire.Start) (pause time.Duration, leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	x, known := n.by[start]
+	x, known := n.byStart[start]
 	if !known {
 		return 0, false
 	}
-	return max(0, x.until.Sub(n.clock.Now())), x.leaving
+	return max(0, x.pausedUntil.Sub(n.clock.Now())), x.leaving
 }
--- a/node/upstream/pause.go
+++ b/node/upstream/retry_after.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// PauseOf reads the header Retry-After (RFC 9110, section 10.2.3) of an answer that turned a call away:
-// seconds, also with a fraction, or a date. What cannot be read asks for nothing.
-func PauseOf(status int, h http.Header, now time.Time) time.Duration {
+// ParseRetryAfter parses the header Retry-After (RFC 9110, section 10.2.3) of a response with status 429 or 503: a
+// number of seconds, possibly with a fraction, or a date. It returns zero for anything else.
+func ParseRetryAfter(status int, h http.Header, now time.Time) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
 	}
@@ -22,7 +22,7 @@
 		if math.IsNaN(seconds) || seconds <= 0 {
 			return 0
 		}
-		return time.Duration(min(seconds, longestPause.Seconds()) * float64(time.Second))
+		return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second))
 	}
 	if at, err := http.ParseTime(raw); err == nil {
 		return max(0, at.Sub(now))
