--- a/api/optext/parser.go
+++ b/api/optext/parser.go
@@ -8,17 +8,17 @@
 	"caperdrum.org/api/strictini"
 )
 
-// Parse reads a text. The error is of type strictini.Problems.
+// Parse parses a text. An error is of type strictini.Problems; name stands for the file in it.
 func Parse(name string, data []byte) (*Config, error) {
 	p, err := newParser(name, data)
 	if err != nil {
 		return nil, err
 	}
-	bodies := bodiesOf(string(data))
+	bodies := splitSections(string(data))
 	for _, section := range p.f.Sections() {
-		p.keep(section, bodies, p.section(section))
+		p.cacheSection(section, bodies, p.parseSection(section))
 	}
-	return p.end()
+	return p.finish()
 }
 
 func newParser(name string, data []byte) (*parser, error) {
@@ -27,16 +27,16 @@
 		return nil, err
 	}
 	return &parser{f: f, c: &Config{
-		DataCenters: map[string]*DataCenter{},
-		Services:    map[string]*Service{},
-		Pipelines:   map[string]*Pipeline{},
-		Customers:   map[string]*Customer{},
-		models:      map[string]*Pipeline{},
-		parts:       map[string]part{},
+		DataCenters:  map[string]*DataCenter{},
+		Services:     map[string]*Service{},
+		Pipelines:    map[string]*Pipeline{},
+		Customers:    map[string]*Customer{},
+		models:       map[string]*Pipeline{},
+		sectionCache: map[string]cachedSection{},
 	}}, nil
 }
 
-func (p *parser) end() (*Config, error) {
+func (p *parser) finish() (*Config, error) {
 	p.check()
 	if err := p.f.Err(); err != nil {
 		return nil, err
@@ -57,55 +57,55 @@
 	stage             *Stage
 }
 
-// section decodes a section and adds it to the configuration. It returns what Next may
-// use again, or nil.
-func (p *parser) section(section string) any {
+// parseSection decodes a section and adds it to the configuration. It returns the value that
+// Next may reuse, or nil if there is none.
+func (p *parser) parseSection(section string) any {
 	kind, name, found := strings.Cut(section, ":")
 	if !found || name == "" {
 		p.f.Fail(section, "", "section ["+section+"] has no name", "write [service:NAME], [pipeline:NAME], [stage:PIPELINE/NAME], [customer:NAME] or [data_center:NAME]")
 		return nil
 	}
-	value := p.decode(section, kind, name)
+	value := p.decodeSection(section, kind, name)
 	p.add(value)
 	return value
 }
 
-func (p *parser) decode(section, kind, name string) any {
+func (p *parser) decodeSection(section, kind, name string) any {
 	switch kind {
 	case "data_center":
 		dc := &DataCenter{Name: name}
 		p.f.Decode(section, dc)
 		return dc
 	case "service":
-		return p.service(section, name)
+		return p.parseService(section, name)
 	case "pipeline":
 		pl := &Pipeline{Name: name, Class: string(Interactive), Refuse: true}
 		p.f.Decode(section, pl)
 		return pl
 	case "stage":
-		return p.stage(section, name)
+		return p.parseStage(section, name)
 	case "customer":
 		cu := &Customer{Name: name, Share: 1, Priority: NoPriority}
 		p.f.Decode(section, cu)
 		return cu
 	case "route":
-		return p.route(section, name)
+		return p.parseRoute(section, name)
 	case "route_stage":
-		return p.routeStage(section, name)
+		return p.parseRouteStage(section, name)
 	case "limits":
 		p.f.Decode(section, &p.c.Limits)
 	case "document":
-		p.document(section)
+		p.parseDocument(section)
 	case "weight_store":
-		p.weightStore(section, name)
+		p.parseWeightStore(section, name)
 	default:
 		p.f.Fail(section, "", "unknown section kind "+kind, "use service, pipeline, stage, route, route_stage, customer, limits, document, data_center or weight_store")
 	}
 	return nil
 }
 
-// add puts what a section says into the configuration. What check completes is copied
-// there or before, since Next shares it between configurations.
+// add adds a decoded section to the configuration. Next shares decoded values between
+// configurations, so values that check modifies are copied, here or in checkRoutes.
 func (p *parser) add(value any) {
 	switch v := value.(type) {
 	case *DataCenter:
@@ -113,8 +113,8 @@
 	case *Service:
 		p.c.Services[v.Name] = v
 	case *Pipeline:
-		own := *v
-		p.c.Pipelines[v.Name] = &own
+		clone := *v
+		p.c.Pipelines[v.Name] = &clone
 	case stageRef:
 		p.stages = append(p.stages, v)
 	case *Customer:
@@ -127,8 +127,8 @@
 	}
 }
 
-// document reads what belongs to no part of the text.
-func (p *parser) document(section string) {
+// parseDocument parses the section of document-level fields.
+func (p *parser) parseDocument(section string) {
 	var d struct {
 		Extension string `ini:"extension"`
 	}
@@ -136,9 +136,9 @@
 	p.c.Extension = d.Extension
 }
 
-func (p *parser) service(section, name string) *Service {
+func (p *parser) parseService(section, name string) *Service {
 	s := &Service{Name: name, Concurrency: defaultConcurrency, QueueLength: defaultQueueLength,
-		RoutingPolicy: RoutingPolicies[0], HedgePercent: defaultHedge, RetryPercent: defaultRetry, QueueDiscipline: "fair", Ejection: true, Shed: true, Limiter: "fixed"}
+		RoutingPolicy: RoutingPolicies[0], HedgePercent: defaultHedgePercent, RetryPercent: defaultRetryPercent, QueueDiscipline: "fair", Ejection: true, Shed: true, Limiter: "fixed"}
 	s.setScaleDefaults()
 	p.f.Decode(section, s)
 	p.oneOf(section, "kind", s.Kind, string(Engine), string(Encoder), string(Retriever), string(Reranker), string(Plain), string(Batch))
@@ -146,14 +146,14 @@
 	p.oneOf(section, "routing", s.RoutingPolicy, RoutingPolicies...)
 	p.oneOf(section, "queue", s.QueueDiscipline, "fair", "fifo")
 	p.oneOf(section, "limiter", s.Limiter, "fixed", "climb")
-	p.scale(section, s)
+	p.checkScale(section, s)
 	if s.Concurrency < 1 {
 		p.f.Fail(section, "concurrency", "concurrency is zero", "write 1 or more")
 	}
 	return s
 }
 
-func (p *parser) stage(section, name string) any {
+func (p *parser) parseStage(section, name string) any {
 	pipeline, stage, found := strings.Cut(name, "/")
 	if !found || stage == "" {
 		p.f.Fail(section, "", "stage ["+section+"] names no pipeline", "write [stage:PIPELINE/NAME]")
@@ -185,14 +185,14 @@
 		}
 		pl.Stages = append(pl.Stages, r.stage)
 	}
-	p.checkWeights()
+	p.checkWeightBytes()
 	p.checkRoutes()
 	for _, name := range sortedKeys(p.c.Pipelines) {
-		p.pipeline(p.c.Pipelines[name])
+		p.checkPipeline(p.c.Pipelines[name])
 	}
 }
 
-func (p *parser) pipeline(pl *Pipeline) {
+func (p *parser) checkPipeline(pl *Pipeline) {
 	section := "pipeline:" + pl.Name
 	p.oneOf(section, "class", pl.Class, string(Confirmation), string(Interactive), string(Deferrable))
 	if pl.Deadline <= 0 {
@@ -208,12 +208,12 @@
 		}
 		p.c.models[pl.Model] = pl
 	}
-	p.order(section, pl)
+	p.sortStages(section, pl)
 }
 
-// order sorts the stages topologically (Kahn 1962), keeping the text's order
-// among stages that do not depend on each other.
-func (p *parser) order(section string, pl *Pipeline) {
+// sortStages sorts the stages topologically (Kahn 1962). Stages that do not depend on each
+// other keep the order of the text.
+func (p *parser) sortStages(section string, pl *Pipeline) {
 	done := map[string]bool{}
 	names := map[string]bool{}
 	for _, s := range pl.Stages {
@@ -221,22 +221,22 @@
 	}
 	var sorted []*Stage
 	for len(sorted) < len(pl.Stages) {
-		before := len(sorted)
+		previous := len(sorted)
 		for _, s := range pl.Stages {
-			if !done[s.Name] && p.ready(pl.Name, s, names, done) {
+			if !done[s.Name] && p.dependenciesDone(pl.Name, s, names, done) {
 				done[s.Name] = true
 				sorted = append(sorted, s)
 			}
 		}
-		if len(sorted) == before {
-			p.f.Fail(section, "", "stages of pipeline "+pl.Name+" wait for each other", "remove a cycle or an unknown name in after = ...")
+		if len(sorted) == previous {
+			p.f.Fail(section, "", "stages of pipeline "+pl.Name+" depend on each other in a cycle", "remove a cycle or an unknown name in after = ...")
 			return
 		}
 	}
 	pl.Stages = sorted
 }
 
-func (p *parser) ready(pipeline string, s *Stage, names, done map[string]bool) bool {
+func (p *parser) dependenciesDone(pipeline string, s *Stage, names, done map[string]bool) bool {
 	for _, a := range s.After {
 		if !names[a] {
 			p.f.Fail("stage:"+pipeline+"/"+s.Name, "after", "stage "+a+" does not exist", "name a stage of the same pipeline")
--- a/api/optext/scale.go
+++ b/api/optext/scale.go
@@ -7,18 +7,18 @@
 	"caperdrum.org/api/strictini"
 )
 
-// Values of a service's key scale.
+// Values of a service's scale key.
 const (
 	ScaleOff       = "off"
 	ScaleThreshold = "threshold"
 	ScaleForecast  = "forecast"
 )
 
-// WeightStore is the store that engines load weights from.
+// WeightStore is the store that engines load model weights from.
 type WeightStore struct {
 	Name  string `ini:"-" json:"name"`
 	Rate  int64  `ini:"rate" required:"true" json:"rate"`   // bytes per second
-	Burst int64  `ini:"burst" required:"true" json:"burst"` // bytes; also the largest single load
+	Burst int64  `ini:"burst" required:"true" json:"burst"` // bytes; also the size limit of one load
 }
 
 const (
@@ -28,8 +28,8 @@
 	defaultLoadTimeout = 3 * time.Minute
 )
 
-// ModelList returns the parts of the key models. The field is one string, so
-// that services can be compared.
+// ModelList returns the elements of Models. The field is a string, not a slice, so that
+// Service values stay comparable.
 func (s *Service) ModelList() []string { return strictini.SplitList(s.Models) }
 
 func (s *Service) setScaleDefaults() {
@@ -37,7 +37,7 @@
 	s.IdleAfter, s.WakeLead, s.LoadTimeout = defaultIdleAfter, defaultWakeLead, defaultLoadTimeout
 }
 
-func (p *parser) scale(section string, s *Service) {
+func (p *parser) checkScale(section string, s *Service) {
 	p.oneOf(section, "scale", s.Scale, ScaleOff, ScaleThreshold, ScaleForecast)
 	if s.MinWarm < 0 {
 		p.f.Fail(section, "min_warm", "min_warm is negative", "write 0 or more")
@@ -56,7 +56,7 @@
 	}
 }
 
-func (p *parser) weightStore(section, name string) {
+func (p *parser) parseWeightStore(section, name string) {
 	if p.c.WeightStore != nil {
 		p.f.Fail(section, "", "a second weight store", "keep one [weight_store:NAME]")
 		return
@@ -69,8 +69,9 @@
 	}
 }
 
-// checkWeights refuses a load that the store's budget could never permit.
-func (p *parser) checkWeights() {
+// checkWeightBytes rejects a load larger than the weight store's burst, since the store's
+// budget could never permit it.
+func (p *parser) checkWeightBytes() {
 	if p.c.WeightStore == nil {
 		return
 	}
--- a/api/optext/sections.go
+++ b/api/optext/sections.go
@@ -7,10 +7,10 @@
 	"caperdrum.org/api/strictini"
 )
 
-// ChangedSections returns the names of the sections in which two texts
-// differ, sorted. Comments and blank lines do not count.
+// ChangedSections returns the sorted names of the sections in which two texts differ.
+// Comments, blank lines and the order of keys are ignored.
 func ChangedSections(from, to string) []string {
-	old, next := sectionBodies(from), sectionBodies(to)
+	old, next := normalizeSections(from), normalizeSections(to)
 	changed := map[string]bool{}
 	for name, body := range old {
 		if next[name] != body {
@@ -38,9 +38,9 @@
 	return out
 }
 
-// sectionBodies returns each section's keys in a normal form. A section that
-// stands with nothing in it still differs from one that is missing.
-func sectionBodies(text string) map[string]string {
+// normalizeSections returns each section's keys and values, trimmed and sorted. An empty
+// section differs from a missing one.
+func normalizeSections(text string) map[string]string {
 	out := map[string]string{}
 	name := ""
 	lines := map[string][]string{}
@@ -63,7 +63,7 @@
 	return out
 }
 
-// Rights are the parts of a text that a team may change.
+// Rights are the sections of a text that a team may change.
 type Rights struct {
 	All       bool
 	Services  []string
@@ -97,14 +97,14 @@
 	return false
 }
 
-// CheckRights returns a problem for every changed section that the rights do
-// not cover.
+// CheckRights returns strictini.Problems with every changed section that the rights do not
+// cover, or nil.
 func CheckRights(changed []string, r Rights) error {
 	var problems strictini.Problems
 	for _, section := range changed {
 		if !r.Owns(section) {
-			problems = append(problems, strictini.Problem{File: "text", Fault: "section [" + section + "] is changed, which does not belong to your team",
-				Remedy: "leave it as it is in force, or ask an administrator"})
+			problems = append(problems, strictini.Problem{File: "text", Fault: "section [" + section + "] is changed but does not belong to your team",
+				Remedy: "keep the version in force, or ask an administrator"})
 		}
 	}
 	if len(problems) == 0 {
--- a/api/strictini/fields.go
+++ b/api/strictini/fields.go
@@ -8,45 +8,45 @@
 	"sync"
 )
 
-// fields are the keys that a struct type knows, by the `ini` tags of its fields and of those of embedded structs.
+// fields are the keys of a struct type, from the `ini` tags of its fields and those of embedded structs.
 type fields struct {
-	byKey    map[string][]int // index of each key's field, for reflect.Value.FieldByIndex
+	byKey    map[string][]int // field index for reflect.Value.FieldByIndex
 	required []string
 }
 
-// known holds the fields of each type that was decoded into: a text has thousands of sections of a few types.
-var known sync.Map // reflect.Type to *fields
+// fieldsByType caches fields by struct type: a text has thousands of sections of a few types.
+var fieldsByType sync.Map // reflect.Type to *fields
 
 func fieldsOf(t reflect.Type) *fields {
-	if f, ok := known.Load(t); ok {
+	if f, ok := fieldsByType.Load(t); ok {
 		return f.(*fields)
 	}
 	f := &fields{byKey: map[string][]int{}}
-	f.add(t, nil)
-	known.Store(t, f)
+	f.collect(t, nil)
+	fieldsByType.Store(t, f)
 	return f
 }
 
-func (f *fields) add(t reflect.Type, parent []int) {
+func (f *fields) collect(t reflect.Type, parent []int) {
 	for i := range t.NumField() {
 		field := t.Field(i)
-		at := append(slices.Clip(parent), i)
+		index := append(slices.Clip(parent), i)
 		if field.Anonymous {
-			f.add(field.Type, at)
+			f.collect(field.Type, index)
 			continue
 		}
 		key := field.Tag.Get("ini")
 		if key == "" || key == "-" {
 			continue
 		}
-		f.byKey[key] = at
+		f.byKey[key] = index
 		if field.Tag.Get("required") == "true" {
 			f.required = append(f.required, key)
 		}
 	}
 }
 
-// keys lists the known keys for a remedy.
+// keys returns the sorted, comma-separated keys, for use in a remedy.
 func (f *fields) keys() string {
 	return strings.Join(slices.Sorted(maps.Keys(f.byKey)), ", ")
 }
--- a/api/strictini/strictini.go
+++ b/api/strictini/strictini.go
@@ -1,6 +1,6 @@
-// Package strictini decodes INI files into structs and refuses whatever the
-// structs do not know. Every error names the file, the line and a remedy, and
-// all errors of a file are reported together.
+// Package strictini decodes INI files into structs and rejects unknown keys and
+// duplicates. Every error names the file, the line and a remedy, and all errors of
+// a file are reported together.
 package strictini
 
 import (
@@ -17,23 +17,23 @@
 	"gopkg.in/ini.v1"
 )
 
-// Problem is one fault of a file.
+// Problem is one error in a file.
 type Problem struct {
 	File   string `json:"file"`
-	Line   int    `json:"line"` // 1-based; 0 when the fault is an absence
+	Line   int    `json:"line"` // 1-based; 0 if something is missing from the file
 	Fault  string `json:"fault"`
 	Remedy string `json:"remedy"`
 }
 
-// String formats p as file:line: fault; remedy.
+// String formats p as "file:line: fault; remedy".
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d: %s; %s", p.File, p.Line, p.Fault, p.Remedy)
 }
 
-// Problems is an error that holds every fault found.
+// Problems is an error that holds all problems of a file.
 type Problems []Problem
 
-// Error implements error, one fault a line.
+// Error returns one line per problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -42,8 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// File is a parsed INI file together with its line numbers and the faults
-// found so far.
+// File is a parsed INI file with its line numbers and the problems found so far.
 type File struct {
 	name     string
 	ini      *ini.File
@@ -53,7 +52,8 @@
 
 type position struct{ section, key string }
 
-// Parse reads data. Only syntax is checked; Decode checks the contents.
+// Parse parses data. It checks only the syntax and returns Problems if that is invalid;
+// Decode checks the contents. name stands for the file in errors.
 func Parse(name string, data []byte) (*File, error) {
 	opts := ini.LoadOptions{IgnoreInlineComment: true, KeyValueDelimiters: "=", ChildSectionDelimiter: "\x00", IgnoreContinuation: true}
 	f := &File{name: name, lines: make(map[position]int, bytes.Count(data, []byte("\n")))}
@@ -76,30 +76,30 @@
 		case line == "" || line[0] == '#' || line[0] == ';':
 		case line[0] == '[' && strings.HasSuffix(line, "]"):
 			section = strings.TrimSpace(line[1 : len(line)-1])
-			f.note(position{section, ""}, n)
+			f.recordLine(position{section, ""}, n)
 		default:
 			key, _, found := strings.Cut(line, "=")
 			if found {
-				f.note(position{section, strings.TrimSpace(key)}, n)
+				f.recordLine(position{section, strings.TrimSpace(key)}, n)
 			}
 		}
 	}
 }
 
-func (f *File) note(p position, line int) {
+func (f *File) recordLine(p position, line int) {
 	if _, seen := f.lines[p]; seen {
-		f.problems = append(f.problems, Problem{f.name, line, p.twice(), "keep one of them"})
+		f.problems = append(f.problems, Problem{f.name, line, p.duplicateFault(), "keep one of them"})
 		return
 	}
 	f.lines[p] = line
 }
 
-// twice is the fault of what stands at more than one place.
-func (p position) twice() string {
+// duplicateFault describes a second occurrence of a section or key.
+func (p position) duplicateFault() string {
 	if p.key == "" {
-		return "section [" + p.section + "] stands twice"
+		return "section [" + p.section + "] appears twice"
 	}
-	return fmt.Sprintf("key %q stands twice in [%s]", p.key, p.section)
+	return fmt.Sprintf("key %q appears twice in [%s]", p.key, p.section)
 }
 
 // Sections returns the names of all sections in the order of the file.
@@ -113,11 +113,11 @@
 	return out
 }
 
-// Has reports whether the section stands in the file.
+// Has reports whether the file has the section.
 func (f *File) Has(section string) bool { return f.ini.HasSection(section) }
 
-// Fail records a fault found by the caller. An empty key points at the
-// section's own line.
+// Fail records a problem found by the caller. It is reported at the line of the key, or at
+// the section header if key is empty or missing from the section.
 func (f *File) Fail(section, key, fault, remedy string) {
 	line := f.lines[position{section, key}]
 	if line == 0 {
@@ -126,7 +126,7 @@
 	f.problems = append(f.problems, Problem{f.name, line, fault, remedy})
 }
 
-// Err returns all faults, ordered by line, or nil.
+// Err returns all problems as Problems, ordered by line, or nil.
 func (f *File) Err() error {
 	if len(f.problems) == 0 {
 		return nil
@@ -135,10 +135,10 @@
 	return f.problems
 }
 
-// Decode fills the struct that out points at from the section. Fields are
-// matched by their `ini` tag; a key without a field is a fault. Fields whose
-// key is absent keep their value, so defaults are set before the call; a
-// `required:"true"` field must be present and not empty.
+// Decode decodes a section into the struct that out points to. Keys are matched with
+// `ini` field tags; an unknown key is a problem. Fields without a key in the section
+// keep their value, so callers set defaults first. A field tagged `required:"true"` must
+// be present and not empty. Problems are recorded for Err.
 func (f *File) Decode(section string, out any) {
 	sec, err := f.ini.GetSection(section)
 	if err != nil {
@@ -149,12 +149,12 @@
 	fields := fieldsOf(v.Type())
 	var unknown []string
 	for _, key := range sec.Keys() {
-		at, known := fields.byKey[key.Name()]
+		index, known := fields.byKey[key.Name()]
 		switch raw := key.String(); {
 		case !known:
 			unknown = append(unknown, key.Name())
 		case raw != "":
-			f.decodeField(section, key.Name(), raw, v.FieldByIndex(at))
+			f.decodeField(section, key.Name(), raw, v.FieldByIndex(index))
 		}
 	}
 	for _, key := range fields.required {
@@ -168,14 +168,14 @@
 }
 
 func (f *File) decodeField(section, key, raw string, v reflect.Value) {
-	if err := set(v, raw); err != nil {
+	if err := setValue(v, raw); err != nil {
 		f.Fail(section, key, fmt.Sprintf("%s = %s: %v", key, raw, err), remedyFor(v))
 	}
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-func set(v reflect.Value, raw string) error {
+func setValue(v reflect.Value, raw string) error {
 	if v.Type() == durationType {
 		d, err := time.ParseDuration(raw)
 		if err == nil && d < 0 {
@@ -214,7 +214,7 @@
 	}
 }
 
-// SplitList splits a comma-separated value and trims each part.
+// SplitList splits a comma-separated value, trims the elements and drops empty ones.
 func SplitList(raw string) []string {
 	var out []string
 	for part := range strings.SplitSeq(raw, ",") {
