--- a/api/timeline/timeline.go
+++ b/api/timeline/timeline.go
@@ -1,7 +1,6 @@
-// Package timeline records typed events in a bounded ring, stamped with a
-// hybrid logical clock (Kulkarni et al., "Logical Physical Clocks", 2014), so
-// that the events of all processes merge into one order that respects cause
-// and effect. Recording never blocks.
+// Package timeline records typed events in a ring buffer. Events carry hybrid logical
+// clock timestamps (Kulkarni et al., "Logical Physical Clocks", 2014), so that the events
+// of all processes can be merged in causal order. Recording never waits for a reader.
 package timeline
 
 import (
@@ -12,8 +11,8 @@
 	"time"
 )
 
-// Stamp is a hybrid logical clock reading: milliseconds since the Unix epoch
-// in the upper 48 bits, a counter in the lower 16.
+// Stamp is a hybrid logical clock timestamp: milliseconds since the Unix epoch
+// in the upper 48 bits, a logical counter in the lower 16.
 type Stamp uint64
 
 const counterBits = 16
@@ -21,13 +20,13 @@
 // Time returns the physical part of s.
 func (s Stamp) Time() time.Time { return time.UnixMilli(int64(s >> counterBits)) }
 
-// StampOf returns the earliest stamp of the given time.
+// StampOf returns the smallest stamp of the given time.
 func StampOf(t time.Time) Stamp { return Stamp(uint64(t.UnixMilli()) << counterBits) }
 
-// String returns s in hexadecimal, as it travels in headers.
+// String returns s in hexadecimal, the format used in headers.
 func (s Stamp) String() string { return strconv.FormatUint(uint64(s), 16) }
 
-// ParseStamp reads what String wrote; anything else is zero.
+// ParseStamp parses the format of String. It returns 0 for invalid input.
 func ParseStamp(v string) Stamp {
 	n, err := strconv.ParseUint(v, 16, 64)
 	if err != nil {
@@ -36,11 +35,11 @@
 	return Stamp(n)
 }
 
-// maxAhead bounds how far a received stamp may push the clock ahead of the
-// wall clock, so that one wrong clock cannot spoil all others.
-const maxAhead = time.Minute
+// maxClockSkew bounds how far a received stamp may move the clock ahead of the wall
+// clock, so that one process with a wrong clock cannot disturb all others.
+const maxClockSkew = time.Minute
 
-// Clock is a hybrid logical clock. The zero value is ready.
+// Clock is a hybrid logical clock. The zero value is ready to use.
 type Clock struct {
 	last atomic.Uint64
 }
@@ -57,9 +56,10 @@
 	}
 }
 
-// Observe moves the clock past s, a stamp received from another process.
+// Observe advances the clock past s, a stamp received from another process. It ignores
+// stamps further ahead of the wall clock than maxClockSkew.
 func (c *Clock) Observe(s Stamp) {
-	limit := uint64(time.Now().Add(maxAhead).UnixMilli()) << counterBits
+	limit := uint64(time.Now().Add(maxClockSkew).UnixMilli()) << counterBits
 	if uint64(s) > limit {
 		return
 	}
@@ -71,10 +71,10 @@
 	}
 }
 
-// Kind names what happened.
+// Kind is the type of an event.
 type Kind string
 
-// Event is one entry of the time line.
+// Event is one entry of the timeline.
 type Event struct {
 	At       Stamp  `json:"at"`
 	Process  string `json:"process"`
@@ -86,7 +86,7 @@
 	Detail   string `json:"detail,omitempty"`
 }
 
-// Ring keeps the newest events of one process.
+// Ring is a ring buffer of the newest events of one process.
 type Ring struct {
 	Clock   *Clock
 	process string
@@ -97,12 +97,12 @@
 	next   uint64
 }
 
-// NewRing returns a ring that keeps size events.
+// NewRing returns a ring that holds size events.
 func NewRing(process, vm string, size int) *Ring {
 	return &Ring{Clock: &Clock{}, process: process, vm: vm, events: make([]Event, 0, size)}
 }
 
-// Record stamps e and stores it over the oldest event.
+// Record stamps e and stores it, replacing the oldest event when the ring is full.
 func (r *Ring) Record(e Event) {
 	e.At, e.Process, e.VM = r.Clock.Now(), r.process, r.vm
 	r.mu.Lock()
@@ -115,7 +115,7 @@
 	r.next++
 }
 
-// Filter selects events. Zero fields match everything.
+// Filter selects events. Empty fields match everything.
 type Filter struct {
 	Request  string
 	Customer string
@@ -133,7 +133,7 @@
 		e.At >= f.Since
 }
 
-// Events returns the events that pass f in the order of their stamps.
+// Events returns the events that pass f, ordered by stamp.
 func (r *Ring) Events(f Filter) []Event {
 	r.mu.Lock()
 	out := make([]Event, 0, len(r.events))
--- a/api/verdict/capacity.go
+++ b/api/verdict/capacity.go
@@ -1,7 +1,7 @@
 package verdict
 
-// LacksCapacity reports whether an error is a refusal for lack of capacity:
-// the same call may be taken when there is less work.
+// LacksCapacity reports whether err is a refusal for lack of capacity: the same call may
+// be accepted later, under less load.
 func LacksCapacity(err error) bool {
 	if err == nil {
 		return false
--- a/api/verdict/verdict.go
+++ b/api/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict says, for every attempt that did not end in a whole answer,
-// whether the request may have run. The verdict decides what may be retried:
-// only NotRun is safe for a call that is not idempotent.
+// Package verdict states whether a request may have run, for every attempt that did not
+// end in a complete answer. The verdict decides what may be retried: a call that is not
+// idempotent may be retried only after NotRun.
 package verdict
 
 import (
@@ -15,17 +15,17 @@
 type Verdict uint8
 
 const (
-	// MayHaveRun is the zero value: nothing rules out that the attempt ran.
+	// MayHaveRun, the zero value, means that the attempt may have run.
 	MayHaveRun Verdict = iota
-	// NotRun is a promise: the attempt did not run and never will.
+	// NotRun guarantees that the attempt did not run and never will.
 	NotRun
-	// Ran says that the attempt ran, with or without a whole answer.
+	// Ran means that the attempt ran, with or without a complete answer.
 	Ran
 )
 
 var names = [...]string{MayHaveRun: "may-have-run", NotRun: "not-run", Ran: "ran"}
 
-// String returns the spelling used in headers, logs and bodies.
+// String returns the name used in headers, logs and bodies.
 func (v Verdict) String() string {
 	if int(v) < len(names) {
 		return names[v]
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("verdict(%d)", uint8(v))
 }
 
-// Parse reads the spelling of String. An unknown spelling is MayHaveRun, the
-// only reading that can never cause a second run.
+// Parse parses the name that String returns. An unknown name is MayHaveRun, the
+// only verdict that can never cause a second run.
 func Parse(s string) Verdict {
 	for v, name := range names {
 		if name == s {
@@ -70,7 +70,7 @@
 	CodeIncarnation   Code = "incarnation_changed"
 	CodeConflict      Code = "idempotency_key_conflict"
 	CodeInProgress    Code = "idempotency_key_in_progress"
-	CodeOutcomeLost   Code = "outcome_lost" // final: the call of this key ran or may have run, and its answer cannot be had
+	CodeOutcomeLost   Code = "outcome_lost" // final: the call with this key ran or may have run, and its answer is lost
 	CodeNoQuorum      Code = "no_quorum"
 	CodeLedgerFull    Code = "ledger_full"
 	CodeUpstream      Code = "upstream_failed"
@@ -78,7 +78,7 @@
 	CodeStale         Code = "configuration_stale"
 	CodeShutdown      Code = "shutting_down"
 	CodeCustomerLimit Code = "customer_limit"
-	CodeQuarantined   Code = "quarantined" // calls like this one end the upstreams that run them
+	CodeQuarantined   Code = "quarantined" // calls with this fingerprint crash the upstreams that run them
 )
 
 // Error is the failure of a request or attempt together with its verdict.
@@ -87,15 +87,16 @@
 	Code       Code          `json:"code"`
 	Message    string        `json:"message"`
 	Status     int           `json:"status"`                // HTTP status for the caller
-	RetryAfter time.Duration `json:"retry_after,omitempty"` // nanoseconds; zero when a resend is pointless
+	RetryAfter time.Duration `json:"retry_after,omitempty"` // nanoseconds; zero if there is no point in retrying
 }
 
-// New returns an Error whose message is formatted as by fmt.Sprintf.
+// New returns an Error with the HTTP status of its code. The message is formatted as by
+// fmt.Sprintf.
 func New(v Verdict, code Code, format string, args ...any) *Error {
 	return &Error{Verdict: v, Code: code, Message: fmt.Sprintf(format, args...), Status: statusOf(code)}
 }
 
-// After sets when the caller should come back and returns e.
+// After sets the time after which the caller should retry, and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
@@ -129,8 +130,8 @@
 	}
 }
 
-// From returns the Error in err's chain, or one with verdict MayHaveRun that
-// carries err's message.
+// From returns the Error in err's chain. If there is none, it returns one with verdict
+// MayHaveRun, code CodeUpstream and err's message.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -139,8 +140,7 @@
 	return New(MayHaveRun, CodeUpstream, "%s", err.Error())
 }
 
-// Of returns the verdict that err carries. A nil error is Ran; an error
-// without a verdict is MayHaveRun.
+// Of returns the verdict of err: Ran if err is nil, MayHaveRun if err has no verdict.
 func Of(err error) Verdict {
 	if err == nil {
 		return Ran
