--- a/api/wire/announce.go
+++ b/api/wire/announce.go
@@ -3,9 +3,9 @@
 // AnnouncedRole is the role of upstreams that announce themselves.
 const AnnouncedRole = "upstream"
 
-// AnnouncedUpstream returns the record of an upstream that announced itself and does
-// not say when it was started. That it leaves is its last revision; a late sign of life cannot
-// undo that, a later start of the upstream can.
+// AnnouncedUpstream returns the member record of an upstream that announced itself and does
+// not report its start time. A leaving upstream gets the highest revision of its
+// incarnation, so that a delayed heartbeat cannot undo the mark; only a later start can.
 func AnnouncedUpstream(id MemberID, service, address, dataCenter string, leaving bool) Member {
 	m := Member{ID: id, Role: AnnouncedRole, Service: service, Direct: address, DataCenter: dataCenter, Incarnation: 1, Leaving: leaving}
 	if leaving {
@@ -14,10 +14,11 @@
 	return m
 }
 
-// leavingRevision is above all that signs of life of one start can count to.
+// leavingRevision is above the number of any heartbeat of one start.
 const leavingRevision = 1 << 62
 
-// Said returns the record as the sign of life with the given number says it.
+// Said returns the record as of the heartbeat with the given number. The record of a leaving
+// upstream stays unchanged.
 func (m Member) Said(number uint64, cold bool) Member {
 	if !m.Leaving {
 		m.Revision, m.Cold = min(number, leavingRevision-1), cold
@@ -25,26 +26,26 @@
 	return m
 }
 
-// StartedAt returns the record with the time of the upstream's start, in milliseconds
-// since the Unix epoch by its own clock: an upstream may start again under its id, and
-// then holds and knows nothing of before. Where it does not say, its start counts as
-// earlier than all others.
+// StartedAt returns the record with the upstream's start time, in milliseconds since the
+// Unix epoch by the upstream's clock. An upstream may restart with the same id, and then
+// has lost all earlier state. A start without a reported time counts as earlier than all
+// others.
 func (m Member) StartedAt(ms uint64) Member {
 	m.Incarnation = max(ms, m.Incarnation)
 	return m
 }
 
-// AnnounceRequest passes signs of life of announced upstreams to the leader.
-// It is answered when the replicated members hold them.
+// AnnounceRequest forwards heartbeats of announced upstreams to the leader. The leader
+// answers once the replicated member list contains them.
 type AnnounceRequest struct {
 	Upstreams []Member `json:"upstreams"`
 }
 
-// LeaveRequest tells the leader that an announced upstream leaves. It is answered
-// when the replicated members hold the mark, or do not hold the upstream.
+// LeaveRequest tells the leader that an announced upstream is leaving. The leader answers
+// once the replicated member list has the mark, or no longer has the upstream.
 type LeaveRequest struct {
 	ID MemberID `json:"id"`
-	// Incarnation is the start that leaves; zero where the upstream does not say.
+	// Incarnation is the start that is leaving; zero if the upstream does not report it.
 	Incarnation uint64 `json:"incarnation,omitempty"`
 }
 
@@ -54,15 +55,15 @@
 	Text    string `json:"text" cbor:"2,keyasint"`
 }
 
-// ConfigRequest reads the text in force. Version and Hash name the text that the
-// reader holds.
+// ConfigRequest asks for the text in force. Version and Hash identify the text that the
+// caller holds.
 type ConfigRequest struct {
 	Version uint64 `json:"version"`
 	Hash    uint64 `json:"hash"`
 }
 
-// ConfigReply answers a ConfigRequest: which text was in force when it was asked. Text
-// is nil where the reader holds it.
+// ConfigReply answers a ConfigRequest with the text in force when the request was made. Text
+// is nil if the caller already holds it.
 type ConfigReply struct {
 	Version uint64      `json:"version"`
 	Hash    uint64      `json:"hash"`
@@ -71,12 +72,12 @@
 
 // PutResult answers a PutRequest.
 type PutResult struct {
-	Applied bool   `json:"applied"` // false: a version at least as high was in force
-	Version uint64 `json:"version"` // in force after the call
+	Applied bool   `json:"applied"` // false: the version in force was the same or higher
+	Version uint64 `json:"version"` // in force after the request
 }
 
-// StageOwner names the process that owns the queues of stage upstreams. A
-// higher epoch replaces a lower one.
+// StageOwner identifies the process that owns the queues of stage upstreams. The owner with
+// the higher epoch replaces the other.
 type StageOwner struct {
 	ID          MemberID `json:"id" cbor:"1,keyasint"`
 	Incarnation uint64   `json:"incarnation" cbor:"2,keyasint"`
--- a/api/wire/attemptid.go
+++ b/api/wire/attemptid.go
@@ -7,15 +7,14 @@
 	"github.com/google/uuid"
 )
 
-// NewAttemptID names a new attempt. The name is a UUID of version 7 (RFC 9562),
-// so it carries the time of issue by the issuer's clock: a gate that has
-// forgotten an attempt can tell from the name alone that it may have known it.
+// NewAttemptID returns an id for a new attempt: a UUID of version 7 (RFC 9562). It contains
+// the time of issue by the issuer's clock, so that a gate which no longer remembers an
+// attempt can tell from the id whether it may have known it.
 func NewAttemptID() AttemptID {
 	return AttemptID(uuid.Must(uuid.NewV7()).String())
 }
 
-// AttemptIDAt names an attempt as if issued at t. Only tests use it; n makes
-// it unique.
+// AttemptIDAt returns an attempt id as if issued at t, for tests. n makes it unique.
 func AttemptIDAt(t time.Time, n uint64) AttemptID {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(t.UnixMilli())<<16)
@@ -25,8 +24,8 @@
 	return AttemptID(id.String())
 }
 
-// Issued returns the time of issue, in whole milliseconds. It is false for a
-// name that NewAttemptID did not make.
+// Issued returns the time of issue, in whole milliseconds. It returns false for an id that
+// NewAttemptID did not generate.
 func (id AttemptID) Issued() (time.Time, bool) {
 	u, err := uuid.Parse(string(id))
 	if err != nil || u.Version() != 7 || u.String() != string(id) {
--- a/api/wire/packed.go
+++ b/api/wire/compress.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// PackFrom is the size in bytes from which on texts are packed. Shorter ones fit
-	// into a few packets as they are.
+	// PackFrom is the size in bytes from which on texts are compressed. Shorter texts fit
+	// into a few packets uncompressed.
 	PackFrom = 4 << 10
-	// maxUnpacked bounds what a packed text may grow to, in bytes: eight times the text
+	// maxDecompressedBytes bounds the size of a decompressed text: eight times the text
 	// of 24,000 requests/s over 100,000 customers (docs/CAPACITY.md).
-	maxUnpacked = 64 << 20
+	maxDecompressedBytes = 64 << 20
 )
 
-// ErrUnpack says that a packed text is damaged or too long.
-const ErrUnpack = errors.ConstError("wire: a packed text cannot be read")
+// ErrUnpack means that compressed data is damaged or decompresses to too much.
+const ErrUnpack = errors.ConstError("wire: cannot decompress")
 
-// writers are kept because one holds some 600 kB of tables.
-var writers = sync.Pool{New: func() any {
+// flateWriters are pooled because a writer holds some 600 kB of tables.
+var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
 		panic(err) // the level is constant
@@ -31,56 +31,56 @@
 	return w
 }}
 
-// Pack compresses data (RFC 1951). A text of 4,200 alike routes shrinks from 790 to some 60 kB
-// in 5 ms; sending it whole over a link of 10 Mbit/s takes 630 ms.
+// Pack compresses data with DEFLATE (RFC 1951). It shrinks a text of 4,200 similar routes from
+// 790 kB to some 60 kB in 5 ms; sending it uncompressed at 10 Mbit/s would take 630 ms.
 func Pack(data []byte) []byte {
 	var b bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&b)
-	w.Write(data) // a buffer takes everything
+	w.Write(data) // a bytes.Buffer returns no error
 	w.Close()
 	return b.Bytes()
 }
 
-// Unpack returns what Pack was given.
+// Unpack decompresses the output of Pack. An error is of type ErrUnpack.
 func Unpack(packed []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
-	data, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
+	data, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, errors.WithType(errors.Trace(err), ErrUnpack)
 	}
-	if len(data) > maxUnpacked {
-		return nil, errors.Annotatef(ErrUnpack, "more than %d bytes", maxUnpacked)
+	if len(data) > maxDecompressedBytes {
+		return nil, errors.Annotatef(ErrUnpack, "decompressed size is above %d bytes", maxDecompressedBytes)
 	}
 	return data, nil
 }
 
-// longText is a text on the wire: packed where that is worth it.
-type longText struct {
-	Text   string `json:"text,omitempty"`
-	Packed []byte `json:"packed,omitempty"`
+// compressibleText is the wire format of a text, compressed from PackFrom bytes on.
+type compressibleText struct {
+	Text       string `json:"text,omitempty"`
+	Compressed []byte `json:"packed,omitempty"`
 }
 
-func packText(text string) longText {
+func newCompressibleText(text string) compressibleText {
 	if len(text) < PackFrom {
-		return longText{Text: text}
+		return compressibleText{Text: text}
 	}
-	return longText{Packed: Pack([]byte(text))}
+	return compressibleText{Compressed: Pack([]byte(text))}
 }
 
-func (l longText) unpack() (string, error) {
-	if l.Packed == nil {
+func (l compressibleText) decode() (string, error) {
+	if l.Compressed == nil {
 		return l.Text, nil
 	}
-	data, err := Unpack(l.Packed)
+	data, err := Unpack(l.Compressed)
 	return string(data), err
 }
 
 type configTextWire struct {
 	Version uint64 `json:"version"`
 	Hash    uint64 `json:"hash"`
-	longText
+	compressibleText
 }
 
 // MarshalJSON implements json.Marshaler.
@@ -88,7 +88,7 @@
 	if c.Hash == 0 || len(c.Text) < PackFrom {
 		return c.encode()
 	}
-	l := &lastText
+	l := &encodedTextCache
 	l.Lock()
 	defer l.Unlock()
 	if l.version == c.Version && l.hash == c.Hash {
@@ -103,11 +103,11 @@
 }
 
 func (c ConfigText) encode() ([]byte, error) {
-	return json.Marshal(configTextWire{c.Version, c.Hash, packText(c.Text)})
+	return json.Marshal(configTextWire{c.Version, c.Hash, newCompressibleText(c.Text)})
 }
 
-// lastText is the text that was encoded last. After a start of many processes each gets the same one.
-var lastText struct {
+// encodedTextCache holds the latest encoded text. When many processes start, all fetch the same one.
+var encodedTextCache struct {
 	sync.Mutex
 	version, hash uint64
 	encoded       []byte
@@ -119,19 +119,19 @@
 	if err := json.Unmarshal(data, &w); err != nil {
 		return errors.Trace(err)
 	}
-	text, err := w.unpack()
+	text, err := w.decode()
 	*c = ConfigText{Version: w.Version, Text: text, Hash: w.Hash}
 	return err
 }
 
 type putRequestWire struct {
 	Version uint64 `json:"version"`
-	longText
+	compressibleText
 }
 
 // MarshalJSON implements json.Marshaler.
 func (p PutRequest) MarshalJSON() ([]byte, error) {
-	return json.Marshal(putRequestWire{p.Version, packText(p.Text)})
+	return json.Marshal(putRequestWire{p.Version, newCompressibleText(p.Text)})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -140,17 +140,17 @@
 	if err := json.Unmarshal(data, &w); err != nil {
 		return errors.Trace(err)
 	}
-	text, err := w.unpack()
+	text, err := w.decode()
 	*p = PutRequest{Version: w.Version, Text: text}
 	return err
 }
 
 type configDeltaWire struct {
-	Base    uint64      `json:"base"`
-	Version uint64      `json:"version"`
-	Hash    uint64      `json:"hash"`
-	Pieces  []TextPiece `json:"pieces,omitempty"`
-	Packed  []byte      `json:"packed,omitempty"` // Pieces, where they are long
+	Base       uint64      `json:"base"`
+	Version    uint64      `json:"version"`
+	Hash       uint64      `json:"hash"`
+	Pieces     []TextPiece `json:"pieces,omitempty"`
+	Compressed []byte      `json:"packed,omitempty"` // Pieces as JSON, compressed, if it has PackFrom bytes or more
 }
 
 // MarshalJSON implements json.Marshaler.
@@ -161,7 +161,7 @@
 		return nil, errors.Trace(err)
 	}
 	if len(pieces) >= PackFrom {
-		w.Pieces, w.Packed = nil, Pack(pieces)
+		w.Pieces, w.Compressed = nil, Pack(pieces)
 	}
 	return json.Marshal(w)
 }
@@ -173,10 +173,10 @@
 		return errors.Trace(err)
 	}
 	*d = ConfigDelta{Base: w.Base, Version: w.Version, Hash: w.Hash, Pieces: w.Pieces}
-	if w.Packed == nil {
+	if w.Compressed == nil {
 		return nil
 	}
-	pieces, err := Unpack(w.Packed)
+	pieces, err := Unpack(w.Compressed)
 	if err != nil {
 		return err
 	}
--- a/api/wire/packed_test.go
+++ b/api/wire/compress_test.go
@@ -11,8 +11,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestLongTextsArePacked sends texts below and above the size from which on they are
-// packed: they come back as they were, and the long ones are short on the way.
+// TestLongTextsArePacked checks that texts below and above the compression threshold survive
+// a round trip, and that long texts are short on the wire.
 func TestLongTextsArePacked(t *testing.T) {
 	for name, text := range map[string]string{"empty": "", "short": "[service:a]\nkind = plain\n", "long": strings.Repeat("[route:a]\nhost = b\n", 10_000)} {
 		t.Run(name, func(t *testing.T) {
@@ -30,23 +30,23 @@
 		t.Fatal(err)
 	}
 	if len(data) > 2*wire.PackFrom {
-		t.Errorf("%T has %d bytes on the way", sent, len(data))
+		t.Errorf("%T has %d bytes on the wire", sent, len(data))
 	}
 	var got T
 	if err := json.Unmarshal(data, &got); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, sent) {
-		t.Errorf("%T came back changed", sent)
+		t.Errorf("%T changed in a round trip", sent)
 	}
 }
 
-// TestDamagedTextsAreRefused reads packed texts that are cut short, or would grow
-// beyond what a process can hold.
+// TestDamagedTextsAreRefused decodes compressed texts that are truncated, or that would
+// decompress to more than a process can hold.
 func TestDamagedTextsAreRefused(t *testing.T) {
 	whole := wire.Pack([]byte(strings.Repeat("a line of a text\n", 1000)))
-	bomb := wire.Pack(make([]byte, 65<<20))
-	for name, packed := range map[string][]byte{"cut short": whole[:len(whole)/2], "not packed": []byte("\xffplain"), "too long": bomb} {
+	oversized := wire.Pack(make([]byte, 65<<20))
+	for name, packed := range map[string][]byte{"truncated": whole[:len(whole)/2], "not compressed": []byte("\xffplain"), "too long": oversized} {
 		if _, err := wire.Unpack(packed); !errors.Is(err, wire.ErrUnpack) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -55,18 +55,18 @@
 			t.Fatal(err)
 		}
 		if err := json.Unmarshal(data, new(wire.ConfigText)); err == nil {
-			t.Errorf("%s: taken as a text", name)
+			t.Errorf("%s: accepted as a ConfigText", name)
 		}
 		if err := json.Unmarshal(data, new(wire.PutRequest)); err == nil {
-			t.Errorf("%s: taken as a change", name)
+			t.Errorf("%s: accepted as a PutRequest", name)
 		}
 		if err := json.Unmarshal(data, new(wire.ConfigDelta)); err == nil {
-			t.Errorf("%s: taken as a difference", name)
+			t.Errorf("%s: accepted as a ConfigDelta", name)
 		}
 	}
 }
 
-// FuzzUnpack feeds bytes to the decoder of packed texts.
+// FuzzUnpack decompresses arbitrary bytes.
 func FuzzUnpack(f *testing.F) {
 	f.Add(wire.Pack([]byte("[service:a]\n")))
 	f.Add([]byte{})
@@ -75,9 +75,9 @@
 		if err != nil {
 			return
 		}
-		again, err := wire.Unpack(wire.Pack(data))
-		if err != nil || string(again) != string(data) {
-			t.Fatalf("%d bytes came back as %d, %v", len(data), len(again), err)
+		roundTripped, err := wire.Unpack(wire.Pack(data))
+		if err != nil || string(roundTripped) != string(data) {
+			t.Fatalf("%d bytes became %d in a round trip, error %v", len(data), len(roundTripped), err)
 		}
 	})
 }
--- a/api/wire/delta.go
+++ b/api/wire/delta.go
@@ -1,7 +1,7 @@
 package wire
 
-// ConfigDelta brings the operators' text from version Base to Version. Its
-// pieces, joined in order, are the new text.
+// ConfigDelta updates the operators' text from version Base to Version. The concatenated
+// Pieces are the new text.
 type ConfigDelta struct {
 	Base    uint64      `json:"base"`
 	Version uint64      `json:"version"`
@@ -9,8 +9,8 @@
 	Pieces  []TextPiece `json:"pieces"`
 }
 
-// TextPiece is a run of Count sections of the base text from section From on,
-// or, when Count is zero, one new section.
+// TextPiece copies Count sections of the base text, starting with section From. If Count is
+// zero, it is one new section, Text.
 type TextPiece struct {
 	From  int    `json:"from,omitempty"`
 	Count int    `json:"count,omitempty"`
@@ -25,8 +25,8 @@
 	return m.Revision > old.Revision
 }
 
-// Changes reports whether m is a later record than old and says something else: upstreams number
-// their signs of life, most of which say the same.
+// Changes reports whether m is a later record than old and differs from it in more than the
+// revision. Each heartbeat of an upstream has a new revision, but most change nothing else.
 func (m Member) Changes(old Member) bool {
 	if !m.Follows(old) {
 		return false
--- a/api/wire/evacuation.go
+++ b/api/wire/evacuation.go
@@ -1,22 +1,22 @@
 package wire
 
-// Evacuation says whether a data centre's upstreams get no new calls.
+// Evacuation states whether a data centre is evacuated: its upstreams get no new calls.
 type Evacuation struct {
 	DataCenter string `json:"data_center"`
-	// Revision grows with every order that was acknowledged for the data centre, also with
-	// one that found it as ordered. An order that was made for an older one is void.
+	// Revision grows with every acknowledged order for the data centre, including orders that
+	// changed nothing. An order based on an older revision has no effect.
 	Revision uint64 `json:"revision"`
 	Out      bool   `json:"out"`
-	Since    int64  `json:"since"` // leader's clock when Out became what it is, milliseconds since the Unix epoch
+	Since    int64  `json:"since"` // time of the last change of Out by the leader's clock, in milliseconds since the Unix epoch
 }
 
-// Evacuations are the data centres for which there ever was an order.
+// Evacuations are the states of all data centres that ever had an evacuation order.
 type Evacuations struct {
-	Revision uint64       `json:"revision"` // grows with each of theirs
+	Revision uint64       `json:"revision"` // grows with the revision of any data centre
 	List     []Evacuation `json:"list"`     // sorted by data centre
 }
 
-// Of returns what is known of a data centre; its zero value where there never was an order.
+// Of returns the state of a data centre, with revision zero if it never had an order.
 func (e Evacuations) Of(dataCenter string) Evacuation {
 	for _, x := range e.List {
 		if x.DataCenter == dataCenter {
@@ -26,7 +26,7 @@
 	return Evacuation{DataCenter: dataCenter}
 }
 
-// Out returns the data centres that are evacuated.
+// Out returns the names of the evacuated data centres.
 func (e Evacuations) Out() []string {
 	var out []string
 	for _, x := range e.List {
@@ -37,9 +37,9 @@
 	return out
 }
 
-// EvacuationOrder starts or ends the evacuation of a data centre. Operators' orders have no
-// number and may be delayed on the way, so each names the revision that its receiver knew
-// when it came: one that was overtaken has no effect.
+// EvacuationOrder starts or ends the evacuation of a data centre. Operators' orders are not
+// numbered and may arrive late, so the process that receives one records in Base the revision
+// that it knew on receipt. An order whose Base is outdated has no effect.
 type EvacuationOrder struct {
 	DataCenter string `json:"data_center"`
 	Out        bool   `json:"out"`
@@ -49,7 +49,7 @@
 
 // EvacuationResult answers an EvacuationOrder.
 type EvacuationResult struct {
-	Evacuation Evacuation `json:"evacuation"` // as it stands now
-	Overtaken  bool       `json:"overtaken"`  // another order came first; this one had no effect
+	Evacuation Evacuation `json:"evacuation"` // current state
+	Overtaken  bool       `json:"overtaken"`  // another order came first, so this one had no effect
 	Changed    bool       `json:"changed"`
 }
--- a/api/wire/headers.go
+++ b/api/wire/headers.go
@@ -1,4 +1,4 @@
-// Package wire holds the messages and header names that caperdrum's processes,
+// Package wire defines the messages and header names that caperdrum's processes,
 // its command and its callers exchange.
 package wire
 
@@ -6,34 +6,34 @@
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderCustomer       = "X-Customer-Id"
-	HeaderTimeout        = "X-Request-Timeout" // Go duration, from the entry's receipt of the request
+	HeaderTimeout        = "X-Request-Timeout" // Go duration, counted from receipt of the request at the entry
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderVerdict        = "X-Verdict"
 	HeaderConfigVersion  = "X-Config-Version"
-	HeaderReplayed       = "X-Idempotent-Replayed" // "true" on a recorded answer
+	HeaderReplayed       = "X-Idempotent-Replayed" // "true" if the answer is a recorded one
 	HeaderRetryAfter     = "Retry-After"           // whole seconds, RFC 9110 section 10.2.3
 )
 
-// Headers between an entry and a gate. The End headers are trailers: an answer
-// without them was cut.
+// Headers between an entry and a gate. The Trailer names are HTTP trailers: an answer
+// without them is incomplete.
 const (
 	HeaderAttempt      = "Caperdrum-Attempt"
 	HeaderStage        = "Caperdrum-Stage"
 	HeaderIncarnation  = "Caperdrum-Incarnation"
-	HeaderClaimed      = "Caperdrum-Claimed"   // "true" when an idempotency key is claimed for the attempt
-	HeaderBudget       = "Caperdrum-Budget-Ms" // milliseconds until the attempt is worthless
+	HeaderClaimed      = "Caperdrum-Claimed"   // "true" if an idempotency key is claimed for the attempt
+	HeaderBudget       = "Caperdrum-Budget-Ms" // milliseconds until the attempt's deadline
 	HeaderClass        = "Caperdrum-Class"
 	HeaderShare        = "Caperdrum-Share"
-	HeaderRepeatable   = "Caperdrum-Repeatable" // "true" when the attempt may be abandoned and run elsewhere
+	HeaderRepeatable   = "Caperdrum-Repeatable" // "true" if the attempt may be abandoned and run elsewhere
 	HeaderService      = "Caperdrum-Service"
 	HeaderPath         = "Caperdrum-Path"
 	HeaderMethod       = "Caperdrum-Method"
 	HeaderLoad         = "Caperdrum-Load" // queued/running/limit
 	HeaderVersion      = "Caperdrum-Config-Version"
-	HeaderClock        = "Caperdrum-Clock" // hybrid logical clock, hexadecimal
+	HeaderClock        = "Caperdrum-Clock" // hybrid logical clock timestamp, hexadecimal
 	HeaderStatus       = "Caperdrum-Upstream-Status"
-	HeaderError        = "Caperdrum-Error" // present when the body is a verdict.Error
-	TrailerEnd         = "Caperdrum-End"   // "whole" or a verdict.Code
+	HeaderError        = "Caperdrum-Error" // present if the body is a verdict.Error
+	TrailerEnd         = "Caperdrum-End"   // EndWhole or a verdict.Code
 	TrailerLength      = "Caperdrum-Length"
 	TrailerSum         = "Caperdrum-Sum" // xxhash64 of the body, hexadecimal
 	TrailerLoad        = "Caperdrum-Load-After"
--- a/api/wire/members.go
+++ b/api/wire/members.go
@@ -8,11 +8,11 @@
 	"github.com/juju/errors"
 )
 
-// packMembersFrom is the number of members from which on a list is packed: some 4 kB as text.
-const packMembersFrom = 16
+// minCompressMembers is the length from which on a member list is compressed: some 4 kB of JSON.
+const minCompressMembers = 16
 
-// MembersDelta brings a member list from sequence number From to To. When
-// Whole is set, Changed is the whole list and From does not matter.
+// MembersDelta updates a member list from sequence number From to To. If Whole is set,
+// Changed is the complete list and From is ignored.
 type MembersDelta struct {
 	From    uint64
 	To      uint64
@@ -20,25 +20,25 @@
 	Changed []Member
 	Removed []MemberID
 
-	encoded func() ([]byte, error) // once for all; nil: each time that the delta is sent
+	encoded func() ([]byte, error) // cached encoding, see Shared; nil: encode on every call
 }
 
-// Shared makes a delta that many processes get be encoded once for all of them. It must not change any more.
+// Shared caches the encoding of a delta that is sent to many processes. The delta must not be modified afterwards.
 func (d *MembersDelta) Shared() *MembersDelta {
-	if len(d.Changed) >= packMembersFrom {
+	if len(d.Changed) >= minCompressMembers {
 		d.encoded = sync.OnceValues(d.encode)
 	}
 	return d
 }
 
-// membersDeltaWire is a delta on the wire. A long list stands in Packed.
+// membersDeltaWire is the wire format of a delta. A long list is sent in Compressed.
 type membersDeltaWire struct {
-	From    uint64     `json:"from"`
-	To      uint64     `json:"to"`
-	Whole   bool       `json:"whole,omitempty"`
-	Changed []Member   `json:"changed,omitempty"`
-	Packed  []byte     `json:"packed,omitempty"`
-	Removed []MemberID `json:"removed,omitempty"`
+	From       uint64     `json:"from"`
+	To         uint64     `json:"to"`
+	Whole      bool       `json:"whole,omitempty"`
+	Changed    []Member   `json:"changed,omitempty"`
+	Compressed []byte     `json:"packed,omitempty"`
+	Removed    []MemberID `json:"removed,omitempty"`
 }
 
 // MarshalJSON implements json.Marshaler.
@@ -51,12 +51,12 @@
 
 func (d *MembersDelta) encode() ([]byte, error) {
 	w := membersDeltaWire{From: d.From, To: d.To, Whole: d.Whole, Removed: d.Removed}
-	if len(d.Changed) < packMembersFrom {
+	if len(d.Changed) < minCompressMembers {
 		w.Changed = d.Changed
 		return json.Marshal(w)
 	}
 	var err error
-	if w.Packed, err = packMembers(d.Changed); err != nil {
+	if w.Compressed, err = compressMembers(d.Changed); err != nil {
 		return nil, errors.Trace(err)
 	}
 	return json.Marshal(w)
@@ -69,15 +69,15 @@
 		return errors.Trace(err)
 	}
 	*d = MembersDelta{From: w.From, To: w.To, Whole: w.Whole, Changed: w.Changed, Removed: w.Removed}
-	if w.Packed == nil {
+	if w.Compressed == nil {
 		return nil
 	}
 	var err error
-	d.Changed, err = unpackMembers(w.Packed)
+	d.Changed, err = decompressMembers(w.Compressed)
 	return err
 }
 
-// memberRow is a Member in a packed list: fields without their names. New fields are added at the end.
+// memberRow is a Member in a compressed list, encoded as an array without field names. Add new fields at the end.
 type memberRow struct {
 	_           struct{} `cbor:",toarray"`
 	ID          MemberID
@@ -97,7 +97,7 @@
 	Cold        bool
 }
 
-func packMembers(list []Member) ([]byte, error) {
+func compressMembers(list []Member) ([]byte, error) {
 	rows := make([]memberRow, len(list))
 	for i, m := range list {
 		rows[i] = memberRow{ID: m.ID, Role: m.Role, VM: m.VM, DataCenter: m.DataCenter, Debug: m.Debug, Service: m.Service, Gate: m.Gate, Incarnation: m.Incarnation,
@@ -110,22 +110,22 @@
 	return Pack(data), nil
 }
 
-// memberDecoding takes lists of any length that fits into what Unpack returns.
-var memberDecoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: maxUnpacked}.DecMode()
+// The default limit of array elements is too low: a list may be as long as fits into maxDecompressedBytes.
+var memberDecMode = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: maxDecompressedBytes}.DecMode()
 	if err != nil {
 		panic(err) // the options are constant
 	}
 	return mode
 }()
 
-func unpackMembers(packed []byte) ([]Member, error) {
+func decompressMembers(packed []byte) ([]Member, error) {
 	data, err := Unpack(packed)
 	if err != nil {
 		return nil, err
 	}
 	var rows []memberRow
-	if err := memberDecoding.Unmarshal(data, &rows); err != nil {
+	if err := memberDecMode.Unmarshal(data, &rows); err != nil {
 		return nil, errors.WithType(errors.Trace(err), ErrUnpack)
 	}
 	out := make([]Member, len(rows))
--- a/api/wire/members_test.go
+++ b/api/wire/members_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestMembersDeltaOnTheWire brings deltas of all sizes back as they were, shared or not.
+// TestMembersDeltaOnTheWire checks that deltas of all sizes survive a round trip, with and without a cached encoding.
 func TestMembersDeltaOnTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := MembersDelta{From: rapid.Uint64().Draw(t, "from"), To: rapid.Uint64().Draw(t, "to"), Whole: rapid.Bool().Draw(t, "whole")}
-		d.Changed = rapid.SliceOfN(rapid.Make[Member](), 0, 3*packMembersFrom).Draw(t, "changed")
+		d.Changed = rapid.SliceOfN(rapid.Make[Member](), 0, 3*minCompressMembers).Draw(t, "changed")
 		d.Removed = rapid.SliceOfN(rapid.Make[MemberID](), 0, 3).Draw(t, "removed")
 		want := d
 		if rapid.Bool().Draw(t, "shared") {
@@ -38,21 +38,21 @@
 	})
 }
 
-// TestDamagedMembersAreAnError cuts a packed list short.
+// TestDamagedMembersAreAnError decodes a compressed list truncated at every byte.
 func TestDamagedMembersAreAnError(t *testing.T) {
-	packed, err := packMembers(make([]Member, 100))
+	packed, err := compressMembers(make([]Member, 100))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range packed {
-		if _, err := unpackMembers(packed[:n]); err == nil {
-			t.Fatalf("%d of %d bytes are read", n, len(packed))
+		if _, err := decompressMembers(packed[:n]); err == nil {
+			t.Fatalf("%d of %d bytes were decoded without an error", n, len(packed))
 		}
 	}
 }
 
-// fleetList is the list of a deployment of so many processes: each with four upstreams.
-func fleetList(processes int) []Member {
+// fleetMembers returns the member list of a deployment with the given number of processes and three upstreams for each.
+func fleetMembers(processes int) []Member {
 	var out []Member
 	for i := range processes {
 		out = append(out, Member{ID: MemberID(fmt.Sprintf("edge-place-%d", i)), Role: "proxy", VM: fmt.Sprintf("edge-place-%d", i), DataCenter: fmt.Sprint("place-", i%6),
@@ -67,24 +67,24 @@
 	return out
 }
 
-// TestPackedListIsSmall bounds what a process that holds no list gets.
+// TestPackedListIsSmall bounds the size of a full member list on the wire.
 func TestPackedListIsSmall(t *testing.T) {
 	for _, processes := range []int{90, 360, 720} {
-		list := fleetList(processes)
+		list := fleetMembers(processes)
 		data, err := json.Marshal(MembersDelta{Whole: true, Changed: list})
 		if err != nil {
 			t.Fatal(err)
 		}
-		const most = 64 // bytes a member; as text with names there are some 300
-		if len(data) > most*len(list) {
-			t.Errorf("%d bytes for %d members", len(data), len(list))
+		const maxBytesPerMember = 64 // uncompressed JSON has some 300 bytes per member
+		if len(data) > maxBytesPerMember*len(list) {
+			t.Errorf("%d bytes on the wire for %d members", len(data), len(list))
 		}
 	}
 }
 
-// BenchmarkMembersDelta shows what a list costs its sender, where it is shared, and its receiver.
+// BenchmarkMembersDelta measures encoding with a cached encoding, decoding, and decoding of plain JSON for comparison.
 func BenchmarkMembersDelta(b *testing.B) {
-	list := fleetList(360)
+	list := fleetMembers(360)
 	d := (&MembersDelta{To: 1, Whole: true, Changed: list}).Shared()
 	data, err := json.Marshal(d)
 	if err != nil {
--- a/api/wire/messages.go
+++ b/api/wire/messages.go
@@ -6,86 +6,86 @@
 	"caperdrum.org/api/verdict"
 )
 
-// MemberID names one process; it is the name in its settings.
+// MemberID identifies a process: the name in its settings.
 type MemberID string
 
-// RequestID names one caller's request over all processes.
+// RequestID identifies a caller's request across all processes.
 type RequestID string
 
-// AttemptID names one try of one stage at one gate. It is never used again.
+// AttemptID identifies one attempt of one stage at one gate. It is never reused.
 type AttemptID string
 
-// Member is a process as the others know it.
+// Member is the membership record of a process or an announced upstream.
 type Member struct {
 	ID          MemberID `json:"id"`
 	Role        string   `json:"role"`
 	VM          string   `json:"vm"`
 	DataCenter  string   `json:"data_center"`
-	Debug       string   `json:"debug"`             // address of the timeline and the metrics
+	Debug       string   `json:"debug"`             // address of the debug listener: timeline and metrics
 	Service     string   `json:"service,omitempty"` // agents only
 	Gate        string   `json:"gate,omitempty"`    // agents only: address of the gate
 	Incarnation uint64   `json:"incarnation"`       // differs for every start of the process
 	Leaving     bool     `json:"leaving,omitempty"`
-	Holds       string   `json:"holds,omitempty"`    // agents only: artifacts of the upstream, see JoinArtifacts
+	Holds       string   `json:"holds,omitempty"`    // agents only: artifacts that the upstream holds, see JoinArtifacts
 	Peer        string   `json:"peer,omitempty"`     // proxies only: peer address
-	Direct      string   `json:"direct,omitempty"`   // announced upstreams only: address of the upstream itself
+	Direct      string   `json:"direct,omitempty"`   // announced upstreams only: address of the upstream
 	Revision    uint64   `json:"revision,omitempty"` // grows with each change of the record within an incarnation
-	Version     string   `json:"version,omitempty"`  // announced upstreams only: of its software; empty where it does not say
-	Cold        bool     `json:"cold,omitempty"`     // announced upstreams only: it has just started or come back, and bears few calls a second
+	Version     string   `json:"version,omitempty"`  // announced upstreams only: software version; empty if not reported
+	Cold        bool     `json:"cold,omitempty"`     // announced upstreams only: has just started or returned, and can take few calls per second
 }
 
-// Start names one start of a member's process. What is known of a process ends with
-// its start.
+// Start identifies one start of a process. State kept about a process is valid for one
+// start only.
 type Start struct {
 	ID          MemberID
 	Incarnation uint64
 }
 
-// Start returns which start of the process the record is of.
+// Start returns the start of the process that the record describes.
 func (m Member) Start() Start { return Start{m.ID, m.Incarnation} }
 
-// SyncRequest renews the caller's lease and asks for what changed. The answer
-// is held back until something changed or Wait has passed.
+// SyncRequest renews the caller's lease and asks for changes. The answer is delayed until
+// there is a change or Wait has passed (long polling).
 type SyncRequest struct {
 	Member        Member        `json:"member"`
 	ConfigVersion uint64        `json:"config_version"`
 	ConfigHash    uint64        `json:"config_hash"` // of the text held; 0 asks for the whole text
 	MembersSeq    uint64        `json:"members_seq"`
-	Fault         string        `json:"fault,omitempty"` // why the caller could not take over the latest text
+	Fault         string        `json:"fault,omitempty"` // why the caller could not apply the latest text
 	Wait          time.Duration `json:"wait"`
-	Fence         uint64        `json:"fence,omitempty"` // highest token heard of for the caller
-	Term          uint64        `json:"term,omitempty"`  // highest term heard of
+	Fence         uint64        `json:"fence,omitempty"` // highest fencing token known for the caller
+	Term          uint64        `json:"term,omitempty"`  // highest Raft term known
 	OwnerEpoch    uint64        `json:"owner_epoch,omitempty"`
 	Evacuations   uint64        `json:"evacuations,omitempty"` // revision held
 	Suspects      uint64        `json:"suspects,omitempty"`    // revision held
 	Rollouts      uint64        `json:"rollouts,omitempty"`    // revision held
 }
 
-// SyncReply carries what the caller lacks. Config is nil when the caller is
-// current, Members when its sequence number is.
+// SyncReply carries the changes that the caller lacks. Config and Delta are nil if the
+// caller's text is current, Members if its sequence number is.
 type SyncReply struct {
 	Config              *ConfigText   `json:"config,omitempty"`
-	Delta               *ConfigDelta  `json:"delta,omitempty"` // instead of Config, when the caller's text is known
+	Delta               *ConfigDelta  `json:"delta,omitempty"` // instead of Config, if the caller's text is known
 	Members             *MembersDelta `json:"members,omitempty"`
 	Version             uint64        `json:"version"`                        // highest accepted version known to the answering control process
-	MembersSeq          uint64        `json:"members_seq"`                    // highest member sequence number known there
+	MembersSeq          uint64        `json:"members_seq"`                    // highest member sequence number known to it
 	StampAge            time.Duration `json:"stamp_age"`                      // time since a quorum confirmed Version and MembersSeq
-	Recorded            bool          `json:"recorded"`                       // the members hold the caller's record as sent, or a later one
-	Renewed             bool          `json:"renewed"`                        // false when the lease could not be renewed here
-	Leader              MemberID      `json:"leader"`                         // control member that leads, if known
-	LeaderPeer          string        `json:"leader_peer"`                    // its peer address
+	Recorded            bool          `json:"recorded"`                       // the member list has the caller's record as sent, or a later one
+	Renewed             bool          `json:"renewed"`                        // false if the answering process could not renew the lease
+	Leader              MemberID      `json:"leader"`                         // leading control process, if known
+	LeaderPeer          string        `json:"leader_peer"`                    // peer address of the leader
 	Control             []string      `json:"control,omitempty"`              // peer addresses of the voters
-	Owner               StageOwner    `json:"owner"`                          // as far as known there
-	Evacuations         *Evacuations  `json:"evacuations,omitempty"`          // when newer than the caller's
-	EvacuationsRevision uint64        `json:"evacuations_revision,omitempty"` // highest known there
-	Suspects            *Suspects     `json:"suspects,omitempty"`             // when newer than the caller's
-	SuspectsRevision    uint64        `json:"suspects_revision,omitempty"`    // highest known there
-	Rollouts            *Rollouts     `json:"rollouts,omitempty"`             // when newer than the caller's
-	RolloutsRevision    uint64        `json:"rollouts_revision,omitempty"`    // highest known there
+	Owner               StageOwner    `json:"owner"`                          // as known to the answering process
+	Evacuations         *Evacuations  `json:"evacuations,omitempty"`          // if newer than the caller's
+	EvacuationsRevision uint64        `json:"evacuations_revision,omitempty"` // highest known to the answering process
+	Suspects            *Suspects     `json:"suspects,omitempty"`             // if newer than the caller's
+	SuspectsRevision    uint64        `json:"suspects_revision,omitempty"`    // highest known to the answering process
+	Rollouts            *Rollouts     `json:"rollouts,omitempty"`             // if newer than the caller's
+	RolloutsRevision    uint64        `json:"rollouts_revision,omitempty"`    // highest known to the answering process
 
-	// Hints, which need not be current: they only say when to ask the leader.
-	Fence uint64 `json:"fence,omitempty"` // highest token known there for the caller
-	Term  uint64 `json:"term,omitempty"`  // of the answering control process
+	// Hints that may be outdated. The caller only uses them to decide when to ask the leader.
+	Fence uint64 `json:"fence,omitempty"` // highest fencing token known for the caller
+	Term  uint64 `json:"term,omitempty"`  // Raft term of the answering control process
 }
 
 // ConfigText is one accepted version of the operators' text.
@@ -95,7 +95,7 @@
 	Hash    uint64 `json:"hash"`
 }
 
-// ChangeRequest is an operators' change of the text.
+// ChangeRequest is an operator's change of the text.
 type ChangeRequest struct {
 	Number   uint64 `json:"number"` // must be the current version plus one
 	Text     string `json:"text"`
@@ -105,26 +105,26 @@
 	Sections []string `json:"sections,omitempty"`
 }
 
-// ChangeResult is the answer to a change, the same for every resend.
+// ChangeResult answers a ChangeRequest, and is the same for every resend.
 type ChangeResult struct {
 	Accepted bool   `json:"accepted"`
-	Version  uint64 `json:"version"` // version the change made, or the current one when refused
+	Version  uint64 `json:"version"` // version that the change created, or the current one if it was rejected
 	Reason   string `json:"reason,omitempty"`
-	Winner   string `json:"winner,omitempty"` // change id that holds the number when this one lost
+	Winner   string `json:"winner,omitempty"` // id of the change that got the number, if this one lost
 	Diff     string `json:"diff,omitempty"`   // from the winner's text to this one
 	Resent   bool   `json:"resent,omitempty"` // this answer was given before
 }
 
-// ClaimKey names an idempotency key of one customer.
+// ClaimKey is an idempotency key of one customer.
 type ClaimKey struct {
 	Customer string `json:"customer"`
 	Key      string `json:"key"`
 }
 
-// ClaimRequest asks for the right to run a keyed call once.
+// ClaimRequest asks for the right to run a call with an idempotency key once.
 type ClaimRequest struct {
 	ClaimKey
-	BodyHash    string    `json:"body_hash"` // of method, service, path and body
+	BodyHash    string    `json:"body_hash"` // hash of method, service, path and body
 	Attempt     AttemptID `json:"attempt"`
 	Endpoint    MemberID  `json:"endpoint"`
 	Gate        string    `json:"gate"`
@@ -138,20 +138,20 @@
 // Outcomes of a claim.
 const (
 	ClaimGranted  ClaimState = "granted"  // the caller's attempt holds the key
-	ClaimHeld     ClaimState = "held"     // another attempt holds it; settle that one first
-	ClaimSettled  ClaimState = "settled"  // the outcome is recorded
+	ClaimHeld     ClaimState = "held"     // another attempt holds the key; settle that one first
+	ClaimSettled  ClaimState = "settled"  // the outcome of the call is recorded
 	ClaimMismatch ClaimState = "mismatch" // the key was used with another body
-	ClaimFull     ClaimState = "full"     // the ledger is at its limit and takes no new key
+	ClaimFull     ClaimState = "full"     // the ledger is at its size limit and accepts no new key
 )
 
-// ClaimReply answers a claim. Holder is set for held and settled keys.
+// ClaimReply answers a ClaimRequest. Holder is set for held and settled keys.
 type ClaimReply struct {
 	State   ClaimState    `json:"state"`
 	Holder  *ClaimRequest `json:"holder,omitempty"`
 	Outcome *Outcome      `json:"outcome,omitempty"`
 }
 
-// Outcome is what became of a keyed call.
+// Outcome is the result of a call with an idempotency key.
 type Outcome struct {
 	Verdict     verdict.Verdict `json:"verdict"`
 	Status      int             `json:"status"`
@@ -159,20 +159,20 @@
 	Body        []byte          `json:"body"`
 }
 
-// SettleRequest records the outcome of the attempt that holds a key. An
-// outcome with verdict NotRun releases the key.
+// SettleRequest records the outcome of the attempt that holds a key. An outcome with
+// verdict NotRun releases the key.
 type SettleRequest struct {
 	ClaimKey
 	Attempt AttemptID `json:"attempt"`
 	Outcome Outcome   `json:"outcome"`
 }
 
-// SettleReply returns the outcome that stands, which is the first recorded.
+// SettleReply returns the recorded outcome, which is the first one reported.
 type SettleReply struct {
 	Outcome Outcome `json:"outcome"`
 }
 
-// AttemptState is what a gate knows of an attempt.
+// AttemptState is the state of an attempt at a gate.
 type AttemptState string
 
 // States of an attempt at its gate.
@@ -182,30 +182,30 @@
 	AttemptRunning    AttemptState = "running"
 	AttemptDone       AttemptState = "done"
 	AttemptTombstoned AttemptState = "tombstoned"
-	// AttemptForgotten says that the gate does not know the attempt and that
-	// the attempt is older than what the gate remembers: it may have run, and
-	// it will not be admitted.
+	// AttemptForgotten means that the gate has no record of the attempt and that the
+	// attempt is older than the gate's records: it may have run, and will not be
+	// admitted any more.
 	AttemptForgotten AttemptState = "forgotten"
 )
 
-// AttemptStatus answers a status or cancel call at a gate.
+// AttemptStatus answers a status or cancel request at a gate.
 type AttemptStatus struct {
 	Attempt     AttemptID    `json:"attempt"`
 	State       AttemptState `json:"state"`
 	Incarnation uint64       `json:"incarnation"`
 	Length      int64        `json:"length"`        // answer bytes received from the upstream so far
-	End         string       `json:"end,omitempty"` // end mark, once done
+	End         string       `json:"end,omitempty"` // value of TrailerEnd, once the attempt is done
 }
 
 // MemberStatus is one row of the members report.
 type MemberStatus struct {
 	Member
 	ConfigVersion uint64        `json:"config_version"`
-	LastSeen      time.Duration `json:"last_seen"`       // age of the last renewal; -1 when not known here
-	Fault         string        `json:"fault,omitempty"` // why it could not take over the latest text
+	LastSeen      time.Duration `json:"last_seen"`       // age of the last renewal, in nanoseconds; -1 if not known here
+	Fault         string        `json:"fault,omitempty"` // why the member could not apply the latest text
 }
 
-// ControlStatus is the report of one control process.
+// ControlStatus is the status report of one control process.
 type ControlStatus struct {
 	ID            MemberID      `json:"id"`
 	State         string        `json:"state"` // leader, follower, candidate or learner
@@ -218,6 +218,6 @@
 	ConfigVersion uint64        `json:"config_version"`
 	StampAge      time.Duration `json:"stamp_age"`
 	LedgerEntries int           `json:"ledger_entries"`
-	Debug         string        `json:"debug"`            // address of the time line and the metrics
-	Repair        string        `json:"repair,omitempty"` // what repair of the voter set waits for
+	Debug         string        `json:"debug"`            // address of the timeline and the metrics
+	Repair        string        `json:"repair,omitempty"` // what the repair of the voter set is waiting for
 }
--- a/api/wire/order.go
+++ b/api/wire/order.go
@@ -5,21 +5,20 @@
 	"time"
 )
 
-// MethodOrders is the control leader's method that agents poll.
+// MethodOrders is the control leader's method that agents poll for orders.
 const MethodOrders = "control.orders"
 
-// MethodDemand is the control leader's method that entries report misses to.
+// MethodDemand is the control leader's method that entries report demand to.
 const MethodDemand = "control.demand"
 
-// Artifact is what an engine can hold: a version of a model, or an adapter of
-// one.
+// Artifact is a model version, or an adapter of one, that an engine can hold.
 type Artifact struct {
 	Model   string `json:"model" cbor:"1,keyasint"`
 	Version string `json:"version,omitempty" cbor:"2,keyasint,omitempty"`
 	Adapter string `json:"adapter,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
-// String returns the form MODEL@VERSION or MODEL@VERSION/ADAPTER.
+// String returns MODEL@VERSION or MODEL@VERSION/ADAPTER.
 func (a Artifact) String() string {
 	s := a.Model
 	if a.Version != "" {
@@ -31,14 +30,14 @@
 	return s
 }
 
-// ParseArtifact reads the form that String returns.
+// ParseArtifact parses the format of String.
 func ParseArtifact(s string) Artifact {
 	base, adapter, _ := strings.Cut(s, "/")
 	model, version, _ := strings.Cut(base, "@")
 	return Artifact{Model: model, Version: version, Adapter: adapter}
 }
 
-// JoinArtifacts returns the compact form that a member record carries.
+// JoinArtifacts returns the comma-separated list for Member.Holds.
 func JoinArtifacts(list []Artifact) string {
 	parts := make([]string, len(list))
 	for i, a := range list {
@@ -47,8 +46,8 @@
 	return strings.Join(parts, ",")
 }
 
-// HoldsModel reports whether the member's upstream holds any version of the
-// model. Upstreams that take no orders report nothing and hold every model.
+// HoldsModel reports whether the member's upstream holds any version of the model.
+// Upstreams that take no orders report no artifacts and count as holding every model.
 func (m Member) HoldsModel(model string) bool {
 	if m.Holds == "" {
 		return true
@@ -61,7 +60,7 @@
 	return false
 }
 
-// OrderKind says what an order does.
+// OrderKind is the action of an order.
 type OrderKind string
 
 // Kinds of orders.
@@ -71,18 +70,18 @@
 	OrderSetRole OrderKind = "set-role"
 )
 
-// Order tells one engine to change what it holds or which role it plays.
+// Order tells an engine to load or unload an artifact, or to change its role.
 type Order struct {
 	Upstream MemberID      `json:"upstream" cbor:"1,keyasint"`
 	Token    uint64        `json:"token" cbor:"2,keyasint"` // fencing token, increasing per upstream
 	Kind     OrderKind     `json:"kind" cbor:"3,keyasint"`
 	Artifact Artifact      `json:"artifact" cbor:"4,keyasint"`
 	Role     string        `json:"role,omitempty" cbor:"5,keyasint,omitempty"`
-	Bytes    int64         `json:"bytes,omitempty" cbor:"6,keyasint,omitempty"` // that the weight store may be asked for
+	Bytes    int64         `json:"bytes,omitempty" cbor:"6,keyasint,omitempty"` // bytes that the engine may read from the weight store
 	Timeout  time.Duration `json:"timeout,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// OrderState is how far an order has come.
+// OrderState is the progress of an order.
 type OrderState string
 
 // States of an order.
@@ -90,12 +89,12 @@
 	OrderOpen        OrderState = "open"
 	OrderDone        OrderState = "done"
 	OrderFailed      OrderState = "failed"
-	OrderExpired     OrderState = "expired"     // never passed on: it came too late
+	OrderExpired     OrderState = "expired"     // not passed on to the engine, because it came too late
 	OrderInterrupted OrderState = "interrupted" // the agent restarted; the engine's own report decides
 )
 
-// OrderReport ends an order. A report for any but the open order of its
-// upstream has no effect.
+// OrderReport ends an order. It has no effect unless Token is that of the upstream's open
+// order.
 type OrderReport struct {
 	Upstream MemberID   `json:"upstream" cbor:"1,keyasint"`
 	Token    uint64     `json:"token" cbor:"2,keyasint"`
@@ -103,25 +102,25 @@
 	Detail   string     `json:"detail,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// EngineState is what an engine reports of itself.
+// EngineState is what an engine reports about itself.
 type EngineState struct {
 	TakesOrders bool       `json:"takes_orders"`
 	Holds       []Artifact `json:"holds"`
-	Cached      []Artifact `json:"cached,omitempty"` // weights at hand: loading them asks nothing of the store
+	Cached      []Artifact `json:"cached,omitempty"` // locally stored weights, which load without reading from the weight store
 	Role        string     `json:"role,omitempty"`
-	Token       uint64     `json:"token,omitempty"` // highest token the engine has accepted, if it keeps one
-	Busy        bool       `json:"busy,omitempty"`  // an order is under way at the engine
+	Token       uint64     `json:"token,omitempty"` // highest fencing token that the engine has accepted, if it records one
+	Busy        bool       `json:"busy,omitempty"`  // the engine is executing an order
 }
 
-// OrderPoll is an agent's report and its question for orders. Answers to
-// synchronization say when there is an order to ask for.
+// OrderPoll reports an agent's state and asks for orders. Agents poll when a SyncReply
+// shows that there is an order.
 type OrderPoll struct {
 	Upstream    MemberID      `json:"upstream"`
 	Service     string        `json:"service"`
 	Incarnation uint64        `json:"incarnation"`
-	Established bool          `json:"established"` // false until the fence was read after a start
+	Established bool          `json:"established"` // false until the agent has read the fence after its start
 	Seen        uint64        `json:"seen"`
-	Running     uint64        `json:"running"` // token of the order under way, or zero
+	Running     uint64        `json:"running"` // token of the order being executed, or zero
 	Reports     []OrderReport `json:"reports,omitempty"`
 	Engine      EngineState   `json:"engine"`
 	Arrived     int64         `json:"arrived"` // attempts since the start of the agent
@@ -130,14 +129,15 @@
 	Limit       int           `json:"limit"`
 }
 
-// OrderPollReply is read from the state after a read barrier with a quorum.
+// OrderPollReply answers an OrderPoll. The leader reads it after a read barrier, which a
+// quorum confirms.
 type OrderPollReply struct {
-	Fence uint64        `json:"fence"` // highest token drawn for the upstream
+	Fence uint64        `json:"fence"` // highest fencing token issued for the upstream
 	Order *Order        `json:"order,omitempty"`
-	Age   time.Duration `json:"age"` // time for which the leader has known the order
+	Age   time.Duration `json:"age"` // how long the leader has known the order
 }
 
-// DemandReport tells the leader of attempts that found no upstream.
+// DemandReport tells the leader how many attempts found no upstream.
 type DemandReport struct {
 	Entry  MemberID         `json:"entry"`
 	Misses map[string]int64 `json:"misses"` // by service
--- a/api/wire/quarantine.go
+++ b/api/wire/quarantine.go
@@ -1,48 +1,49 @@
 package wire
 
-// Fingerprint identifies a call by what its caller sends, whatever id a try has: two
-// calls with one fingerprint are copies of each other. It reveals nothing of the body.
+// Fingerprint is a hash of the content of a call, independent of request and attempt ids:
+// calls with the same fingerprint are copies of each other. It does not reveal the body.
 type Fingerprint string
 
-// CallSketch is what is told of a call between processes and to operators.
+// CallSketch is the summary of a call that processes exchange and operators see.
 type CallSketch struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
-	// Shape is a cheap hash of all but the body's bytes. Calls of other shapes have other fingerprints.
+	// Shape is a cheap hash of everything but the bytes of the body. Calls with different
+	// shapes have different fingerprints.
 	Shape    uint64 `json:"shape"`
 	Customer string `json:"customer,omitempty"`
 	Route    string `json:"route"`
-	Bytes    int    `json:"bytes"` // of the body
+	Bytes    int    `json:"bytes"` // length of the body
 }
 
-// Crash is the end of an upstream's process with the calls that it had, as far as one process
-// knows them.
+// Crash is the end of an upstream's process, with the calls in flight on it as far as the
+// reporting process knows them.
 type Crash struct {
 	Upstream Start        `json:"upstream"`
 	Calls    []CallSketch `json:"calls"`
 }
 
-// CrashReport is what a process has seen of calls that end upstreams. It may come more than
-// once.
+// CrashReport reports which calls crashed upstreams and which did not. It may be delivered
+// more than once.
 type CrashReport struct {
 	Crashes []Crash `json:"crashes,omitempty"`
-	// Answered are calls under which upstreams ended and that an upstream has answered with success.
+	// Answered are calls that were in flight in a crash and that an upstream has since answered with success.
 	Answered []CallSketch `json:"answered,omitempty"`
 }
 
-// Suspect is a call under which several upstreams have ended.
+// Suspect is a call that was in flight in the crashes of several upstreams.
 type Suspect struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Shape       uint64      `json:"shape"`
-	Barred      bool        `json:"barred,omitempty"` // it no longer reaches upstreams
+	Barred      bool        `json:"barred,omitempty"` // not sent to upstreams any more
 }
 
-// Suspects are those that all processes know.
+// Suspects are the replicated list that all processes know.
 type Suspects struct {
 	Revision uint64    `json:"revision"` // grows with each change
 	List     []Suspect `json:"list"`     // sorted by fingerprint
 }
 
-// Barred returns how many of them are barred.
+// Barred returns the number of barred calls.
 func (s Suspects) Barred() int {
 	n := 0
 	for _, suspect := range s.List {
@@ -53,28 +54,28 @@
 	return n
 }
 
-// QuarantineState is what became of a call that was on an upstream which ended.
+// QuarantineState is the state of a call that was in flight in a crash.
 type QuarantineState string
 
 // States of calls in quarantine.
 const (
-	QuarantineSuspected QuarantineState = "suspected" // upstreams ended under it
-	QuarantineBarred    QuarantineState = "barred"    // it no longer reaches upstreams
-	QuarantineCleared   QuarantineState = "cleared"   // an upstream has answered it, so it does not end them
+	QuarantineSuspected QuarantineState = "suspected" // in flight in crashes, still sent to upstreams
+	QuarantineBarred    QuarantineState = "barred"    // not sent to upstreams any more
+	QuarantineCleared   QuarantineState = "cleared"   // answered by an upstream, so it does not crash them
 )
 
 // QuarantineEntry is what operators see of a call in quarantine.
 type QuarantineEntry struct {
 	Call      CallSketch      `json:"call"`
 	State     QuarantineState `json:"state"`
-	Since     int64           `json:"since"`     // of the state, leader's clock, milliseconds since the Unix epoch
-	Upstreams []Start         `json:"upstreams"` // that ended under it
+	Since     int64           `json:"since"`     // start of the state by the leader's clock, in milliseconds since the Unix epoch
+	Upstreams []Start         `json:"upstreams"` // that crashed with the call in flight
 }
 
-// QuarantineChange is what a report or an operator's order has changed.
+// QuarantineChange lists the changes that a report or an operator's order made.
 type QuarantineChange struct {
 	Barred  []QuarantineEntry `json:"barred,omitempty"`
 	Cleared []Fingerprint     `json:"cleared,omitempty"`
-	// Lifted are bars that ended: by an operator, or since another call explains each of the crashes.
+	// Lifted are bars that ended: by an operator, or because another call explains each of the crashes.
 	Lifted []Fingerprint `json:"lifted,omitempty"`
 }
--- a/api/wire/teams.go
+++ b/api/wire/teams.go
@@ -1,13 +1,13 @@
 package wire
 
-// Role is what a team may do.
+// Role is the permission level of a team.
 type Role string
 
 // Roles of teams.
 const (
-	RoleViewer        Role = "viewer"        // reads everything, changes nothing
-	RoleOperator      Role = "operator"      // changes the sections of its services and pipelines
-	RoleAdministrator Role = "administrator" // changes everything
+	RoleViewer        Role = "viewer"        // may read everything and change nothing
+	RoleOperator      Role = "operator"      // may change the sections of its services and pipelines
+	RoleAdministrator Role = "administrator" // may change everything
 )
 
 // TeamInfo describes a team.
@@ -19,27 +19,27 @@
 	Keys      []KeyInfo `json:"keys,omitempty"`
 }
 
-// KeyInfo describes a bearer key without its secret. Times are milliseconds
-// since the Unix epoch.
+// KeyInfo describes a bearer key without its secret. Times are in milliseconds since the
+// Unix epoch.
 type KeyInfo struct {
 	ID    string `json:"id"`
 	Made  int64  `json:"made"`
-	EndAt int64  `json:"end_at,omitempty"` // zero: does not end
+	EndAt int64  `json:"end_at,omitempty"` // zero: the key does not expire
 }
 
-// NewKey is a bearer key as it is shown once, when it is made.
+// NewKey is a new bearer key. Its secret is shown only once.
 type NewKey struct {
 	ID  string `json:"id"`
 	Key string `json:"key"` // sent as "Authorization: Bearer KEY"
 }
 
-// InitReply answers the forming of a cluster.
+// InitReply answers the initialization of a cluster.
 type InitReply struct {
 	Status ControlStatus `json:"status"`
 	Key    NewKey        `json:"key"` // of the first administrators
 }
 
-// ChangeInfo is one row of the history of changes.
+// ChangeInfo is one row of the change history.
 type ChangeInfo struct {
 	Number   uint64   `json:"number"`
 	ChangeID string   `json:"change_id"`
