--- a/node/logging/age.go
+++ b/node/logging/age.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Never is the age of what has not happened yet.
+// Never is the age of an event that has not happened yet.
 const Never = time.Duration(math.MaxInt64)
 
-// Age is how a line writes an age: "none" where there is none.
+// Age formats an age for a log line. Never is "none".
 func Age(d time.Duration) string {
 	if d == Never {
 		return "none"
--- a/node/logging/age_test.go
+++ b/node/logging/age_test.go
@@ -8,7 +8,7 @@
 func TestAge(t *testing.T) {
 	for age, want := range map[time.Duration]string{Never: "none", 1500 * time.Millisecond: "1.5s"} {
 		if got := Age(age); got != want {
-			t.Errorf("%s for %s", got, want)
+			t.Errorf("got %s, want %s", got, want)
 		}
 	}
 }
--- a/node/logging/async.go
+++ b/node/logging/async.go
@@ -11,86 +11,85 @@
 )
 
 const (
-	// queueLines and lineBytes bound the memory of lines that wait for a reader:
-	// 2 MiB at most.
-	queueLines = 1024
-	lineBytes  = 2 << 10
-	// kindPerSecond and kindBurst bound the lines of one kind. A process of the
-	// sizes in use serves some 30 calls a second; at three times that, every call
-	// still has its line.
-	kindPerSecond = 100
-	kindBurst     = 300
-	reportEvery   = time.Second
+	// maxQueuedLines and maxLineBytes bound the memory of queued lines to 2 MiB.
+	maxQueuedLines = 1024
+	maxLineBytes   = 2 << 10
+	// kindLinesPerSecond and kindBurstLines limit the lines of one kind. At the deployment
+	// sizes in use, a process serves some 30 calls a second; up to three times that, every
+	// call gets its line.
+	kindLinesPerSecond = 100
+	kindBurstLines     = 300
+	dropReportInterval = time.Second
 )
 
-// Writer writes lines to a stream that may be slow or stopped, on a goroutine of
-// its own. It never blocks its callers: lines that find no place are left out and
-// counted, and the count is written as a line of its own. Lines of failures go
-// before those of successes.
+// Writer writes lines to a stream that may be slow or blocked, from a goroutine of its own.
+// It never blocks its callers: lines that do not fit into the queue or exceed the rate limit
+// of their kind are dropped, and a line for each kind reports how many. Failures are written
+// before routine lines.
 type Writer struct {
 	out io.Writer
 
-	mu     sync.Mutex
-	urgent [][]byte // failures and changes of belief
-	usual  [][]byte
-	left   map[string]int // lines left out, by kind
-	kinds  map[string]*rate
-	wake   chan struct{}
-	closed bool
-	done   chan struct{}
-	now    func() time.Time
-	report time.Time
+	mu         sync.Mutex
+	urgent     [][]byte // failures and state changes
+	routine    [][]byte
+	dropped    map[string]int // number of dropped lines, by kind
+	buckets    map[string]*tokenBucket
+	wake       chan struct{}
+	closed     bool
+	done       chan struct{}
+	now        func() time.Time
+	lastReport time.Time
 }
 
-// rate is a token bucket of one kind of line.
-type rate struct {
-	tokens float64
-	at     time.Time
+// tokenBucket limits the rate of one kind of line.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Time
 }
 
-// NewWriter returns a writer to out. Close must be called.
+// NewWriter returns a writer to out. The caller must call Close.
 func NewWriter(out io.Writer) *Writer { return newWriter(out, time.Now) }
 
 func newWriter(out io.Writer, now func() time.Time) *Writer {
-	w := &Writer{out: out, left: map[string]int{}, kinds: map[string]*rate{}, wake: make(chan struct{}, 1), done: make(chan struct{}), now: now, report: now()}
+	w := &Writer{out: out, dropped: map[string]int{}, buckets: map[string]*tokenBucket{}, wake: make(chan struct{}, 1), done: make(chan struct{}), now: now, lastReport: now()}
 	go w.run()
 	return w
 }
 
-// admit reports whether a line of the kind may be written now, and counts it as
-// left out otherwise.
+// admit reports whether the rate limit of the kind allows a line now. If not, it counts the
+// line as dropped.
 func (w *Writer) admit(kind string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.now()
-	r := w.kinds[kind]
+	r := w.buckets[kind]
 	if r == nil {
-		r = &rate{tokens: kindBurst, at: now}
-		w.kinds[kind] = r
+		r = &tokenBucket{tokens: kindBurstLines, refilledAt: now}
+		w.buckets[kind] = r
 	}
-	r.tokens = min(r.tokens+now.Sub(r.at).Seconds()*kindPerSecond, kindBurst)
-	r.at = now
+	r.tokens = min(r.tokens+now.Sub(r.refilledAt).Seconds()*kindLinesPerSecond, kindBurstLines)
+	r.refilledAt = now
 	if r.tokens < 1 {
-		w.left[kind]++
+		w.dropped[kind]++
 		return false
 	}
 	r.tokens--
 	return true
 }
 
-// add queues a line. It does not block.
+// add queues a line, or drops it if the queue is full. It does not block.
 func (w *Writer) add(kind string, urgent bool, line []byte) {
-	if len(line) > lineBytes {
-		line = append(line[:lineBytes-1:lineBytes-1], '\n')
+	if len(line) > maxLineBytes {
+		line = append(line[:maxLineBytes-1:maxLineBytes-1], '\n')
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	queue := &w.usual
+	queue := &w.routine
 	if urgent {
 		queue = &w.urgent
 	}
-	if len(*queue) >= queueLines/2 || w.closed {
-		w.left[kind]++
+	if len(*queue) >= maxQueuedLines/2 || w.closed {
+		w.dropped[kind]++
 		return
 	}
 	*queue = append(*queue, line)
@@ -106,7 +105,7 @@
 		batch, closed := w.take()
 		if len(batch) > 0 {
 			if _, err := w.out.Write(batch); err != nil {
-				continue // there is nowhere left to say so
+				continue // an error about the log itself cannot be logged
 			}
 			continue
 		}
@@ -117,8 +116,8 @@
 	}
 }
 
-// take returns what waits, failures first, and what was left out if a report is
-// due.
+// take removes and returns the queued lines, urgent ones first, and the report of dropped
+// lines if one is due.
 func (w *Writer) take() (batch []byte, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,24 +125,24 @@
 	for _, line := range w.urgent {
 		b.Write(line)
 	}
-	for _, line := range w.usual {
+	for _, line := range w.routine {
 		b.Write(line)
 	}
-	w.urgent, w.usual = nil, nil
-	if now := w.now(); len(w.left) > 0 && (now.Sub(w.report) >= reportEvery || w.closed) {
-		w.report = now
-		for kind, n := range w.left {
-			b.WriteString("time=" + now.UTC().Format(time.RFC3339Nano) + ` level=INFO msg="lines left out" kind=` + strconv.Quote(kind) + " count=" + strconv.Itoa(n) + "\n")
+	w.urgent, w.routine = nil, nil
+	if now := w.now(); len(w.dropped) > 0 && (now.Sub(w.lastReport) >= dropReportInterval || w.closed) {
+		w.lastReport = now
+		for kind, n := range w.dropped {
+			b.WriteString("time=" + now.UTC().Format(time.RFC3339Nano) + ` level=INFO msg="lines dropped" kind=` + strconv.Quote(kind) + " count=" + strconv.Itoa(n) + "\n")
 		}
-		clear(w.left)
+		clear(w.dropped)
 	}
 	return b.Bytes(), w.closed
 }
 
-// closeTime bounds the wait for a reader that has stopped.
-const closeTime = 200 * time.Millisecond
+// closeTimeout bounds how long Close waits for a blocked stream.
+const closeTimeout = 200 * time.Millisecond
 
-// Close writes what waits, as far as the reader takes it.
+// Close writes the queued lines, waiting at most closeTimeout.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -154,18 +153,18 @@
 	}
 	select {
 	case <-w.done:
-	case <-time.After(closeTime):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// handler formats lines with slog's text handler and hands them to a Writer.
+// handler formats lines with slog's text handler and passes them to a Writer.
 type handler struct {
 	w      *Writer
 	inner  slog.Handler
 	buffer *lineBuffer
 }
 
-// lineBuffer receives one formatted line at a time.
+// lineBuffer holds one formatted line at a time.
 type lineBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -182,7 +181,7 @@
 // Enabled implements slog.Handler.
 func (h *handler) Enabled(ctx context.Context, l slog.Level) bool { return h.inner.Enabled(ctx, l) }
 
-// Handle implements slog.Handler. A kind of line is its message.
+// Handle implements slog.Handler. The message is the kind of the line.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
 	if !h.w.admit(r.Message) {
 		return nil
--- a/node/logging/async_test.go
+++ b/node/logging/async_test.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// stopped is a reader of standard output that has stopped.
-type stopped struct {
-	hangs   chan struct{} // receives a value with each write
+// blockedWriter is a stream whose Write blocks until release is closed.
+type blockedWriter struct {
+	writing chan struct{} // receives a value when a Write starts
 	release chan struct{}
 	bytes.Buffer
 }
 
-func newStopped() *stopped {
-	return &stopped{hangs: make(chan struct{}, 100), release: make(chan struct{})}
+func newBlockedWriter() *blockedWriter {
+	return &blockedWriter{writing: make(chan struct{}, 100), release: make(chan struct{})}
 }
 
-func (s *stopped) Write(p []byte) (int, error) {
-	s.hangs <- struct{}{}
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	s.writing <- struct{}{}
 	<-s.release
 	return s.Buffer.Write(p)
 }
 
-// TestStoppedReaderBlocksNobody logs from many goroutines to a reader that has
-// stopped: all return, what waits is bounded, and once the reader goes on it is
-// told how many lines it has missed.
+// TestStoppedReaderBlocksNobody logs from many goroutines to a blocked stream. All calls
+// must return, the queue must stay bounded, and once the stream is unblocked it must get
+// the number of dropped lines.
 func TestStoppedReaderBlocksNobody(t *testing.T) {
-	out := newStopped()
+	out := newBlockedWriter()
 	log, flush := New(out, "p", "info")
 	var wg sync.WaitGroup
 	for range 20 {
@@ -45,23 +45,22 @@
 	close(out.release)
 	flush()
 	got := out.String()
-	if n := strings.Count(got, "\n"); n > queueLines+10 {
-		t.Fatalf("%d lines were kept", n)
+	if n := strings.Count(got, "\n"); n > maxQueuedLines+10 {
+		t.Fatalf("%d lines were queued", n)
 	}
 	for _, kind := range []string{"call refused", "call answered"} {
-		if !strings.Contains(got, `msg="lines left out" kind="`+kind+`" count=`) {
-			t.Fatalf("nothing says how many lines of %q were left out", kind)
+		if !strings.Contains(got, `msg="lines dropped" kind="`+kind+`" count=`) {
+			t.Fatalf("no line reports the number of dropped lines of %q", kind)
 		}
 	}
 }
 
-// TestFailuresGoFirst lets a reader take what has waited: failures stand before
-// successes.
+// TestFailuresGoFirst checks that queued failures are written before queued routine lines.
 func TestFailuresGoFirst(t *testing.T) {
-	out := newStopped()
+	out := newBlockedWriter()
 	log, flush := New(out, "p", "info")
 	log.V(Routine).Info("first")
-	<-out.hangs // the writer hangs on that line
+	<-out.writing // the writer blocks on this line
 	for i := range 5 {
 		log.V(Routine).Info("call answered", "request", i)
 		log.Info("call refused", "request", i)
@@ -73,12 +72,12 @@
 		t.Fatalf("got\n%s", got)
 	}
 	if strings.Contains(got, "DEBUG") {
-		t.Fatalf("a routine line has another level's name\n%s", got)
+		t.Fatalf("a routine line has the wrong level name\n%s", got)
 	}
 }
 
-// TestKindsAreLimited lets one kind flood: another kind still gets its lines, and
-// the flood may go on a second later.
+// TestKindsAreLimited floods the log with one kind of line. Other kinds must still be
+// admitted, and the flooding kind again at its rate a second later.
 func TestKindsAreLimited(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := newWriter(io.Discard, func() time.Time { return now })
@@ -92,25 +91,25 @@
 		}
 		return count
 	}
-	if n := admitted("flood", 5000); n != kindBurst {
-		t.Fatalf("%d lines of a flood", n)
+	if n := admitted("flood", 5000); n != kindBurstLines {
+		t.Fatalf("%d lines of a flood admitted", n)
 	}
 	if n := admitted("other", 10); n != 10 {
-		t.Fatalf("%d of 10 lines beside a flood", n)
+		t.Fatalf("%d of 10 lines of another kind admitted during a flood", n)
 	}
 	now = now.Add(time.Second)
-	if n := admitted("flood", 5000); n != kindPerSecond {
-		t.Fatalf("%d lines a second later", n)
+	if n := admitted("flood", 5000); n != kindLinesPerSecond {
+		t.Fatalf("%d lines of a flood admitted a second later", n)
 	}
 }
 
-// TestLongLinesAreCut logs a value that is larger than a line may be.
+// TestLongLinesAreCut logs a value longer than the maximum line.
 func TestLongLinesAreCut(t *testing.T) {
 	var out bytes.Buffer
 	log, flush := New(&out, "p", "info")
-	log.Info("x", "value", strings.Repeat("a", 10*lineBytes))
+	log.Info("x", "value", strings.Repeat("a", 10*maxLineBytes))
 	flush()
-	if out.Len() != lineBytes || !strings.HasSuffix(out.String(), "\n") {
-		t.Fatalf("%d bytes", out.Len())
+	if out.Len() != maxLineBytes || !strings.HasSuffix(out.String(), "\n") {
+		t.Fatalf("the line has %d bytes", out.Len())
 	}
 }
--- a/node/logging/logging.go
+++ b/node/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the process's logr.Logger: one line of key=value
-// pairs for each event. Writing never blocks the code that logs.
+// Package logging creates the process's logr.Logger, which writes one line of key=value
+// pairs per event. Writing never blocks the code that logs.
 package logging
 
 import (
@@ -9,19 +9,18 @@
 	"github.com/go-logr/logr"
 )
 
-// Routine is the verbosity (logr's V) of lines about what went as it should:
-// written at level info, after those of failures. Detail is that of lines which
-// only level debug writes.
+// Verbosity levels, for logr's V. Routine is for expected events: their lines have level info
+// and are written after failures. Detail is for lines that only log level debug writes.
 const (
 	Routine = 1
 	Detail  = 2
 )
 
-// RoutineLevel is Routine as slog numbers it.
+// RoutineLevel is Routine as a slog level.
 const RoutineLevel = slog.Level(-Routine)
 
-// New returns a logger for the named process, and the function that writes what
-// waits when the process ends. Level "debug" includes V(Detail).
+// New returns a logger for the named process, and a function that flushes it when the
+// process ends. Level "debug" includes V(Detail).
 func New(out io.Writer, process, level string) (log logr.Logger, flush func()) {
 	opts := &slog.HandlerOptions{Level: RoutineLevel, ReplaceAttr: nameLevel}
 	if level == "debug" {
@@ -31,7 +30,7 @@
 	return logr.FromSlogHandler(newHandler(w, opts)).WithValues("process", process), w.Close
 }
 
-// nameLevel writes the level's usual name; slog would write DEBUG+3 for Routine.
+// nameLevel replaces the level's name: slog writes unnamed levels as an offset, such as DEBUG+3.
 func nameLevel(groups []string, a slog.Attr) slog.Attr {
 	level, ok := a.Value.Any().(slog.Level)
 	if a.Key != slog.LevelKey || len(groups) > 0 || !ok {
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks a process's INI settings. A file is
-// accepted whole or refused with every fault, its line and a remedy.
+// Package settings reads and checks a process's INI settings. An invalid file is rejected
+// with all its errors, each with its line and a remedy.
 package settings
 
 import (
@@ -16,7 +16,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// Role is a part that a process plays.
+// Role is a function that a process performs; a process may have several.
 type Role string
 
 // Roles of a process.
@@ -32,40 +32,40 @@
 	Name       string `ini:"name" required:"true"`
 	VM         string `ini:"vm" required:"true"`
 	DataCenter string `ini:"data_center" required:"true"`
-	// DataCenters are all of the deployment, where the settings know them: control takes
-	// orders for them also while no member is there.
+	// DataCenters are all data centres of the deployment, if known. The control role then
+	// accepts orders for a data centre even while it has no members.
 	DataCenters []string `ini:"data_centers"`
-	// Regions are theirs, as DATA_CENTER:REGION.
+	// Regions are the regions of data centres, as DATA_CENTER:REGION.
 	Regions      []string      `ini:"regions"`
 	Roles        []string      `ini:"roles" required:"true"`
 	DataDir      string        `ini:"data_dir"`
 	DrainTimeout time.Duration `ini:"drain_timeout"`
 	LogLevel     string        `ini:"log_level"`
 	Timeline     int           `ini:"timeline_events"`
-	// PlainText accepts listeners without TLS that other VMs reach, for a
-	// network that nobody else is on.
+	// PlainText accepts listeners without TLS on addresses that other VMs can reach, for
+	// networks that no one else has access to.
 	PlainText bool `ini:"plain_text"`
-	// KillAfter is how long after SIGTERM the platform kills the process. It
+	// KillAfter is the time from SIGTERM until the platform kills the process. If set, it
 	// replaces DrainTimeout, with a margin.
 	KillAfter time.Duration `ini:"kill_after"`
-	// Memory is what the process may use before the platform kills it, in MB of
-	// 2^20 bytes; 0 is no limit.
+	// Memory is the memory limit at which the platform kills the process, in MiB; 0 means no
+	// limit.
 	Memory int `ini:"memory"`
 }
 
-// killMargin is left of KillAfter for the last answers to leave and the process
-// to end.
+// killMargin is the part of KillAfter left after draining, for sending the last answers and
+// ending the process.
 const killMargin = 400 * time.Millisecond
 
 // Peers is the section [peers].
 type Peers struct {
-	Control []string `ini:"control" required:"true"` // peer addresses of the control processes, or of processes that know them
-	// Port replaces the ports in Control, where another service's addresses of
-	// the same VMs are known.
+	Control []string `ini:"control" required:"true"` // peer addresses of control processes, or of processes that know them
+	// Port replaces the ports in Control, for settings that only have the addresses of
+	// another service on the same VMs.
 	Port   string `ini:"port"`
 	Listen string `ini:"listen"` // peer address of a process without the control role
-	// FirstStart says that the whole system starts for the first time. Only then
-	// may a self-forming cluster be founded.
+	// FirstStart means that the whole system starts for the first time. A self-forming
+	// cluster can be founded only then.
 	FirstStart bool `ini:"first_start"`
 }
 
@@ -74,36 +74,36 @@
 	Listen string `ini:"listen" required:"true"` // peer address
 	// Advertise is the address by which others reach Listen; default Listen.
 	Advertise string        `ini:"advertise"`
-	Admin     string        `ini:"admin"`      // administration API; only a self-forming cluster does without
-	Lease     time.Duration `ini:"lease"`      // a member silent for this long is removed
-	Voters    int           `ini:"voters"`     // replicas that repair keeps in the quorum
-	OpenAdmin bool          `ini:"open_admin"` // administration without keys; loopback only
-	// LedgerMax is the memory of the idempotency ledger, in bytes, from which on
-	// new keys are refused; zero is no limit.
+	Admin     string        `ini:"admin"`      // address of the administration API; optional only in a self-forming cluster
+	Lease     time.Duration `ini:"lease"`      // a member is removed if it does not renew its lease for this long
+	Voters    int           `ini:"voters"`     // number of voters that the automatic repair maintains
+	OpenAdmin bool          `ini:"open_admin"` // administration API without keys; loopback only
+	// LedgerMax is the size of the idempotency ledger in memory, in bytes, from which on new
+	// keys are refused; 0 means no limit.
 	LedgerMax int64 `ini:"ledger_max_bytes"`
 
-	// SelfForming clusters need no operator's init: one of the processes in
-	// [peers] founds the cluster at the first start, and every control process
-	// that it hears of votes, up to Voters.
+	// SelfForming clusters need no operator's init: one of the processes in [peers] founds the
+	// cluster at the first start, and every control process that it learns of becomes a voter,
+	// up to Voters.
 	SelfForming bool `ini:"self_forming"`
-	Losses      int  `ini:"losses"` // disks that may be lost at once; changes wait for 2*Losses+1 voters
-	// DataCenterLosses are the data centres that may be lost at once, each with all its voters.
+	Losses      int  `ini:"losses"` // number of disks that may be lost at once; changes require 2*Losses+1 voters
+	// DataCenterLosses is the number of data centres that may be lost at once, with all their voters.
 	DataCenterLosses int `ini:"data_center_losses"`
-	// RolloutShare is the part of a service's calls that a bad version may get while it is rolled out.
+	// RolloutShare is the maximum part of a service's calls that a bad version may get during its rollout.
 	RolloutShare float64 `ini:"rollout_share"`
 }
 
-// MinVoters is how many voters a self-forming cluster has before it accepts a
-// change of the configuration.
+// MinVoters returns the number of voters that a self-forming cluster needs before it
+// accepts configuration changes.
 func (c ControlRole) MinVoters() int { return 2*c.Losses + 1 }
 
 // Debug is the section [debug].
 type Debug struct {
-	Listen string `ini:"listen" required:"true"` // metrics and time line
+	Listen string `ini:"listen" required:"true"` // address of the metrics and the timeline
 }
 
-// TLS is the section [tls]. Without it everything is plain text, which is
-// accepted on loopback addresses only.
+// TLS is the section [tls]. Without it all connections are plain text, which is accepted only
+// on loopback addresses or with PlainText.
 type TLS struct {
 	CA                string `ini:"ca" required:"true"`
 	Certificate       string `ini:"certificate" required:"true"`
@@ -112,7 +112,7 @@
 	CallerKey         string `ini:"caller_key"`
 }
 
-// Settings is a whole, checked file.
+// Settings is a complete, checked settings file.
 type Settings struct {
 	File     string
 	Node     Node
@@ -126,7 +126,7 @@
 	TLS      TLS
 }
 
-// RegionsOfDataCenters returns the regions that the settings name, by data centre.
+// RegionsOfDataCenters returns Regions as a map from data centre to region.
 func (n Node) RegionsOfDataCenters() map[string]string {
 	out := map[string]string{}
 	for _, pair := range n.Regions {
@@ -136,10 +136,10 @@
 	return out
 }
 
-// Has reports whether the process plays the role.
+// Has reports whether the process has the role.
 func (s *Settings) Has(r Role) bool { return slices.Contains(s.Node.Roles, string(r)) }
 
-// Member returns this process's membership record without an incarnation.
+// Member returns this process's member record without an incarnation.
 func (s *Settings) Member() wire.Member {
 	m := wire.Member{ID: wire.MemberID(s.Node.Name), Role: strings.Join(s.Node.Roles, "+"), VM: s.Node.VM,
 		DataCenter: s.Node.DataCenter, Debug: s.Debug.Listen}
@@ -162,7 +162,7 @@
 	}
 }
 
-// Load reads and checks the file.
+// Load reads and checks a settings file. An error lists every problem, see strictini.Problems.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -171,7 +171,7 @@
 	return Parse(path, data)
 }
 
-// Parse checks settings held in memory.
+// Parse checks settings held in memory; path stands for the file in errors.
 func Parse(path string, data []byte) (*Settings, error) {
 	f, err := strictini.Parse(path, data)
 	if err != nil {
@@ -198,7 +198,7 @@
 		case s.Has(role.role):
 			f.Decode(string(role.role), role.out)
 		case f.Has(string(role.role)):
-			f.Fail(string(role.role), "", fmt.Sprintf("section [%s] stands without its role", role.role), "add it to roles or remove the section")
+			f.Fail(string(role.role), "", fmt.Sprintf("section [%s] requires the role", role.role), "add the role to roles, or remove the section")
 		}
 	}
 	for _, name := range f.Sections() {
@@ -209,9 +209,9 @@
 	if s.Node.KillAfter > 0 {
 		s.Node.DrainTimeout = max(0, s.Node.KillAfter-killMargin)
 	}
-	s.Proxy.fill()
-	s.fillAdvertised()
-	s.fillPeerPorts(f)
+	s.Proxy.deriveKeyAge()
+	s.defaultAdvertise()
+	s.replacePeerPorts(f)
 	s.check(f)
 	if err := f.Err(); err != nil {
 		return nil, err
@@ -219,9 +219,8 @@
 	return s, nil
 }
 
-// fillAdvertised makes listening addresses the advertised ones where the file
-// names no others.
-func (s *Settings) fillAdvertised() {
+// defaultAdvertise sets empty advertised addresses to the listening addresses.
+func (s *Settings) defaultAdvertise() {
 	if s.Control.Advertise == "" {
 		s.Control.Advertise = s.Control.Listen
 	}
@@ -244,7 +243,7 @@
 	}
 	for _, pair := range s.Node.Regions {
 		if dataCenter, region, _ := strings.Cut(pair, ":"); dataCenter == "" || region == "" {
-			f.Fail("node", "regions", fmt.Sprintf("%q names no data centre and its region", pair), "write regions = north:east, south:west")
+			f.Fail("node", "regions", fmt.Sprintf("%q is not a data centre with its region", pair), "write regions = north:east, south:west")
 		}
 	}
 	s.checkPlainText(f)
@@ -276,13 +275,13 @@
 		f.Fail("control", "admin", `key "admin" is missing in [control]`, "add admin = ...")
 	}
 	if s.Control.RolloutShare <= 0 || s.Control.RolloutShare > 1 {
-		f.Fail("control", "rollout_share", "rollout_share is not above zero and at most one", "write rollout_share = 0.1")
+		f.Fail("control", "rollout_share", "rollout_share is not above 0 and at most 1", "write rollout_share = 0.1")
 	}
 	if s.Control.Voters%2 == 0 && !s.Control.SelfForming {
-		f.Fail("control", "voters", "an even number of voters", "use 1, 3 or 5")
+		f.Fail("control", "voters", "voters is even", "use 1, 3 or 5")
 	}
 	if s.Control.OpenAdmin && !isLoopback(s.Control.Admin) {
-		f.Fail("control", "open_admin", "administration without keys on an address that others reach", "use keys, or a loopback address such as 127.0.0.1:7101")
+		f.Fail("control", "open_admin", "administration API without keys on an address that other VMs can reach", "use keys, or a loopback address such as 127.0.0.1:7101")
 	}
 	if !slices.Contains(s.Peers.Control, s.Control.Advertise) && !s.Control.SelfForming {
 		f.Fail("peers", "control", "this process's own peer address is not listed", "add "+s.Control.Advertise)
@@ -292,15 +291,15 @@
 		return
 	}
 	if info, err := os.Stat(s.Node.DataDir); (err != nil || !info.IsDir()) && !s.Control.SelfForming {
-		f.Fail("node", "data_dir", "data folder "+s.Node.DataDir+" does not exist", "create it on a disk that lasts: mkdir -p "+s.Node.DataDir)
+		f.Fail("node", "data_dir", "data folder "+s.Node.DataDir+" does not exist", "create it on a persistent disk: mkdir -p "+s.Node.DataDir)
 	}
 }
 
-// checkAddress accepts IP:port; names are refused, since processes find each
-// other by IP numbers.
+// checkAddress requires IP:port. Host names are rejected, since processes find each other by
+// IP address.
 func checkAddress(f *strictini.File, section, key, address string) {
 	if address == "" {
-		return // reported as missing
+		return // Decode reports it as missing if it is required
 	}
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
@@ -308,7 +307,7 @@
 	}
 }
 
-// checkPlainText refuses listeners that others reach without encryption.
+// checkPlainText rejects listeners without TLS on addresses that other VMs can reach.
 func (s *Settings) checkPlainText(f *strictini.File) {
 	if s.TLS.CA != "" || f.Has("tls") || s.Node.PlainText {
 		return
@@ -317,7 +316,7 @@
 		{"control", "listen", s.Control.Listen}, {"control", "admin", s.Control.Admin}, {"entry", "listen", s.Entry.Listen},
 		{"agent", "listen", s.Agent.Listen}, {"proxy", "listen", s.Proxy.Listen}, {"peers", "listen", s.Peers.Listen}, {"debug", "listen", s.Debug.Listen}} {
 		if l.address != "" && !isLoopback(l.address) {
-			f.Fail(l.section, l.key, l.address+" is reached by others and there is no [tls] section", "add [tls] with ca, certificate and key, or use a loopback address")
+			f.Fail(l.section, l.key, l.address+" can be reached by other VMs and there is no [tls] section", "add [tls] with ca, certificate and key, or use a loopback address")
 		}
 	}
 }
--- a/node/settings/settings_test.go
+++ b/node/settings/settings_test.go
@@ -32,7 +32,7 @@
 `
 
 var _ = Describe("Parse", func() {
-	It("accepts the demonstration's files", func() {
+	It("accepts the files of the demo", func() {
 		files, err := filepath.Glob(absolute("../../examples/demo/*.ini"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(files)).To(BeNumerically(">", 10))
@@ -51,7 +51,7 @@
 		}
 	})
 
-	DescribeTable("refuses faults with file, line and remedy",
+	DescribeTable("rejects invalid settings with file, line and remedy",
 		func(text, want string) {
 			_, err := settings.Parse("s.ini", []byte(text))
 			Expect(err).To(MatchError(ContainSubstring(want)))
@@ -71,7 +71,7 @@
 	return abs
 }
 
-// TestProxyBounds derives what a proxy keeps to from what its platform grants.
+// TestProxyBounds checks the values that a proxy derives from its settings: KeyAge, DrainTimeout and peer addresses.
 func TestProxyBounds(t *testing.T) {
 	text := `
 [node]
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	if s.Proxy.KeyAge >= s.Proxy.RevokeWithin || s.Node.DrainTimeout >= s.Node.KillAfter {
-		t.Fatalf("keys count for %v, the process drains for %v", s.Proxy.KeyAge, s.Node.DrainTimeout)
+		t.Fatalf("key_age is %v, drain_timeout is %v", s.Proxy.KeyAge, s.Node.DrainTimeout)
 	}
 	if s.Proxy.RepeatRatio != 0.1 || s.Proxy.RepeatFixed != 58 || s.Proxy.RepeatWindow != 5*time.Second {
 		t.Fatalf("%+v", s.Proxy)
--- a/node/textdelta/textdelta.go
+++ b/node/textdelta/textdelta.go
@@ -1,6 +1,6 @@
-// Package textdelta carries a long text of sections as the difference to an
-// earlier one. Sections are compared by the hash of their content (xxhash64),
-// and the result is checked against the hash of the whole text.
+// Package textdelta transfers a long text of sections as a delta from an earlier version.
+// Sections are compared by the hash of their content (xxhash64), and the result is
+// verified against the hash of the whole text.
 package textdelta
 
 import (
@@ -12,20 +12,19 @@
 	"caperdrum.org/api/wire"
 )
 
-// Ends returns the byte offsets at which the sections of text end. A section
-// starts at each line whose first character, blanks aside, is a bracket; what
-// stands before the first one is a section too. Joined in order, the sections
-// are the text.
+// Ends returns the byte offsets of the ends of the text's sections. A section starts at each
+// line whose first non-blank character is a bracket; the lines before the first one
+// are a section too. The concatenated sections are the text.
 func Ends(text string) []int {
 	var ends []int
-	for at := 0; at < len(text); {
-		n := strings.IndexByte(text[at:], '\n')
+	for pos := 0; pos < len(text); {
+		n := strings.IndexByte(text[pos:], '\n')
 		if n < 0 {
 			break
 		}
-		at += n + 1
-		if strings.HasPrefix(strings.TrimLeft(text[at:], " \t"), "[") {
-			ends = append(ends, at)
+		pos += n + 1
+		if strings.HasPrefix(strings.TrimLeft(text[pos:], " \t"), "[") {
+			ends = append(ends, pos)
 		}
 	}
 	if len(text) > 0 {
@@ -45,14 +44,14 @@
 	return out
 }
 
-// run copies Count sections of the base from From on, or, when Count is zero,
-// stands for the section at index Literal of the new text.
-type run struct {
+// op copies count sections of the base, starting with section from. If count is zero, it
+// stands for the section at index literal of the new text.
+type op struct {
 	from, count, literal int
 }
 
-// diff describes the sections next by those of base.
-func diff(base, next []uint64) []run {
+// diff returns the operations that create the sections next from those of base.
+func diff(base, next []uint64) []op {
 	head := 0
 	for head < min(len(base), len(next)) && base[head] == next[head] {
 		head++
@@ -61,47 +60,47 @@
 	for tail < min(len(base), len(next))-head && base[len(base)-1-tail] == next[len(next)-1-tail] {
 		tail++
 	}
-	var runs []run
-	runs = appendCopy(runs, 0, head)
-	where := make(map[uint64]int, len(base)-head-tail)
+	var ops []op
+	ops = appendCopy(ops, 0, head)
+	indexByHash := make(map[uint64]int, len(base)-head-tail)
 	for i := len(base) - tail - 1; i >= head; i-- {
-		where[base[i]] = i
+		indexByHash[base[i]] = i
 	}
-	expect := head // copying goes on where the last copy ended, if it can
+	nextCopy := head // prefer to continue the previous copy, which keeps the number of operations low
 	for i := head; i < len(next)-tail; i++ {
-		at, known := where[next[i]]
-		if expect < len(base) && base[expect] == next[i] {
-			at, known = expect, true
+		index, known := indexByHash[next[i]]
+		if nextCopy < len(base) && base[nextCopy] == next[i] {
+			index, known = nextCopy, true
 		}
 		if !known {
-			runs = append(runs, run{literal: i})
+			ops = append(ops, op{literal: i})
 			continue
 		}
-		runs = appendCopy(runs, at, 1)
-		expect = at + 1
+		ops = appendCopy(ops, index, 1)
+		nextCopy = index + 1
 	}
-	return appendCopy(runs, len(base)-tail, tail)
+	return appendCopy(ops, len(base)-tail, tail)
 }
 
-func appendCopy(runs []run, from, count int) []run {
+func appendCopy(ops []op, from, count int) []op {
 	if count == 0 {
-		return runs
+		return ops
 	}
-	if n := len(runs); n > 0 {
-		last := &runs[n-1]
+	if n := len(ops); n > 0 {
+		last := &ops[n-1]
 		if last.count > 0 && last.from+last.count == from {
 			last.count += count
-			return runs
+			return ops
 		}
 	}
-	return append(runs, run{from: from, count: count})
+	return append(ops, op{from: from, count: count})
 }
 
-// ErrMismatch says that a delta does not fit the text it is applied to.
-var ErrMismatch = errors.New("textdelta: the delta does not fit the text held")
+// ErrMismatch means that a delta cannot be applied to the given text.
+var ErrMismatch = errors.New("textdelta: the delta does not match the base text")
 
-// Apply returns the text that d makes of base, whose sections end at ends, and
-// where the sections of the result end.
+// Apply applies d to base, whose sections end at ends. It returns the new text and its
+// section ends, or ErrMismatch.
 func Apply(base string, ends []int, d *wire.ConfigDelta) (string, []int, error) {
 	var b strings.Builder
 	b.Grow(len(base) + literalBytes(d))
@@ -115,7 +114,7 @@
 		if p.From < 0 || p.Count < 0 || p.From > len(ends) || p.Count > len(ends)-p.From {
 			return "", nil, ErrMismatch
 		}
-		start := startOf(ends, p.From)
+		start := sectionStart(ends, p.From)
 		shift := b.Len() - start
 		b.WriteString(base[start:ends[p.From+p.Count-1]])
 		for _, end := range ends[p.From : p.From+p.Count] {
@@ -137,7 +136,7 @@
 	return n
 }
 
-func startOf(ends []int, section int) int {
+func sectionStart(ends []int, section int) int {
 	if section == 0 {
 		return 0
 	}
--- a/node/textdelta/textdelta_test.go
+++ b/node/textdelta/textdelta_test.go
@@ -14,7 +14,7 @@
 func drawText(t *rapid.T) string {
 	var b strings.Builder
 	for _, s := range rapid.SliceOfN(rapid.IntRange(0, 12), 0, 24).Draw(t, "sections") {
-		fmt.Fprintf(&b, "[customer:%d]\nshare = 1\n", s) // few names: doubles and moves are common
+		fmt.Fprintf(&b, "[customer:%d]\nshare = 1\n", s) // few different names, so that duplicates and moves are common
 	}
 	if rapid.Bool().Draw(t, "cut") && b.Len() > 0 {
 		return b.String()[rapid.IntRange(0, b.Len()-1).Draw(t, "from"):]
@@ -22,8 +22,8 @@
 	return b.String()
 }
 
-// TestDeltaFromEveryVersion checks every pair of versions against the plain
-// texts, with texts of doubled, moved and torn sections.
+// TestDeltaFromEveryVersion checks the deltas between all pairs of versions, for texts with
+// duplicate, moved and truncated sections.
 func TestDeltaFromEveryVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		texts := []string{drawText(t)}
@@ -36,7 +36,7 @@
 		for base, text := range texts[:len(texts)-1] {
 			d := h.Delta(uint64(base), xxhash.Sum64String(text))
 			if d == nil {
-				continue // the whole text is shorter
+				continue // the delta would not be shorter than the text
 			}
 			got, ends, err := Apply(text, Ends(text), d)
 			if err != nil || got != want {
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestSmallChangeCostsItsSize fails when a change far behind, or two changes far
-// apart, send what did not change.
+// TestSmallChangeCostsItsSize checks that deltas contain only the changed sections, after many
+// versions and with changes far apart.
 func TestSmallChangeCostsItsSize(t *testing.T) {
 	text := func(a, b int) string {
 		var s strings.Builder
