--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -48,7 +48,7 @@
 	// KillAfter is the time from SIGTERM until the platform kills the process. If set, it
 	// replaces DrainTimeout, with a margin.
 	KillAfter time.Duration `ini:"kill_after"`
-	// Memory is the memory limit at which the platform kills the process, in MiB; 0 means no
+	// Memory is the memory limit at which the platform kills the process, in MB of 2^20 bytes; 0 means no
 	// limit.
 	Memory int `ini:"memory"`
 }
