--- a/api/verdict/capacity.go
+++ b/api/verdict/capacity.go
@@ -7,5 +7,5 @@
 		return false
 	}
 	v := From(err)
-	return v.Verdict == NotRun && (v.Code == CodeOverloaded || v.Code == CodeDeadline)
+	return v.Verdict == NotRun && (v.Code == CodeOverloaded || v.Code == CodeDeadlineUnreachable)
 }
--- a/api/verdict/verdict.go
+++ b/api/verdict/verdict.go
@@ -58,27 +58,27 @@
 
 // Codes that callers and operators see.
 const (
-	CodeInvalid       Code = "invalid_request"
-	CodeUnknown       Code = "not_found"
-	CodeTooLarge      Code = "body_too_large"
-	CodeOverloaded    Code = "overloaded"
-	CodeDeadline      Code = "deadline_unreachable"
-	CodeTimeout       Code = "deadline_exceeded"
-	CodeNoEndpoint    Code = "no_endpoint"
-	CodeLeaving       Code = "upstream_leaving"
-	CodeTombstoned    Code = "attempt_tombstoned"
-	CodeIncarnation   Code = "incarnation_changed"
-	CodeConflict      Code = "idempotency_key_conflict"
-	CodeInProgress    Code = "idempotency_key_in_progress"
-	CodeOutcomeLost   Code = "outcome_lost" // final: the call with this key ran or may have run, and its answer is lost
-	CodeNoQuorum      Code = "no_quorum"
-	CodeLedgerFull    Code = "ledger_full"
-	CodeUpstream      Code = "upstream_failed"
-	CodeCut           Code = "answer_cut"
-	CodeStale         Code = "configuration_stale"
-	CodeShutdown      Code = "shutting_down"
-	CodeCustomerLimit Code = "customer_limit"
-	CodeQuarantined   Code = "quarantined" // calls with this fingerprint crash the upstreams that run them
+	CodeInvalidRequest      Code = "invalid_request"
+	CodeNotFound            Code = "not_found"
+	CodeTooLarge            Code = "body_too_large"
+	CodeOverloaded          Code = "overloaded"
+	CodeDeadlineUnreachable Code = "deadline_unreachable"
+	CodeDeadlineExceeded    Code = "deadline_exceeded"
+	CodeNoEndpoint          Code = "no_endpoint"
+	CodeUpstreamLeaving     Code = "upstream_leaving"
+	CodeTombstoned          Code = "attempt_tombstoned"
+	CodeIncarnationChanged  Code = "incarnation_changed"
+	CodeKeyConflict         Code = "idempotency_key_conflict"
+	CodeKeyInProgress       Code = "idempotency_key_in_progress"
+	CodeOutcomeLost         Code = "outcome_lost" // final: the call with this key ran or may have run, and its answer is lost
+	CodeNoQuorum            Code = "no_quorum"
+	CodeLedgerFull          Code = "ledger_full"
+	CodeUpstreamFailed      Code = "upstream_failed"
+	CodeAnswerCut           Code = "answer_cut"
+	CodeConfigStale         Code = "configuration_stale"
+	CodeShuttingDown        Code = "shutting_down"
+	CodeCustomerLimit       Code = "customer_limit"
+	CodeQuarantined         Code = "quarantined" // calls with this fingerprint crash the upstreams that run them
 )
 
 // Error is the failure of a request or attempt together with its verdict.
@@ -96,8 +96,8 @@
 	return &Error{Verdict: v, Code: code, Message: fmt.Sprintf(format, args...), Status: statusOf(code)}
 }
 
-// After sets the time after which the caller should retry, and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets the time after which the caller should retry, and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
@@ -109,21 +109,21 @@
 
 func statusOf(c Code) int {
 	switch c {
-	case CodeInvalid:
+	case CodeInvalidRequest:
 		return http.StatusBadRequest
-	case CodeUnknown:
+	case CodeNotFound:
 		return http.StatusNotFound
 	case CodeTooLarge:
 		return http.StatusRequestEntityTooLarge
-	case CodeConflict:
+	case CodeKeyConflict:
 		return http.StatusUnprocessableEntity
-	case CodeInProgress, CodeTombstoned, CodeIncarnation:
+	case CodeKeyInProgress, CodeTombstoned, CodeIncarnationChanged:
 		return http.StatusConflict
 	case CodeCustomerLimit:
 		return http.StatusTooManyRequests
-	case CodeUpstream, CodeCut, CodeOutcomeLost:
+	case CodeUpstreamFailed, CodeAnswerCut, CodeOutcomeLost:
 		return http.StatusBadGateway
-	case CodeTimeout:
+	case CodeDeadlineExceeded:
 		return http.StatusGatewayTimeout
 	default:
 		return http.StatusServiceUnavailable
@@ -131,13 +131,13 @@
 }
 
 // From returns the Error in err's chain. If there is none, it returns one with verdict
-// MayHaveRun, code CodeUpstream and err's message.
+// MayHaveRun, code CodeUpstreamFailed and err's message.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
 	}
-	return New(MayHaveRun, CodeUpstream, "%s", err.Error())
+	return New(MayHaveRun, CodeUpstreamFailed, "%s", err.Error())
 }
 
 // Of returns the verdict of err: Ran if err is nil, MayHaveRun if err has no verdict.
--- a/node/admin/evacuations.go
+++ b/node/admin/evacuations.go
@@ -41,7 +41,7 @@
 	switch {
 	case err == nil:
 		writeJSON(w, http.StatusOK, result)
-	case errors.As(err, &v) && (v.Code == verdict.CodeUnknown || v.Code == verdict.CodeInvalid || v.Code == verdict.CodeConflict):
+	case errors.As(err, &v) && (v.Code == verdict.CodeNotFound || v.Code == verdict.CodeInvalidRequest || v.Code == verdict.CodeKeyConflict):
 		writeJSON(w, v.Status, Error{Message: v.Message, Remedy: remedy})
 	default:
 		s.fail(w, err)
--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -122,7 +122,7 @@
 
 func refuse(cause string, code verdict.Code, wait time.Duration, format string, args ...any) *verdict.Error {
 	refusedVar.Add(cause, 1)
-	return verdict.New(verdict.NotRun, code, format, args...).After(wait)
+	return verdict.New(verdict.NotRun, code, format, args...).WithRetryAfter(wait)
 }
 
 func (s *Service) release(cu *customer, size int) {
--- a/node/control/evacuate.go
+++ b/node/control/evacuate.go
@@ -40,7 +40,7 @@
 }
 
 func errOvertaken(e wire.Evacuation) error {
-	return verdict.New(verdict.NotRun, verdict.CodeStale, "another order for data centre %s came first: it has revision %d now", e.DataCenter, e.Revision)
+	return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "another order for data centre %s came first: it has revision %d now", e.DataCenter, e.Revision)
 }
 
 // mayEvacuate reports why an order for the data centre is refused. Where the settings do not
@@ -51,7 +51,7 @@
 		return err
 	}
 	if !s.knowsDataCenter(v, dataCenter) {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no data centre %q is known", dataCenter)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no data centre %q is known", dataCenter)
 	}
 	return nil
 }
@@ -60,7 +60,7 @@
 func (s *Service) mayOrder(v *state.View) error {
 	switch {
 	case v.Config.Version == 0:
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "no configuration yet")
+		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no configuration yet")
 	case !s.enoughVoters():
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined yet")
 	}
--- a/node/control/puts.go
+++ b/node/control/puts.go
@@ -134,7 +134,7 @@
 		err = s.CheckRegions(config)
 	}
 	if err != nil {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalid, "%s", err)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "%s", err)
 	}
 	parsed := s.clock.Since(began)
 	if !s.enoughVoters() {
--- a/node/control/quarantine.go
+++ b/node/control/quarantine.go
@@ -50,7 +50,7 @@
 		return s.leaderError(err)
 	}
 	if len(res.Quarantine.Lifted) == 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no call with fingerprint %q is in quarantine", f)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no call with fingerprint %q is in quarantine", f)
 	}
 	s.tellQuarantine(res.Quarantine)
 	return nil
--- a/node/control/rollout.go
+++ b/node/control/rollout.go
@@ -60,7 +60,7 @@
 	s.log.Info("roll-out ordered", "service", o.Service, "target", o.Target, "span", o.Span, "author", o.Author, "base", o.Base,
 		"revision", r.Rollout.Revision, "changed", r.Changed, "refusal", r.Refusal, "replaced", r.Rollout.Replaced)
 	if r.Refusal != wire.RolloutAccepted {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeConflict, "service %s: the roll-out to version %s is %s, revision %d", o.Service, r.Rollout.Target, r.Rollout.State, r.Rollout.Revision)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "service %s: the roll-out to version %s is %s, revision %d", o.Service, r.Rollout.Target, r.Rollout.State, r.Rollout.Revision)
 	}
 	if r.Changed {
 		s.ring.Record(timeline.Event{Kind: "rollout-started", Detail: o.Service + " to " + o.Target})
@@ -85,13 +85,13 @@
 	service := c.Services[o.Service]
 	switch {
 	case service == nil:
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no service %q is configured", o.Service)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no service %q is configured", o.Service)
 	case service.Upstreams != optext.Announced:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the upstreams of service %s do not announce themselves, so their versions are not known", o.Service)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the upstreams of service %s do not announce themselves, so their versions are not known", o.Service)
 	case o.Target == "":
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the order names no target version")
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the order names no target version")
 	case o.Span <= 0 || o.Span > MaxRolloutSpan:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "a span of %s is not above zero and at most %s", o.Span, MaxRolloutSpan)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "a span of %s is not above zero and at most %s", o.Span, MaxRolloutSpan)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 	}
 	current := s.cluster.View().Rollouts.Of(service)
 	if !current.Running() {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnknown, "no roll-out of service %q is running", service)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeNotFound, "no roll-out of service %q is running", service)
 	}
 	return s.stepRollout(ctx, &wire.RolloutStep{Service: service, Base: current.Revision, State: wire.RolloutRolledBack, Reason: "aborted by " + author})
 }
@@ -120,7 +120,7 @@
 	}
 	r := s.cluster.View().Rollouts.Of(q.Service)
 	if r.Order == 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnknown, "there was no roll-out of service %q", q.Service)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeNotFound, "there was no roll-out of service %q", q.Service)
 	}
 	return &r, nil
 }
@@ -238,7 +238,7 @@
 	}
 	r := res.Rollout
 	if r.Refusal != wire.RolloutAccepted {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeConflict, "the roll-out of service %s has moved on to revision %d", step.Service, r.Rollout.Revision)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "the roll-out of service %s has moved on to revision %d", step.Service, r.Rollout.Revision)
 	}
 	s.log.Info("roll-out decided", "service", step.Service, "target", r.Rollout.Target, "state", r.Rollout.State, "share", r.Rollout.Share, "revision", r.Rollout.Revision, "reason", step.Reason)
 	s.ring.Record(timeline.Event{Kind: timeline.Kind("rollout-" + r.Rollout.State), Detail: step.Service + " to " + r.Rollout.Target + ": " + step.Reason})
--- a/node/controlclient/controlclient_test.go
+++ b/node/controlclient/controlclient_test.go
@@ -70,7 +70,9 @@
 // TestFailureReachesEveryUpstream refuses a call: nobody is told that its sign of
 // life was taken.
 func TestFailureReachesEveryUpstream(t *testing.T) {
-	s := newService(t, func(*wire.AnnounceRequest) error { return verdict.New(verdict.NotRun, verdict.CodeInvalid, "refused") })
+	s := newService(t, func(*wire.AnnounceRequest) error {
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "refused")
+	})
 	var wg sync.WaitGroup
 	for range 3 {
 		wg.Go(func() {
--- a/node/dispatch/body.go
+++ b/node/dispatch/body.go
@@ -57,7 +57,7 @@
 	case end != wire.EndWhole:
 		return verdict.New(verdict.Ran, verdict.Code(end), "the upstream's answer was not whole")
 	case t.Get(wire.TrailerLength) != strconv.FormatInt(b.offset, 10), t.Get(wire.TrailerSum) != strconv.FormatUint(b.sum.Sum64(), 16):
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer's length or checksum is wrong")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the answer's length or checksum is wrong")
 	}
 	return io.EOF
 }
@@ -67,19 +67,19 @@
 func (b *bodyReader) reattach(cause error) error {
 	if b.ctx.Err() != nil {
 		go b.s.giveUp(b.endpoint, b.call)
-		return verdict.New(verdict.Ran, verdict.CodeTimeout, "the deadline passed before the whole answer came")
+		return verdict.New(verdict.Ran, verdict.CodeDeadlineExceeded, "the deadline passed before the whole answer came")
 	}
 	if b.attached >= maxReattach {
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer was cut: %v", cause)
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the answer was cut: %v", cause)
 	}
 	b.attached++
 	resp, err := b.s.attach(b.ctx, b.endpoint, b.call, b.offset)
 	if err != nil {
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer was cut: %v", err)
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the answer was cut: %v", err)
 	}
 	if resp.Header.Get(wire.HeaderError) != "" || !belongs(resp, b.endpoint, b.call) {
 		resp.Body.Close()
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the answer was cut: %v", errors.Cause(cause))
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the answer was cut: %v", errors.Cause(cause))
 	}
 	b.resp.Body.Close()
 	b.resp = resp
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -215,7 +215,7 @@
 	}
 	st, err := s.Cancel(e, c.Attempt, false)
 	if err != nil {
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the connection to %s was lost: %v", e.Member.ID, cause)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "the connection to %s was lost: %v", e.Member.ID, cause)
 	}
 	if v := s.settled(e, st); v != nil {
 		return nil, v
@@ -223,7 +223,7 @@
 	if a, err := s.Attach(ctx, e, c, 0); err == nil || !errors.Is(err, errNoAnswer) {
 		return a, err
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the answer of %s was lost", e.Member.ID)
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "the answer of %s was lost", e.Member.ID)
 }
 
 // giveUp makes sure that an attempt whose caller has gone, or whose deadline
@@ -237,7 +237,7 @@
 	} else if v := s.settled(e, st); v != nil {
 		return v
 	}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before an answer came")
+	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the deadline passed before an answer came")
 }
 
 // settled returns the verdict that a status after a cancellation allows, or
@@ -245,11 +245,11 @@
 func (s *Service) settled(e *routing.Endpoint, st wire.AttemptStatus) *verdict.Error {
 	switch {
 	case st.Incarnation != e.Member.Incarnation:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeIncarnation, "the gate of %s was restarted", e.Member.ID)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeIncarnationChanged, "the gate of %s was restarted", e.Member.ID)
 	case st.State == wire.AttemptTombstoned:
-		return verdict.New(verdict.NotRun, verdict.CodeUpstream, "the attempt at %s is cancelled", e.Member.ID).After(settleTimeout)
+		return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "the attempt at %s is cancelled", e.Member.ID).WithRetryAfter(settleTimeout)
 	case st.State != wire.AttemptRunning && st.State != wire.AttemptDone:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the gate of %s does not know the attempt", e.Member.ID)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "the gate of %s does not know the attempt", e.Member.ID)
 	}
 	return nil
 }
@@ -309,7 +309,7 @@
 func (s *Service) Attach(ctx context.Context, e *routing.Endpoint, c Call, offset int64) (*Answer, error) {
 	resp, err := s.attach(ctx, e, c, offset)
 	if err != nil {
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "attach: %v", err)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "attach: %v", err)
 	}
 	return s.open(ctx, e, c, resp)
 }
--- a/node/dispatch/path_test.go
+++ b/node/dispatch/path_test.go
@@ -188,11 +188,11 @@
 		runs    int
 	}{
 		{"gate unreachable", endpoint(closed.address(), incarnation), "/stream", time.Minute, verdict.NotRun, verdict.CodeNoEndpoint, 0},
-		{"gate restarted before", endpoint(g.Address(), oldIncarnation), "/stream", time.Minute, verdict.NotRun, verdict.CodeIncarnation, 0},
-		{"deadline passed", endpoint(g.Address(), incarnation), "/stream", -time.Second, verdict.NotRun, verdict.CodeDeadline, 0},
-		{"path not absolute", endpoint(g.Address(), incarnation), "@127.0.0.1:1/", time.Minute, verdict.NotRun, verdict.CodeInvalid, 0},
-		{"upstream cuts", endpoint(g.Address(), incarnation), "/cut", time.Minute, verdict.Ran, verdict.CodeCut, 1},
-		{"deadline while running", endpoint(g.Address(), incarnation), "/hang", 300 * time.Millisecond, verdict.MayHaveRun, verdict.CodeTimeout, 1},
+		{"gate restarted before", endpoint(g.Address(), oldIncarnation), "/stream", time.Minute, verdict.NotRun, verdict.CodeIncarnationChanged, 0},
+		{"deadline passed", endpoint(g.Address(), incarnation), "/stream", -time.Second, verdict.NotRun, verdict.CodeDeadlineUnreachable, 0},
+		{"path not absolute", endpoint(g.Address(), incarnation), "@127.0.0.1:1/", time.Minute, verdict.NotRun, verdict.CodeInvalidRequest, 0},
+		{"upstream cuts", endpoint(g.Address(), incarnation), "/cut", time.Minute, verdict.Ran, verdict.CodeAnswerCut, 1},
+		{"deadline while running", endpoint(g.Address(), incarnation), "/hang", 300 * time.Millisecond, verdict.MayHaveRun, verdict.CodeDeadlineExceeded, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -256,7 +256,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	first.Stop(ctx)
-	if v := verdict.From(<-result); v.Verdict != verdict.MayHaveRun || v.Code != verdict.CodeIncarnation {
+	if v := verdict.From(<-result); v.Verdict != verdict.MayHaveRun || v.Code != verdict.CodeIncarnationChanged {
 		t.Errorf("%v", v)
 	}
 }
@@ -315,7 +315,7 @@
 			a.Body.Close()
 			continue
 		}
-		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeLeaving {
+		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeUpstreamLeaving {
 			t.Fatalf("a stopping gate answered %v", v)
 		}
 		refused++
--- a/node/dispatch/wrong_test.go
+++ b/node/dispatch/wrong_test.go
@@ -24,7 +24,7 @@
 	}{
 		{"right", "", "", true},
 		{"no end mark", wire.TrailerEnd, "", false},
-		{"end mark of a cut answer", wire.TrailerEnd, string(verdict.CodeCut), false},
+		{"end mark of a cut answer", wire.TrailerEnd, string(verdict.CodeAnswerCut), false},
 		{"other length", wire.TrailerLength, "4", false},
 		{"other checksum", wire.TrailerSum, "0", false},
 		{"other attempt", wire.HeaderAttempt, "other", false},
--- a/node/gate/http.go
+++ b/node/gate/http.go
@@ -87,7 +87,7 @@
 }
 
 func invalid(format string, args ...any) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeInvalid, format, args...)
+	return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, format, args...)
 }
 
 // readBody reads a whole body into one piece when its length is known.
@@ -203,7 +203,7 @@
 func (s *Service) handleAttach(w http.ResponseWriter, r *http.Request) {
 	a := s.table.join(attemptID(r))
 	if a == nil {
-		s.refuse(w, verdict.New(verdict.MayHaveRun, verdict.CodeUnknown, "attempt unknown to incarnation %d", s.incarnation))
+		s.refuse(w, verdict.New(verdict.MayHaveRun, verdict.CodeNotFound, "attempt unknown to incarnation %d", s.incarnation))
 		return
 	}
 	defer s.table.leave(a)
@@ -211,9 +211,9 @@
 	length, _, dropped := a.answer.size()
 	switch {
 	case dropped:
-		s.refuse(w, verdict.New(verdict.Ran, verdict.CodeCut, "the attempt ran; its answer is no longer kept"))
+		s.refuse(w, verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the attempt ran; its answer is no longer kept"))
 	case err != nil || offset < 0 || offset > length:
-		s.refuse(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "offset out of range"))
+		s.refuse(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalidRequest, "offset out of range"))
 	default:
 		s.writeAnswer(w, r, a, offset)
 	}
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -101,7 +101,7 @@
 	whole := !r.ends[a].After(a.deadline)
 	delete(r.ends, a)
 	if !whole {
-		r.table.finished(a, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "ended"))
+		r.table.finished(a, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "ended"))
 		return
 	}
 	if !r.clock.Now().Add(r.of[a].deadline).After(r.stop) {
--- a/node/gate/records.go
+++ b/node/gate/records.go
@@ -158,7 +158,7 @@
 			continue
 		}
 		if t.queue.remove(a) {
-			t.bury(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "nobody waits for the answer").After(retryAfterMin))
+			t.bury(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "nobody waits for the answer").WithRetryAfter(retryAfterMin))
 			continue
 		}
 		a.cancel()
--- a/node/gate/run.go
+++ b/node/gate/run.go
@@ -50,7 +50,7 @@
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { written.Store(true) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), a.method, "http://"+s.set.Upstream+a.path, bytes.NewReader(a.body))
 	if err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "no request can be made of %s %s", a.method, a.path)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "no request can be made of %s %s", a.method, a.path)
 	}
 	req.Header = a.header
 	req.Header.Set(wire.HeaderRequestID, string(a.request))
@@ -74,9 +74,9 @@
 		v = verdict.NotRun
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return verdict.New(v, verdict.CodeTimeout, "the deadline passed while the upstream worked")
+		return verdict.New(v, verdict.CodeDeadlineExceeded, "the deadline passed while the upstream worked")
 	}
-	return verdict.New(v, verdict.CodeUpstream, "upstream: %v", err).After(time.Second)
+	return verdict.New(v, verdict.CodeUpstreamFailed, "upstream: %v", err).WithRetryAfter(time.Second)
 }
 
 var readBuffers = sync.Pool{New: func() any { return new([readChunk]byte) }}
@@ -99,7 +99,7 @@
 			return checkWhole(resp, tail)
 		}
 		if err != nil {
-			return verdict.New(verdict.Ran, verdict.CodeCut, "the upstream's answer was cut: %v", err)
+			return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the upstream's answer was cut: %v", err)
 		}
 	}
 }
@@ -125,5 +125,5 @@
 	if strings.HasSuffix(strings.TrimRight(string(tail), "\r\n"), wire.EndStreamOfChat) {
 		return nil
 	}
-	return verdict.New(verdict.Ran, verdict.CodeCut, "the event stream ended without %q", wire.EndStreamOfChat)
+	return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the event stream ended without %q", wire.EndStreamOfChat)
 }
--- a/node/gate/table.go
+++ b/node/gate/table.go
@@ -159,18 +159,18 @@
 func (t *table) unknown(id wire.AttemptID) *verdict.Error {
 	if known := t.attempts[id]; known != nil {
 		if known.state == wire.AttemptTombstoned {
-			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it came", id).After(retryAfterMin)
+			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it came", id).WithRetryAfter(retryAfterMin)
 		}
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "attempt %s is known already; attach to it", id)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeKeyInProgress, "attempt %s is known already; attach to it", id)
 	}
 	issued, ok := id.Issued()
 	switch {
 	case !ok:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "attempt id %q carries no time of issue", id)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "attempt id %q carries no time of issue", id)
 	case t.records.forgot(issued):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "attempt %s is older than what this gate remembers", id)
 	case t.ahead(issued):
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "attempt %s was issued in the future: compare the clocks of entry and agent", id)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeInvalidRequest, "attempt %s was issued in the future: compare the clocks of entry and agent", id)
 	}
 	return nil
 }
@@ -195,19 +195,19 @@
 	left := a.deadline.Sub(t.clock.Now())
 	switch {
 	case a.incarnation != t.incarnation:
-		return verdict.New(verdict.NotRun, verdict.CodeIncarnation, "this gate was restarted; choose again").After(retryAfterMin)
+		return verdict.New(verdict.NotRun, verdict.CodeIncarnationChanged, "this gate was restarted; choose again").WithRetryAfter(retryAfterMin)
 	case t.leaving:
-		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "the upstream is leaving").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "the upstream is leaving").WithRetryAfter(time.Second)
 	case left <= 0 || t.estimates() && t.margin(a)*wait+t.expectedRun() > left:
 		return lateError(wait)
 	case t.running >= t.limit() && t.queue.len() >= t.limits.queueLength && !t.pushOut(a):
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(wait, retryAfterMin))
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").WithRetryAfter(max(wait, retryAfterMin))
 	}
 	return nil
 }
 
 func lateError(wait time.Duration) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met: expected wait %s", wait.Round(time.Millisecond)).After(max(wait, retryAfterMin))
+	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline cannot be met: expected wait %s", wait.Round(time.Millisecond)).WithRetryAfter(max(wait, retryAfterMin))
 }
 
 // pushOut makes room in a full queue for a, if the shares entitle it.
@@ -217,7 +217,7 @@
 		return false
 	}
 	t.queue.remove(victim)
-	t.bury(victim, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(t.expectedWait(victim), retryAfterMin)))
+	t.bury(victim, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").WithRetryAfter(max(t.expectedWait(victim), retryAfterMin)))
 	return true
 }
 
@@ -318,7 +318,7 @@
 	defer t.arm()
 	t.forget()
 	a := t.attempts[id]
-	cancelled := verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled").After(retryAfterMin)
+	cancelled := verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled").WithRetryAfter(retryAfterMin)
 	switch {
 	case a == nil:
 		refusal := t.unknown(id)
--- a/node/gate/table_test.go
+++ b/node/gate/table_test.go
@@ -144,7 +144,7 @@
 	for _, id := range m.ids() { // the upstream stops a call whose deadline has passed
 		select {
 		case <-m.running[id].Done():
-			m.finish(m.admitted[id], verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "ended"))
+			m.finish(m.admitted[id], verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "ended"))
 		default:
 		}
 	}
@@ -253,11 +253,11 @@
 				m.write(a, "end")
 				m.finish(a, nil)
 			},
-			"upstream cuts": func(t *rapid.T) { m.finish(m.pick(t), verdict.New(verdict.Ran, verdict.CodeCut, "cut")) },
+			"upstream cuts": func(t *rapid.T) { m.finish(m.pick(t), verdict.New(verdict.Ran, verdict.CodeAnswerCut, "cut")) },
 			"upstream refuses the connection": func(t *rapid.T) {
 				a := m.pick(t)
 				if len(m.wrote[a.id]) == 0 {
-					m.finish(a, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "down"))
+					m.finish(a, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "down"))
 				}
 			},
 			"limits": func(t *rapid.T) {
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -76,7 +76,7 @@
 	name := r.Header.Get(wire.HeaderCustomer)
 	c.customer = c.view.Config.Customers[name]
 	if c.customer == nil {
-		return c, verdict.New(verdict.NotRun, verdict.CodeInvalid, "customer %q is not known: set the header %s to a customer of the operators' text", name, wire.HeaderCustomer)
+		return c, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "customer %q is not known: set the header %s to a customer of the operators' text", name, wire.HeaderCustomer)
 	}
 	if len(c.customer.Regions) > 0 {
 		return c, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "customer %q may be served in regions %s only, and pipelines keep to no region: use a route", name, strings.Join(c.customer.Regions, ", "))
@@ -112,7 +112,7 @@
 	}
 	d, err := time.ParseDuration(raw)
 	if err != nil || d <= 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "header %s: %q is not a duration: write it like 1.5s or 800ms", wire.HeaderTimeout, raw)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "header %s: %q is not a duration: write it like 1.5s or 800ms", wire.HeaderTimeout, raw)
 	}
 	c.timeout = d
 	return nil
@@ -123,7 +123,7 @@
 	if errors.As(err, &tooLarge) {
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body exceeds %d bytes: send less or raise max_body_bytes", limit)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body was cut: %v", err)
+	return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body was cut: %v", err)
 }
 
 // deadline is the caller's timeout, but no later than the given limit.
@@ -142,10 +142,10 @@
 	}
 	p := c.view.Config.ByModel(in.Model)
 	if p == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no pipeline serves model %q: name one that the operators' text lists", in.Model)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no pipeline serves model %q: name one that the operators' text lists", in.Model)
 	}
 	if len(in.Messages) == 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body has no messages")
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body has no messages")
 	}
 	return s.runPipeline(w, r, c, p, in)
 }
@@ -154,7 +154,7 @@
 	name := chi.URLParam(r, "pipeline")
 	p := c.view.Config.Pipelines[name]
 	if p == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "pipeline %q is not in the operators' text", name)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "pipeline %q is not in the operators' text", name)
 	}
 	in, err := readInput(c.body)
 	if err != nil {
@@ -166,13 +166,13 @@
 func readInput(body []byte) (pipeline.Input, error) {
 	in := pipeline.Input{}
 	if err := json.Unmarshal(body, &in); err != nil {
-		return in, verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body is not the expected JSON: %v", err)
+		return in, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body is not the expected JSON: %v", err)
 	}
 	in.Raw = body
 	if in.Query == "" && len(in.Messages) > 0 {
 		query, err := lastUserText(in.Messages)
 		if err != nil {
-			return in, verdict.New(verdict.NotRun, verdict.CodeInvalid, "messages must be a list of objects with role and content: %v", err)
+			return in, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "messages must be a list of objects with role and content: %v", err)
 		}
 		in.Query = query
 	}
@@ -221,7 +221,7 @@
 	name := chi.URLParam(r, "service")
 	sv := c.view.Config.Services[name]
 	if sv == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "service %q is not in the operators' text", name)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "service %q is not in the operators' text", name)
 	}
 	c.service = name
 	if err := s.take(c); err != nil {
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -74,10 +74,10 @@
 	r.HandleFunc("/v1/services/{service}", s.serve(s.service))
 	r.HandleFunc("/v1/services/{service}/*", s.serve(s.service))
 	r.NotFound(func(w http.ResponseWriter, req *http.Request) {
-		s.fail(w, "", verdict.New(verdict.NotRun, verdict.CodeUnknown, "no such path: %s; use /v1/chat/completions, /v1/pipelines/NAME or /v1/services/NAME/PATH", req.URL.Path))
+		s.fail(w, "", verdict.New(verdict.NotRun, verdict.CodeNotFound, "no such path: %s; use /v1/chat/completions, /v1/pipelines/NAME or /v1/services/NAME/PATH", req.URL.Path))
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, req *http.Request) {
-		e := verdict.New(verdict.NotRun, verdict.CodeInvalid, "method %s is not allowed for %s: use POST", req.Method, req.URL.Path)
+		e := verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "method %s is not allowed for %s: use POST", req.Method, req.URL.Path)
 		e.Status = http.StatusMethodNotAllowed
 		s.fail(w, "", e)
 	})
@@ -134,11 +134,11 @@
 	v := s.p.Sync.View()
 	switch {
 	case v == nil || v.Version == 0:
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "this entry has no configuration yet").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "this entry has no configuration yet").WithRetryAfter(time.Second)
 	case s.set.RefuseStale && s.p.Sync.StampAge() > s.set.StaleAfter:
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "this entry's configuration is not confirmed").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "this entry's configuration is not confirmed").WithRetryAfter(time.Second)
 	case s.receiving.Load() > receivingFactor*int64(s.set.MaxInFlight):
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this entry receives too many requests").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this entry receives too many requests").WithRetryAfter(time.Second)
 	}
 	return nil
 }
--- a/node/ledger/fakes_test.go
+++ b/node/ledger/fakes_test.go
@@ -138,13 +138,13 @@
 func (r *request) resolveLost(g *fakeGate, e *routing.Endpoint, c dispatch.Call) error {
 	if r.ctx.Err() != nil {
 		r.w.late = append(r.w.late, func() { g.cancel(c.Attempt) })
-		return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "deadline")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "deadline")
 	}
 	st, err := r.CancelClaimed(r.ctx, e, c.Attempt)
 	if err == nil && st.Incarnation == e.Member.Incarnation && st.State == wire.AttemptTombstoned {
-		return verdict.New(verdict.NotRun, verdict.CodeUpstream, "cancelled")
+		return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "cancelled")
 	}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "connection lost")
+	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "connection lost")
 }
 
 // await reads an answer once it has ended at the gate.
@@ -171,12 +171,12 @@
 func (r *request) Attach(_ context.Context, e *routing.Endpoint, c dispatch.Call, _ int64) (*dispatch.Answer, error) {
 	g := r.w.gate(e)
 	known, err := exchange(r, g, func() (bool, error) { g.forget(); return g.attempts[c.Attempt] != nil, nil })
-	cut := verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "attach failed")
+	cut := verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "attach failed")
 	if err != nil {
 		return nil, cut
 	}
 	if !known {
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUnknown, "attempt unknown")
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeNotFound, "attempt unknown")
 	}
 	return r.await(g, e, c.Attempt, func() error { return cut })
 }
@@ -322,11 +322,11 @@
 	known := g.attempts[c.Attempt]
 	switch {
 	case e.Member.Incarnation != g.incarnation:
-		return verdict.New(verdict.NotRun, verdict.CodeIncarnation, "restarted")
+		return verdict.New(verdict.NotRun, verdict.CodeIncarnationChanged, "restarted")
 	case known != nil && known.state == wire.AttemptTombstoned:
 		return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled")
 	case known != nil:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "known already")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeKeyInProgress, "known already")
 	case g.forgot(c.Attempt):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "beyond memory")
 	}
@@ -368,9 +368,9 @@
 	for _, a := range g.attempts {
 		switch {
 		case a.state == wire.AttemptQueued && now.After(a.until):
-			a.fault, a.state, a.at = verdict.New(verdict.NotRun, verdict.CodeDeadline, "too late"), wire.AttemptTombstoned, now
+			a.fault, a.state, a.at = verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "too late"), wire.AttemptTombstoned, now
 		case a.state == wire.AttemptRunning && now.After(a.until.Add(patience)):
-			a.fault, a.state, a.at = verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "timeout"), wire.AttemptDone, now
+			a.fault, a.state, a.at = verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "timeout"), wire.AttemptDone, now
 		}
 	}
 }
--- a/node/ledger/holder.go
+++ b/node/ledger/holder.go
@@ -75,7 +75,7 @@
 		result, err = r.settleUnknown(holder)
 		return result, err, true
 	case st.State == wire.AttemptTombstoned:
-		return nil, r.release(holder, verdict.New(verdict.NotRun, verdict.CodeInProgress, "an earlier attempt was cancelled before it ran")), true
+		return nil, r.release(holder, verdict.New(verdict.NotRun, verdict.CodeKeyInProgress, "an earlier attempt was cancelled before it ran")), true
 	}
 	return nil, nil, false
 }
@@ -95,7 +95,7 @@
 	if r.restarted(holder) {
 		return r.settleUnknown(holder)
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "the gate that holds the call is not reached")
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeKeyInProgress, "the gate that holds the call is not reached")
 }
 
 // restarted reports whether a later incarnation of the gate has joined.
@@ -120,7 +120,7 @@
 	case st.State == wire.AttemptUnseen:
 		return r.settleUnknown(holder) // it was known before, so it was forgotten since
 	case st.State != wire.AttemptDone, st.End == wire.EndWhole:
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the call's answer did not come in time; ask again with the same key")
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the call's answer did not come in time; ask again with the same key")
 	case verdict.Of(cause) == verdict.NotRun:
 		return nil, r.release(holder, cause)
 	}
--- a/node/ledger/ledger_test.go
+++ b/node/ledger/ledger_test.go
@@ -151,7 +151,7 @@
 	}
 	if r.err != nil {
 		v := verdict.From(r.err)
-		if (v.RetryAfter == 0) != (v.Code == verdict.CodeConflict || v.Code == verdict.CodeOutcomeLost) {
+		if (v.RetryAfter == 0) != (v.Code == verdict.CodeKeyConflict || v.Code == verdict.CodeOutcomeLost) {
 			w.t.Fatalf("no time to come back in %v", v)
 		}
 		if v.Verdict == verdict.NotRun {
@@ -325,11 +325,11 @@
 		w.owner[a.answer] = answerOwner{a.key, a.body, w.window}
 		a.state = wire.AttemptDone
 	case "cut":
-		a.fault, a.state = verdict.New(verdict.Ran, verdict.CodeCut, "cut"), wire.AttemptDone
+		a.fault, a.state = verdict.New(verdict.Ran, verdict.CodeAnswerCut, "cut"), wire.AttemptDone
 	case "no connection":
-		a.fault, a.state = verdict.New(verdict.NotRun, verdict.CodeUpstream, "dial"), wire.AttemptDone
+		a.fault, a.state = verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "dial"), wire.AttemptDone
 	case "drop":
-		a.fault, a.state = verdict.New(verdict.NotRun, verdict.CodeDeadline, "too late"), wire.AttemptTombstoned
+		a.fault, a.state = verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "too late"), wire.AttemptTombstoned
 	}
 	a.at = w.clock.Now()
 }
@@ -394,7 +394,7 @@
 		w.pass(r, "")
 	}
 	w.cut = cut
-	if seen && r.err != nil && verdict.From(r.err).Code == verdict.CodeConflict {
+	if seen && r.err != nil && verdict.From(r.err).Code == verdict.CodeKeyConflict {
 		return // the key belongs to the other body
 	}
 	// An answer that a gate holds may be forgotten while it is asked for, but
--- a/node/ledger/limits_test.go
+++ b/node/ledger/limits_test.go
@@ -25,7 +25,7 @@
 	w := newWorld(t)
 	for _, key := range []string{"\xff", strings.Repeat("k", maxKey+1)} {
 		v := verdict.From(runAlone(w, 0, key).err)
-		if v.Verdict != verdict.NotRun || v.Code != verdict.CodeInvalid {
+		if v.Verdict != verdict.NotRun || v.Code != verdict.CodeInvalidRequest {
 			t.Fatalf("key %q: %v", key, v)
 		}
 	}
--- a/node/ledger/overload_test.go
+++ b/node/ledger/overload_test.go
@@ -33,7 +33,7 @@
 }
 
 func (f *fullGates) Do(context.Context, *routing.Endpoint, dispatch.Call) (*dispatch.Answer, error) {
-	return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(time.Second)
+	return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").WithRetryAfter(time.Second)
 }
 
 func (f *fullGates) Choose(r routing.Request) *routing.Endpoint {
--- a/node/ledger/run.go
+++ b/node/ledger/run.go
@@ -53,7 +53,7 @@
 // resend is pointless.
 func (r *runner) Run(ctx context.Context, key string, c dispatch.Call, policy string) (*Result, error) {
 	if len(key) > maxKey || !utf8.ValidString(key) {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalid, "header %s must be UTF-8 of at most %d bytes", wire.HeaderIdempotencyKey, maxKey)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "header %s must be UTF-8 of at most %d bytes", wire.HeaderIdempotencyKey, maxKey)
 	}
 	res, err := r.rounds(ctx, key, c, policy)
 	if err == nil {
@@ -85,7 +85,7 @@
 		if err == nil || !again(err) {
 			return result, err
 		}
-		if verdict.From(err).Code != verdict.CodeInProgress {
+		if verdict.From(err).Code != verdict.CodeKeyInProgress {
 			tried[e.Member.ID] = true
 		}
 		if verdict.LacksCapacity(err) && refused != nil {
@@ -95,7 +95,7 @@
 			refused = err
 		}
 	}
-	return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "no upstream of %s took the call in time", c.Service)
+	return nil, verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "no upstream of %s took the call in time", c.Service)
 }
 
 // again reports whether another round is safe and may help.
@@ -105,7 +105,7 @@
 		return false
 	}
 	switch v.Code {
-	case verdict.CodeConflict, verdict.CodeNoQuorum, verdict.CodeLedgerFull:
+	case verdict.CodeKeyConflict, verdict.CodeNoQuorum, verdict.CodeLedgerFull:
 		return false
 	}
 	return true
@@ -113,7 +113,7 @@
 
 // final reports whether a resend of the key would only get the same answer.
 func final(c verdict.Code) bool {
-	return c == verdict.CodeConflict || c == verdict.CodeOutcomeLost
+	return c == verdict.CodeKeyConflict || c == verdict.CodeOutcomeLost
 }
 
 // bodyHash ties a key to the call it was first used for.
@@ -155,9 +155,9 @@
 	case wire.ClaimHeld:
 		return r.settleHeld(ctx, *reply.Holder, c)
 	case wire.ClaimFull:
-		return nil, verdict.New(verdict.NotRun, verdict.CodeLedgerFull, "the ledger of idempotency keys is full").After(fullComeBack)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeLedgerFull, "the ledger of idempotency keys is full").WithRetryAfter(fullComeBack)
 	default:
-		return nil, verdict.New(verdict.NotRun, verdict.CodeConflict, "the idempotency key was used with another request")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "the idempotency key was used with another request")
 	}
 }
 
--- a/node/peer/control.go
+++ b/node/peer/control.go
@@ -147,7 +147,7 @@
 // leadershipEnded reports whether the called process stopped leading while it
 // held the call. The next leader can answer it, since it is idempotent.
 func leadershipEnded(v *verdict.Error) bool {
-	return v.Code == verdict.CodeShutdown || v.Code == verdict.CodeNoQuorum
+	return v.Code == verdict.CodeShuttingDown || v.Code == verdict.CodeNoQuorum
 }
 
 func (c *Control) callOnce(ctx context.Context, client *Client, method string, params, result any) error {
--- a/node/peer/handover_test.go
+++ b/node/peer/handover_test.go
@@ -15,7 +15,7 @@
 // TestCallLeaderOutlivesHandover answers a call first from a process that
 // stops leading while it holds the call, then from its successor.
 func TestCallLeaderOutlivesHandover(t *testing.T) {
-	for _, code := range []verdict.Code{verdict.CodeShutdown, verdict.CodeNoQuorum} {
+	for _, code := range []verdict.Code{verdict.CodeShuttingDown, verdict.CodeNoQuorum} {
 		t.Run(string(code), func(t *testing.T) {
 			old := serve(t, func() (*spoken, error) { return nil, verdict.New(verdict.MayHaveRun, code, "no longer leading") })
 			next := serve(t, func() (*spoken, error) { return &spoken{"answered"}, nil })
--- a/node/pipeline/deadline.go
+++ b/node/pipeline/deadline.go
@@ -53,7 +53,7 @@
 func (p *stages) refuseLate() error {
 	left := time.Until(p.r.Deadline)
 	if left <= 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline has passed").After(comeBack)
+		return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline has passed").WithRetryAfter(comeBack)
 	}
 	if !p.r.Pipeline.RefuseLate {
 		return nil
@@ -65,8 +65,8 @@
 	if need <= left || p.s.probes.take(p.r.Pipeline.Name) {
 		return nil
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met: pipeline %s takes about %s, %s are left",
-		p.r.Pipeline.Name, need.Round(time.Millisecond), left.Round(time.Millisecond)).After(max(need-left, comeBack))
+	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline cannot be met: pipeline %s takes about %s, %s are left",
+		p.r.Pipeline.Name, need.Round(time.Millisecond), left.Round(time.Millisecond)).WithRetryAfter(max(need-left, comeBack))
 }
 
 // giveUp ends a request between two stages when what is still ahead does not
@@ -77,7 +77,7 @@
 	}
 	ahead := p.ahead(aheadQuantile)[st.Name]
 	if len(st.After) > 0 && time.Now().Add(ahead).After(p.r.Deadline) {
-		return time.Time{}, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met any more").After(comeBack)
+		return time.Time{}, verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline cannot be met any more").WithRetryAfter(comeBack)
 	}
 	own, _ := p.estimate(st).quantile(p.size, aheadQuantile)
 	return p.r.Deadline.Add(own - ahead), nil
--- a/node/pipeline/exchange.go
+++ b/node/pipeline/exchange.go
@@ -100,9 +100,9 @@
 func (a *answer) failure() error {
 	switch {
 	case a.status >= http.StatusInternalServerError || a.status == http.StatusTooManyRequests:
-		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the upstream answered with status %d", a.status).After(comeBack)
+		return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "the upstream answered with status %d", a.status).WithRetryAfter(comeBack)
 	case a.status >= http.StatusMultipleChoices:
-		return verdict.New(verdict.Ran, verdict.CodeInvalid, "the upstream refused the request with status %d", a.status)
+		return verdict.New(verdict.Ran, verdict.CodeInvalidRequest, "the upstream refused the request with status %d", a.status)
 	}
 	return nil
 }
@@ -156,7 +156,7 @@
 	if _, err := st.events.Peek(1); err != nil {
 		st.Close()
 		if err == io.EOF {
-			err = verdict.New(verdict.Ran, verdict.CodeCut, "the event stream was empty")
+			err = verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the event stream was empty")
 		}
 		return nil, err
 	}
@@ -227,7 +227,7 @@
 	return m.ReadCloser.Close()
 }
 
-var errAbandoned = verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the attempt was given up")
+var errAbandoned = verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the attempt was given up")
 
 func (m *measured) finish(err error) {
 	m.once.Do(func() {
@@ -248,7 +248,7 @@
 		if verdict.Of(err) != verdict.NotRun {
 			countStage(m.w.Stage, took, o == routing.Answered)
 		}
-		if verdict.From(orNil(err)).Code == verdict.CodeLeaving {
+		if verdict.From(orNil(err)).Code == verdict.CodeUpstreamLeaving {
 			m.endpoint.Leaves()
 		}
 		if told && o == routing.Answered {
@@ -275,7 +275,7 @@
 	v := verdict.From(err)
 	if v.Verdict == verdict.NotRun {
 		switch v.Code {
-		case verdict.CodeOverloaded, verdict.CodeDeadline, verdict.CodeLeaving:
+		case verdict.CodeOverloaded, verdict.CodeDeadlineUnreachable, verdict.CodeUpstreamLeaving:
 			return routing.Refused
 		}
 	}
--- a/node/pipeline/exchange_test.go
+++ b/node/pipeline/exchange_test.go
@@ -46,9 +46,9 @@
 // TestAttempts has a row per way that attempts can go: how many are made, and
 // how the call ends.
 func TestAttempts(t *testing.T) {
-	lost := refusal(verdict.MayHaveRun, verdict.CodeUpstream)
+	lost := refusal(verdict.MayHaveRun, verdict.CodeUpstreamFailed)
 	full := refusal(notRun, verdict.CodeOverloaded)
-	leaving := refusal(notRun, verdict.CodeLeaving)
+	leaving := refusal(notRun, verdict.CodeUpstreamLeaving)
 	rows := []struct {
 		name       string
 		repeatable bool
@@ -192,8 +192,8 @@
 	}{
 		"first refused":      {refusal(notRun, verdict.CodeOverloaded), good, notRun},
 		"second refused":     {good, refusal(notRun, verdict.CodeOverloaded), verdict.Ran},
-		"first perhaps ran":  {refusal(verdict.MayHaveRun, verdict.CodeUpstream), good, verdict.MayHaveRun},
-		"second perhaps ran": {good, refusal(verdict.MayHaveRun, verdict.CodeUpstream), verdict.MayHaveRun},
+		"first perhaps ran":  {refusal(verdict.MayHaveRun, verdict.CodeUpstreamFailed), good, verdict.MayHaveRun},
+		"second perhaps ran": {good, refusal(verdict.MayHaveRun, verdict.CodeUpstreamFailed), verdict.MayHaveRun},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -258,13 +258,13 @@
 		run(15 * quick) // the probe that finds out whether the estimates still hold
 		attempts, took, err := run(15 * quick)
 		e := verdict.From(errOrNil(err))
-		if attempts != 0 || took != 0 || e.Verdict != notRun || e.Code != verdict.CodeDeadline || e.RetryAfter <= 0 {
+		if attempts != 0 || took != 0 || e.Verdict != notRun || e.Code != verdict.CodeDeadlineUnreachable || e.RetryAfter <= 0 {
 			t.Errorf("too late from the start: %d attempts, %v after %v", attempts, err, took)
 		}
 		slow = 10 * quick
 		time.Sleep(time.Second)
 		attempts, took, err = run(35 * quick)
-		if e = verdict.From(errOrNil(err)); attempts != 1 || took >= 35*quick || e.Verdict != verdict.Ran || e.Code != verdict.CodeDeadline {
+		if e = verdict.From(errOrNil(err)); attempts != 1 || took >= 35*quick || e.Verdict != verdict.Ran || e.Code != verdict.CodeDeadlineUnreachable {
 			t.Errorf("fell behind: %d attempts, %v after %v", attempts, err, took)
 		}
 		p.RefuseLate = false
--- a/node/pipeline/fake_test.go
+++ b/node/pipeline/fake_test.go
@@ -84,7 +84,7 @@
 	case <-time.After(d):
 		return &dispatch.Answer{Status: status, ContentType: "application/json", Body: &cutBody{ctx: ctx, data: []byte(body), end: io.EOF}}, nil
 	case <-ctx.Done():
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "abandoned")
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "abandoned")
 	}
 }
 
@@ -104,11 +104,11 @@
 	}
 	if b.end == nil {
 		<-b.ctx.Done()
-		return 0, verdict.New(verdict.Ran, verdict.CodeTimeout, "abandoned")
+		return 0, verdict.New(verdict.Ran, verdict.CodeDeadlineExceeded, "abandoned")
 	}
 	return 0, b.end
 }
 
 func (b *cutBody) Close() error { return nil }
 
-func errCut() error { return verdict.New(verdict.Ran, verdict.CodeCut, "cut") }
+func errCut() error { return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "cut") }
--- a/node/pipeline/policy_test.go
+++ b/node/pipeline/policy_test.go
@@ -104,12 +104,12 @@
 	if silent {
 		<-ctx.Done()
 		abandoned(e)
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "silent")
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "silent")
 	}
 	wait := time.Duration(float64(u.waiting.Load()) / trialSlots * float64(trialMean))
 	if len(u.places) == trialSlots && time.Now().Add(wait+trialMean).After(c.Deadline) {
 		tr.report(e, u)
-		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the queue is long").After(wait)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the queue is long").WithRetryAfter(wait)
 	}
 	u.waiting.Add(1)
 	select {
@@ -118,7 +118,7 @@
 	case <-ctx.Done():
 		u.waiting.Add(-1)
 		abandoned(e)
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "abandoned")
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "abandoned")
 	}
 	defer func() { <-u.places }()
 	return tr.run(ctx, e, u, c, factor)
--- a/node/pipeline/race.go
+++ b/node/pipeline/race.go
@@ -67,7 +67,7 @@
 	}
 	e := r.next()
 	if e == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no upstream of %s can take the call", w.Service).After(comeBack)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no upstream of %s can take the call", w.Service).WithRetryAfter(comeBack)
 	}
 	r.start(e)
 	return r.run()
@@ -220,7 +220,7 @@
 	if r.last.Verdict != verdict.NotRun {
 		return false
 	}
-	return r.last.Code == verdict.CodeLeaving || r.last.Code == verdict.CodeNoEndpoint
+	return r.last.Code == verdict.CodeUpstreamLeaving || r.last.Code == verdict.CodeNoEndpoint
 }
 
 // pause waits before endpoints are tried a second time because there is no
@@ -341,7 +341,7 @@
 }
 
 func (r *race) timeout() error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before an answer came").After(comeBack)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the deadline passed before an answer came").WithRetryAfter(comeBack)
 }
 
 // failure is the outcome when all attempts failed: the last error, with the
--- a/node/pipeline/resume.go
+++ b/node/pipeline/resume.go
@@ -90,7 +90,7 @@
 func (r *resumer) next() error {
 	err := r.cur.event(&r.event, r.patience)
 	if err == io.EOF {
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream ended without its final event")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream ended without its final event")
 	}
 	if err != nil {
 		return err
@@ -128,9 +128,9 @@
 	case !r.event.object() && !r.event.done():
 		// Neither a chunk nor the final event: a caller could not read it.
 	case r.event.object() && !json.Valid(r.event.data):
-		return verdict.New(verdict.Ran, verdict.CodeCut, "an event of the stream was cut")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "an event of the stream was cut")
 	case r.event.failed():
-		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the engine reported an error in its stream")
+		return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "the engine reported an error in its stream")
 	case r.event.done():
 		r.ended = true
 		r.pending = append(r.pending, doneEvent...)
@@ -140,7 +140,7 @@
 	default:
 		data, err := r.origin.rewrite(r.event.data)
 		if err != nil {
-			return verdict.New(verdict.Ran, verdict.CodeUpstream, "an event of the stream is not a chunk: %v", err)
+			return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "an event of the stream is not a chunk: %v", err)
 		}
 		if data != nil {
 			r.passed.add(data)
@@ -180,20 +180,20 @@
 		r.complete()
 		return nil
 	case r.ctx.Err() != nil || !time.Now().Before(r.w.Deadline):
-		return verdict.New(verdict.Ran, verdict.CodeTimeout, "the deadline passed before the whole answer came")
+		return verdict.New(verdict.Ran, verdict.CodeDeadlineExceeded, "the deadline passed before the whole answer came")
 	case !p.resumable:
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut and holds more than one choice of plain text")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream was cut and holds more than one choice of plain text")
 	case r.stuck(&p):
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut again and again without any new text")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream was cut again and again without any new text")
 	case !r.s.retryBudget(r.w.service).Take():
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut and the retry budget is used up")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream was cut and the retry budget is used up")
 	}
 	body, err := continuation(r.w.Body, &p)
 	if errors.Is(err, errComplete) {
 		return r.completeAtLimit(&p)
 	}
 	if err != nil {
-		return verdict.New(verdict.Ran, verdict.CodeCut, "the stream was cut and cannot go on: %v", err)
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream was cut and cannot go on: %v", err)
 	}
 	return r.goOn(body, &p)
 }
@@ -217,7 +217,7 @@
 		return &e
 	}
 	if a.stream == nil {
-		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the engine that was to go on answered with status %d", a.status)
+		return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "the engine that was to go on answered with status %d", a.status)
 	}
 	resumesVar.Add(1)
 	recomputed.Add(int64(p.tokens))
--- a/node/pipeline/stages.go
+++ b/node/pipeline/stages.go
@@ -122,7 +122,7 @@
 		select {
 		case <-p.outputs[name]:
 		case <-ctx.Done():
-			return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "stage %s: an earlier stage did not end in time", st.Name)
+			return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "stage %s: an earlier stage did not end in time", st.Name)
 		}
 	}
 	return nil
@@ -211,7 +211,7 @@
 	path, body, err := buildBody(sv, st, p.r, p.bodies, stream)
 	p.mu.Unlock()
 	if err != nil {
-		return nil, verdict.New(verdict.Ran, verdict.CodeUpstream, "stage %s: %v", st.Name, err)
+		return nil, verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "stage %s: %v", st.Name, err)
 	}
 	w := &work{service: sv, stream: stream, size: len(body), Call: dispatch.Call{
 		Request: p.r.ID, Stage: p.r.Pipeline.Name + "/" + st.Name, Service: st.Service,
--- a/node/proxy/admit.go
+++ b/node/proxy/admit.go
@@ -19,13 +19,13 @@
 		return err
 	}
 	if invalid != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "%s", invalid)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "%s", invalid)
 	}
 	if x.route = x.table.route(x.r.Host, x.r.URL.EscapedPath()); x.route == nil {
 		if s.stale() {
-			return verdict.New(verdict.NotRun, verdict.CodeStale, "no such route as far as is known here").After(afterOutage())
+			return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no such route as far as is known here").WithRetryAfter(afterOutage())
 		}
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no such route")
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no such route")
 	}
 	if err := x.identify(); err != nil {
 		return err
@@ -49,9 +49,9 @@
 	x.table = x.s.table.Load()
 	switch {
 	case tooLate:
-		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline passed before there was a configuration")
+		return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline passed before there was a configuration")
 	case !x.table.configured():
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "no configuration yet").After(afterOutage())
+		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no configuration yet").WithRetryAfter(afterOutage())
 	}
 	return nil
 }
@@ -70,15 +70,15 @@
 		return nil
 	}
 	if x.s.sync.StampAge() > x.s.set.Proxy.KeyAge {
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "keys cannot be checked here now").After(afterOutage())
+		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "keys cannot be checked here now").WithRetryAfter(afterOutage())
 	}
 	if x.customer = x.table.customer(x.call.Key); x.customer != nil {
 		return nil
 	}
 	if x.s.stale() {
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "no such key as far as is known here").After(afterOutage())
+		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no such key as far as is known here").WithRetryAfter(afterOutage())
 	}
-	e := verdict.New(verdict.NotRun, verdict.CodeInvalid, "unknown key")
+	e := verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "unknown key")
 	e.Status = http.StatusUnauthorized
 	return e
 }
@@ -97,9 +97,9 @@
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body is above %d bytes", limit)
 	case errors.Is(err, errHeld):
 		noRoomVar.Add(1)
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s", err).After(comeBack)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s", err).WithRetryAfter(comeBack)
 	case err != nil:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body ended early")
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body ended early")
 	}
 	return nil
 }
--- a/node/proxy/pause_test.go
+++ b/node/proxy/pause_test.go
@@ -83,7 +83,7 @@
 	}
 	b.service.notices.Heard(start, upstream.Answer{Leaving: true})
 	_, err := b.service.pool.Do(t.Context(), &upstream.Request{Upstream: start, Address: m.Direct, Method: http.MethodGet, Target: "/confirm/1", Host: "desk.example", Header: http.Header{}})
-	if v := verdict.From(err); err == nil || v.Verdict != verdict.NotRun || v.Code != verdict.CodeLeaving || arrived.Load() != 0 {
+	if v := verdict.From(err); err == nil || v.Verdict != verdict.NotRun || v.Code != verdict.CodeUpstreamLeaving || arrived.Load() != 0 {
 		t.Fatalf("%v, %d arrived", err, arrived.Load())
 	}
 	if resp, body, err := b.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
--- a/node/proxy/plain.go
+++ b/node/proxy/plain.go
@@ -64,7 +64,7 @@
 	}
 	if err != nil {
 		x.drop(a, how)
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "the answer of %s was cut: %v", a.member.ID, err)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "the answer of %s was cut: %v", a.member.ID, err)
 	}
 	x.drop(a, stood)
 	return body, nil
@@ -86,7 +86,7 @@
 // better one.
 func (x *exchange) keep(a *attempt, body []byte) *verdict.Error {
 	x.kept = &keptAnswer{from: a, body: body}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "%s answered %d", a.member.ID, a.response.Status)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "%s answered %d", a.member.ID, a.response.Status)
 }
 
 // passKept passes the kept answer on. It reports false when there is none, or no
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -502,7 +502,7 @@
 	})
 	t.Run("they are refused", func(t *testing.T) {
 		b := newBed(t)
-		b.stages.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "busy").After(time.Second)
+		b.stages.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "busy").WithRetryAfter(time.Second)
 		var n counter
 		b.upstream("llm", "e1", n.count(events(1, 0)))
 		b.want(http.StatusServiceUnavailable, http.MethodPost, "/quote/", pieces)
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -70,7 +70,7 @@
 		return nil
 	}
 	barredVar.Add(x.route.Name, 1)
-	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams have ended while they ran this call; it is in quarantine as %s", f).After(comeBackBarred)
+	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams have ended while they ran this call; it is in quarantine as %s", f).WithRetryAfter(comeBackBarred)
 }
 
 // suspected reports whether several upstreams have ended under the call. It then reaches one at most
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -59,7 +59,7 @@
 			x.drop(a, wasMoved)
 			x.s.inquiries.Ended(m.Start())
 			x.report(m, stagework.EngineFailed)
-			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstream, "another upstream has the address of %s", m.ID).After(comeBack)}
+			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "another upstream has the address of %s", m.ID).WithRetryAfter(comeBack)}
 			if unsent < maxUnsent && ctx.Err() == nil && x.maySend(addressMoved) {
 				continue
 			}
@@ -114,7 +114,7 @@
 	x.answering.Store(!resp.Answer.NotRun)
 	a := &attempt{member: m, response: resp, took: now.Sub(began)}
 	if resp.Answer.NotRun {
-		a.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s refused the call", m.ID).After(max(comeBack, x.pause()))
+		a.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s refused the call", m.ID).WithRetryAfter(max(comeBack, x.pause()))
 	}
 	return a
 }
@@ -172,7 +172,7 @@
 	}
 	for _, service := range services {
 		if len(x.upstreams(service)) == 0 {
-			return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, where the call may be served", service, x.within.DataCenters).After(comeBack)
+			return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, where the call may be served", service, x.within.DataCenters).WithRetryAfter(comeBack)
 		}
 	}
 	return nil
@@ -181,9 +181,9 @@
 // nobody returns why there is no upstream to try.
 func (x *exchange) nobody() *verdict.Error {
 	if pause := x.pause(); pause > 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "all upstreams of service %s have asked for a pause", x.service.Name).After(pause)
+		return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "all upstreams of service %s have asked for a pause", x.service.Name).WithRetryAfter(pause)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream to try", x.service.Name).After(comeBack)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream to try", x.service.Name).WithRetryAfter(comeBack)
 }
 
 // connections is this process's part of the connections to one upstream. It is divided by the
--- a/node/proxy/stream.go
+++ b/node/proxy/stream.go
@@ -60,7 +60,7 @@
 }
 
 func errInputsLost(engine wire.MemberID) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeUpstream, "results of the stages were lost before %s had them", engine).After(comeBack)
+	return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "results of the stages were lost before %s had them", engine).WithRetryAfter(comeBack)
 }
 
 // relay passes an upstream's stream on. It reports whether the caller has got
@@ -76,7 +76,7 @@
 	if a.response.Status != http.StatusOK {
 		if out.begun {
 			x.drop(a, failed)
-			return false, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "%s answered %d to a stream that goes on", a.member.ID, a.response.Status)
+			return false, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "%s answered %d to a stream that goes on", a.member.ID, a.response.Status)
 		}
 		body, err := x.whole(ctx, a)
 		if err != nil {
@@ -104,7 +104,7 @@
 		x.broke(a.member)
 		x.drop(a, failed)
 	}
-	return false, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "the stream of %s broke off: %v", a.member.ID, err)
+	return false, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "the stream of %s broke off: %v", a.member.ID, err)
 }
 
 // streamWriter writes the caller's stream.
--- a/node/replica/replica.go
+++ b/node/replica/replica.go
@@ -121,7 +121,7 @@
 var (
 	errOverloaded = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many commands wait for a quorum")
 
-	errStopped = verdict.New(verdict.MayHaveRun, verdict.CodeShutdown, "the control process is stopping")
+	errStopped = verdict.New(verdict.MayHaveRun, verdict.CodeShuttingDown, "the control process is stopping")
 	errLost    = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "leadership was lost before the command was committed")
 )
 
--- a/node/stagework/calls.go
+++ b/node/stagework/calls.go
@@ -52,7 +52,7 @@
 	switch {
 	case v.Verdict == verdict.NotRun && v.Code == verdict.CodeOverloaded:
 		return outcome{full: true, pause: v.RetryAfter, err: err.Error()}
-	case v.Verdict == verdict.NotRun && v.Code == verdict.CodeLeaving:
+	case v.Verdict == verdict.NotRun && v.Code == verdict.CodeUpstreamLeaving:
 		return outcome{full: true, leaving: true, err: err.Error()}
 	}
 	return outcome{err: err.Error(), dark: upstream.Unreached(err)}
--- a/node/stagework/cutoff.go
+++ b/node/stagework/cutoff.go
@@ -16,7 +16,7 @@
 
 // errCutOff says that others can most likely do what this process cannot.
 func errCutOff() error {
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "this process reaches neither control nor the owner of the stages").After(cutOffComeBack)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "this process reaches neither control nor the owner of the stages").WithRetryAfter(cutOffComeBack)
 }
 
 // controlSilent is for how long no control process that reaches the leader has answered this process.
--- a/node/stagework/job.go
+++ b/node/stagework/job.go
@@ -109,7 +109,7 @@
 	for i, s := range j.Stages {
 		for _, k := range s.After {
 			if k < 0 || k >= i {
-				return verdict.New(verdict.NotRun, verdict.CodeInvalid, "stage %d follows stage %d", i, k)
+				return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "stage %d follows stage %d", i, k)
 			}
 		}
 	}
@@ -122,19 +122,19 @@
 }
 
 func errNoTime() error {
-	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the stages were not done in time")
+	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the stages were not done in time")
 }
 
 // errBusy refuses a job that would not reach its goal.
 func errBusy(comeBack time.Duration) error {
-	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the stages are busy").After(comeBack)
+	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the stages are busy").WithRetryAfter(comeBack)
 }
 
 // errMoved says that another process owns the queues.
 func errMoved() error {
-	return verdict.New(verdict.NotRun, verdict.CodeLeaving, "another process owns the stages")
+	return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "another process owns the stages")
 }
 
 func errStages(reason string) error {
-	return verdict.New(verdict.NotRun, verdict.CodeUpstream, "a stage failed: %s", reason)
+	return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "a stage failed: %s", reason)
 }
--- a/node/stagework/link.go
+++ b/node/stagework/link.go
@@ -235,7 +235,7 @@
 }
 
 func errNoOwner() error {
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no process that owns the stages can be reached").After(ownerComeBack)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no process that owns the stages can be reached").WithRetryAfter(ownerComeBack)
 }
 
 // Release gives up what the owner keeps for a call: its engine has begun to answer, or
@@ -339,7 +339,7 @@
 	case err == nil:
 		return *result, result.Moved, nil
 	case errors.As(err, &v):
-		return r, v.Code == verdict.CodeLeaving, err
+		return r, v.Code == verdict.CodeUpstreamLeaving, err
 	}
 	return r, true, err
 }
--- a/node/stagework/metrics.go
+++ b/node/stagework/metrics.go
@@ -72,7 +72,7 @@
 // outcomeOf names how a job ended.
 func (j *job) outcomeOf(now time.Time, r Result, err error) string {
 	switch {
-	case r.Moved || err != nil && verdict.From(err).Code == verdict.CodeLeaving:
+	case r.Moved || err != nil && verdict.From(err).Code == verdict.CodeUpstreamLeaving:
 		return jobMoved
 	case err != nil:
 		return jobFailed
--- a/node/upstream/call.go
+++ b/node/upstream/call.go
@@ -73,9 +73,9 @@
 		detach()
 		c.Close()
 		if ctx.Err() != nil {
-			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "no answer of %s in time", req.Address)
+			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "no answer of %s in time", req.Address)
 		}
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "%s: %v", req.Address, err)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "%s: %v", req.Address, err)
 	}
 	if r.Status != http.StatusMisdirectedRequest { // that is another upstream's
 		p.notices.Heard(req.Upstream, r.Answer)
--- a/node/upstream/notices.go
+++ b/node/upstream/notices.go
@@ -89,10 +89,10 @@
 	switch {
 	case leaving:
 		withheldVar.Add(1)
-		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "upstream %s leaves", start.ID)
+		return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "upstream %s leaves", start.ID)
 	case pause > 0:
 		withheldVar.Add(1)
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s has asked for a pause", start.ID).After(pause)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s has asked for a pause", start.ID).WithRetryAfter(pause)
 	}
 	return nil
 }
--- a/node/upstream/pool.go
+++ b/node/upstream/pool.go
@@ -98,7 +98,7 @@
 
 // errConnect says why a connection was not made. A call whose own time is over has not waited long enough to tell.
 func errConnect(ctx context.Context, address string, err error) error {
-	cause := verdict.New(verdict.NotRun, verdict.CodeUpstream, "connect to %s: %v", address, err)
+	cause := verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "connect to %s: %v", address, err)
 	var timed net.Error
 	if errors.As(err, &timed) && timed.Timeout() && ctx.Err() == nil {
 		return unreached{cause}
--- a/node/upstream/unreached_test.go
+++ b/node/upstream/unreached_test.go
@@ -31,7 +31,7 @@
 		if Unreached(err) != c.want {
 			t.Errorf("%s: %v", name, Unreached(err))
 		}
-		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeUpstream {
+		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeUpstreamFailed {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
