--- a/api/wire/announce.go
+++ b/api/wire/announce.go
@@ -17,20 +17,20 @@
 // leavingRevision is above the number of any heartbeat of one start.
 const leavingRevision = 1 << 62
 
-// Said returns the record as of the heartbeat with the given number. The record of a leaving
+// WithHeartbeat returns the record as of the heartbeat with the given number. The record of a leaving
 // upstream stays unchanged.
-func (m Member) Said(number uint64, cold bool) Member {
+func (m Member) WithHeartbeat(number uint64, cold bool) Member {
 	if !m.Leaving {
 		m.Revision, m.Cold = min(number, leavingRevision-1), cold
 	}
 	return m
 }
 
-// StartedAt returns the record with the upstream's start time, in milliseconds since the
+// WithStartTime returns the record with the upstream's start time, in milliseconds since the
 // Unix epoch by the upstream's clock. An upstream may restart with the same id, and then
 // has lost all earlier state. A start without a reported time counts as earlier than all
 // others.
-func (m Member) StartedAt(ms uint64) Member {
+func (m Member) WithStartTime(ms uint64) Member {
 	m.Incarnation = max(ms, m.Incarnation)
 	return m
 }
--- a/api/wire/compress.go
+++ b/api/wire/compress.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// PackFrom is the size in bytes from which on texts are compressed. Shorter texts fit
+	// MinCompressBytes is the size in bytes from which on texts are compressed. Shorter texts fit
 	// into a few packets uncompressed.
-	PackFrom = 4 << 10
+	MinCompressBytes = 4 << 10
 	// maxDecompressedBytes bounds the size of a decompressed text: eight times the text
 	// of 24,000 requests/s over 100,000 customers (docs/CAPACITY.md).
 	maxDecompressedBytes = 64 << 20
 )
 
-// ErrUnpack means that compressed data is damaged or decompresses to too much.
-const ErrUnpack = errors.ConstError("wire: cannot decompress")
+// ErrDecompress means that compressed data is damaged or decompresses to too much.
+const ErrDecompress = errors.ConstError("wire: cannot decompress")
 
 // flateWriters are pooled because a writer holds some 600 kB of tables.
 var flateWriters = sync.Pool{New: func() any {
@@ -31,9 +31,9 @@
 	return w
 }}
 
-// Pack compresses data with DEFLATE (RFC 1951). It shrinks a text of 4,200 similar routes from
+// Compress compresses data with DEFLATE (RFC 1951). It shrinks a text of 4,200 similar routes from
 // 790 kB to some 60 kB in 5 ms; sending it uncompressed at 10 Mbit/s would take 630 ms.
-func Pack(data []byte) []byte {
+func Compress(data []byte) []byte {
 	var b bytes.Buffer
 	w := flateWriters.Get().(*flate.Writer)
 	defer flateWriters.Put(w)
@@ -43,37 +43,37 @@
 	return b.Bytes()
 }
 
-// Unpack decompresses the output of Pack. An error is of type ErrUnpack.
-func Unpack(packed []byte) ([]byte, error) {
+// Decompress decompresses the output of Compress. An error is of type ErrDecompress.
+func Decompress(packed []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
 	data, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes+1))
 	if err != nil {
-		return nil, errors.WithType(errors.Trace(err), ErrUnpack)
+		return nil, errors.WithType(errors.Trace(err), ErrDecompress)
 	}
 	if len(data) > maxDecompressedBytes {
-		return nil, errors.Annotatef(ErrUnpack, "decompressed size is above %d bytes", maxDecompressedBytes)
+		return nil, errors.Annotatef(ErrDecompress, "decompressed size is above %d bytes", maxDecompressedBytes)
 	}
 	return data, nil
 }
 
-// compressibleText is the wire format of a text, compressed from PackFrom bytes on.
+// compressibleText is the wire format of a text, compressed from MinCompressBytes on.
 type compressibleText struct {
 	Text       string `json:"text,omitempty"`
 	Compressed []byte `json:"packed,omitempty"`
 }
 
 func newCompressibleText(text string) compressibleText {
-	if len(text) < PackFrom {
+	if len(text) < MinCompressBytes {
 		return compressibleText{Text: text}
 	}
-	return compressibleText{Compressed: Pack([]byte(text))}
+	return compressibleText{Compressed: Compress([]byte(text))}
 }
 
 func (l compressibleText) decode() (string, error) {
 	if l.Compressed == nil {
 		return l.Text, nil
 	}
-	data, err := Unpack(l.Compressed)
+	data, err := Decompress(l.Compressed)
 	return string(data), err
 }
 
@@ -85,7 +85,7 @@
 
 // MarshalJSON implements json.Marshaler.
 func (c ConfigText) MarshalJSON() ([]byte, error) {
-	if c.Hash == 0 || len(c.Text) < PackFrom {
+	if c.Hash == 0 || len(c.Text) < MinCompressBytes {
 		return c.encode()
 	}
 	l := &encodedTextCache
@@ -150,7 +150,7 @@
 	Version    uint64      `json:"version"`
 	Hash       uint64      `json:"hash"`
 	Pieces     []TextPiece `json:"pieces,omitempty"`
-	Compressed []byte      `json:"packed,omitempty"` // Pieces as JSON, compressed, if it has PackFrom bytes or more
+	Compressed []byte      `json:"packed,omitempty"` // Pieces as JSON, compressed, if it has MinCompressBytes or more
 }
 
 // MarshalJSON implements json.Marshaler.
@@ -160,8 +160,8 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if len(pieces) >= PackFrom {
-		w.Pieces, w.Compressed = nil, Pack(pieces)
+	if len(pieces) >= MinCompressBytes {
+		w.Pieces, w.Compressed = nil, Compress(pieces)
 	}
 	return json.Marshal(w)
 }
@@ -176,7 +176,7 @@
 	if w.Compressed == nil {
 		return nil
 	}
-	pieces, err := Unpack(w.Compressed)
+	pieces, err := Decompress(w.Compressed)
 	if err != nil {
 		return err
 	}
--- a/api/wire/compress_test.go
+++ b/api/wire/compress_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(data) > 2*wire.PackFrom {
+	if len(data) > 2*wire.MinCompressBytes {
 		t.Errorf("%T has %d bytes on the wire", sent, len(data))
 	}
 	var got T
@@ -44,10 +44,10 @@
 // TestDamagedTextsAreRefused decodes compressed texts that are truncated, or that would
 // decompress to more than a process can hold.
 func TestDamagedTextsAreRefused(t *testing.T) {
-	whole := wire.Pack([]byte(strings.Repeat("a line of a text\n", 1000)))
-	oversized := wire.Pack(make([]byte, 65<<20))
+	whole := wire.Compress([]byte(strings.Repeat("a line of a text\n", 1000)))
+	oversized := wire.Compress(make([]byte, 65<<20))
 	for name, packed := range map[string][]byte{"truncated": whole[:len(whole)/2], "not compressed": []byte("\xffplain"), "too long": oversized} {
-		if _, err := wire.Unpack(packed); !errors.Is(err, wire.ErrUnpack) {
+		if _, err := wire.Decompress(packed); !errors.Is(err, wire.ErrDecompress) {
 			t.Errorf("%s: %v", name, err)
 		}
 		data, err := json.Marshal(map[string]any{"version": 1, "packed": packed})
@@ -66,16 +66,16 @@
 	}
 }
 
-// FuzzUnpack decompresses arbitrary bytes.
-func FuzzUnpack(f *testing.F) {
-	f.Add(wire.Pack([]byte("[service:a]\n")))
+// FuzzDecompress decompresses arbitrary bytes.
+func FuzzDecompress(f *testing.F) {
+	f.Add(wire.Compress([]byte("[service:a]\n")))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, packed []byte) {
-		data, err := wire.Unpack(packed)
+		data, err := wire.Decompress(packed)
 		if err != nil {
 			return
 		}
-		roundTripped, err := wire.Unpack(wire.Pack(data))
+		roundTripped, err := wire.Decompress(wire.Compress(data))
 		if err != nil || string(roundTripped) != string(data) {
 			t.Fatalf("%d bytes became %d in a round trip, error %v", len(data), len(roundTripped), err)
 		}
--- a/api/wire/delta.go
+++ b/api/wire/delta.go
@@ -17,18 +17,18 @@
 	Text  string `json:"text,omitempty"`
 }
 
-// Follows reports whether m is a later record of the same process than old.
-func (m Member) Follows(old Member) bool {
+// NewerThan reports whether m is a later record of the same process than old.
+func (m Member) NewerThan(old Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
 	}
 	return m.Revision > old.Revision
 }
 
-// Changes reports whether m is a later record than old and differs from it in more than the
+// ChangedSince reports whether m is a later record than old and differs from it in more than the
 // revision. Each heartbeat of an upstream has a new revision, but most change nothing else.
-func (m Member) Changes(old Member) bool {
-	if !m.Follows(old) {
+func (m Member) ChangedSince(old Member) bool {
+	if !m.NewerThan(old) {
 		return false
 	}
 	old.Revision = m.Revision
--- a/api/wire/evacuation.go
+++ b/api/wire/evacuation.go
@@ -5,9 +5,9 @@
 	DataCenter string `json:"data_center"`
 	// Revision grows with every acknowledged order for the data centre, including orders that
 	// changed nothing. An order based on an older revision has no effect.
-	Revision uint64 `json:"revision"`
-	Out      bool   `json:"out"`
-	Since    int64  `json:"since"` // time of the last change of Out by the leader's clock, in milliseconds since the Unix epoch
+	Revision  uint64 `json:"revision"`
+	Evacuated bool   `json:"out"`
+	Since     int64  `json:"since"` // time of the last change of Evacuated by the leader's clock, in milliseconds since the Unix epoch
 }
 
 // Evacuations are the states of all data centres that ever had an evacuation order.
@@ -26,11 +26,11 @@
 	return Evacuation{DataCenter: dataCenter}
 }
 
-// Out returns the names of the evacuated data centres.
-func (e Evacuations) Out() []string {
+// Evacuated returns the names of the evacuated data centres.
+func (e Evacuations) Evacuated() []string {
 	var out []string
 	for _, x := range e.List {
-		if x.Out {
+		if x.Evacuated {
 			out = append(out, x.DataCenter)
 		}
 	}
@@ -42,7 +42,7 @@
 // that it knew on receipt. An order whose Base is outdated has no effect.
 type EvacuationOrder struct {
 	DataCenter string `json:"data_center"`
-	Out        bool   `json:"out"`
+	Evacuate   bool   `json:"out"`
 	Base       uint64 `json:"base"`
 	Author     string `json:"author,omitempty"`
 }
--- a/api/wire/forwarded_headers.go
+++ b/api/wire/forwarded_headers.go
@@ -12,11 +12,11 @@
 var forwardedResponseHeaders = []string{"Content-Type", "Content-Encoding", "Content-Language", "Content-Disposition",
 	"Cache-Control", "Etag", "Last-Modified", "Location", "Www-Authenticate"}
 
-// PassToUpstream copies the request headers that an upstream may receive.
-func PassToUpstream(dst, src http.Header) { copyHeaders(dst, src, forwardedRequestHeaders) }
+// ForwardRequestHeaders copies the request headers that an upstream may receive.
+func ForwardRequestHeaders(dst, src http.Header) { copyHeaders(dst, src, forwardedRequestHeaders) }
 
-// PassToCaller copies the response headers that a caller may receive.
-func PassToCaller(dst, src http.Header) { copyHeaders(dst, src, forwardedResponseHeaders) }
+// ForwardResponseHeaders copies the response headers that a caller may receive.
+func ForwardResponseHeaders(dst, src http.Header) { copyHeaders(dst, src, forwardedResponseHeaders) }
 
 func copyHeaders(dst, src http.Header, names []string) {
 	for _, name := range names {
--- a/api/wire/headers.go
+++ b/api/wire/headers.go
@@ -17,27 +17,27 @@
 // Headers between an entry and a gate. The Trailer names are HTTP trailers: an answer
 // without them is incomplete.
 const (
-	HeaderAttempt      = "Caperdrum-Attempt"
-	HeaderStage        = "Caperdrum-Stage"
-	HeaderIncarnation  = "Caperdrum-Incarnation"
-	HeaderClaimed      = "Caperdrum-Claimed"   // "true" if an idempotency key is claimed for the attempt
-	HeaderBudget       = "Caperdrum-Budget-Ms" // milliseconds until the attempt's deadline
-	HeaderClass        = "Caperdrum-Class"
-	HeaderShare        = "Caperdrum-Share"
-	HeaderRepeatable   = "Caperdrum-Repeatable" // "true" if the attempt may be abandoned and run elsewhere
-	HeaderService      = "Caperdrum-Service"
-	HeaderPath         = "Caperdrum-Path"
-	HeaderMethod       = "Caperdrum-Method"
-	HeaderLoad         = "Caperdrum-Load" // queued/running/limit
-	HeaderVersion      = "Caperdrum-Config-Version"
-	HeaderClock        = "Caperdrum-Clock" // hybrid logical clock timestamp, hexadecimal
-	HeaderStatus       = "Caperdrum-Upstream-Status"
-	HeaderError        = "Caperdrum-Error" // present if the body is a verdict.Error
-	TrailerEnd         = "Caperdrum-End"   // EndWhole or a verdict.Code
-	TrailerLength      = "Caperdrum-Length"
-	TrailerSum         = "Caperdrum-Sum" // xxhash64 of the body, hexadecimal
-	TrailerLoad        = "Caperdrum-Load-After"
-	EndWhole           = "whole"
-	EndStreamOfChat    = "data: [DONE]"
-	ContentEventStream = "text/event-stream"
+	HeaderAttempt           = "Caperdrum-Attempt"
+	HeaderStage             = "Caperdrum-Stage"
+	HeaderIncarnation       = "Caperdrum-Incarnation"
+	HeaderClaimed           = "Caperdrum-Claimed"   // "true" if an idempotency key is claimed for the attempt
+	HeaderBudget            = "Caperdrum-Budget-Ms" // milliseconds until the attempt's deadline
+	HeaderClass             = "Caperdrum-Class"
+	HeaderShare             = "Caperdrum-Share"
+	HeaderRepeatable        = "Caperdrum-Repeatable" // "true" if the attempt may be abandoned and run elsewhere
+	HeaderService           = "Caperdrum-Service"
+	HeaderPath              = "Caperdrum-Path"
+	HeaderMethod            = "Caperdrum-Method"
+	HeaderLoad              = "Caperdrum-Load" // queued/running/limit
+	HeaderGateConfigVersion = "Caperdrum-Config-Version"
+	HeaderClock             = "Caperdrum-Clock" // hybrid logical clock timestamp, hexadecimal
+	HeaderUpstreamStatus    = "Caperdrum-Upstream-Status"
+	HeaderError             = "Caperdrum-Error" // present if the body is a verdict.Error
+	TrailerEnd              = "Caperdrum-End"   // EndWhole or a verdict.Code
+	TrailerLength           = "Caperdrum-Length"
+	TrailerSum              = "Caperdrum-Sum" // xxhash64 of the body, hexadecimal
+	TrailerLoad             = "Caperdrum-Load-After"
+	EndWhole                = "whole"
+	ChatStreamEnd           = "data: [DONE]"
+	ContentEventStream      = "text/event-stream"
 )
--- a/api/wire/members.go
+++ b/api/wire/members.go
@@ -20,11 +20,11 @@
 	Changed []Member
 	Removed []MemberID
 
-	encoded func() ([]byte, error) // cached encoding, see Shared; nil: encode on every call
+	encoded func() ([]byte, error) // cached encoding, see CacheEncoding; nil: encode on every call
 }
 
-// Shared caches the encoding of a delta that is sent to many processes. The delta must not be modified afterwards.
-func (d *MembersDelta) Shared() *MembersDelta {
+// CacheEncoding caches the encoding of a delta that is sent to many processes. The delta must not be modified afterwards.
+func (d *MembersDelta) CacheEncoding() *MembersDelta {
 	if len(d.Changed) >= minCompressMembers {
 		d.encoded = sync.OnceValues(d.encode)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	return Pack(data), nil
+	return Compress(data), nil
 }
 
 // The default limit of array elements is too low: a list may be as long as fits into maxDecompressedBytes.
@@ -120,13 +120,13 @@
 }()
 
 func decompressMembers(packed []byte) ([]Member, error) {
-	data, err := Unpack(packed)
+	data, err := Decompress(packed)
 	if err != nil {
 		return nil, err
 	}
 	var rows []memberRow
 	if err := memberDecMode.Unmarshal(data, &rows); err != nil {
-		return nil, errors.WithType(errors.Trace(err), ErrUnpack)
+		return nil, errors.WithType(errors.Trace(err), ErrDecompress)
 	}
 	out := make([]Member, len(rows))
 	for i, r := range rows {
--- a/api/wire/members_test.go
+++ b/api/wire/members_test.go
@@ -17,7 +17,7 @@
 		d.Removed = rapid.SliceOfN(rapid.Make[MemberID](), 0, 3).Draw(t, "removed")
 		want := d
 		if rapid.Bool().Draw(t, "shared") {
-			d.Shared()
+			d.CacheEncoding()
 		}
 		for range 2 {
 			data, err := json.Marshal(&d)
@@ -59,7 +59,7 @@
 			Debug: fmt.Sprintf("10.%d.0.%d:19464", i%6, i/6), Peer: fmt.Sprintf("10.%d.0.%d:7740", i%6, i/6), Incarnation: 1768839860000000000 + uint64(i)*977})
 		for k := range 3 {
 			id := MemberID(fmt.Sprintf("i-%010x", (uint64(i)*7919+uint64(k)*104729)*2654435761%(1<<40)))
-			m := AnnouncedUpstream(id, fmt.Sprintf("hufi41%c", 'a'+k), fmt.Sprintf("10.%d.64.%d:8426", i%6, i/6), fmt.Sprint("place-", i%6), false).StartedAt(1768839860000 + uint64(i))
+			m := AnnouncedUpstream(id, fmt.Sprintf("hufi41%c", 'a'+k), fmt.Sprintf("10.%d.64.%d:8426", i%6, i/6), fmt.Sprint("place-", i%6), false).WithStartTime(1768839860000 + uint64(i))
 			m.Version = "v1"
 			out = append(out, m)
 		}
@@ -85,7 +85,7 @@
 // BenchmarkMembersDelta measures encoding with a cached encoding, decoding, and decoding of plain JSON for comparison.
 func BenchmarkMembersDelta(b *testing.B) {
 	list := fleetMembers(360)
-	d := (&MembersDelta{To: 1, Whole: true, Changed: list}).Shared()
+	d := (&MembersDelta{To: 1, Whole: true, Changed: list}).CacheEncoding()
 	data, err := json.Marshal(d)
 	if err != nil {
 		b.Fatal(err)
--- a/api/wire/quarantine.go
+++ b/api/wire/quarantine.go
@@ -4,8 +4,8 @@
 // calls with the same fingerprint are copies of each other. It does not reveal the body.
 type Fingerprint string
 
-// CallSketch is the summary of a call that processes exchange and operators see.
-type CallSketch struct {
+// CallSummary is the summary of a call that processes exchange and operators see.
+type CallSummary struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	// Shape is a cheap hash of everything but the bytes of the body. Calls with different
 	// shapes have different fingerprints.
@@ -18,8 +18,8 @@
 // Crash is the end of an upstream's process, with the calls in flight on it as far as the
 // reporting process knows them.
 type Crash struct {
-	Upstream Start        `json:"upstream"`
-	Calls    []CallSketch `json:"calls"`
+	Upstream Start         `json:"upstream"`
+	Calls    []CallSummary `json:"calls"`
 }
 
 // CrashReport reports which calls crashed upstreams and which did not. It may be delivered
@@ -27,7 +27,7 @@
 type CrashReport struct {
 	Crashes []Crash `json:"crashes,omitempty"`
 	// Answered are calls that were in flight in a crash and that an upstream has since answered with success.
-	Answered []CallSketch `json:"answered,omitempty"`
+	Answered []CallSummary `json:"answered,omitempty"`
 }
 
 // Suspect is a call that was in flight in the crashes of several upstreams.
@@ -66,7 +66,7 @@
 
 // QuarantineEntry is what operators see of a call in quarantine.
 type QuarantineEntry struct {
-	Call      CallSketch      `json:"call"`
+	Call      CallSummary     `json:"call"`
 	State     QuarantineState `json:"state"`
 	Since     int64           `json:"since"`     // start of the state by the leader's clock, in milliseconds since the Unix epoch
 	Upstreams []Start         `json:"upstreams"` // that crashed with the call in flight
--- a/api/wire/rollout.go
+++ b/api/wire/rollout.go
@@ -112,8 +112,8 @@
 	Version string `json:"version"`
 	Route   string `json:"route"`
 	Failed  uint64 `json:"failed"`
-	// Took counts the successful answers by bucket of their duration, see package rollout.
-	Took map[int]uint64 `json:"took,omitempty"`
+	// LatencyCounts counts the successful answers by bucket of their duration, see package rollout.
+	LatencyCounts map[int]uint64 `json:"took,omitempty"`
 }
 
 // RolloutCounts are the counts of one process for one rollout.
--- a/api/wire/teams.go
+++ b/api/wire/teams.go
@@ -22,9 +22,9 @@
 // KeyInfo describes a bearer key without its secret. Times are in milliseconds since the
 // Unix epoch.
 type KeyInfo struct {
-	ID    string `json:"id"`
-	Made  int64  `json:"made"`
-	EndAt int64  `json:"end_at,omitempty"` // zero: the key does not expire
+	ID        string `json:"id"`
+	CreatedAt int64  `json:"made"`
+	ExpiresAt int64  `json:"end_at,omitempty"` // zero: the key does not expire
 }
 
 // NewKey is a new bearer key. Its secret is shown only once.
--- a/api/wire/unsettled_claims.go
+++ b/api/wire/unsettled_claims.go
@@ -1,6 +1,6 @@
 package wire
 
-// HeldReply lists claims that were not settled in time, for an entry to settle.
-type HeldReply struct {
+// UnsettledClaims lists claims that were not settled in time, for an entry to settle.
+type UnsettledClaims struct {
 	Claims []ClaimRequest `json:"claims"`
 }
--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -82,7 +82,7 @@
 	a.Took = time.Since(started)
 	a.Whole = err == nil && resp.StatusCode == http.StatusOK
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), wire.ContentEventStream) {
-		a.Whole = a.Whole && bytes.HasSuffix(bytes.TrimSpace(a.Body), []byte(wire.EndStreamOfChat))
+		a.Whole = a.Whole && bytes.HasSuffix(bytes.TrimSpace(a.Body), []byte(wire.ChatStreamEnd))
 	}
 	return a, nil
 }
--- a/ctl/commands/evacuate.go
+++ b/ctl/commands/evacuate.go
@@ -60,7 +60,7 @@
 }
 
 func evacuationState(e wire.Evacuation) string {
-	if e.Out {
+	if e.Evacuated {
 		return "evacuated"
 	}
 	return "in service"
--- a/ctl/commands/teams.go
+++ b/ctl/commands/teams.go
@@ -79,8 +79,8 @@
 		var keys []string
 		for _, k := range t.Keys {
 			text := k.ID
-			if k.EndAt != 0 {
-				text += " until " + time.UnixMilli(k.EndAt).Format(time.RFC3339)
+			if k.ExpiresAt != 0 {
+				text += " until " + time.UnixMilli(k.ExpiresAt).Format(time.RFC3339)
 			}
 			keys = append(keys, text)
 		}
--- a/node/admin/evacuations.go
+++ b/node/admin/evacuations.go
@@ -28,7 +28,7 @@
 // evacuate carries out an order for the revision that this process knew when the call came.
 func (s *Service) evacuate(w http.ResponseWriter, r *http.Request, out bool) {
 	dataCenter := chi.URLParam(r, "data_center")
-	order := &wire.EvacuationOrder{DataCenter: dataCenter, Out: out, Base: s.p.Control.Evacuations().Of(dataCenter).Revision, Author: callerOf(r).Name}
+	order := &wire.EvacuationOrder{DataCenter: dataCenter, Evacuate: out, Base: s.p.Control.Evacuations().Of(dataCenter).Revision, Author: callerOf(r).Name}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	result, err := s.p.Control.Evacuate(ctx, order)
--- a/node/admin/quarantine_test.go
+++ b/node/admin/quarantine_test.go
@@ -20,7 +20,7 @@
 		var report wire.CrashReport
 		for i := range 3 {
 			report.Crashes = append(report.Crashes, wire.Crash{Upstream: wire.Start{ID: wire.MemberID(fmt.Sprint("i-", i)), Incarnation: 1},
-				Calls: []wire.CallSketch{{Fingerprint: "f", Customer: "foundry", Route: "chat", Bytes: 4}}})
+				Calls: []wire.CallSummary{{Fingerprint: "f", Customer: "foundry", Route: "chat", Bytes: 4}}})
 		}
 		_, err := a.control.Replica().Propose(context.Background(), state.Command{Crashes: &report})
 		Expect(err).NotTo(HaveOccurred())
--- a/node/configsync/configsync.go
+++ b/node/configsync/configsync.go
@@ -97,7 +97,7 @@
 		out := map[string]any{"stamp_age_ms": s.StampAge().Milliseconds()}
 		if v := s.View(); v != nil {
 			out["version"], out["bytes"], out["members_seq"], out["members"], out["owner_epoch"] = v.Version, len(v.Text), v.Seq, v.Members.Len(), v.Owner.Epoch
-			out["evacuated"] = v.Evacuations.Out()
+			out["evacuated"] = v.Evacuations.Evacuated()
 		}
 		return out
 	}))
@@ -298,8 +298,8 @@
 		s.ring.Record(timeline.Event{Kind: "config-in-force", Detail: "version " + strconv.FormatUint(v.Version, 10)})
 	}
 	if v.Evacuations.Revision != evacuations {
-		s.log.Info("evacuations in force", "revision", v.Evacuations.Revision, "data_centers", v.Evacuations.Out(), "stamp_age", logging.Age(s.StampAge()))
-		s.ring.Record(timeline.Event{Kind: "evacuations-in-force", Detail: strings.Join(v.Evacuations.Out(), " ")})
+		s.log.Info("evacuations in force", "revision", v.Evacuations.Revision, "data_centers", v.Evacuations.Evacuated(), "stamp_age", logging.Age(s.StampAge()))
+		s.ring.Record(timeline.Event{Kind: "evacuations-in-force", Detail: strings.Join(v.Evacuations.Evacuated(), " ")})
 	}
 	if v.Suspects.Revision != suspects {
 		s.log.Info("suspects known", "revision", v.Suspects.Revision, "calls", len(v.Suspects.List), "barred", v.Suspects.Barred(), "stamp_age", logging.Age(s.StampAge()))
--- a/node/configsync/evacuations_test.go
+++ b/node/configsync/evacuations_test.go
@@ -12,7 +12,7 @@
 func evacuated(revision uint64, dataCenters ...string) *wire.Evacuations {
 	e := &wire.Evacuations{Revision: revision}
 	for _, dc := range dataCenters {
-		e.List = append(e.List, wire.Evacuation{DataCenter: dc, Out: true, Revision: revision})
+		e.List = append(e.List, wire.Evacuation{DataCenter: dc, Evacuated: true, Revision: revision})
 	}
 	return e
 }
--- a/node/configsync/firstview_bench_test.go
+++ b/node/configsync/firstview_bench_test.go
@@ -38,7 +38,7 @@
 			Debug: fmt.Sprintf("10.%d.0.%d:19464", i%6, i/6), Peer: fmt.Sprintf("10.%d.0.%d:7740", i%6, i/6), Incarnation: 1768839860000000000 + uint64(i)*977})
 		for k := range 3 {
 			id := wire.MemberID(fmt.Sprintf("i-%010x", (uint64(i)*7919+uint64(k)*104729)*2654435761%(1<<40)))
-			m := wire.AnnouncedUpstream(id, []string{"pool", "lots", "certs"}[k], fmt.Sprintf("10.%d.64.%d:8426", i%6, i/6), fmt.Sprint("place-", i%6), false).StartedAt(1768839860000 + uint64(i))
+			m := wire.AnnouncedUpstream(id, []string{"pool", "lots", "certs"}[k], fmt.Sprintf("10.%d.64.%d:8426", i%6, i/6), fmt.Sprint("place-", i%6), false).WithStartTime(1768839860000 + uint64(i))
 			m.Version = "v1"
 			out = append(out, m)
 		}
@@ -49,7 +49,7 @@
 func BenchmarkFirstView(b *testing.B) {
 	text := fleetText(333)
 	b.Logf("text %d", len(text))
-	delta := (&wire.MembersDelta{Whole: true, To: 9, Changed: fleetMembers(360)}).Shared()
+	delta := (&wire.MembersDelta{Whole: true, To: 9, Changed: fleetMembers(360)}).CacheEncoding()
 	reply := &wire.SyncReply{Version: 3, MembersSeq: 9, Config: &wire.ConfigText{Version: 3, Text: text, Hash: xxhash.Sum64String(text)}, Members: delta}
 	b.Run("call", func(b *testing.B) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/node/configsync/lists_test.go
+++ b/node/configsync/lists_test.go
@@ -24,7 +24,7 @@
 			before = append(before, seen{v, fmt.Sprint(v.Announced, v.ByService, v.Peers)})
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				e := &wire.Evacuations{Revision: v.Evacuations.Revision + 1, List: []wire.Evacuation{{DataCenter: "north", Out: rapid.Bool().Draw(t, "out")}}}
+				e := &wire.Evacuations{Revision: v.Evacuations.Revision + 1, List: []wire.Evacuation{{DataCenter: "north", Evacuated: rapid.Bool().Draw(t, "out")}}}
 				v.takeEvacuations(e)
 			case 1:
 				state := rapid.SampledFrom([]wire.RolloutState{wire.RolloutRunning, wire.RolloutCompleted, wire.RolloutRolledBack}).Draw(t, "state")
--- a/node/configsync/view.go
+++ b/node/configsync/view.go
@@ -62,7 +62,7 @@
 // change takes over single members. What it costs does not grow with the members, but for the
 // copies of the lists that change.
 func (v *View) change(changed []wire.Member, removed []wire.MemberID) {
-	u := update{v: v, evacuated: v.Evacuations.Out(), fresh: [listKinds]map[string]bool{{}, {}, {}}}
+	u := update{v: v, evacuated: v.Evacuations.Evacuated(), fresh: [listKinds]map[string]bool{{}, {}, {}}}
 	u.lists = [listKinds]lists{agents: cloneLists(v.ByService), announced: cloneLists(v.announced), peers: {peerList: v.Peers}}
 	for _, m := range changed {
 		u.put(m)
@@ -119,7 +119,7 @@
 // index makes the lists anew.
 func (v *View) index() {
 	v.ByService, v.announced, v.Peers = lists{}, lists{}, nil
-	evacuated := v.Evacuations.Out()
+	evacuated := v.Evacuations.Evacuated()
 	all := [listKinds]lists{agents: v.ByService, announced: v.announced, peers: {}}
 	for m := range v.Members.All() {
 		for kind, name := range placesOf(m, evacuated) {
--- a/node/control/evacuate.go
+++ b/node/control/evacuate.go
@@ -21,16 +21,16 @@
 		return nil, s.notLeader()
 	}
 	if err := s.mayEvacuate(o.DataCenter); err != nil {
-		s.log.Info("evacuation refused", "data_center", o.DataCenter, "out", o.Out, "reason", err.Error())
+		s.log.Info("evacuation refused", "data_center", o.DataCenter, "out", o.Evacuate, "reason", err.Error())
 		return nil, err
 	}
 	res, err := s.cluster.Propose(ctx, state.Command{Evacuate: o})
 	if err != nil {
-		s.log.Info("evacuation not confirmed", "data_center", o.DataCenter, "out", o.Out, "error", err.Error())
+		s.log.Info("evacuation not confirmed", "data_center", o.DataCenter, "out", o.Evacuate, "error", err.Error())
 		return nil, s.leaderError(err)
 	}
 	r := res.Evacuation
-	s.log.Info("evacuation ordered", "data_center", o.DataCenter, "out", o.Out, "author", o.Author, "base", o.Base,
+	s.log.Info("evacuation ordered", "data_center", o.DataCenter, "out", o.Evacuate, "author", o.Author, "base", o.Base,
 		"revision", r.Evacuation.Revision, "changed", r.Changed, "overtaken", r.Overtaken)
 	if r.Overtaken {
 		return nil, errOvertaken(r.Evacuation)
--- a/node/control/follower.go
+++ b/node/control/follower.go
@@ -99,7 +99,7 @@
 	known, ok := members[r.Member.ID]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if urgent || !ok || r.Member.Changes(known) || f.told[r.Member.ID] != r.ConfigVersion {
+	if urgent || !ok || r.Member.ChangedSince(known) || f.told[r.Member.ID] != r.ConfigVersion {
 		select {
 		case f.wake <- struct{}{}:
 		default:
@@ -116,7 +116,7 @@
 // queue keeps the latest record of each member. Messages may overtake each
 // other.
 func (f *follower) queue(r queued) {
-	if old, ok := f.pending[r.Member.ID]; !ok || !old.Member.Follows(r.Member) {
+	if old, ok := f.pending[r.Member.ID]; !ok || !old.Member.NewerThan(r.Member) {
 		f.pending[r.Member.ID] = r
 	}
 }
--- a/node/control/held.go
+++ b/node/control/held.go
@@ -43,7 +43,7 @@
 }
 
 // held gives an entry claims to settle whose own entry may have died.
-func (s *Service) held(ctx context.Context, _ *Empty) (*wire.HeldReply, error) {
+func (s *Service) held(ctx context.Context, _ *Empty) (*wire.UnsettledClaims, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
@@ -53,5 +53,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &wire.HeldReply{Claims: claims}, nil
+	return &wire.UnsettledClaims{Claims: claims}, nil
 }
--- a/node/control/leases.go
+++ b/node/control/leases.go
@@ -66,10 +66,10 @@
 		}
 		l.seen[r.Member.ID] = seen{at: now, incarnation: r.Member.Incarnation, version: r.ConfigVersion, fault: r.Fault}
 		waiting, queued := l.pending[r.Member.ID]
-		if queued && !r.Member.Follows(waiting) {
+		if queued && !r.Member.NewerThan(waiting) {
 			continue
 		}
-		if queued || !ok || r.Member.Changes(known) {
+		if queued || !ok || r.Member.ChangedSince(known) {
 			l.pending[r.Member.ID] = r.Member
 		}
 	}
@@ -109,7 +109,7 @@
 		return nil
 	}
 	left := wire.AnnouncedUpstream(req.ID, m.Service, m.Direct, m.DataCenter, true)
-	return []wire.Member{left.StartedAt(max(req.Incarnation, m.Incarnation))}
+	return []wire.Member{left.WithStartTime(max(req.Incarnation, m.Incarnation))}
 }
 
 const (
--- a/node/control/leases_test.go
+++ b/node/control/leases_test.go
@@ -179,7 +179,7 @@
 func TestUpstreamThatStartsAgainReplacesItself(t *testing.T) {
 	const first, second = 1_700_000_000_000, 1_700_000_005_000
 	record := func(started uint64, leaving bool) wire.Member {
-		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", leaving).StartedAt(started)
+		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", leaving).WithStartTime(started)
 	}
 	for name, before := range map[string][]wire.Member{
 		"it crashed": {record(first, false)},
@@ -235,7 +235,7 @@
 	w := newWorld(nil)
 	lead := w.nodes[0].svc.leases
 	record := func(started uint64) wire.Member {
-		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", false).StartedAt(started)
+		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", false).WithStartTime(started)
 	}
 	lead.renew([]Renewal{{Member: record(5000)}})
 	lead.step(context.Background())
@@ -255,7 +255,7 @@
 	w := newWorld(nil)
 	lead := w.nodes[0].svc.leases
 	beat := func(number uint64, cold, leaving bool) wire.Member {
-		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", leaving).Said(number, cold)
+		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", leaving).WithHeartbeat(number, cold)
 	}
 	for i, c := range []struct {
 		beat     wire.Member
--- a/node/control/operate.go
+++ b/node/control/operate.go
@@ -75,7 +75,7 @@
 func holdsAll(v *state.View, members []wire.Member) bool {
 	for _, m := range members {
 		known, ok := v.Members[m.ID]
-		if !ok || m.Changes(known) {
+		if !ok || m.ChangedSince(known) {
 			return false
 		}
 	}
--- a/node/control/sync.go
+++ b/node/control/sync.go
@@ -111,6 +111,6 @@
 		}
 	}
 	known, ok := v.Members[req.Member.ID]
-	r.Recorded = ok && !req.Member.Follows(known)
+	r.Recorded = ok && !req.Member.NewerThan(known)
 	return r
 }
--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -140,7 +140,7 @@
 	if held == nil || held.Version == 0 {
 		return result, errNoText
 	}
-	order := wire.EvacuationOrder{DataCenter: dataCenter, Out: out, Base: held.Evacuations.Of(dataCenter).Revision}
+	order := wire.EvacuationOrder{DataCenter: dataCenter, Evacuate: out, Base: held.Evacuations.Of(dataCenter).Revision}
 	if err := s.stillWanted(ctx); err != nil {
 		return result, err
 	}
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -41,7 +41,7 @@
 	Method      string
 	Path        string
 	ContentType string
-	Header      http.Header // more request headers; only those pass that wire.PassToUpstream names
+	Header      http.Header // more request headers; only those pass that wire.ForwardRequestHeaders names
 	Body        []byte
 	Deadline    time.Time
 	Claimed     bool // an idempotency key is claimed for the attempt
@@ -108,7 +108,7 @@
 	// refuse the second copy, but then the answer to the first would be lost.
 	req.GetBody = nil
 	h := req.Header
-	wire.PassToUpstream(h, c.Header)
+	wire.ForwardRequestHeaders(h, c.Header)
 	s.setCommon(h)
 	if c.ContentType != "" {
 		h.Set("Content-Type", c.ContentType)
@@ -137,13 +137,13 @@
 func (s *Service) setCommon(h http.Header) {
 	h.Set(wire.HeaderClock, s.ring.Clock.Now().String())
 	if v := s.sync.View(); v != nil {
-		h.Set(wire.HeaderVersion, strconv.FormatUint(v.Version, 10))
+		h.Set(wire.HeaderGateConfigVersion, strconv.FormatUint(v.Version, 10))
 	}
 }
 
 func (s *Service) observe(e *routing.Endpoint, h http.Header) {
 	s.ring.Clock.Observe(timeline.ParseStamp(h.Get(wire.HeaderClock)))
-	if v, err := strconv.ParseUint(h.Get(wire.HeaderVersion), 10, 64); err == nil {
+	if v, err := strconv.ParseUint(h.Get(wire.HeaderGateConfigVersion), 10, 64); err == nil {
 		s.sync.Saw(v)
 	}
 	report(e, h.Get(wire.HeaderLoad))
@@ -176,14 +176,14 @@
 		defer resp.Body.Close()
 		return nil, refusal(resp)
 	}
-	status, err := strconv.Atoi(resp.Header.Get(wire.HeaderStatus))
+	status, err := strconv.Atoi(resp.Header.Get(wire.HeaderUpstreamStatus))
 	if err != nil || !belongs(resp, e, c) {
 		resp.Body.Close()
 		return nil, errNoAnswer
 	}
 	body := &bodyReader{s: s, ctx: ctx, endpoint: e, call: c, resp: resp, sum: xxhash.New()}
 	a := &Answer{Status: status, ContentType: resp.Header.Get("Content-Type"), Header: http.Header{}, Body: body}
-	wire.PassToCaller(a.Header, resp.Header)
+	wire.ForwardResponseHeaders(a.Header, resp.Header)
 	return a, nil
 }
 
--- a/node/dispatch/wrong_test.go
+++ b/node/dispatch/wrong_test.go
@@ -16,7 +16,7 @@
 // never taken for it.
 func TestWrongResponsesAreNotTaken(t *testing.T) {
 	const incarnation, sum = 7, "44bc2cf5ad770999" // xxhash64 of "abc"
-	right := map[string]string{wire.HeaderIncarnation: "7", wire.HeaderStage: "s", wire.HeaderStatus: "200",
+	right := map[string]string{wire.HeaderIncarnation: "7", wire.HeaderStage: "s", wire.HeaderUpstreamStatus: "200",
 		wire.TrailerEnd: wire.EndWhole, wire.TrailerLength: "3", wire.TrailerSum: sum}
 	cases := []struct {
 		name, header, value string
@@ -30,7 +30,7 @@
 		{"other attempt", wire.HeaderAttempt, "other", false},
 		{"other stage", wire.HeaderStage, "other", false},
 		{"other incarnation", wire.HeaderIncarnation, "8", false},
-		{"no status", wire.HeaderStatus, "", false},
+		{"no status", wire.HeaderUpstreamStatus, "", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 					w.Header().Set(name, value)
 				}
 				w.Header().Set("Trailer", wire.TrailerEnd+","+wire.TrailerLength+","+wire.TrailerSum)
-				for _, name := range []string{wire.HeaderIncarnation, wire.HeaderStage, wire.HeaderStatus} {
+				for _, name := range []string{wire.HeaderIncarnation, wire.HeaderStage, wire.HeaderUpstreamStatus} {
 					set(name, right[name])
 				}
 				set(wire.HeaderAttempt, string(call.Attempt))
--- a/node/gate/http.go
+++ b/node/gate/http.go
@@ -43,7 +43,7 @@
 
 func (s *Service) observe(r *http.Request) {
 	s.ring.Clock.Observe(timeline.ParseStamp(r.Header.Get(wire.HeaderClock)))
-	if v, err := strconv.ParseUint(r.Header.Get(wire.HeaderVersion), 10, 64); err == nil {
+	if v, err := strconv.ParseUint(r.Header.Get(wire.HeaderGateConfigVersion), 10, 64); err == nil {
 		s.sync.Saw(v)
 	}
 }
@@ -82,7 +82,7 @@
 		body: body, deadline: received.Add(time.Duration(budget) * time.Millisecond), readers: 1,
 		claimed: h.Get(wire.HeaderClaimed) == "true",
 	}
-	wire.PassToUpstream(a.header, h)
+	wire.ForwardRequestHeaders(a.header, h)
 	return a, nil
 }
 
@@ -115,7 +115,7 @@
 	h.Set(wire.HeaderLoad, s.loadString())
 	h.Set(wire.HeaderClock, s.ring.Clock.Now().String())
 	if v := s.sync.View(); v != nil {
-		h.Set(wire.HeaderVersion, strconv.FormatUint(v.Version, 10))
+		h.Set(wire.HeaderGateConfigVersion, strconv.FormatUint(v.Version, 10))
 	}
 }
 
@@ -137,13 +137,13 @@
 	}
 	h := w.Header()
 	s.setCommon(h)
-	wire.PassToCaller(h, passed)
+	wire.ForwardResponseHeaders(h, passed)
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // no guess from the bytes
 	}
 	h.Set(wire.HeaderAttempt, string(a.id))
 	h.Set(wire.HeaderStage, a.stage)
-	h.Set(wire.HeaderStatus, strconv.Itoa(status))
+	h.Set(wire.HeaderUpstreamStatus, strconv.Itoa(status))
 	h.Set("Trailer", answerTrailers)
 	w.WriteHeader(http.StatusOK)
 	s.copyAnswer(w, r, a, offset)
--- a/node/gate/run.go
+++ b/node/gate/run.go
@@ -63,7 +63,7 @@
 	}
 	defer resp.Body.Close()
 	passed := http.Header{}
-	wire.PassToCaller(passed, resp.Header)
+	wire.ForwardResponseHeaders(passed, resp.Header)
 	a.answer.start(resp.StatusCode, passed)
 	return s.readAnswer(a, resp)
 }
@@ -122,8 +122,8 @@
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), wire.ContentEventStream) || resp.StatusCode != http.StatusOK {
 		return nil
 	}
-	if strings.HasSuffix(strings.TrimRight(string(tail), "\r\n"), wire.EndStreamOfChat) {
+	if strings.HasSuffix(strings.TrimRight(string(tail), "\r\n"), wire.ChatStreamEnd) {
 		return nil
 	}
-	return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the event stream ended without %q", wire.EndStreamOfChat)
+	return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the event stream ended without %q", wire.ChatStreamEnd)
 }
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -248,7 +248,7 @@
 		return err
 	}
 	defer a.Body.Close()
-	wire.PassToCaller(w.Header(), a.Header)
+	wire.ForwardResponseHeaders(w.Header(), a.Header)
 	return c.stream(w, a.Status, a.ContentType, a.Body)
 }
 
--- a/node/gateway/gateway_test.go
+++ b/node/gateway/gateway_test.go
@@ -81,7 +81,7 @@
 	h.Set(wire.HeaderAttempt, rest)
 	h.Set(wire.HeaderIncarnation, r.Header.Get(wire.HeaderIncarnation))
 	h.Set(wire.HeaderStage, r.Header.Get(wire.HeaderStage))
-	h.Set(wire.HeaderStatus, strconv.Itoa(status))
+	h.Set(wire.HeaderUpstreamStatus, strconv.Itoa(status))
 	h.Set("Content-Type", contentType)
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
--- a/node/ledger/sweep.go
+++ b/node/ledger/sweep.go
@@ -25,7 +25,7 @@
 			return
 		case <-s.clock.After(sweepPause/2 + rand.N(sweepPause)):
 		}
-		var reply wire.HeldReply
+		var reply wire.UnsettledClaims
 		if s.sync.Control().CallLeader(ctx, MethodHeld, struct{}{}, &reply) == nil {
 			s.settleAll(ctx, reply.Claims)
 		}
--- a/node/proxy/cold_test.go
+++ b/node/proxy/cold_test.go
@@ -15,7 +15,7 @@
 func TestColdUpstreamsThatNobodyChose(t *testing.T) {
 	e := newEndpoints(noNotices())
 	now := time.Unix(1000, 0)
-	here, there := wire.AnnouncedUpstream("i-here", "llm", "10.0.0.1:80", "north", false).Said(1, true), wire.AnnouncedUpstream("i-there", "llm", "10.0.0.2:80", "south", false).Said(1, true)
+	here, there := wire.AnnouncedUpstream("i-here", "llm", "10.0.0.1:80", "north", false).WithHeartbeat(1, true), wire.AnnouncedUpstream("i-there", "llm", "10.0.0.2:80", "south", false).WithHeartbeat(1, true)
 	list := []wire.Member{here, there}
 	limit := coldstart.Limit{Excess: 1.5, Slack: 5} // of 18 a second: 8 processes
 	var processes []string
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -49,10 +49,10 @@
 	s.log.Info("upstream ended under a call", "request", b.Request, "route", b.Route, "customer", b.Call.Customer, "fingerprint", sketch.Fingerprint,
 		"upstream", b.Upstream.ID, "address", b.Upstream.Direct, "service", b.Upstream.Service)
 	if s.answers.Take(b.Call) {
-		s.report(&wire.CrashReport{Answered: []wire.CallSketch{sketch}})
+		s.report(&wire.CrashReport{Answered: []wire.CallSummary{sketch}})
 		return
 	}
-	s.report(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: b.Upstream.Start(), Calls: []wire.CallSketch{sketch}}}})
+	s.report(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: b.Upstream.Start(), Calls: []wire.CallSummary{sketch}}}})
 }
 
 func (s *Service) report(r *wire.CrashReport) {
@@ -91,5 +91,5 @@
 		return
 	}
 	x.s.log.Info("suspect answered", "request", x.call.ID, "route", x.route.Name, "customer", x.customerName(), "fingerprint", f, "upstream", a.member.ID)
-	x.s.report(&wire.CrashReport{Answered: []wire.CallSketch{x.copied().Sketch(x.route.Name)}})
+	x.s.report(&wire.CrashReport{Answered: []wire.CallSummary{x.copied().Sketch(x.route.Name)}})
 }
--- a/node/proxy/quarantine_test.go
+++ b/node/proxy/quarantine_test.go
@@ -28,7 +28,7 @@
 }
 
 // await returns all reports once they hold n crashes and answers.
-func (r *reports) await(t *testing.T, n int) (crashes []wire.Crash, answered []wire.CallSketch) {
+func (r *reports) await(t *testing.T, n int) (crashes []wire.Crash, answered []wire.CallSummary) {
 	t.Helper()
 	for range 400 {
 		r.mu.Lock()
@@ -72,7 +72,7 @@
 
 func endsAlways(_ http.ResponseWriter, _ *http.Request, end func()) { end() }
 
-func (b *bed) bar(sketch wire.CallSketch, revision uint64, barred bool) {
+func (b *bed) bar(sketch wire.CallSummary, revision uint64, barred bool) {
 	b.view.Suspects = wire.Suspects{Revision: revision, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape, Barred: barred}}}
 	b.announce("desk", b.view.Announced["desk"])
 }
@@ -259,7 +259,7 @@
 	other := call
 	other.Body = []byte("ydob")
 	b.bar(other.Sketch("confirm"), 1, false)
-	for i, sketch := range []wire.CallSketch{other.Sketch("confirm"), call.Sketch("confirm")} {
+	for i, sketch := range []wire.CallSummary{other.Sketch("confirm"), call.Sketch("confirm")} {
 		b.bar(sketch, uint64(i+1), false)
 		if resp, body, err := b.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, body, err)
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -30,8 +30,8 @@
 }
 
 // Sketch returns what is told of the call.
-func (c Call) Sketch(route string) wire.CallSketch {
-	return wire.CallSketch{Fingerprint: c.Fingerprint(), Shape: c.Shape(), Customer: c.Customer, Route: route, Bytes: len(c.Body)}
+func (c Call) Sketch(route string) wire.CallSummary {
+	return wire.CallSummary{Fingerprint: c.Fingerprint(), Shape: c.Shape(), Customer: c.Customer, Route: route, Bytes: len(c.Body)}
 }
 
 // Guard says of each call whether it may reach an upstream. It follows what a quorum holds. While
--- a/node/quarantine/ledger.go
+++ b/node/quarantine/ledger.go
@@ -28,12 +28,12 @@
 
 // Record is what is known of one call. Its slices are replaced, never changed.
 type Record struct {
-	Call    wire.CallSketch `cbor:"1,keyasint"`
-	Starts  []wire.Start    `cbor:"2,keyasint"` // of upstreams that ended under it, the latest last
-	Barred  bool            `cbor:"3,keyasint,omitempty"`
-	Cleared bool            `cbor:"4,keyasint,omitempty"` // it was answered once; Starts are those since the last time
-	Since   int64           `cbor:"5,keyasint"`           // Barred or Cleared changed; milliseconds since the Unix epoch
-	At      int64           `cbor:"6,keyasint"`           // last accused
+	Call    wire.CallSummary `cbor:"1,keyasint"`
+	Starts  []wire.Start     `cbor:"2,keyasint"` // of upstreams that ended under it, the latest last
+	Barred  bool             `cbor:"3,keyasint,omitempty"`
+	Cleared bool             `cbor:"4,keyasint,omitempty"` // it was answered once; Starts are those since the last time
+	Since   int64            `cbor:"5,keyasint"`           // Barred or Cleared changed; milliseconds since the Unix epoch
+	At      int64            `cbor:"6,keyasint"`           // last accused
 }
 
 // Ledger weighs which calls end upstreams. An end accuses all calls that the upstream had. The
@@ -121,7 +121,7 @@
 }
 
 // accuse notes that an upstream ended under the call.
-func (l *Ledger) accuse(call wire.CallSketch, start wire.Start, now int64) {
+func (l *Ledger) accuse(call wire.CallSummary, start wire.Start, now int64) {
 	r := l.record(call, now)
 	if slices.Contains(r.Starts, start) {
 		return
@@ -133,7 +133,7 @@
 }
 
 // record returns the record of the call, a new one where there is none.
-func (l *Ledger) record(call wire.CallSketch, now int64) Record {
+func (l *Ledger) record(call wire.CallSummary, now int64) Record {
 	if r, known := l.Records[call.Fingerprint]; known {
 		return r
 	}
@@ -237,7 +237,7 @@
 
 // clear takes an upstream's answer as proof that the call did not end those before, and reports whether
 // that is new.
-func (l *Ledger) clear(call wire.CallSketch, now int64) bool {
+func (l *Ledger) clear(call wire.CallSummary, now int64) bool {
 	r := l.record(call, now)
 	if r.Cleared && len(r.Starts) == 0 {
 		return false
--- a/node/quarantine/ledger_test.go
+++ b/node/quarantine/ledger_test.go
@@ -22,12 +22,12 @@
 func crashOf(n int, calls ...wire.Fingerprint) wire.Crash {
 	c := wire.Crash{Upstream: start(n)}
 	for _, f := range calls {
-		c.Calls = append(c.Calls, wire.CallSketch{Fingerprint: f, Customer: "foundry"})
+		c.Calls = append(c.Calls, wire.CallSummary{Fingerprint: f, Customer: "foundry"})
 	}
 	return c
 }
 
-func answeredCalls(fingerprints ...wire.Fingerprint) []wire.CallSketch {
+func answeredCalls(fingerprints ...wire.Fingerprint) []wire.CallSummary {
 	return crashOf(0, fingerprints...).Calls
 }
 
@@ -231,12 +231,12 @@
 	expect(call, false, Unsuspected)
 	for i := range barDespite {
 		expect(call, true, min(Standing(i/tellFrom), Suspected))
-		g.Seen(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: start(i), Calls: []wire.CallSketch{sketch}}}}, time.Unix(1000, 0))
+		g.Seen(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: start(i), Calls: []wire.CallSummary{sketch}}}}, time.Unix(1000, 0))
 	}
 	expect(call, false, Unsuspected)
 	expect(call, true, Barred)
 	expect(sameShape, true, Unsuspected)
-	g.Seen(&wire.CrashReport{Answered: []wire.CallSketch{sketch}}, time.Unix(1001, 0))
+	g.Seen(&wire.CrashReport{Answered: []wire.CallSummary{sketch}}, time.Unix(1001, 0))
 	expect(call, true, Unsuspected)
 }
 
--- a/node/quarantine/processes_test.go
+++ b/node/quarantine/processes_test.go
@@ -209,7 +209,7 @@
 	m.served++
 	c.process.answers.Add(c.call())
 	if standing, _ := c.process.guard.Check(c.call(), true); standing != Unsuspected && c.process.up {
-		m.report(c.process, &wire.CrashReport{Answered: []wire.CallSketch{c.call().Sketch("chat")}})
+		m.report(c.process, &wire.CrashReport{Answered: []wire.CallSummary{c.call().Sketch("chat")}})
 	}
 }
 
@@ -231,9 +231,9 @@
 		return
 	}
 	sketch := c.call().Sketch("chat")
-	r := &wire.CrashReport{Crashes: []wire.Crash{{Upstream: start, Calls: []wire.CallSketch{sketch}}}}
+	r := &wire.CrashReport{Crashes: []wire.Crash{{Upstream: start, Calls: []wire.CallSummary{sketch}}}}
 	if c.process.answers.Take(c.call()) {
-		r = &wire.CrashReport{Answered: []wire.CallSketch{sketch}}
+		r = &wire.CrashReport{Answered: []wire.CallSummary{sketch}}
 	}
 	m.report(c.process, r)
 	if standing, _ := c.process.guard.Check(c.call(), true); standing == Unsuspected && c.repeats > 0 {
--- a/node/quarantine/reporter.go
+++ b/node/quarantine/reporter.go
@@ -31,13 +31,13 @@
 
 // pending is a report that is being collected.
 type pending struct {
-	crashes  map[wire.Start]map[wire.Fingerprint]wire.CallSketch
-	answered map[wire.Fingerprint]wire.CallSketch
+	crashes  map[wire.Start]map[wire.Fingerprint]wire.CallSummary
+	answered map[wire.Fingerprint]wire.CallSummary
 	calls    int
 }
 
 func newPending() *pending {
-	return &pending{crashes: map[wire.Start]map[wire.Fingerprint]wire.CallSketch{}, answered: map[wire.Fingerprint]wire.CallSketch{}}
+	return &pending{crashes: map[wire.Start]map[wire.Fingerprint]wire.CallSummary{}, answered: map[wire.Fingerprint]wire.CallSummary{}}
 }
 
 // NewReporter returns a reporter; Run sends.
@@ -72,9 +72,9 @@
 	}
 }
 
-func (p *pending) addCall(start wire.Start, call wire.CallSketch) {
+func (p *pending) addCall(start wire.Start, call wire.CallSummary) {
 	if p.crashes[start] == nil {
-		p.crashes[start] = map[wire.Fingerprint]wire.CallSketch{}
+		p.crashes[start] = map[wire.Fingerprint]wire.CallSummary{}
 	}
 	if _, known := p.crashes[start][call.Fingerprint]; !known {
 		p.crashes[start][call.Fingerprint] = call
--- a/node/rollout/counter.go
+++ b/node/rollout/counter.go
@@ -71,7 +71,7 @@
 	key := countKey{m.Version, route}
 	n := s.by[key]
 	if n == nil {
-		n = &wire.VersionCounts{Version: m.Version, Route: route, Took: map[int]uint64{}}
+		n = &wire.VersionCounts{Version: m.Version, Route: route, LatencyCounts: map[int]uint64{}}
 		s.by[key] = n
 	}
 	c.news = true
@@ -79,9 +79,9 @@
 	case how == Failed:
 		n.Failed++
 	case m.Cold:
-		n.Took[coldBucket]++
+		n.LatencyCounts[coldBucket]++
 	default:
-		n.Took[bucketOf(took)]++
+		n.LatencyCounts[bucketOf(took)]++
 	}
 }
 
@@ -101,9 +101,9 @@
 		counts := wire.RolloutCounts{Service: service, Order: s.order}
 		for _, n := range s.by {
 			copied := *n
-			copied.Took = make(map[int]uint64, len(n.Took))
-			for bucket, count := range n.Took {
-				copied.Took[bucket] = count
+			copied.LatencyCounts = make(map[int]uint64, len(n.LatencyCounts))
+			for bucket, count := range n.LatencyCounts {
+				copied.LatencyCounts[bucket] = count
 			}
 			counts.Counts = append(counts.Counts, copied)
 		}
--- a/node/rollout/judge.go
+++ b/node/rollout/judge.go
@@ -101,7 +101,7 @@
 	for _, n := range counts {
 		key := countKey{n.Version, n.Route}
 		d := since(last[key], n)
-		if d.Failed == 0 && len(d.Took) == 0 {
+		if d.Failed == 0 && len(d.LatencyCounts) == 0 {
 			continue
 		}
 		last[key] = n
@@ -125,13 +125,13 @@
 
 // since returns what n counts more than before. A report that was overtaken counts nothing.
 func since(before, n wire.VersionCounts) wire.VersionCounts {
-	d := wire.VersionCounts{Version: n.Version, Route: n.Route, Took: map[int]uint64{}}
+	d := wire.VersionCounts{Version: n.Version, Route: n.Route, LatencyCounts: map[int]uint64{}}
 	if n.Failed > before.Failed {
 		d.Failed = n.Failed - before.Failed
 	}
-	for bucket, count := range n.Took {
-		if count > before.Took[bucket] {
-			d.Took[bucket] = count - before.Took[bucket]
+	for bucket, count := range n.LatencyCounts {
+		if count > before.LatencyCounts[bucket] {
+			d.LatencyCounts[bucket] = count - before.LatencyCounts[bucket]
 		}
 	}
 	return d
@@ -139,7 +139,7 @@
 
 func answers(d wire.VersionCounts) uint64 {
 	n := d.Failed
-	for _, count := range d.Took {
+	for _, count := range d.LatencyCounts {
 		n += count
 	}
 	return n
@@ -152,7 +152,7 @@
 		j.others[d.Route] = r
 	}
 	r.deltas = slices.DeleteFunc(r.deltas, func(old delta) bool { return now.Sub(old.at) > window })
-	r.deltas = append(r.deltas, delta{now, d.Failed, d.Took})
+	r.deltas = append(r.deltas, delta{now, d.Failed, d.LatencyCounts})
 }
 
 // sum adds up the answers of other versions on a route, or on all, since a while ago.
@@ -185,7 +185,7 @@
 	if !ok {
 		return
 	}
-	slow, timed := above(d.Took, limit), warm(d.Took)
+	slow, timed := above(d.LatencyCounts, limit), warm(d.LatencyCounts)
 	j.Target.Bad += slow
 	_, lately := j.sum(now, d.Route, latest)
 	p := max(tolerated(float64(above(others, limit)), float64(warm(others))), tolerated(float64(above(lately, limit)), float64(warm(lately))))
--- a/node/state/encode.go
+++ b/node/state/encode.go
@@ -19,15 +19,15 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if len(data) < wire.PackFrom {
+	if len(data) < wire.MinCompressBytes {
 		return data, nil
 	}
-	return append([]byte{packedCommand}, wire.Pack(data)...), nil
+	return append([]byte{packedCommand}, wire.Compress(data)...), nil
 }
 
 func decodeCommand(data []byte) (c Command, err error) {
 	if len(data) > 0 && data[0] == packedCommand {
-		if data, err = wire.Unpack(data[1:]); err != nil {
+		if data, err = wire.Decompress(data[1:]); err != nil {
 			return c, errors.Annotate(err, "state: command")
 		}
 	}
--- a/node/state/evacuations.go
+++ b/node/state/evacuations.go
@@ -12,16 +12,16 @@
 // their way: a start that was delayed must not undo an end that was acknowledged.
 func (m *Machine) evacuate(o *wire.EvacuationOrder) wire.EvacuationResult {
 	current := m.s.Evacuations.Of(o.DataCenter)
-	if current.Out != o.Out && current.Revision != o.Base {
+	if current.Evacuated != o.Evacuate && current.Revision != o.Base {
 		return wire.EvacuationResult{Evacuation: current, Overtaken: true}
 	}
 	next := current
 	next.Revision++
-	if current.Out != o.Out {
-		next.Out, next.Since = o.Out, m.s.Now
+	if current.Evacuated != o.Evacuate {
+		next.Evacuated, next.Since = o.Evacuate, m.s.Now
 	}
 	m.setEvacuation(next)
-	return wire.EvacuationResult{Evacuation: next, Changed: current.Out != o.Out}
+	return wire.EvacuationResult{Evacuation: next, Changed: current.Evacuated != o.Evacuate}
 }
 
 // setEvacuation replaces the list, which views share.
--- a/node/state/evacuations_test.go
+++ b/node/state/evacuations_test.go
@@ -47,7 +47,7 @@
 func (o *operators) Send(t *rapid.T) {
 	dc := rapid.SampledFrom([]string{"north", "south"}).Draw(t, "data centre")
 	view := o.views[rapid.IntRange(0, len(o.views)-1).Draw(t, "process")]
-	order := wire.EvacuationOrder{DataCenter: dc, Out: rapid.Bool().Draw(t, "out"), Base: view.Of(dc).Revision}
+	order := wire.EvacuationOrder{DataCenter: dc, Evacuate: rapid.Bool().Draw(t, "out"), Base: view.Of(dc).Revision}
 	// An operator sends an order after the answers to the ones before: a process that knows
 	// less than they say receives it as one that is overtaken.
 	o.under = append(o.under, sentOrder{order, o.acked[dc]})
@@ -67,18 +67,18 @@
 		t.Fatalf("answers %+v, is %+v", res.Evacuation, now)
 	}
 	if res.Overtaken {
-		if now.Out != o.last[dc] {
+		if now.Evacuated != o.last[dc] {
 			t.Fatalf("an overtaken order changed %s", dc)
 		}
 		return
 	}
-	if now.Out != sent.order.Out {
+	if now.Evacuated != sent.order.Evacuate {
 		t.Fatalf("%+v is acknowledged, %s is %+v", sent.order, dc, now)
 	}
 	if res.Changed && o.acked[dc] != int(sent.order.Base) {
 		t.Fatalf("%+v undoes what was acknowledged after it was received", sent.order)
 	}
-	o.last[dc] = now.Out
+	o.last[dc] = now.Evacuated
 	o.acked[dc]++
 }
 
@@ -107,7 +107,7 @@
 func (o *operators) Check(t *rapid.T) {
 	o.now++
 	for dc, out := range o.last {
-		if got := o.machine.View().Evacuations.Of(dc); got.Out != out {
+		if got := o.machine.View().Evacuations.Of(dc); got.Evacuated != out {
 			t.Fatalf("%s: acknowledged %t, is %+v", dc, out, got)
 		}
 	}
@@ -144,7 +144,7 @@
 		{"the end before it, delayed", false, 3, true, false, 5},
 	} {
 		o.now = int64(i)
-		r := o.apply(Command{Evacuate: &wire.EvacuationOrder{DataCenter: "north", Out: c.out, Base: c.base}}).Evacuation
+		r := o.apply(Command{Evacuate: &wire.EvacuationOrder{DataCenter: "north", Evacuate: c.out, Base: c.base}}).Evacuation
 		if r.Overtaken != c.overtaken || r.Changed != c.changed || r.Evacuation.Revision != c.revision {
 			t.Errorf("%s: %+v", c.name, *r)
 		}
--- a/node/state/members.go
+++ b/node/state/members.go
@@ -39,7 +39,7 @@
 		for _, m := range v.Members {
 			d.Changed = append(d.Changed, m)
 		}
-		w.list = d.Shared()
+		w.list = d.CacheEncoding()
 	})
 	return w.list
 }
--- a/node/state/quarantine_test.go
+++ b/node/state/quarantine_test.go
@@ -11,7 +11,7 @@
 func crash(upstream wire.MemberID, calls ...wire.Fingerprint) wire.Crash {
 	c := wire.Crash{Upstream: wire.Start{ID: upstream, Incarnation: 7}}
 	for _, f := range calls {
-		c.Calls = append(c.Calls, wire.CallSketch{Fingerprint: f, Shape: 1 << 63, Customer: "foundry", Route: "chat", Bytes: 4})
+		c.Calls = append(c.Calls, wire.CallSummary{Fingerprint: f, Shape: 1 << 63, Customer: "foundry", Route: "chat", Bytes: 4})
 	}
 	return c
 }
--- a/node/state/snapshot.go
+++ b/node/state/snapshot.go
@@ -77,8 +77,8 @@
 }
 
 func (s *stored) packText() {
-	if len(s.Text) >= wire.PackFrom {
-		s.PackedText, s.Text = wire.Pack([]byte(s.Text)), ""
+	if len(s.Text) >= wire.MinCompressBytes {
+		s.PackedText, s.Text = wire.Compress([]byte(s.Text)), ""
 	}
 }
 
@@ -86,7 +86,7 @@
 	if s.PackedText == nil {
 		return nil
 	}
-	text, err := wire.Unpack(s.PackedText)
+	text, err := wire.Decompress(s.PackedText)
 	s.Text, s.PackedText = string(text), nil
 	return err
 }
--- a/node/state/state.go
+++ b/node/state/state.go
@@ -297,7 +297,7 @@
 }
 
 func (m *Machine) join(member wire.Member) {
-	if old, known := m.s.Members[member.ID]; known && !member.Follows(old) {
+	if old, known := m.s.Members[member.ID]; known && !member.NewerThan(old) {
 		return
 	}
 	m.s.Members[member.ID] = member
--- a/node/state/teams.go
+++ b/node/state/teams.go
@@ -171,7 +171,7 @@
 		info := wire.TeamInfo{Name: team.Name, Role: team.Role, Services: team.Services, Pipelines: team.Pipelines}
 		for _, k := range t.keys {
 			if k.Team == team.Name {
-				info.Keys = append(info.Keys, wire.KeyInfo{ID: k.ID, Made: k.Made, EndAt: k.EndAt})
+				info.Keys = append(info.Keys, wire.KeyInfo{ID: k.ID, CreatedAt: k.Made, ExpiresAt: k.EndAt})
 			}
 		}
 		out = append(out, info)
