--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -61,7 +61,7 @@
 
 // New returns the service, which follows the number of entries.
 func New(p Params) *Service {
-	s := NewWith(Limits{InFlight: p.Settings.Entry.MaxInFlight, Bytes: bytesTimes * p.Settings.Entry.MaxBody})
+	s := NewWith(Limits{InFlight: p.Settings.Entry.MaxInFlight, Bytes: bytesTimes * p.Settings.Entry.MaxBodyBytes})
 	p.Sync.OnChange(func(v *configsync.View) { s.SetEntries(countEntries(v)) })
 	return s
 }
--- a/node/control/ledger.go
+++ b/node/control/ledger.go
@@ -9,7 +9,7 @@
 
 // claim gives the right to run a keyed call once. It is idempotent by attempt.
 func (s *Service) claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
-	res, err := s.replica.Propose(ctx, state.Command{Claims: []wire.ClaimRequest{*req}, LedgerLimit: s.set.Control.LedgerMax})
+	res, err := s.replica.Propose(ctx, state.Command{Claims: []wire.ClaimRequest{*req}, LedgerLimit: s.set.Control.LedgerMaxBytes})
 	if err != nil {
 		return nil, s.leaderError(err)
 	}
--- a/node/control/puts.go
+++ b/node/control/puts.go
@@ -152,7 +152,7 @@
 
 // CheckRegions reports regions that a text names and that are not known.
 func (s *Service) CheckRegions(c *optext.Config) error {
-	return residency.RegionsOf(s.set.Node.RegionsOfDataCenters(), c).Check(c)
+	return residency.RegionsOf(s.set.Node.RegionByDataCenter(), c).Check(c)
 }
 
 // commit proposes the change as the difference to the text in force. Another change
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -73,11 +73,11 @@
 
 // tuneCollector leaves values from the environment (GOGC, GOMEMLIMIT) in force.
 func tuneCollector(set *settings.Settings) {
-	if os.Getenv("GOGC") == "" && (set.Has(settings.Entry) || set.Has(settings.Proxy)) {
+	if os.Getenv("GOGC") == "" && (set.HasRole(settings.Entry) || set.HasRole(settings.Proxy)) {
 		runtimedebug.SetGCPercent(entryGCPercent)
 	}
-	if os.Getenv("GOMEMLIMIT") == "" && set.Node.Memory > 0 {
-		runtimedebug.SetMemoryLimit(heapLimit(set.Node.Memory))
+	if os.Getenv("GOMEMLIMIT") == "" && set.Node.MemoryMB > 0 {
+		runtimedebug.SetMemoryLimit(heapLimit(set.Node.MemoryMB))
 	}
 }
 
@@ -99,7 +99,7 @@
 	k := kernel.New(log)
 	k.Supply(func() *settings.Settings { return set })
 	k.Supply(func() logr.Logger { return log })
-	k.Supply(func() *timeline.Ring { return timeline.NewRing(set.Node.Name, set.Node.VM, set.Node.Timeline) })
+	k.Supply(func() *timeline.Ring { return timeline.NewRing(set.Node.Name, set.Node.VM, set.Node.TimelineEvents) })
 	k.Supply(func() *security.Store { return store })
 	k.Supply(func() peer.Dialer { return store.Dial })
 	k.Supply(func() *peer.Directory { return peer.NewDirectory(set.Peers.Control) })
@@ -129,19 +129,19 @@
 // stop in the reverse order, so what callers reach stops first.
 func modulesOf(set *settings.Settings) []kernel.Module {
 	modules := []kernel.Module{{Name: "reload", New: newReloader}, {Name: "debug", New: debug.New}}
-	if set.Has(settings.Control) {
+	if set.HasRole(settings.Control) {
 		modules = append(modules, kernel.Module{Name: "control", New: control.New}, kernel.Module{Name: "planner", New: planner.New})
 		if set.Control.Admin != "" {
 			modules = append(modules, kernel.Module{Name: "admin", New: admin.New})
 		}
 	}
-	if set.Has(settings.Entry) || set.Has(settings.Agent) || set.Has(settings.Proxy) {
+	if set.HasRole(settings.Entry) || set.HasRole(settings.Agent) || set.HasRole(settings.Proxy) {
 		modules = append(modules, kernel.Module{Name: "configsync", New: configsync.New})
 	}
-	if set.Has(settings.Agent) {
+	if set.HasRole(settings.Agent) {
 		modules = append(modules, kernel.Module{Name: "gate", New: gate.New}, kernel.Module{Name: "announce", New: announce.New}, kernel.Module{Name: "order", New: order.New})
 	}
-	if set.Has(settings.Entry) {
+	if set.HasRole(settings.Entry) {
 		modules = append(modules,
 			kernel.Module{Name: "routing", New: routing.New},
 			kernel.Module{Name: "demand", New: order.NewDemand},
@@ -151,7 +151,7 @@
 			kernel.Module{Name: "ledger", New: ledger.New},
 			kernel.Module{Name: "gateway", New: gateway.New})
 	}
-	if set.Has(settings.Proxy) {
+	if set.HasRole(settings.Proxy) {
 		modules = append(modules,
 			kernel.Module{Name: "discovery", New: discovery.New},
 			kernel.Module{Name: "controlclient", New: controlclient.New},
--- a/node/daemon/daemon_test.go
+++ b/node/daemon/daemon_test.go
@@ -15,7 +15,7 @@
 	defer runtimedebug.SetMemoryLimit(runtimedebug.SetMemoryLimit(-1))
 	for memory, want := range map[int]int64{0: math.MaxInt64, 200: 120 << 20} {
 		runtimedebug.SetMemoryLimit(math.MaxInt64)
-		tuneCollector(&settings.Settings{Node: settings.Node{Memory: memory}})
+		tuneCollector(&settings.Settings{Node: settings.Node{MemoryMB: memory}})
 		if got := runtimedebug.SetMemoryLimit(-1); got != want {
 			t.Errorf("%d MB: a limit of %d bytes, want %d", memory, got, want)
 		}
--- a/node/discovery/discovery.go
+++ b/node/discovery/discovery.go
@@ -55,7 +55,7 @@
 // server of its own.
 func New(p Params) *Service {
 	s := &Service{p: p, namer: formation.Namer{FirstStart: p.Settings.Peers.FirstStart}}
-	if !p.Settings.Has(settings.Control) {
+	if !p.Settings.HasRole(settings.Control) {
 		s.server = peer.NewServer()
 		peer.Handle(s.server, peer.MethodWhere, s.where)
 		peer.Handle(s.server, peer.MethodTell, s.told)
--- a/node/dispatch/path_test.go
+++ b/node/dispatch/path_test.go
@@ -96,7 +96,7 @@
 
 func startGraceful(t *testing.T, u *upstream, grace time.Duration) (*gate.Service, uint64) {
 	set := &settings.Settings{Agent: settings.AgentRole{Listen: "127.0.0.1:0", Upstream: u.Listener.Addr().String(),
-		KeepAnswers: time.Minute, KeepBytes: 1 << 20, MaxAnswer: 1 << 20, LeaveGrace: grace}}
+		KeepAnswers: time.Minute, KeepAnswerBytes: 1 << 20, MaxAnswerBytes: 1 << 20, LeaveGrace: grace}}
 	sync := newSync()
 	g := gate.New(gate.Params{Settings: set, Log: logr.Discard(), Ring: timeline.NewRing("gate", "vm", 64), Sync: sync})
 	if err := g.Start(context.Background()); err != nil {
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -87,7 +87,7 @@
 }
 
 func (s *Service) limitsOf(sv *optext.Service) limits {
-	l := limits{concurrency: defaultConcurrency, queueLength: defaultQueue, refuseLate: true, keep: s.set.KeepAnswers, keepBytes: s.set.KeepBytes}
+	l := limits{concurrency: defaultConcurrency, queueLength: defaultQueue, refuseLate: true, keep: s.set.KeepAnswers, keepBytes: s.set.KeepAnswerBytes}
 	if sv != nil {
 		l.concurrency, l.queueLength = sv.Concurrency, sv.QueueLength
 		l.fifo, l.limiter = sv.QueueDiscipline == "fifo", sv.Limiter
--- a/node/gate/run.go
+++ b/node/gate/run.go
@@ -88,8 +88,8 @@
 	length := int64(0)
 	for {
 		n, err := resp.Body.Read(buf[:])
-		if length+int64(n) > s.set.MaxAnswer {
-			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", s.set.MaxAnswer)
+		if length+int64(n) > s.set.MaxAnswerBytes {
+			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", s.set.MaxAnswerBytes)
 		}
 		if n > 0 {
 			length = a.answer.append(buf[:n])
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -86,7 +86,7 @@
 	}
 	body, err := s.readBody(w, r)
 	if err != nil {
-		return c, bodyError(err, s.set.MaxBody)
+		return c, bodyError(err, s.set.MaxBodyBytes)
 	}
 	c.body = body
 	s.p.Ring.Record(timeline.Event{Kind: "request", Request: string(c.id), Customer: name, Detail: r.Method + " " + r.URL.Path})
@@ -95,12 +95,12 @@
 
 // readBody reads the whole body. A caller that sends it too slowly is cut off.
 func (s *Service) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	if r.ContentLength > s.set.MaxBody {
-		return nil, &http.MaxBytesError{Limit: s.set.MaxBody}
+	if r.ContentLength > s.set.MaxBodyBytes {
+		return nil, &http.MaxBytesError{Limit: s.set.MaxBodyBytes}
 	}
 	control := http.NewResponseController(w)
 	control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.set.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.set.MaxBodyBytes))
 	control.SetReadDeadline(time.Time{})
 	return body, err
 }
--- a/node/gateway/gateway_test.go
+++ b/node/gateway/gateway_test.go
@@ -113,7 +113,7 @@
 	set := &settings.Settings{
 		Node:  settings.Node{Name: "entry-1", VM: "vm", DataCenter: "here", Roles: []string{"entry"}},
 		Peers: settings.Peers{Control: []string{control}},
-		Entry: settings.EntryRole{MaxBody: 1 << 10, StaleAfter: time.Hour, MaxInFlight: 100},
+		Entry: settings.EntryRole{MaxBodyBytes: 1 << 10, StaleAfter: time.Hour, MaxInFlight: 100},
 	}
 	ring := timeline.NewRing("entry-1", "vm", 64)
 	sync := configsync.New(configsync.Params{Settings: set, Log: logr.Discard(), Ring: ring, Dial: peer.DialTCP})
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -140,7 +140,7 @@
 		pool: upstream.NewPool(protocol, notices), endpoints: newEndpoints(notices), notices: notices, first: newFirstView(clockwork.NewRealClock())}
 	s.share(boottime.System())
 	s.running, s.counter = newRunning(), rollout.NewCounter()
-	s.holdings = newHoldings(set.Node.Memory)
+	s.holdings = newHoldings(set.Node.MemoryMB)
 	s.guard, s.answers, s.reporter = quarantine.NewGuard(), quarantine.NewAnswers(), quarantine.NewReporter(noReports)
 	s.inquiries = quarantine.NewInquiries(s.pool.Listens, s.endedUnder, boottime.System())
 	s.ending, s.end = context.WithCancel(context.Background())
@@ -158,7 +158,7 @@
 
 // follow takes over a view of the configuration and the members.
 func (s *Service) follow(v *configsync.View) {
-	t := newTable(v, s.set.Node.RegionsOfDataCenters(), s.table.Load())
+	t := newTable(v, s.set.Node.RegionByDataCenter(), s.table.Load())
 	s.table.Store(t)
 	s.endpoints.follow(v.Rollouts)
 	s.counter.Follow(v.Rollouts)
--- a/node/settings/proxy.go
+++ b/node/settings/proxy.go
@@ -36,25 +36,25 @@
 
 // EntryRole is the section [entry].
 type EntryRole struct {
-	Listen      string        `ini:"listen" required:"true"`
-	MaxBody     int64         `ini:"max_body_bytes"`
-	StaleAfter  time.Duration `ini:"stale_after"`   // the process is not ready if its configuration was last confirmed longer ago
-	RefuseStale bool          `ini:"refuse_stale"`  // refuse requests with verdict not-run while the configuration is stale
-	MaxInFlight int           `ini:"max_in_flight"` // maximum number of concurrent requests
-	MaxAnswer   int64         `ini:"max_answer_bytes"`
+	Listen         string        `ini:"listen" required:"true"`
+	MaxBodyBytes   int64         `ini:"max_body_bytes"`
+	StaleAfter     time.Duration `ini:"stale_after"`   // the process is not ready if its configuration was last confirmed longer ago
+	RefuseStale    bool          `ini:"refuse_stale"`  // refuse requests with verdict not-run while the configuration is stale
+	MaxInFlight    int           `ini:"max_in_flight"` // maximum number of concurrent requests
+	MaxAnswerBytes int64         `ini:"max_answer_bytes"`
 }
 
 // AgentRole is the section [agent].
 type AgentRole struct {
-	Listen      string        `ini:"listen" required:"true"`
-	Advertise   string        `ini:"advertise"` // address by which entries reach Listen; default Listen
-	Service     string        `ini:"service" required:"true"`
-	Upstream    string        `ini:"upstream" required:"true"` // host:port of the upstream
-	KeepAnswers time.Duration `ini:"keep_answers"`
-	KeepBytes   int64         `ini:"keep_answer_bytes"` // memory limit for the answers of finished attempts, over all attempts
-	MaxAnswer   int64         `ini:"max_answer_bytes"`
-	HealthPath  string        `ini:"health_path"`
-	LeaveGrace  time.Duration `ini:"leave_grace"` // how long a stopping gate refuses new work as not run; a closed connection would leave open whether the work ran
+	Listen          string        `ini:"listen" required:"true"`
+	Advertise       string        `ini:"advertise"` // address by which entries reach Listen; default Listen
+	Service         string        `ini:"service" required:"true"`
+	Upstream        string        `ini:"upstream" required:"true"` // host:port of the upstream
+	KeepAnswers     time.Duration `ini:"keep_answers"`
+	KeepAnswerBytes int64         `ini:"keep_answer_bytes"` // memory limit for the answers of finished attempts, over all attempts
+	MaxAnswerBytes  int64         `ini:"max_answer_bytes"`
+	HealthPath      string        `ini:"health_path"`
+	LeaveGrace      time.Duration `ini:"leave_grace"` // how long a stopping gate refuses new work as not run; a closed connection would leave open whether the work ran
 }
 
 // Frontend is the section [frontend]: the listener of an adapter for operators
@@ -98,7 +98,7 @@
 
 // PeerAddress returns the address at which other processes call this one.
 func (s *Settings) PeerAddress() string {
-	if s.Has(Control) {
+	if s.HasRole(Control) {
 		return s.Control.Advertise
 	}
 	return s.Peers.Listen
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -36,21 +36,21 @@
 	// accepts orders for a data centre even while it has no members.
 	DataCenters []string `ini:"data_centers"`
 	// Regions are the regions of data centres, as DATA_CENTER:REGION.
-	Regions      []string      `ini:"regions"`
-	Roles        []string      `ini:"roles" required:"true"`
-	DataDir      string        `ini:"data_dir"`
-	DrainTimeout time.Duration `ini:"drain_timeout"`
-	LogLevel     string        `ini:"log_level"`
-	Timeline     int           `ini:"timeline_events"`
+	Regions        []string      `ini:"regions"`
+	Roles          []string      `ini:"roles" required:"true"`
+	DataDir        string        `ini:"data_dir"`
+	DrainTimeout   time.Duration `ini:"drain_timeout"`
+	LogLevel       string        `ini:"log_level"`
+	TimelineEvents int           `ini:"timeline_events"`
 	// PlainText accepts listeners without TLS on addresses that other VMs can reach, for
 	// networks that no one else has access to.
 	PlainText bool `ini:"plain_text"`
 	// KillAfter is the time from SIGTERM until the platform kills the process. If set, it
 	// replaces DrainTimeout, with a margin.
 	KillAfter time.Duration `ini:"kill_after"`
-	// Memory is the memory limit at which the platform kills the process, in MB of 2^20 bytes; 0 means no
+	// MemoryMB is the memory limit at which the platform kills the process, in MB of 2^20 bytes; 0 means no
 	// limit.
-	Memory int `ini:"memory"`
+	MemoryMB int `ini:"memory"`
 }
 
 // killMargin is the part of KillAfter left after draining, for sending the last answers and
@@ -78,9 +78,9 @@
 	Lease     time.Duration `ini:"lease"`      // a member is removed if it does not renew its lease for this long
 	Voters    int           `ini:"voters"`     // number of voters that the automatic repair maintains
 	OpenAdmin bool          `ini:"open_admin"` // administration API without keys; loopback only
-	// LedgerMax is the size of the idempotency ledger in memory, in bytes, from which on new
+	// LedgerMaxBytes is the size of the idempotency ledger in memory, in bytes, from which on new
 	// keys are refused; 0 means no limit.
-	LedgerMax int64 `ini:"ledger_max_bytes"`
+	LedgerMaxBytes int64 `ini:"ledger_max_bytes"`
 
 	// SelfForming clusters need no operator's init: one of the processes in [peers] founds the
 	// cluster at the first start, and every control process that it learns of becomes a voter,
@@ -126,8 +126,8 @@
 	TLS      TLS
 }
 
-// RegionsOfDataCenters returns Regions as a map from data centre to region.
-func (n Node) RegionsOfDataCenters() map[string]string {
+// RegionByDataCenter returns Regions as a map from data centre to region.
+func (n Node) RegionByDataCenter() map[string]string {
 	out := map[string]string{}
 	for _, pair := range n.Regions {
 		dataCenter, region, _ := strings.Cut(pair, ":")
@@ -136,17 +136,17 @@
 	return out
 }
 
-// Has reports whether the process has the role.
-func (s *Settings) Has(r Role) bool { return slices.Contains(s.Node.Roles, string(r)) }
+// HasRole reports whether the process has the role.
+func (s *Settings) HasRole(r Role) bool { return slices.Contains(s.Node.Roles, string(r)) }
 
 // Member returns this process's member record without an incarnation.
 func (s *Settings) Member() wire.Member {
 	m := wire.Member{ID: wire.MemberID(s.Node.Name), Role: strings.Join(s.Node.Roles, "+"), VM: s.Node.VM,
 		DataCenter: s.Node.DataCenter, Debug: s.Debug.Listen}
-	if s.Has(Agent) {
+	if s.HasRole(Agent) {
 		m.Service, m.Gate = s.Agent.Service, s.Agent.Advertise
 	}
-	if s.Has(Proxy) {
+	if s.HasRole(Proxy) {
 		m.Peer = s.PeerAddress()
 	}
 	return m
@@ -154,11 +154,11 @@
 
 func defaults() *Settings {
 	return &Settings{
-		Node:    Node{DrainTimeout: 30 * time.Second, LogLevel: "info", Timeline: 4096},
-		Control: ControlRole{Lease: 3 * time.Second, Voters: 3, LedgerMax: 128 << 20, Losses: 1, RolloutShare: 0.1},
+		Node:    Node{DrainTimeout: 30 * time.Second, LogLevel: "info", TimelineEvents: 4096},
+		Control: ControlRole{Lease: 3 * time.Second, Voters: 3, LedgerMaxBytes: 128 << 20, Losses: 1, RolloutShare: 0.1},
 		Proxy:   proxyDefaults(),
-		Entry:   EntryRole{MaxBody: 4 << 20, StaleAfter: 5 * time.Second, MaxInFlight: 4096, MaxAnswer: 16 << 20},
-		Agent:   AgentRole{KeepAnswers: 2 * time.Minute, KeepBytes: 8 << 20, MaxAnswer: 16 << 20, HealthPath: "/health", LeaveGrace: time.Second},
+		Entry:   EntryRole{MaxBodyBytes: 4 << 20, StaleAfter: 5 * time.Second, MaxInFlight: 4096, MaxAnswerBytes: 16 << 20},
+		Agent:   AgentRole{KeepAnswers: 2 * time.Minute, KeepAnswerBytes: 8 << 20, MaxAnswerBytes: 16 << 20, HealthPath: "/health", LeaveGrace: time.Second},
 	}
 }
 
@@ -195,7 +195,7 @@
 	}{{Control, &s.Control}, {Entry, &s.Entry}, {Agent, &s.Agent}, {Proxy, &s.Proxy}} {
 		known = append(known, string(role.role))
 		switch {
-		case s.Has(role.role):
+		case s.HasRole(role.role):
 			f.Decode(string(role.role), role.out)
 		case f.Has(string(role.role)):
 			f.Fail(string(role.role), "", fmt.Sprintf("section [%s] requires the role", role.role), "add the role to roles, or remove the section")
@@ -238,7 +238,7 @@
 	if s.Node.LogLevel != "info" && s.Node.LogLevel != "debug" {
 		f.Fail("node", "log_level", "unknown log level", "use info or debug")
 	}
-	if s.Node.Memory < 0 {
+	if s.Node.MemoryMB < 0 {
 		f.Fail("node", "memory", "memory is negative", "use MB, or 0 for no limit")
 	}
 	for _, pair := range s.Node.Regions {
@@ -251,16 +251,16 @@
 		checkAddress(f, "peers", "control", a)
 	}
 	checkAddress(f, "debug", "listen", s.Debug.Listen)
-	if s.Has(Control) {
+	if s.HasRole(Control) {
 		s.checkControl(f)
 	}
-	if s.Has(Entry) {
+	if s.HasRole(Entry) {
 		checkAddress(f, "entry", "listen", s.Entry.Listen)
 	}
-	if s.Has(Proxy) {
+	if s.HasRole(Proxy) {
 		s.checkProxy(f)
 	}
-	if s.Has(Agent) {
+	if s.HasRole(Agent) {
 		checkAddress(f, "agent", "listen", s.Agent.Listen)
 		checkAddress(f, "agent", "advertise", s.Agent.Advertise)
 		checkAddress(f, "agent", "upstream", s.Agent.Upstream)
