--- a/node/configsync/text.go
+++ b/node/configsync/text.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return errors.Annotatef(err, "version %d", c.Version)
 	}
-	v.Config, v.Version, v.Text, v.Hash, v.ends = parsed, c.Version, c.Text, c.Hash, textdelta.Ends(c.Text)
+	v.Config, v.Version, v.Text, v.Hash, v.ends = parsed, c.Version, c.Text, c.Hash, textdelta.SectionEnds(c.Text)
 	return nil
 }
 
--- a/node/configsync/text_test.go
+++ b/node/configsync/text_test.go
@@ -53,7 +53,7 @@
 			history = history.Next(n, text)
 			whole := history.Text()
 			err := v.takeText(&whole)
-			if d := history.Delta(v.Version, v.Hash); n > 1 && d != nil {
+			if d := history.DeltaFrom(v.Version, v.Hash); n > 1 && d != nil {
 				t.Fatal("a delta from the current version")
 			}
 			if err != nil {
@@ -62,7 +62,7 @@
 			next := texts.Draw(t, "next")
 			history = history.Next(n+1, next)
 			d := &wire.ConfigDelta{Base: n, Version: n + 1, Hash: xxhash.Sum64String(next)}
-			if made := history.Delta(n, v.Hash); made != nil {
+			if made := history.DeltaFrom(n, v.Hash); made != nil {
 				d = made
 				deltas++
 			} else { // as if it had been worth it
@@ -86,7 +86,7 @@
 func pieces(text string) []wire.TextPiece {
 	var out []wire.TextPiece
 	start := 0
-	for _, end := range textdelta.Ends(text) {
+	for _, end := range textdelta.SectionEnds(text) {
 		out = append(out, wire.TextPiece{Text: text[start:end]})
 		start = end
 	}
--- a/node/control/puts.go
+++ b/node/control/puts.go
@@ -159,7 +159,7 @@
 // may come first; then the difference is made anew.
 func (s *Service) commit(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
 	for {
-		cmd := state.Command{PutDelta: s.cluster.View().Texts.To(req.Version, req.Text)}
+		cmd := state.Command{PutDelta: s.cluster.View().Texts.DeltaTo(req.Version, req.Text)}
 		if cmd.PutDelta == nil {
 			cmd.Put = req
 		}
--- a/node/control/sync.go
+++ b/node/control/sync.go
@@ -104,7 +104,7 @@
 		r.Rollouts = &rollouts
 	}
 	if v.Config.Version > req.ConfigVersion {
-		r.Delta = v.Texts.Delta(req.ConfigVersion, req.ConfigHash)
+		r.Delta = v.Texts.DeltaFrom(req.ConfigVersion, req.ConfigHash)
 		if r.Delta == nil {
 			config := v.Config
 			r.Config = &config
--- a/node/state/put_test.go
+++ b/node/state/put_test.go
@@ -33,14 +33,14 @@
 				t.Fatalf("holds %d, want %d", v.Config.Version, version)
 			}
 			for old, hash := range hashes {
-				if d := v.Texts.Delta(old, hash); d != nil && (d.Base != old || d.Version != version) {
+				if d := v.Texts.DeltaFrom(old, hash); d != nil && (d.Base != old || d.Version != version) {
 					t.Fatalf("a delta from %d leads from %d to %d", old, d.Base, d.Version)
 				}
-				if d := v.Texts.Delta(old, hash+1); d != nil {
+				if d := v.Texts.DeltaFrom(old, hash+1); d != nil {
 					t.Fatalf("a delta for another text of version %d", old)
 				}
 			}
-			if v.Texts.Delta(version+100, 1) != nil {
+			if v.Texts.DeltaFrom(version+100, 1) != nil {
 				t.Fatal("a delta from a version that never was")
 			}
 			hashes[version] = v.Config.Hash
--- a/node/textdelta/history.go
+++ b/node/textdelta/history.go
@@ -38,8 +38,8 @@
 
 // NewHistory returns a history without earlier versions.
 func NewHistory(version uint64, text string) *History {
-	h := &History{version: version, text: text, hash: xxhash.Sum64String(text), ends: Ends(text), deltas: map[uint64]*wire.ConfigDelta{}}
-	h.hashes = Hashes(text, h.ends)
+	h := &History{version: version, text: text, hash: xxhash.Sum64String(text), ends: SectionEnds(text), deltas: map[uint64]*wire.ConfigDelta{}}
+	h.hashes = SectionHashes(text, h.ends)
 	return h
 }
 
@@ -67,10 +67,10 @@
 	return wire.ConfigText{Version: h.version, Text: h.text, Hash: h.hash}
 }
 
-// Delta returns the delta from version base, whose text has the given hash, to the current
+// DeltaFrom returns the delta from version base, whose text has the given hash, to the current
 // version. It returns nil if that text is not in the history, or if the delta would not be
 // shorter than the text.
-func (h *History) Delta(base, hash uint64) *wire.ConfigDelta {
+func (h *History) DeltaFrom(base, hash uint64) *wire.ConfigDelta {
 	index, known := slices.BinarySearchFunc(h.reverse, base, func(s reverseDelta, v uint64) int { return cmp.Compare(s.version, v) })
 	if !known || h.reverse[index].hash != hash {
 		return nil
@@ -85,9 +85,9 @@
 	return d
 }
 
-// To returns the delta from the current version to the given version and its text. It returns
+// DeltaTo returns the delta from the current version to the given version and its text. It returns
 // nil if the delta would not be shorter than the text.
-func (h *History) To(version uint64, text string) *wire.ConfigDelta {
+func (h *History) DeltaTo(version uint64, text string) *wire.ConfigDelta {
 	n := NewHistory(version, text)
 	return n.between(h.version, h.hashes)
 }
--- a/node/textdelta/textdelta.go
+++ b/node/textdelta/textdelta.go
@@ -12,10 +12,10 @@
 	"caperdrum.org/api/wire"
 )
 
-// Ends returns the byte offsets of the ends of the text's sections. A section starts at each
+// SectionEnds returns the byte offsets of the ends of the text's sections. A section starts at each
 // line whose first non-blank character is a bracket; the lines before the first one
 // are a section too. The concatenated sections are the text.
-func Ends(text string) []int {
+func SectionEnds(text string) []int {
 	var ends []int
 	for pos := 0; pos < len(text); {
 		n := strings.IndexByte(text[pos:], '\n')
@@ -33,8 +33,8 @@
 	return ends
 }
 
-// Hashes returns the content hash of each section.
-func Hashes(text string, ends []int) []uint64 {
+// SectionHashes returns the content hash of each section.
+func SectionHashes(text string, ends []int) []uint64 {
 	out := make([]uint64, len(ends))
 	start := 0
 	for i, end := range ends {
--- a/node/textdelta/textdelta_test.go
+++ b/node/textdelta/textdelta_test.go
@@ -34,18 +34,18 @@
 		}
 		want := texts[len(texts)-1]
 		for base, text := range texts[:len(texts)-1] {
-			d := h.Delta(uint64(base), xxhash.Sum64String(text))
+			d := h.DeltaFrom(uint64(base), xxhash.Sum64String(text))
 			if d == nil {
 				continue // the delta would not be shorter than the text
 			}
-			got, ends, err := Apply(text, Ends(text), d)
+			got, ends, err := Apply(text, SectionEnds(text), d)
 			if err != nil || got != want {
 				t.Fatalf("from version %d: %q, %v; want %q", base, got, err, want)
 			}
-			if fmt.Sprint(ends) != fmt.Sprint(Ends(want)) {
-				t.Fatalf("section ends %v, want %v", ends, Ends(want))
+			if fmt.Sprint(ends) != fmt.Sprint(SectionEnds(want)) {
+				t.Fatalf("section ends %v, want %v", ends, SectionEnds(want))
 			}
-			if h.Delta(uint64(base), 1) != nil {
+			if h.DeltaFrom(uint64(base), 1) != nil {
 				t.Fatal("a delta from a text that was never accepted")
 			}
 		}
@@ -73,7 +73,7 @@
 	for v := 2; v < 600; v++ {
 		h = h.Next(uint64(v), text(v, 2*v))
 	}
-	d := h.Delta(1, xxhash.Sum64String(text(1, 1)))
+	d := h.DeltaFrom(1, xxhash.Sum64String(text(1, 1)))
 	if d == nil || literalBytes(d) > 80 || len(d.Pieces) != 5 {
 		t.Fatalf("delta over 598 versions: %+v", d)
 	}
@@ -85,7 +85,7 @@
 	f.Add("[a]", 0, int(^uint(0)>>1), "")
 	f.Fuzz(func(t *testing.T, base string, from, count int, text string) {
 		d := &wire.ConfigDelta{Pieces: []wire.TextPiece{{From: from, Count: count, Text: text}}}
-		if got, _, err := Apply(base, Ends(base), d); err == nil && xxhash.Sum64String(got) != 0 {
+		if got, _, err := Apply(base, SectionEnds(base), d); err == nil && xxhash.Sum64String(got) != 0 {
 			t.Fatal("a text with another hash was accepted")
 		}
 	})
