--- a/api/strictini/strictini.go
+++ b/api/strictini/strictini.go
@@ -113,8 +113,8 @@
 	return out
 }
 
-// Has reports whether the file has the section.
-func (f *File) Has(section string) bool { return f.ini.HasSection(section) }
+// HasSection reports whether the file has the section.
+func (f *File) HasSection(section string) bool { return f.ini.HasSection(section) }
 
 // Fail records a problem found by the caller. It is reported at the line of the key, or at
 // the section header if key is empty or missing from the section.
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -183,10 +183,10 @@
 	f.Decode("peers", &s.Peers)
 	f.Decode("debug", &s.Debug)
 	known := []string{"node", "peers", "debug", "tls", "frontend"}
-	if f.Has("frontend") {
+	if f.HasSection("frontend") {
 		f.Decode("frontend", &s.Frontend)
 	}
-	if f.Has("tls") {
+	if f.HasSection("tls") {
 		f.Decode("tls", &s.TLS)
 	}
 	for _, role := range []struct {
@@ -197,7 +197,7 @@
 		switch {
 		case s.HasRole(role.role):
 			f.Decode(string(role.role), role.out)
-		case f.Has(string(role.role)):
+		case f.HasSection(string(role.role)):
 			f.Fail(string(role.role), "", fmt.Sprintf("section [%s] requires the role", role.role), "add the role to roles, or remove the section")
 		}
 	}
@@ -309,7 +309,7 @@
 
 // checkPlainText rejects listeners without TLS on addresses that other VMs can reach.
 func (s *Settings) checkPlainText(f *strictini.File) {
-	if s.TLS.CA != "" || f.Has("tls") || s.Node.PlainText {
+	if s.TLS.CA != "" || f.HasSection("tls") || s.Node.PlainText {
 		return
 	}
 	for _, l := range []struct{ section, key, address string }{
