--- a/api/optext/incremental_test.go
+++ b/api/optext/incremental_test.go
@@ -71,14 +71,14 @@
 		b.Fatal(err)
 	}
 	next := strings.Replace(text, "goal = 1.2s", "goal = 2s", 1)
-	b.Run("whole", func(b *testing.B) {
+	b.Run("full", func(b *testing.B) {
 		for b.Loop() {
 			if _, err := Parse("t", []byte(next)); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
-	b.Run("one section", func(b *testing.B) {
+	b.Run("incremental", func(b *testing.B) {
 		for b.Loop() {
 			if _, err := before.ParseIncremental("t", next); err != nil {
 				b.Fatal(err)
--- a/api/wire/compress.go
+++ b/api/wire/compress.go
@@ -44,8 +44,8 @@
 }
 
 // Decompress decompresses the output of Compress. An error is of type ErrDecompress.
-func Decompress(packed []byte) ([]byte, error) {
-	r := flate.NewReader(bytes.NewReader(packed))
+func Decompress(compressed []byte) ([]byte, error) {
+	r := flate.NewReader(bytes.NewReader(compressed))
 	data, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, errors.WithType(errors.Trace(err), ErrDecompress)
--- a/api/wire/compress_test.go
+++ b/api/wire/compress_test.go
@@ -11,9 +11,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestLongTextsArePacked checks that texts below and above the compression threshold survive
+// TestLongTextsAreCompressed checks that texts below and above the compression threshold survive
 // a round trip, and that long texts are short on the wire.
-func TestLongTextsArePacked(t *testing.T) {
+func TestLongTextsAreCompressed(t *testing.T) {
 	for name, text := range map[string]string{"empty": "", "short": "[service:a]\nkind = plain\n", "long": strings.Repeat("[route:a]\nhost = b\n", 10_000)} {
 		t.Run(name, func(t *testing.T) {
 			roundTrip(t, wire.ConfigText{Version: 3, Text: text, Hash: 7})
@@ -44,13 +44,13 @@
 // TestDamagedTextsAreRefused decodes compressed texts that are truncated, or that would
 // decompress to more than a process can hold.
 func TestDamagedTextsAreRefused(t *testing.T) {
-	whole := wire.Compress([]byte(strings.Repeat("a line of a text\n", 1000)))
+	valid := wire.Compress([]byte(strings.Repeat("a line of a text\n", 1000)))
 	oversized := wire.Compress(make([]byte, 65<<20))
-	for name, packed := range map[string][]byte{"truncated": whole[:len(whole)/2], "not compressed": []byte("\xffplain"), "too long": oversized} {
-		if _, err := wire.Decompress(packed); !errors.Is(err, wire.ErrDecompress) {
+	for name, compressed := range map[string][]byte{"truncated": valid[:len(valid)/2], "not compressed": []byte("\xffplain"), "too long": oversized} {
+		if _, err := wire.Decompress(compressed); !errors.Is(err, wire.ErrDecompress) {
 			t.Errorf("%s: %v", name, err)
 		}
-		data, err := json.Marshal(map[string]any{"version": 1, "packed": packed})
+		data, err := json.Marshal(map[string]any{"version": 1, "packed": compressed})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,8 +70,8 @@
 func FuzzDecompress(f *testing.F) {
 	f.Add(wire.Compress([]byte("[service:a]\n")))
 	f.Add([]byte{})
-	f.Fuzz(func(t *testing.T, packed []byte) {
-		data, err := wire.Decompress(packed)
+	f.Fuzz(func(t *testing.T, compressed []byte) {
+		data, err := wire.Decompress(compressed)
 		if err != nil {
 			return
 		}
--- a/api/wire/members.go
+++ b/api/wire/members.go
@@ -119,8 +119,8 @@
 	return mode
 }()
 
-func decompressMembers(packed []byte) ([]Member, error) {
-	data, err := Decompress(packed)
+func decompressMembers(compressed []byte) ([]Member, error) {
+	data, err := Decompress(compressed)
 	if err != nil {
 		return nil, err
 	}
--- a/api/wire/members_test.go
+++ b/api/wire/members_test.go
@@ -40,13 +40,13 @@
 
 // TestDamagedMembersAreAnError decodes a compressed list truncated at every byte.
 func TestDamagedMembersAreAnError(t *testing.T) {
-	packed, err := compressMembers(make([]Member, 100))
+	compressed, err := compressMembers(make([]Member, 100))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range packed {
-		if _, err := decompressMembers(packed[:n]); err == nil {
-			t.Fatalf("%d of %d bytes were decoded without an error", n, len(packed))
+	for n := range compressed {
+		if _, err := decompressMembers(compressed[:n]); err == nil {
+			t.Fatalf("%d of %d bytes were decoded without an error", n, len(compressed))
 		}
 	}
 }
@@ -67,8 +67,8 @@
 	return out
 }
 
-// TestPackedListIsSmall bounds the size of a full member list on the wire.
-func TestPackedListIsSmall(t *testing.T) {
+// TestCompressedMemberListIsSmall bounds the size of a full member list on the wire.
+func TestCompressedMemberListIsSmall(t *testing.T) {
 	for _, processes := range []int{90, 360, 720} {
 		list := fleetMembers(processes)
 		data, err := json.Marshal(MembersDelta{Whole: true, Changed: list})
