--- a/node/admin/evacuations.go
+++ b/node/admin/evacuations.go
@@ -28,7 +28,7 @@
 // evacuate carries out an order for the revision that this process knew when the call came.
 func (s *Service) evacuate(w http.ResponseWriter, r *http.Request, out bool) {
 	dataCenter := chi.URLParam(r, "data_center")
-	order := &wire.EvacuationOrder{DataCenter: dataCenter, Out: out, Base: s.p.Control.Evacuations().Of(dataCenter).Revision, Author: callerOf(r).Name}
+	order := &wire.EvacuationOrder{DataCenter: dataCenter, Evacuate: out, Base: s.p.Control.Evacuations().Of(dataCenter).Revision, Author: callerOf(r).Name}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	result, err := s.p.Control.Evacuate(ctx, order)
@@ -41,7 +41,7 @@
 	switch {
 	case err == nil:
 		writeJSON(w, http.StatusOK, result)
-	case errors.As(err, &v) && (v.Code == verdict.CodeUnknown || v.Code == verdict.CodeInvalid || v.Code == verdict.CodeConflict):
+	case errors.As(err, &v) && (v.Code == verdict.CodeNotFound || v.Code == verdict.CodeInvalidRequest || v.Code == verdict.CodeKeyConflict):
 		writeJSON(w, v.Status, Error{Message: v.Message, Remedy: remedy})
 	default:
 		s.fail(w, err)
--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -60,7 +60,7 @@
 
 // New returns the Service of this entry. It follows the number of live entries.
 func New(p Params) *Service {
-	s := NewWithLimits(Limits{InFlight: p.Settings.Entry.MaxInFlight, Bytes: bodyBytesFactor * p.Settings.Entry.MaxBody})
+	s := NewWithLimits(Limits{InFlight: p.Settings.Entry.MaxInFlight, Bytes: bodyBytesFactor * p.Settings.Entry.MaxBodyBytes})
 	p.Sync.OnChange(func(v *configsync.View) { s.SetEntries(countEntries(v)) })
 	return s
 }
@@ -120,7 +120,7 @@
 
 func refuse(cause string, code verdict.Code, wait time.Duration, format string, args ...any) *verdict.Error {
 	refusedVar.Add(cause, 1)
-	return verdict.New(verdict.NotRun, code, format, args...).After(wait)
+	return verdict.New(verdict.NotRun, code, format, args...).WithRetryAfter(wait)
 }
 
 func (s *Service) release(cu *customerState, size int) {
--- a/node/configsync/lists_test.go
+++ b/node/configsync/lists_test.go
@@ -23,7 +23,7 @@
 			earlier = append(earlier, snapshot{v, fmt.Sprint(v.Announced, v.Agents, v.Proxies)})
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				e := &wire.Evacuations{Revision: v.Evacuations.Revision + 1, List: []wire.Evacuation{{DataCenter: "north", Out: rapid.Bool().Draw(t, "out")}}}
+				e := &wire.Evacuations{Revision: v.Evacuations.Revision + 1, List: []wire.Evacuation{{DataCenter: "north", Evacuated: rapid.Bool().Draw(t, "out")}}}
 				v.applyEvacuations(e)
 			case 1:
 				state := rapid.SampledFrom([]wire.RolloutState{wire.RolloutRunning, wire.RolloutCompleted, wire.RolloutRolledBack}).Draw(t, "state")
--- a/node/configsync/text.go
+++ b/node/configsync/text.go
@@ -22,11 +22,11 @@
 	if xxhash.Sum64String(c.Text) != c.Hash {
 		return errors.Annotatef(errTextMismatch, "version %d", c.Version)
 	}
-	parsed, err := v.Config.Next(textName, c.Text)
+	parsed, err := v.Config.ParseIncremental(textName, c.Text)
 	if err != nil {
 		return errors.Annotatef(err, "version %d", c.Version)
 	}
-	v.Config, v.Version, v.Text, v.Hash, v.ends = parsed, c.Version, c.Text, c.Hash, textdelta.Ends(c.Text)
+	v.Config, v.Version, v.Text, v.Hash, v.ends = parsed, c.Version, c.Text, c.Hash, textdelta.SectionEnds(c.Text)
 	return nil
 }
 
@@ -42,7 +42,7 @@
 	if err != nil {
 		return errors.Annotatef(err, "version %d", d.Version)
 	}
-	config, err := v.Config.Next(textName, text)
+	config, err := v.Config.ParseIncremental(textName, text)
 	if err != nil {
 		return errors.Annotatef(err, "version %d", d.Version)
 	}
--- a/node/configsync/view.go
+++ b/node/configsync/view.go
@@ -64,7 +64,7 @@
 // applyMemberChanges applies changes of single members. Its cost is independent of the number of members,
 // except for copying the lists that change.
 func (v *View) applyMemberChanges(changed []wire.Member, removed []wire.MemberID) {
-	u := memberUpdate{v: v, evacuated: v.Evacuations.Out(), owned: [listKinds]map[string]bool{{}, {}, {}}}
+	u := memberUpdate{v: v, evacuated: v.Evacuations.Evacuated(), owned: [listKinds]map[string]bool{{}, {}, {}}}
 	u.lists = [listKinds]lists{agents: cloneLists(v.Agents), announced: cloneLists(v.announced), peers: {peerList: v.Proxies}}
 	for _, m := range changed {
 		u.put(m)
@@ -121,7 +121,7 @@
 // rebuildLists computes all lists from Members.
 func (v *View) rebuildLists() {
 	v.Agents, v.announced, v.Proxies = lists{}, lists{}, nil
-	evacuated := v.Evacuations.Out()
+	evacuated := v.Evacuations.Evacuated()
 	all := [listKinds]lists{agents: v.Agents, announced: v.announced, peers: {}}
 	for m := range v.Members.All() {
 		for kind, name := range listsOf(m, evacuated) {
--- a/node/control/evacuate.go
+++ b/node/control/evacuate.go
@@ -21,16 +21,16 @@
 		return nil, s.notLeader()
 	}
 	if err := s.checkEvacuation(o.DataCenter); err != nil {
-		s.log.Info("evacuation refused", "data_center", o.DataCenter, "out", o.Out, "reason", err.Error())
+		s.log.Info("evacuation refused", "data_center", o.DataCenter, "out", o.Evacuate, "reason", err.Error())
 		return nil, err
 	}
 	res, err := s.cluster.Propose(ctx, state.Command{Evacuate: o})
 	if err != nil {
-		s.log.Info("evacuation not committed", "data_center", o.DataCenter, "out", o.Out, "error", err.Error())
+		s.log.Info("evacuation not committed", "data_center", o.DataCenter, "out", o.Evacuate, "error", err.Error())
 		return nil, s.leaderError(err)
 	}
 	r := res.Evacuation
-	s.log.Info("evacuation committed", "data_center", o.DataCenter, "out", o.Out, "author", o.Author, "base", o.Base,
+	s.log.Info("evacuation committed", "data_center", o.DataCenter, "out", o.Evacuate, "author", o.Author, "base", o.Base,
 		"revision", r.Evacuation.Revision, "changed", r.Changed, "overtaken", r.Overtaken)
 	if r.Overtaken {
 		return nil, errOvertaken(r.Evacuation)
@@ -40,7 +40,7 @@
 }
 
 func errOvertaken(e wire.Evacuation) error {
-	return verdict.New(verdict.NotRun, verdict.CodeStale, "conflicting order for data centre %s: its current revision is %d", e.DataCenter, e.Revision)
+	return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "conflicting order for data centre %s: its current revision is %d", e.DataCenter, e.Revision)
 }
 
 // checkEvacuation returns why an order for the data centre must be rejected, or nil. If the settings list no
@@ -51,7 +51,7 @@
 		return err
 	}
 	if !s.knowsDataCenter(v, dataCenter) {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "unknown data centre %q", dataCenter)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "unknown data centre %q", dataCenter)
 	}
 	return nil
 }
@@ -60,7 +60,7 @@
 func (s *Service) checkReadyForOrders(v *state.View) error {
 	switch {
 	case v.Config.Version == 0:
-		return verdict.New(verdict.NotRun, verdict.CodeStale, "no configuration yet")
+		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no configuration yet")
 	case !s.enoughVoters():
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined the cluster")
 	}
--- a/node/control/leases.go
+++ b/node/control/leases.go
@@ -64,10 +64,10 @@
 		}
 		l.renewals[r.Member.ID] = lastRenewal{at: now, incarnation: r.Member.Incarnation, version: r.ConfigVersion, fault: r.Fault}
 		pendingMember, queued := l.pending[r.Member.ID]
-		if queued && !r.Member.Follows(pendingMember) {
+		if queued && !r.Member.NewerThan(pendingMember) {
 			continue
 		}
-		if queued || !ok || r.Member.Changes(known) {
+		if queued || !ok || r.Member.ChangedSince(known) {
 			l.pending[r.Member.ID] = r.Member
 		}
 	}
@@ -106,7 +106,7 @@
 		return nil
 	}
 	left := wire.AnnouncedUpstream(req.ID, m.Service, m.Direct, m.DataCenter, true)
-	return []wire.Member{left.StartedAt(max(req.Incarnation, m.Incarnation))}
+	return []wire.Member{left.WithStartTime(max(req.Incarnation, m.Incarnation))}
 }
 
 const (
--- a/node/control/ledger.go
+++ b/node/control/ledger.go
@@ -9,7 +9,7 @@
 
 // claimKey grants the right to run a call with an idempotency key once. It is idempotent per attempt.
 func (s *Service) claimKey(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimReply, error) {
-	res, err := s.replica.Propose(ctx, state.Command{Claims: []wire.ClaimRequest{*req}, LedgerLimit: s.set.Control.LedgerMax})
+	res, err := s.replica.Propose(ctx, state.Command{Claims: []wire.ClaimRequest{*req}, LedgerLimit: s.set.Control.LedgerMaxBytes})
 	if err != nil {
 		return nil, s.leaderError(err)
 	}
--- a/node/control/puts.go
+++ b/node/control/puts.go
@@ -32,7 +32,7 @@
 	p.mu.Lock()
 	last := p.lastValid
 	p.mu.Unlock()
-	next, err := last.Next("text", text)
+	next, err := last.ParseIncremental("text", text)
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 		err = s.CheckRegions(config)
 	}
 	if err != nil {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalid, "%s", err)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "%s", err)
 	}
 	parsed := s.clock.Since(began)
 	if !s.enoughVoters() {
@@ -152,14 +152,14 @@
 
 // CheckRegions returns an error if the text names unknown regions.
 func (s *Service) CheckRegions(c *optext.Config) error {
-	return residency.MergeRegions(s.set.Node.RegionsOfDataCenters(), c).Check(c)
+	return residency.MergeRegions(s.set.Node.RegionByDataCenter(), c).Check(c)
 }
 
 // proposePut proposes the change as a delta to the text in force. If another change is committed first, it
 // computes the delta again.
 func (s *Service) proposePut(ctx context.Context, req *wire.PutRequest) (*wire.PutResult, error) {
 	for {
-		cmd := state.Command{PutDelta: s.cluster.View().TextHistory.To(req.Version, req.Text)}
+		cmd := state.Command{PutDelta: s.cluster.View().TextHistory.DeltaTo(req.Version, req.Text)}
 		if cmd.PutDelta == nil {
 			cmd.Put = req
 		}
--- a/node/control/sync.go
+++ b/node/control/sync.go
@@ -102,13 +102,13 @@
 		r.Rollouts = &rollouts
 	}
 	if v.Config.Version > req.ConfigVersion {
-		r.Delta = v.TextHistory.Delta(req.ConfigVersion, req.ConfigHash)
+		r.Delta = v.TextHistory.DeltaFrom(req.ConfigVersion, req.ConfigHash)
 		if r.Delta == nil {
 			config := v.Config
 			r.Config = &config
 		}
 	}
 	known, ok := v.Members[req.Member.ID]
-	r.Recorded = ok && !req.Member.Follows(known)
+	r.Recorded = ok && !req.Member.NewerThan(known)
 	return r
 }
--- a/node/control/unsettled.go
+++ b/node/control/unsettled.go
@@ -42,7 +42,7 @@
 }
 
 // assignUnsettled assigns unsettled claims to the calling entry. The entry that made them may have failed.
-func (s *Service) assignUnsettled(ctx context.Context, _ *Empty) (*wire.HeldReply, error) {
+func (s *Service) assignUnsettled(ctx context.Context, _ *Empty) (*wire.UnsettledClaims, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
@@ -52,5 +52,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &wire.HeldReply{Claims: claims}, nil
+	return &wire.UnsettledClaims{Claims: claims}, nil
 }
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -40,7 +40,7 @@
 	Method      string
 	Path        string
 	ContentType string
-	Header      http.Header // further request headers; wire.PassToUpstream selects those that are forwarded
+	Header      http.Header // further request headers; wire.ForwardRequestHeaders selects those that are forwarded
 	Body        []byte
 	Deadline    time.Time
 	Claimed     bool // an idempotency key is claimed for the attempt
@@ -107,7 +107,7 @@
 	// response to the first would be lost.
 	req.GetBody = nil
 	h := req.Header
-	wire.PassToUpstream(h, c.Header)
+	wire.ForwardRequestHeaders(h, c.Header)
 	s.setCommonHeaders(h)
 	if c.ContentType != "" {
 		h.Set("Content-Type", c.ContentType)
@@ -136,13 +136,13 @@
 func (s *Service) setCommonHeaders(h http.Header) {
 	h.Set(wire.HeaderClock, s.ring.Clock.Now().String())
 	if v := s.sync.View(); v != nil {
-		h.Set(wire.HeaderVersion, strconv.FormatUint(v.Version, 10))
+		h.Set(wire.HeaderGateConfigVersion, strconv.FormatUint(v.Version, 10))
 	}
 }
 
 func (s *Service) observeHeaders(e *routing.Endpoint, h http.Header) {
 	s.ring.Clock.Observe(timeline.ParseStamp(h.Get(wire.HeaderClock)))
-	if v, err := strconv.ParseUint(h.Get(wire.HeaderVersion), 10, 64); err == nil {
+	if v, err := strconv.ParseUint(h.Get(wire.HeaderGateConfigVersion), 10, 64); err == nil {
 		s.sync.ObserveVersion(v)
 	}
 	reportLoad(e, h.Get(wire.HeaderLoad))
@@ -175,14 +175,14 @@
 		defer resp.Body.Close()
 		return nil, decodeRefusal(resp)
 	}
-	status, err := strconv.Atoi(resp.Header.Get(wire.HeaderStatus))
+	status, err := strconv.Atoi(resp.Header.Get(wire.HeaderUpstreamStatus))
 	if err != nil || !matchesAttempt(resp, e, c) {
 		resp.Body.Close()
 		return nil, errNotOurResponse
 	}
 	body := &bodyReader{s: s, ctx: ctx, endpoint: e, call: c, resp: resp, sum: xxhash.New()}
 	a := &Response{Status: status, ContentType: resp.Header.Get("Content-Type"), Header: http.Header{}, Body: body}
-	wire.PassToCaller(a.Header, resp.Header)
+	wire.ForwardResponseHeaders(a.Header, resp.Header)
 	return a, nil
 }
 
@@ -214,7 +214,7 @@
 	}
 	st, err := s.Cancel(e, c.Attempt, false)
 	if err != nil {
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the connection to %s was lost: %v", e.Member.ID, cause)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "the connection to %s was lost: %v", e.Member.ID, cause)
 	}
 	if v := s.verdictAfterCancel(e, st); v != nil {
 		return nil, v
@@ -222,7 +222,7 @@
 	if a, err := s.Attach(ctx, e, c, 0); err == nil || !errors.Is(err, errNotOurResponse) {
 		return a, err
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the response of %s was lost", e.Member.ID)
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "the response of %s was lost", e.Member.ID)
 }
 
 // cancelAbandoned makes sure that an attempt does not start after its caller has disconnected or its deadline
@@ -236,7 +236,7 @@
 	} else if v := s.verdictAfterCancel(e, st); v != nil {
 		return v
 	}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before the response arrived")
+	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the deadline passed before the response arrived")
 }
 
 // verdictAfterCancel returns the verdict that follows from the status after a cancellation, or nil if the
@@ -244,11 +244,11 @@
 func (s *Service) verdictAfterCancel(e *routing.Endpoint, st wire.AttemptStatus) *verdict.Error {
 	switch {
 	case st.Incarnation != e.Member.Incarnation:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeIncarnation, "the gate of %s was restarted", e.Member.ID)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeIncarnationChanged, "the gate of %s was restarted", e.Member.ID)
 	case st.State == wire.AttemptTombstoned:
-		return verdict.New(verdict.NotRun, verdict.CodeUpstream, "the attempt at %s was cancelled", e.Member.ID).After(statusTimeout)
+		return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "the attempt at %s was cancelled", e.Member.ID).WithRetryAfter(statusTimeout)
 	case st.State != wire.AttemptRunning && st.State != wire.AttemptDone:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "the gate of %s does not know the attempt", e.Member.ID)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "the gate of %s does not know the attempt", e.Member.ID)
 	}
 	return nil
 }
@@ -307,7 +307,7 @@
 func (s *Service) Attach(ctx context.Context, e *routing.Endpoint, c Call, offset int64) (*Response, error) {
 	resp, err := s.attach(ctx, e, c, offset)
 	if err != nil {
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "attach: %v", err)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "attach: %v", err)
 	}
 	return s.openResponse(ctx, e, c, resp)
 }
--- a/node/dispatch/dispatch_test.go
+++ b/node/dispatch/dispatch_test.go
@@ -96,7 +96,7 @@
 
 func startGraceful(t *testing.T, u *upstream, grace time.Duration) (*gate.Service, uint64) {
 	set := &settings.Settings{Agent: settings.AgentRole{Listen: "127.0.0.1:0", Upstream: u.Listener.Addr().String(),
-		KeepAnswers: time.Minute, KeepBytes: 1 << 20, MaxAnswer: 1 << 20, LeaveGrace: grace}}
+		KeepAnswers: time.Minute, KeepAnswerBytes: 1 << 20, MaxAnswerBytes: 1 << 20, LeaveGrace: grace}}
 	sync := newSync()
 	g := gate.New(gate.Params{Settings: set, Log: logr.Discard(), Ring: timeline.NewRing("gate", "vm", 64), Sync: sync})
 	if err := g.Start(context.Background()); err != nil {
@@ -188,11 +188,11 @@
 		runs    int
 	}{
 		{"gate unreachable", endpoint(closed.address(), incarnation), "/stream", time.Minute, verdict.NotRun, verdict.CodeNoEndpoint, 0},
-		{"gate restarted before", endpoint(g.Address(), oldIncarnation), "/stream", time.Minute, verdict.NotRun, verdict.CodeIncarnation, 0},
-		{"deadline passed", endpoint(g.Address(), incarnation), "/stream", -time.Second, verdict.NotRun, verdict.CodeDeadline, 0},
-		{"path not absolute", endpoint(g.Address(), incarnation), "@127.0.0.1:1/", time.Minute, verdict.NotRun, verdict.CodeInvalid, 0},
-		{"upstream truncates", endpoint(g.Address(), incarnation), "/cut", time.Minute, verdict.Ran, verdict.CodeCut, 1},
-		{"deadline while running", endpoint(g.Address(), incarnation), "/hang", 300 * time.Millisecond, verdict.MayHaveRun, verdict.CodeTimeout, 1},
+		{"gate restarted before", endpoint(g.Address(), oldIncarnation), "/stream", time.Minute, verdict.NotRun, verdict.CodeIncarnationChanged, 0},
+		{"deadline passed", endpoint(g.Address(), incarnation), "/stream", -time.Second, verdict.NotRun, verdict.CodeDeadlineUnreachable, 0},
+		{"path not absolute", endpoint(g.Address(), incarnation), "@127.0.0.1:1/", time.Minute, verdict.NotRun, verdict.CodeInvalidRequest, 0},
+		{"upstream truncates", endpoint(g.Address(), incarnation), "/cut", time.Minute, verdict.Ran, verdict.CodeAnswerCut, 1},
+		{"deadline while running", endpoint(g.Address(), incarnation), "/hang", 300 * time.Millisecond, verdict.MayHaveRun, verdict.CodeDeadlineExceeded, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -256,7 +256,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	first.Stop(ctx)
-	if v := verdict.From(<-result); v.Verdict != verdict.MayHaveRun || v.Code != verdict.CodeIncarnation {
+	if v := verdict.From(<-result); v.Verdict != verdict.MayHaveRun || v.Code != verdict.CodeIncarnationChanged {
 		t.Errorf("%v", v)
 	}
 }
@@ -314,7 +314,7 @@
 			a.Body.Close()
 			continue
 		}
-		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeLeaving {
+		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeUpstreamLeaving {
 			t.Fatalf("a stopping gate returned %v", v)
 		}
 		refused++
--- a/node/dispatch/mismatch_test.go
+++ b/node/dispatch/mismatch_test.go
@@ -15,7 +15,7 @@
 // A response that ends cleanly but is incomplete or belongs to another attempt is rejected.
 func TestMismatchedResponsesAreRejected(t *testing.T) {
 	const incarnation, sum = 7, "44bc2cf5ad770999" // xxhash64 of "abc"
-	right := map[string]string{wire.HeaderIncarnation: "7", wire.HeaderStage: "s", wire.HeaderStatus: "200",
+	right := map[string]string{wire.HeaderIncarnation: "7", wire.HeaderStage: "s", wire.HeaderUpstreamStatus: "200",
 		wire.TrailerEnd: wire.EndWhole, wire.TrailerLength: "3", wire.TrailerSum: sum}
 	cases := []struct {
 		name, header, value string
@@ -23,13 +23,13 @@
 	}{
 		{"right", "", "", true},
 		{"no end mark", wire.TrailerEnd, "", false},
-		{"end mark of a truncated response", wire.TrailerEnd, string(verdict.CodeCut), false},
+		{"end mark of a truncated response", wire.TrailerEnd, string(verdict.CodeAnswerCut), false},
 		{"other length", wire.TrailerLength, "4", false},
 		{"other checksum", wire.TrailerSum, "0", false},
 		{"other attempt", wire.HeaderAttempt, "other", false},
 		{"other stage", wire.HeaderStage, "other", false},
 		{"other incarnation", wire.HeaderIncarnation, "8", false},
-		{"no status", wire.HeaderStatus, "", false},
+		{"no status", wire.HeaderUpstreamStatus, "", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 					w.Header().Set(name, value)
 				}
 				w.Header().Set("Trailer", wire.TrailerEnd+","+wire.TrailerLength+","+wire.TrailerSum)
-				for _, name := range []string{wire.HeaderIncarnation, wire.HeaderStage, wire.HeaderStatus} {
+				for _, name := range []string{wire.HeaderIncarnation, wire.HeaderStage, wire.HeaderUpstreamStatus} {
 					set(name, right[name])
 				}
 				set(wire.HeaderAttempt, string(call.Attempt))
--- a/node/gate/http.go
+++ b/node/gate/http.go
@@ -43,7 +43,7 @@
 
 func (s *Service) observeHeaders(r *http.Request) {
 	s.ring.Clock.Observe(timeline.ParseStamp(r.Header.Get(wire.HeaderClock)))
-	if v, err := strconv.ParseUint(r.Header.Get(wire.HeaderVersion), 10, 64); err == nil {
+	if v, err := strconv.ParseUint(r.Header.Get(wire.HeaderGateConfigVersion), 10, 64); err == nil {
 		s.sync.ObserveVersion(v)
 	}
 }
@@ -81,12 +81,12 @@
 		body: body, deadline: received.Add(time.Duration(budget) * time.Millisecond), readers: 1,
 		claimed: h.Get(wire.HeaderClaimed) == "true",
 	}
-	wire.PassToUpstream(a.header, h)
+	wire.ForwardRequestHeaders(a.header, h)
 	return a, nil
 }
 
 func invalid(format string, args ...any) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeInvalid, format, args...)
+	return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, format, args...)
 }
 
 // readBody reads the body into a single allocation if its length is known.
@@ -114,7 +114,7 @@
 	h.Set(wire.HeaderLoad, s.loadString())
 	h.Set(wire.HeaderClock, s.ring.Clock.Now().String())
 	if v := s.sync.View(); v != nil {
-		h.Set(wire.HeaderVersion, strconv.FormatUint(v.Version, 10))
+		h.Set(wire.HeaderGateConfigVersion, strconv.FormatUint(v.Version, 10))
 	}
 }
 
@@ -136,13 +136,13 @@
 	}
 	h := w.Header()
 	s.setCommonHeaders(h)
-	wire.PassToCaller(h, upstreamHeader)
+	wire.ForwardResponseHeaders(h, upstreamHeader)
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // keeps net/http from sniffing a content type
 	}
 	h.Set(wire.HeaderAttempt, string(a.id))
 	h.Set(wire.HeaderStage, a.stage)
-	h.Set(wire.HeaderStatus, strconv.Itoa(status))
+	h.Set(wire.HeaderUpstreamStatus, strconv.Itoa(status))
 	h.Set("Trailer", responseTrailers)
 	w.WriteHeader(http.StatusOK)
 	s.copyResponse(w, r, a, offset)
@@ -201,7 +201,7 @@
 func (s *Service) handleAttach(w http.ResponseWriter, r *http.Request) {
 	a := s.table.addReader(attemptID(r))
 	if a == nil {
-		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeUnknown, "attempt is unknown to incarnation %d", s.incarnation))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeNotFound, "attempt is unknown to incarnation %d", s.incarnation))
 		return
 	}
 	defer s.table.removeReader(a)
@@ -209,9 +209,9 @@
 	length, _, dropped := a.response.size()
 	switch {
 	case dropped:
-		s.writeRefusal(w, verdict.New(verdict.Ran, verdict.CodeCut, "the attempt ran; its response is no longer kept"))
+		s.writeRefusal(w, verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the attempt ran; its response is no longer kept"))
 	case err != nil || offset < 0 || offset > length:
-		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "offset is out of range"))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalidRequest, "offset is out of range"))
 	default:
 		s.writeResponse(w, r, a, offset)
 	}
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -101,7 +101,7 @@
 	complete := !r.ends[a].After(a.deadline)
 	delete(r.ends, a)
 	if !complete {
-		r.table.finished(a, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "ended"))
+		r.table.finished(a, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "ended"))
 		return
 	}
 	if !r.clock.Now().Add(r.flowOf[a].deadline).After(r.stop) {
--- a/node/gate/records.go
+++ b/node/gate/records.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		if t.queue.remove(a) {
-			t.tombstone(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "abandoned: no entry reads the response").After(retryAfterMin))
+			t.tombstone(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "abandoned: no entry reads the response").WithRetryAfter(retryAfterMin))
 			continue
 		}
 		a.cancel()
--- a/node/gate/run.go
+++ b/node/gate/run.go
@@ -50,7 +50,7 @@
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { written.Store(true) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), a.method, "http://"+s.set.Upstream+a.path, bytes.NewReader(a.body))
 	if err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "invalid request %s %s", a.method, a.path)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "invalid request %s %s", a.method, a.path)
 	}
 	req.Header = a.header
 	req.Header.Set(wire.HeaderRequestID, string(a.request))
@@ -63,7 +63,7 @@
 	}
 	defer resp.Body.Close()
 	header := http.Header{}
-	wire.PassToCaller(header, resp.Header)
+	wire.ForwardResponseHeaders(header, resp.Header)
 	a.response.start(resp.StatusCode, header)
 	return s.readResponse(a, resp)
 }
@@ -74,9 +74,9 @@
 		v = verdict.NotRun
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return verdict.New(v, verdict.CodeTimeout, "the deadline passed before the upstream finished")
+		return verdict.New(v, verdict.CodeDeadlineExceeded, "the deadline passed before the upstream finished")
 	}
-	return verdict.New(v, verdict.CodeUpstream, "upstream: %v", err).After(time.Second)
+	return verdict.New(v, verdict.CodeUpstreamFailed, "upstream: %v", err).WithRetryAfter(time.Second)
 }
 
 var readBuffers = sync.Pool{New: func() any { return new([readChunk]byte) }}
@@ -88,8 +88,8 @@
 	length := int64(0)
 	for {
 		n, err := resp.Body.Read(buf[:])
-		if length+int64(n) > s.set.MaxAnswer {
-			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the response exceeds %d bytes", s.set.MaxAnswer)
+		if length+int64(n) > s.set.MaxAnswerBytes {
+			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the response exceeds %d bytes", s.set.MaxAnswerBytes)
 		}
 		if n > 0 {
 			length = a.response.append(buf[:n])
@@ -99,7 +99,7 @@
 			return checkComplete(resp, tail)
 		}
 		if err != nil {
-			return verdict.New(verdict.Ran, verdict.CodeCut, "the upstream's response was truncated: %v", err)
+			return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the upstream's response was truncated: %v", err)
 		}
 	}
 }
@@ -122,8 +122,8 @@
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), wire.ContentEventStream) || resp.StatusCode != http.StatusOK {
 		return nil
 	}
-	if strings.HasSuffix(strings.TrimRight(string(tail), "\r\n"), wire.EndStreamOfChat) {
+	if strings.HasSuffix(strings.TrimRight(string(tail), "\r\n"), wire.ChatStreamEnd) {
 		return nil
 	}
-	return verdict.New(verdict.Ran, verdict.CodeCut, "the event stream ended without %q", wire.EndStreamOfChat)
+	return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the event stream ended without %q", wire.ChatStreamEnd)
 }
--- a/node/gate/table.go
+++ b/node/gate/table.go
@@ -157,18 +157,18 @@
 func (t *table) checkID(id wire.AttemptID) *verdict.Error {
 	if known := t.attempts[id]; known != nil {
 		if known.state == wire.AttemptTombstoned {
-			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it arrived", id).After(retryAfterMin)
+			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it arrived", id).WithRetryAfter(retryAfterMin)
 		}
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "attempt %s is already known; attach to it", id)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeKeyInProgress, "attempt %s is already known; attach to it", id)
 	}
 	issued, ok := id.Issued()
 	switch {
 	case !ok:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "attempt id %q contains no issue time", id)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "attempt id %q contains no issue time", id)
 	case t.records.mayHaveExpired(issued):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "attempt %s is older than the retention time of this gate", id)
 	case t.issuedTooFarAhead(issued):
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInvalid, "attempt %s was issued in the future: compare the clocks of entry and agent", id)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeInvalidRequest, "attempt %s was issued in the future: compare the clocks of entry and agent", id)
 	}
 	return nil
 }
@@ -192,19 +192,19 @@
 	left := a.deadline.Sub(t.clock.Now())
 	switch {
 	case a.incarnation != t.incarnation:
-		return verdict.New(verdict.NotRun, verdict.CodeIncarnation, "this gate was restarted; choose an endpoint again").After(retryAfterMin)
+		return verdict.New(verdict.NotRun, verdict.CodeIncarnationChanged, "this gate was restarted; choose an endpoint again").WithRetryAfter(retryAfterMin)
 	case t.leaving:
-		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "the upstream is leaving").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "the upstream is leaving").WithRetryAfter(time.Second)
 	case left <= 0 || t.usesEstimates() && t.waitMargin(a)*wait+t.expectedRun() > left:
 		return deadlineRefusal(wait)
 	case t.running >= t.limit() && t.queue.len() >= t.limits.queueLength && !t.displaceFor(a):
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(wait, retryAfterMin))
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").WithRetryAfter(max(wait, retryAfterMin))
 	}
 	return nil
 }
 
 func deadlineRefusal(wait time.Duration) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met: expected wait %s", wait.Round(time.Millisecond)).After(max(wait, retryAfterMin))
+	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline cannot be met: expected wait %s", wait.Round(time.Millisecond)).WithRetryAfter(max(wait, retryAfterMin))
 }
 
 // displaceFor makes room in a full queue for a, if its share entitles it.
@@ -214,7 +214,7 @@
 		return false
 	}
 	t.queue.remove(victim)
-	t.tombstone(victim, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").After(max(t.expectedWait(victim), retryAfterMin)))
+	t.tombstone(victim, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the queue is full").WithRetryAfter(max(t.expectedWait(victim), retryAfterMin)))
 	return true
 }
 
@@ -315,7 +315,7 @@
 	defer t.resetTimer()
 	t.expireRecords()
 	a := t.attempts[id]
-	cancelled := verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled").After(retryAfterMin)
+	cancelled := verdict.New(verdict.NotRun, verdict.CodeTombstoned, "cancelled").WithRetryAfter(retryAfterMin)
 	switch {
 	case a == nil:
 		refusal := t.checkID(id)
--- a/node/gate/table_test.go
+++ b/node/gate/table_test.go
@@ -143,7 +143,7 @@
 	for _, id := range m.ids() { // the upstream ends a run whose deadline has passed
 		select {
 		case <-m.running[id].Done():
-			m.finish(m.admitted[id], verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "ended"))
+			m.finish(m.admitted[id], verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "ended"))
 		default:
 		}
 	}
@@ -252,11 +252,11 @@
 				m.write(a, "end")
 				m.finish(a, nil)
 			},
-			"upstream cuts": func(t *rapid.T) { m.finish(m.anyRunning(t), verdict.New(verdict.Ran, verdict.CodeCut, "cut")) },
+			"upstream cuts": func(t *rapid.T) { m.finish(m.anyRunning(t), verdict.New(verdict.Ran, verdict.CodeAnswerCut, "cut")) },
 			"upstream refuses the connection": func(t *rapid.T) {
 				a := m.anyRunning(t)
 				if len(m.written[a.id]) == 0 {
-					m.finish(a, verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "down"))
+					m.finish(a, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "down"))
 				}
 			},
 			"limits": func(t *rapid.T) {
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -76,7 +76,7 @@
 	name := r.Header.Get(wire.HeaderCustomer)
 	c.customer = c.view.Config.Customers[name]
 	if c.customer == nil {
-		return c, verdict.New(verdict.NotRun, verdict.CodeInvalid, "customer %q is unknown: set the header %s to a customer of the operators' configuration", name, wire.HeaderCustomer)
+		return c, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "customer %q is unknown: set the header %s to a customer of the operators' configuration", name, wire.HeaderCustomer)
 	}
 	if len(c.customer.Regions) > 0 {
 		return c, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "customer %q may be served in regions %s only, which pipelines do not enforce: use a route", name, strings.Join(c.customer.Regions, ", "))
@@ -86,7 +86,7 @@
 	}
 	body, err := s.readBody(w, r)
 	if err != nil {
-		return c, bodyError(err, s.set.MaxBody)
+		return c, bodyError(err, s.set.MaxBodyBytes)
 	}
 	c.body = body
 	s.p.Ring.Record(timeline.Event{Kind: "request", Request: string(c.id), Customer: name, Detail: r.Method + " " + r.URL.Path})
@@ -95,12 +95,12 @@
 
 // readBody reads the whole body. A caller that sends it too slowly is disconnected.
 func (s *Service) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	if r.ContentLength > s.set.MaxBody {
-		return nil, &http.MaxBytesError{Limit: s.set.MaxBody}
+	if r.ContentLength > s.set.MaxBodyBytes {
+		return nil, &http.MaxBytesError{Limit: s.set.MaxBodyBytes}
 	}
 	control := http.NewResponseController(w)
 	control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.set.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.set.MaxBodyBytes))
 	control.SetReadDeadline(time.Time{})
 	return body, err
 }
@@ -112,7 +112,7 @@
 	}
 	d, err := time.ParseDuration(raw)
 	if err != nil || d <= 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "header %s: %q is not a duration: write it like 1.5s or 800ms", wire.HeaderTimeout, raw)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "header %s: %q is not a duration: write it like 1.5s or 800ms", wire.HeaderTimeout, raw)
 	}
 	c.timeout = d
 	return nil
@@ -123,7 +123,7 @@
 	if errors.As(err, &tooLarge) {
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body exceeds %d bytes: send less or raise max_body_bytes", limit)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body was truncated: %v", err)
+	return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body was truncated: %v", err)
 }
 
 // setDeadline sets and returns the deadline: the caller's timeout after the request arrived, or the given
@@ -143,10 +143,10 @@
 	}
 	p := c.view.Config.ByModel(in.Model)
 	if p == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "no pipeline serves model %q: use one that the operators' configuration lists", in.Model)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no pipeline serves model %q: use one that the operators' configuration lists", in.Model)
 	}
 	if len(in.Messages) == 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body has no messages")
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body has no messages")
 	}
 	return s.runPipeline(w, r, c, p, in)
 }
@@ -155,7 +155,7 @@
 	name := chi.URLParam(r, "pipeline")
 	p := c.view.Config.Pipelines[name]
 	if p == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "pipeline %q is not in the operators' configuration", name)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "pipeline %q is not in the operators' configuration", name)
 	}
 	in, err := readInput(c.body)
 	if err != nil {
@@ -167,13 +167,13 @@
 func readInput(body []byte) (pipeline.Input, error) {
 	in := pipeline.Input{}
 	if err := json.Unmarshal(body, &in); err != nil {
-		return in, verdict.New(verdict.NotRun, verdict.CodeInvalid, "the body is not the expected JSON: %v", err)
+		return in, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body is not the expected JSON: %v", err)
 	}
 	in.Raw = body
 	if in.Query == "" && len(in.Messages) > 0 {
 		query, err := lastUserText(in.Messages)
 		if err != nil {
-			return in, verdict.New(verdict.NotRun, verdict.CodeInvalid, "messages must be a list of objects with role and content: %v", err)
+			return in, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "messages must be a list of objects with role and content: %v", err)
 		}
 		in.Query = query
 	}
@@ -221,7 +221,7 @@
 	name := chi.URLParam(r, "service")
 	sv := c.view.Config.Services[name]
 	if sv == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknown, "service %q is not in the operators' configuration", name)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "service %q is not in the operators' configuration", name)
 	}
 	c.service = name
 	if err := s.admitCall(c); err != nil {
@@ -248,7 +248,7 @@
 		return err
 	}
 	defer a.Body.Close()
-	wire.PassToCaller(w.Header(), a.Header)
+	wire.ForwardResponseHeaders(w.Header(), a.Header)
 	return c.writeResponse(w, a.Status, a.ContentType, a.Body)
 }
 
--- a/node/ledger/holder.go
+++ b/node/ledger/holder.go
@@ -75,7 +75,7 @@
 		result, err = r.settleOutcomeUnknown(holder)
 		return result, err, true
 	case st.State == wire.AttemptTombstoned:
-		return nil, r.releaseKey(holder, verdict.New(verdict.NotRun, verdict.CodeInProgress, "an earlier attempt was cancelled before it ran")), true
+		return nil, r.releaseKey(holder, verdict.New(verdict.NotRun, verdict.CodeKeyInProgress, "an earlier attempt was cancelled before it ran")), true
 	}
 	return nil, nil, false
 }
@@ -94,7 +94,7 @@
 	if r.gateRestarted(holder) {
 		return r.settleOutcomeUnknown(holder)
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "the gate that holds the call is unreachable")
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeKeyInProgress, "the gate that holds the call is unreachable")
 }
 
 // gateRestarted reports whether a later incarnation of the gate has joined.
@@ -119,7 +119,7 @@
 	case st.State == wire.AttemptUnseen:
 		return r.settleOutcomeUnknown(holder) // it was known to the gate earlier, so the gate has forgotten it
 	case st.State != wire.AttemptDone, st.End == wire.EndWhole:
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the call did not answer in time; retry with the same key")
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the call did not answer in time; retry with the same key")
 	case verdict.Of(cause) == verdict.NotRun:
 		return nil, r.releaseKey(holder, cause)
 	}
--- a/node/ledger/ledger_test.go
+++ b/node/ledger/ledger_test.go
@@ -151,7 +151,7 @@
 	}
 	if r.err != nil {
 		v := verdict.From(r.err)
-		if (v.RetryAfter == 0) != (v.Code == verdict.CodeConflict || v.Code == verdict.CodeOutcomeLost) {
+		if (v.RetryAfter == 0) != (v.Code == verdict.CodeKeyConflict || v.Code == verdict.CodeOutcomeLost) {
 			w.t.Fatalf("wrong RetryAfter in %v", v)
 		}
 		if v.Verdict == verdict.NotRun {
@@ -325,11 +325,11 @@
 		w.owner[a.answer] = answerOwner{a.key, a.body, w.window}
 		a.state = wire.AttemptDone
 	case "cut":
-		a.fault, a.state = verdict.New(verdict.Ran, verdict.CodeCut, "cut"), wire.AttemptDone
+		a.fault, a.state = verdict.New(verdict.Ran, verdict.CodeAnswerCut, "cut"), wire.AttemptDone
 	case "no connection":
-		a.fault, a.state = verdict.New(verdict.NotRun, verdict.CodeUpstream, "dial"), wire.AttemptDone
+		a.fault, a.state = verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "dial"), wire.AttemptDone
 	case "drop":
-		a.fault, a.state = verdict.New(verdict.NotRun, verdict.CodeDeadline, "too late"), wire.AttemptTombstoned
+		a.fault, a.state = verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "too late"), wire.AttemptTombstoned
 	}
 	a.endedAt = w.clock.Now()
 }
@@ -392,7 +392,7 @@
 		w.performExchange(r, "")
 	}
 	w.cut = cut
-	if seen && r.err != nil && verdict.From(r.err).Code == verdict.CodeConflict {
+	if seen && r.err != nil && verdict.From(r.err).Code == verdict.CodeKeyConflict {
 		return // the key was used with the other body
 	}
 	// A gate may forget an answer while it is being requested, but here no time passes.
--- a/node/ledger/run.go
+++ b/node/ledger/run.go
@@ -52,7 +52,7 @@
 // carry a verdict, and RetryAfter unless a resend is pointless.
 func (r *runner) Run(ctx context.Context, key string, c dispatch.Call, policy string) (*Result, error) {
 	if len(key) > maxKeyBytes || !utf8.ValidString(key) {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalid, "header %s must be valid UTF-8 of at most %d bytes", wire.HeaderIdempotencyKey, maxKeyBytes)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "header %s must be valid UTF-8 of at most %d bytes", wire.HeaderIdempotencyKey, maxKeyBytes)
 	}
 	res, err := r.runRounds(ctx, key, c, policy)
 	if err == nil {
@@ -84,7 +84,7 @@
 		if err == nil || !shouldRetry(err) {
 			return result, err
 		}
-		if verdict.From(err).Code != verdict.CodeInProgress {
+		if verdict.From(err).Code != verdict.CodeKeyInProgress {
 			tried[e.Member.ID] = true
 		}
 		if verdict.LacksCapacity(err) && refused != nil {
@@ -94,7 +94,7 @@
 			refused = err
 		}
 	}
-	return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "no upstream of %s accepted the call in time", c.Service)
+	return nil, verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "no upstream of %s accepted the call in time", c.Service)
 }
 
 // shouldRetry reports whether another attempt is safe and may succeed.
@@ -104,7 +104,7 @@
 		return false
 	}
 	switch v.Code {
-	case verdict.CodeConflict, verdict.CodeNoQuorum, verdict.CodeLedgerFull:
+	case verdict.CodeKeyConflict, verdict.CodeNoQuorum, verdict.CodeLedgerFull:
 		return false
 	}
 	return true
@@ -112,7 +112,7 @@
 
 // isFinal reports whether a resend of the key would only get the same answer.
 func isFinal(c verdict.Code) bool {
-	return c == verdict.CodeConflict || c == verdict.CodeOutcomeLost
+	return c == verdict.CodeKeyConflict || c == verdict.CodeOutcomeLost
 }
 
 // bodyHash identifies the call that a key was first used for.
@@ -154,9 +154,9 @@
 	case wire.ClaimHeld:
 		return r.resolveHeldKey(ctx, *reply.Holder, c)
 	case wire.ClaimFull:
-		return nil, verdict.New(verdict.NotRun, verdict.CodeLedgerFull, "the ledger of idempotency keys is full").After(ledgerFullRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeLedgerFull, "the ledger of idempotency keys is full").WithRetryAfter(ledgerFullRetryAfter)
 	default:
-		return nil, verdict.New(verdict.NotRun, verdict.CodeConflict, "the idempotency key was used with another request")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "the idempotency key was used with another request")
 	}
 }
 
--- a/node/ledger/sweep.go
+++ b/node/ledger/sweep.go
@@ -25,7 +25,7 @@
 			return
 		case <-s.clock.After(sweepInterval/2 + rand.N(sweepInterval)):
 		}
-		var reply wire.HeldReply
+		var reply wire.UnsettledClaims
 		if s.sync.LeaderClient().CallLeader(ctx, MethodHeld, struct{}{}, &reply) == nil {
 			s.sweepClaims(ctx, reply.Claims)
 		}
--- a/node/peer/control.go
+++ b/node/peer/control.go
@@ -145,7 +145,7 @@
 // leadershipEnded reports whether the called process lost leadership during the call. The next leader can
 // serve the call, since it is idempotent.
 func leadershipEnded(v *verdict.Error) bool {
-	return v.Code == verdict.CodeShutdown || v.Code == verdict.CodeNoQuorum
+	return v.Code == verdict.CodeShuttingDown || v.Code == verdict.CodeNoQuorum
 }
 
 func (c *LeaderClient) callOnce(ctx context.Context, client *Client, method string, params, result any) error {
--- a/node/peer/handover_test.go
+++ b/node/peer/handover_test.go
@@ -15,7 +15,7 @@
 // TestCallLeaderOutlivesHandover lets a process lose leadership during a call. The call must be answered by
 // its successor.
 func TestCallLeaderOutlivesHandover(t *testing.T) {
-	for _, code := range []verdict.Code{verdict.CodeShutdown, verdict.CodeNoQuorum} {
+	for _, code := range []verdict.Code{verdict.CodeShuttingDown, verdict.CodeNoQuorum} {
 		t.Run(string(code), func(t *testing.T) {
 			old := serve(t, func() (*message, error) { return nil, verdict.New(verdict.MayHaveRun, code, "no longer leading") })
 			next := serve(t, func() (*message, error) { return &message{"answered"}, nil })
--- a/node/pipeline/attempt.go
+++ b/node/pipeline/attempt.go
@@ -98,9 +98,9 @@
 func (a *response) statusError() error {
 	switch {
 	case a.status >= http.StatusInternalServerError || a.status == http.StatusTooManyRequests:
-		return verdict.New(verdict.Ran, verdict.CodeUpstream, "the upstream returned status %d", a.status).After(defaultRetryAfter)
+		return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "the upstream returned status %d", a.status).WithRetryAfter(defaultRetryAfter)
 	case a.status >= http.StatusMultipleChoices:
-		return verdict.New(verdict.Ran, verdict.CodeInvalid, "the upstream rejected the request with status %d", a.status)
+		return verdict.New(verdict.Ran, verdict.CodeInvalidRequest, "the upstream rejected the request with status %d", a.status)
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 	if _, err := st.events.Peek(1); err != nil {
 		st.Close()
 		if err == io.EOF {
-			err = verdict.New(verdict.Ran, verdict.CodeCut, "the event stream was empty")
+			err = verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the event stream was empty")
 		}
 		return nil, err
 	}
@@ -225,7 +225,7 @@
 	return m.ReadCloser.Close()
 }
 
-var errAbandoned = verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the attempt was abandoned")
+var errAbandoned = verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the attempt was abandoned")
 
 func (m *trackedBody) finish(err error) {
 	m.once.Do(func() {
@@ -246,7 +246,7 @@
 		if verdict.Of(err) != verdict.NotRun {
 			countStage(m.w.Stage, took, o == routing.Answered)
 		}
-		if verdict.From(orEmpty(err)).Code == verdict.CodeLeaving {
+		if verdict.From(orEmpty(err)).Code == verdict.CodeUpstreamLeaving {
 			m.endpoint.SetLeaving()
 		}
 		if reported && o == routing.Answered {
@@ -273,7 +273,7 @@
 	v := verdict.From(err)
 	if v.Verdict == verdict.NotRun {
 		switch v.Code {
-		case verdict.CodeOverloaded, verdict.CodeDeadline, verdict.CodeLeaving:
+		case verdict.CodeOverloaded, verdict.CodeDeadlineUnreachable, verdict.CodeUpstreamLeaving:
 			return routing.Refused
 		}
 	}
--- a/node/pipeline/attempt_test.go
+++ b/node/pipeline/attempt_test.go
@@ -45,9 +45,9 @@
 
 // TestAttempts lists how attempts can end, how many are made, and how the call ends.
 func TestAttempts(t *testing.T) {
-	lost := refusal(verdict.MayHaveRun, verdict.CodeUpstream)
+	lost := refusal(verdict.MayHaveRun, verdict.CodeUpstreamFailed)
 	full := refusal(notRun, verdict.CodeOverloaded)
-	leaving := refusal(notRun, verdict.CodeLeaving)
+	leaving := refusal(notRun, verdict.CodeUpstreamLeaving)
 	rows := []struct {
 		name       string
 		repeatable bool
@@ -170,7 +170,7 @@
 
 // stagesOf returns a pipeline that runs the services one after the other.
 func stagesOf(services ...*optext.Service) *optext.Pipeline {
-	p := &optext.Pipeline{Name: "quote", Refuse: true}
+	p := &optext.Pipeline{Name: "quote", RefuseLate: true}
 	for i, sv := range services {
 		st := &optext.Stage{Name: sv.Name, Service: sv.Name}
 		if i > 0 {
@@ -191,8 +191,8 @@
 	}{
 		"first refused":       {refusal(notRun, verdict.CodeOverloaded), good, notRun},
 		"second refused":      {good, refusal(notRun, verdict.CodeOverloaded), verdict.Ran},
-		"first may have run":  {refusal(verdict.MayHaveRun, verdict.CodeUpstream), good, verdict.MayHaveRun},
-		"second may have run": {good, refusal(verdict.MayHaveRun, verdict.CodeUpstream), verdict.MayHaveRun},
+		"first may have run":  {refusal(verdict.MayHaveRun, verdict.CodeUpstreamFailed), good, verdict.MayHaveRun},
+		"second may have run": {good, refusal(verdict.MayHaveRun, verdict.CodeUpstreamFailed), verdict.MayHaveRun},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -257,16 +257,16 @@
 		run(15 * quick) // the probe that checks whether the estimates still hold
 		attempts, took, err := run(15 * quick)
 		e := verdict.From(errOrNil(err))
-		if attempts != 0 || took != 0 || e.Verdict != notRun || e.Code != verdict.CodeDeadline || e.RetryAfter <= 0 {
+		if attempts != 0 || took != 0 || e.Verdict != notRun || e.Code != verdict.CodeDeadlineUnreachable || e.RetryAfter <= 0 {
 			t.Errorf("hopeless from the start: %d attempts, %v after %v", attempts, err, took)
 		}
 		slow = 10 * quick
 		time.Sleep(time.Second)
 		attempts, took, err = run(35 * quick)
-		if e = verdict.From(errOrNil(err)); attempts != 1 || took >= 35*quick || e.Verdict != verdict.Ran || e.Code != verdict.CodeDeadline {
+		if e = verdict.From(errOrNil(err)); attempts != 1 || took >= 35*quick || e.Verdict != verdict.Ran || e.Code != verdict.CodeDeadlineUnreachable {
 			t.Errorf("fell behind: %d attempts, %v after %v", attempts, err, took)
 		}
-		p.Refuse = false
+		p.RefuseLate = false
 		if attempts, took, _ = run(35 * quick); attempts != 2 || took != 35*quick {
 			t.Errorf("with refuse_late off: %d attempts, ended after %v", attempts, took)
 		}
--- a/node/pipeline/deadline.go
+++ b/node/pipeline/deadline.go
@@ -52,9 +52,9 @@
 func (p *pipelineRun) refuseLate() error {
 	left := time.Until(p.r.Deadline)
 	if left <= 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline has passed").After(defaultRetryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline has passed").WithRetryAfter(defaultRetryAfter)
 	}
-	if !p.r.Pipeline.Refuse {
+	if !p.r.Pipeline.RefuseLate {
 		return nil
 	}
 	need := time.Duration(0)
@@ -64,19 +64,19 @@
 	if need <= left || p.s.probes.allow(p.r.Pipeline.Name) {
 		return nil
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline cannot be met: pipeline %s takes about %s, %s left",
-		p.r.Pipeline.Name, need.Round(time.Millisecond), left.Round(time.Millisecond)).After(max(need-left, defaultRetryAfter))
+	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline cannot be met: pipeline %s takes about %s, %s left",
+		p.r.Pipeline.Name, need.Round(time.Millisecond), left.Round(time.Millisecond)).WithRetryAfter(max(need-left, defaultRetryAfter))
 }
 
 // stageDeadline returns the stage's own deadline. It returns an error if the stages that remain no longer fit
 // into the request's deadline.
 func (p *pipelineRun) stageDeadline(st *optext.Stage) (time.Time, error) {
-	if !p.r.Pipeline.Refuse {
+	if !p.r.Pipeline.RefuseLate {
 		return p.r.Deadline, nil
 	}
 	ahead := p.remainingTimes(remainingQuantile)[st.Name]
 	if len(st.After) > 0 && time.Now().Add(ahead).After(p.r.Deadline) {
-		return time.Time{}, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline can no longer be met").After(defaultRetryAfter)
+		return time.Time{}, verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline can no longer be met").WithRetryAfter(defaultRetryAfter)
 	}
 	own, _ := p.estimate(st).quantile(p.size, remainingQuantile)
 	return p.r.Deadline.Add(own - ahead), nil
--- a/node/pipeline/race.go
+++ b/node/pipeline/race.go
@@ -67,7 +67,7 @@
 	}
 	e := r.nextEndpoint()
 	if e == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no upstream of %s can take the call", w.Service).After(defaultRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no upstream of %s can take the call", w.Service).WithRetryAfter(defaultRetryAfter)
 	}
 	r.start(e)
 	return r.run()
@@ -219,7 +219,7 @@
 	if r.last.Verdict != verdict.NotRun {
 		return false
 	}
-	return r.last.Code == verdict.CodeLeaving || r.last.Code == verdict.CodeNoEndpoint
+	return r.last.Code == verdict.CodeUpstreamLeaving || r.last.Code == verdict.CodeNoEndpoint
 }
 
 // waitToRepeat waits before endpoints are tried again for lack of others. It returns false after a refusal,
@@ -339,7 +339,7 @@
 }
 
 func (r *race) timeout() error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the deadline passed before the response arrived").After(defaultRetryAfter)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the deadline passed before the response arrived").WithRetryAfter(defaultRetryAfter)
 }
 
 // failure returns the outcome if all attempts failed: the last response with an error status, or else the
--- a/node/pipeline/stages.go
+++ b/node/pipeline/stages.go
@@ -121,7 +121,7 @@
 		select {
 		case <-p.completed[name]:
 		case <-ctx.Done():
-			return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "stage %s: an earlier stage did not finish in time", st.Name)
+			return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "stage %s: an earlier stage did not finish in time", st.Name)
 		}
 	}
 	return nil
@@ -210,7 +210,7 @@
 	path, body, err := buildBody(sv, st, p.r, p.responses, stream)
 	p.mu.Unlock()
 	if err != nil {
-		return nil, verdict.New(verdict.Ran, verdict.CodeUpstream, "stage %s: %v", st.Name, err)
+		return nil, verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "stage %s: %v", st.Name, err)
 	}
 	w := &callSpec{service: sv, stream: stream, size: len(body), Call: dispatch.Call{
 		Request: p.r.ID, Stage: p.r.Pipeline.Name + "/" + st.Name, Service: st.Service,
--- a/node/planner/step.go
+++ b/node/planner/step.go
@@ -44,7 +44,7 @@
 	if s.cfg != nil && s.cfgVersion == view.Config.Version {
 		return s.cfg
 	}
-	cfg, err := s.cfg.Next("configuration", view.Config.Text)
+	cfg, err := s.cfg.ParseIncremental("configuration", view.Config.Text)
 	if err != nil {
 		s.log.Error(err, "cannot parse the configuration, no plan made", "version", view.Config.Version)
 		return nil
--- a/node/proxy/plain.go
+++ b/node/proxy/plain.go
@@ -64,7 +64,7 @@
 	}
 	if err != nil {
 		x.discard(a, outcome)
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeCut, "the answer of %s is incomplete: %v", a.member.ID, err)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "the answer of %s is incomplete: %v", a.member.ID, err)
 	}
 	x.discard(a, callAnswered)
 	return body, nil
@@ -85,7 +85,7 @@
 // saveFailure saves such an answer: the caller gets it unless a repeat brings a better one.
 func (x *exchange) saveFailure(a *attempt, body []byte) *verdict.Error {
 	x.savedFailure = &upstreamFailure{from: a, body: body}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstream, "%s answered %d", a.member.ID, a.response.Status)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "%s answered %d", a.member.ID, a.response.Status)
 }
 
 // sendSavedFailure sends the saved answer to the caller. It returns false if there is none or the caller has left.
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -137,7 +137,7 @@
 		pool: upstream.NewPool(protocol, notices), endpoints: newEndpoints(notices), notices: notices, startup: newStartupWait(clockwork.NewRealClock())}
 	s.initQuota(boottime.System())
 	s.running, s.counter = newRunning(), rollout.NewCounter()
-	s.memory = newMemoryBudget(set.Node.Memory)
+	s.memory = newMemoryBudget(set.Node.MemoryMB)
 	s.guard, s.answers, s.reporter = quarantine.NewGuard(), quarantine.NewAnsweredCalls(), quarantine.NewReporter(noReports)
 	s.inquiries = quarantine.NewCrashDetector(s.pool.Probe, s.upstreamCrashed, boottime.System())
 	s.callsContext, s.cancelCalls = context.WithCancel(context.Background())
@@ -155,7 +155,7 @@
 
 // applyView applies a new view of the configuration and the members.
 func (s *Service) applyView(v *configsync.View) {
-	t := newTable(v, s.set.Node.RegionsOfDataCenters(), s.table.Load())
+	t := newTable(v, s.set.Node.RegionByDataCenter(), s.table.Load())
 	s.table.Store(t)
 	s.endpoints.setRollouts(v.Rollouts)
 	s.counter.Update(v.Rollouts)
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -500,7 +500,7 @@
 	})
 	t.Run("the stages are refused", func(t *testing.T) {
 		f := newFixture(t)
-		f.stages.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "busy").After(time.Second)
+		f.stages.err = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "busy").WithRetryAfter(time.Second)
 		var n callCounter
 		f.upstream("llm", "e1", n.count(events(1, 0)))
 		f.wantStatus(http.StatusServiceUnavailable, http.MethodPost, "/quote/", pieces)
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -48,10 +48,10 @@
 	s.log.Info("upstream crashed during a call", "request", b.Request, "route", b.Route, "customer", b.Call.Customer, "fingerprint", sketch.Fingerprint,
 		"upstream", b.Upstream.ID, "address", b.Upstream.Direct, "service", b.Upstream.Service)
 	if s.answers.Take(b.Call) {
-		s.reportCrash(&wire.CrashReport{Answered: []wire.CallSketch{sketch}})
+		s.reportCrash(&wire.CrashReport{Answered: []wire.CallSummary{sketch}})
 		return
 	}
-	s.reportCrash(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: b.Upstream.Start(), Calls: []wire.CallSketch{sketch}}}})
+	s.reportCrash(&wire.CrashReport{Crashes: []wire.Crash{{Upstream: b.Upstream.Start(), Calls: []wire.CallSummary{sketch}}}})
 }
 
 func (s *Service) reportCrash(r *wire.CrashReport) {
@@ -69,7 +69,7 @@
 		return nil
 	}
 	barredVar.Add(x.route.Name, 1)
-	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams crashed while they ran this call; it is in quarantine as %s", fingerprint).After(barredRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams crashed while they ran this call; it is in quarantine as %s", fingerprint).WithRetryAfter(barredRetryAfter)
 }
 
 // isSuspect reports whether several upstreams crashed during the call. It is then sent to at most one upstream each
@@ -90,5 +90,5 @@
 		return
 	}
 	x.s.log.Info("suspect call answered", "request", x.call.ID, "route", x.route.Name, "customer", x.customerName(), "fingerprint", fingerprint, "upstream", a.member.ID)
-	x.s.reportCrash(&wire.CrashReport{Answered: []wire.CallSketch{x.quarantineCall().Sketch(x.route.Name)}})
+	x.s.reportCrash(&wire.CrashReport{Answered: []wire.CallSummary{x.quarantineCall().Sketch(x.route.Name)}})
 }
--- a/node/proxy/quarantine_test.go
+++ b/node/proxy/quarantine_test.go
@@ -28,7 +28,7 @@
 }
 
 // await waits for n crashes and answers in total, and returns them.
-func (r *reports) await(t *testing.T, n int) (crashes []wire.Crash, answered []wire.CallSketch) {
+func (r *reports) await(t *testing.T, n int) (crashes []wire.Crash, answered []wire.CallSummary) {
 	t.Helper()
 	for range 400 {
 		r.mu.Lock()
@@ -72,7 +72,7 @@
 
 func alwaysCrash(_ http.ResponseWriter, _ *http.Request, end func()) { end() }
 
-func (f *fixture) setSuspect(sketch wire.CallSketch, revision uint64, barred bool) {
+func (f *fixture) setSuspect(sketch wire.CallSummary, revision uint64, barred bool) {
 	f.view.Suspects = wire.Suspects{Revision: revision, List: []wire.Suspect{{Fingerprint: sketch.Fingerprint, Shape: sketch.Shape, Barred: barred}}}
 	f.announce("desk", f.view.Announced["desk"])
 }
@@ -260,7 +260,7 @@
 	other := call
 	other.Body = []byte("ydob")
 	f.setSuspect(other.Sketch("confirm"), 1, false)
-	for i, sketch := range []wire.CallSketch{other.Sketch("confirm"), call.Sketch("confirm")} {
+	for i, sketch := range []wire.CallSummary{other.Sketch("confirm"), call.Sketch("confirm")} {
 		f.setSuspect(sketch, uint64(i+1), false)
 		if resp, body, err := f.send(http.MethodPost, "/confirm/1", nil); err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, body, err)
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -31,8 +31,8 @@
 }
 
 // Sketch returns the summary of the call that is sent in reports.
-func (c Call) Sketch(route string) wire.CallSketch {
-	return wire.CallSketch{Fingerprint: c.Fingerprint(), Shape: c.Shape(), Customer: c.Customer, Route: route, Bytes: len(c.Body)}
+func (c Call) Sketch(route string) wire.CallSummary {
+	return wire.CallSummary{Fingerprint: c.Fingerprint(), Shape: c.Shape(), Customer: c.Customer, Route: route, Bytes: len(c.Body)}
 }
 
 // Guard decides whether a call may reach an upstream. It follows the replicated list of suspects. While the
--- a/node/quarantine/ledger.go
+++ b/node/quarantine/ledger.go
@@ -29,12 +29,12 @@
 
 // Record holds the crashes and the state of one call. Its slices are replaced, never modified.
 type Record struct {
-	Call    wire.CallSketch `cbor:"1,keyasint"`
-	Starts  []wire.Start    `cbor:"2,keyasint"` // upstreams that crashed with the call in flight, oldest first
-	Barred  bool            `cbor:"3,keyasint,omitempty"`
-	Cleared bool            `cbor:"4,keyasint,omitempty"` // it was answered at least once; Starts are the crashes since the last answer
-	Since   int64           `cbor:"5,keyasint"`           // when Barred or Cleared last changed, in milliseconds since the Unix epoch
-	At      int64           `cbor:"6,keyasint"`           // last change of the record, in milliseconds since the Unix epoch
+	Call    wire.CallSummary `cbor:"1,keyasint"`
+	Starts  []wire.Start     `cbor:"2,keyasint"` // upstreams that crashed with the call in flight, oldest first
+	Barred  bool             `cbor:"3,keyasint,omitempty"`
+	Cleared bool             `cbor:"4,keyasint,omitempty"` // it was answered at least once; Starts are the crashes since the last answer
+	Since   int64            `cbor:"5,keyasint"`           // when Barred or Cleared last changed, in milliseconds since the Unix epoch
+	At      int64            `cbor:"6,keyasint"`           // last change of the record, in milliseconds since the Unix epoch
 }
 
 // Ledger decides which calls crash upstreams. A crash is recorded for all calls that were in
@@ -125,7 +125,7 @@
 }
 
 // addCrash records that an upstream crashed with the call in flight.
-func (l *Ledger) addCrash(call wire.CallSketch, start wire.Start, now int64) {
+func (l *Ledger) addCrash(call wire.CallSummary, start wire.Start, now int64) {
 	r := l.record(call, now)
 	if slices.Contains(r.Starts, start) {
 		return
@@ -137,7 +137,7 @@
 }
 
 // record returns the record of the call, or a new one that is not stored yet.
-func (l *Ledger) record(call wire.CallSketch, now int64) Record {
+func (l *Ledger) record(call wire.CallSummary, now int64) Record {
 	if r, known := l.Records[call.Fingerprint]; known {
 		return r
 	}
@@ -242,7 +242,7 @@
 
 // clear records that an upstream answered the call, which shows that the call did not cause the earlier
 // crashes. It reports whether that changes the record.
-func (l *Ledger) clear(call wire.CallSketch, now int64) bool {
+func (l *Ledger) clear(call wire.CallSummary, now int64) bool {
 	r := l.record(call, now)
 	if r.Cleared && len(r.Starts) == 0 {
 		return false
--- a/node/quarantine/reporter.go
+++ b/node/quarantine/reporter.go
@@ -31,13 +31,13 @@
 
 // pendingReport collects the next report, without duplicates.
 type pendingReport struct {
-	crashes  map[wire.Start]map[wire.Fingerprint]wire.CallSketch
-	answered map[wire.Fingerprint]wire.CallSketch
+	crashes  map[wire.Start]map[wire.Fingerprint]wire.CallSummary
+	answered map[wire.Fingerprint]wire.CallSummary
 	calls    int
 }
 
 func newPending() *pendingReport {
-	return &pendingReport{crashes: map[wire.Start]map[wire.Fingerprint]wire.CallSketch{}, answered: map[wire.Fingerprint]wire.CallSketch{}}
+	return &pendingReport{crashes: map[wire.Start]map[wire.Fingerprint]wire.CallSummary{}, answered: map[wire.Fingerprint]wire.CallSummary{}}
 }
 
 // NewReporter returns a Reporter. Run must be called to send reports.
@@ -72,9 +72,9 @@
 	}
 }
 
-func (p *pendingReport) addCall(start wire.Start, call wire.CallSketch) {
+func (p *pendingReport) addCall(start wire.Start, call wire.CallSummary) {
 	if p.crashes[start] == nil {
-		p.crashes[start] = map[wire.Fingerprint]wire.CallSketch{}
+		p.crashes[start] = map[wire.Fingerprint]wire.CallSummary{}
 	}
 	if _, known := p.crashes[start][call.Fingerprint]; !known {
 		p.crashes[start][call.Fingerprint] = call
--- a/node/rollout/analyzer.go
+++ b/node/rollout/analyzer.go
@@ -103,7 +103,7 @@
 	for _, n := range counts {
 		key := countKey{n.Version, n.Route}
 		d := countsSince(last[key], n)
-		if d.Failed == 0 && len(d.Took) == 0 {
+		if d.Failed == 0 && len(d.LatencyCounts) == 0 {
 			continue
 		}
 		last[key] = n
@@ -128,13 +128,13 @@
 // countsSince returns the difference between two cumulative counts of a process. It is empty for a report
 // that arrives out of order.
 func countsSince(before, n wire.VersionCounts) wire.VersionCounts {
-	d := wire.VersionCounts{Version: n.Version, Route: n.Route, Took: map[int]uint64{}}
+	d := wire.VersionCounts{Version: n.Version, Route: n.Route, LatencyCounts: map[int]uint64{}}
 	if n.Failed > before.Failed {
 		d.Failed = n.Failed - before.Failed
 	}
-	for bucket, count := range n.Took {
-		if count > before.Took[bucket] {
-			d.Took[bucket] = count - before.Took[bucket]
+	for bucket, count := range n.LatencyCounts {
+		if count > before.LatencyCounts[bucket] {
+			d.LatencyCounts[bucket] = count - before.LatencyCounts[bucket]
 		}
 	}
 	return d
@@ -142,7 +142,7 @@
 
 func answerCount(d wire.VersionCounts) uint64 {
 	n := d.Failed
-	for _, count := range d.Took {
+	for _, count := range d.LatencyCounts {
 		n += count
 	}
 	return n
@@ -155,7 +155,7 @@
 		a.baselineAnswers[d.Route] = r
 	}
 	r.deltas = slices.DeleteFunc(r.deltas, func(old delta) bool { return now.Sub(old.at) > baselineWindow })
-	r.deltas = append(r.deltas, delta{now, d.Failed, d.Took})
+	r.deltas = append(r.deltas, delta{now, d.Failed, d.LatencyCounts})
 }
 
 // sumBaseline adds up the baseline's answers on a route, or on all, that are not older than since.
@@ -188,7 +188,7 @@
 	if !ok {
 		return
 	}
-	slow, timed := countFrom(d.Took, limit), warmAnswers(d.Took)
+	slow, timed := countFrom(d.LatencyCounts, limit), warmAnswers(d.LatencyCounts)
 	a.Target.Bad += slow
 	_, lately := a.sumBaseline(now, d.Route, shortWindow)
 	p := max(toleratedRatio(float64(countFrom(others, limit)), float64(warmAnswers(others))), toleratedRatio(float64(countFrom(lately, limit)), float64(warmAnswers(lately))))
--- a/node/rollout/counter.go
+++ b/node/rollout/counter.go
@@ -73,7 +73,7 @@
 	key := countKey{m.Version, route}
 	n := s.versions[key]
 	if n == nil {
-		n = &wire.VersionCounts{Version: m.Version, Route: route, Took: map[int]uint64{}}
+		n = &wire.VersionCounts{Version: m.Version, Route: route, LatencyCounts: map[int]uint64{}}
 		s.versions[key] = n
 	}
 	c.changed = true
@@ -81,9 +81,9 @@
 	case outcome == Failed:
 		n.Failed++
 	case m.Cold:
-		n.Took[coldBucket]++
+		n.LatencyCounts[coldBucket]++
 	default:
-		n.Took[bucketOf(took)]++
+		n.LatencyCounts[bucketOf(took)]++
 	}
 }
 
@@ -103,9 +103,9 @@
 		counts := wire.RolloutCounts{Service: service, Order: s.order}
 		for _, n := range s.versions {
 			copied := *n
-			copied.Took = make(map[int]uint64, len(n.Took))
-			for bucket, count := range n.Took {
-				copied.Took[bucket] = count
+			copied.LatencyCounts = make(map[int]uint64, len(n.LatencyCounts))
+			for bucket, count := range n.LatencyCounts {
+				copied.LatencyCounts[bucket] = count
 			}
 			counts.Counts = append(counts.Counts, copied)
 		}
--- a/node/stagework/calls.go
+++ b/node/stagework/calls.go
@@ -53,7 +53,7 @@
 	switch {
 	case v.Verdict == verdict.NotRun && v.Code == verdict.CodeOverloaded:
 		return outcome{full: true, pause: v.RetryAfter, err: err.Error()}
-	case v.Verdict == verdict.NotRun && v.Code == verdict.CodeLeaving:
+	case v.Verdict == verdict.NotRun && v.Code == verdict.CodeUpstreamLeaving:
 		return outcome{full: true, leaving: true, err: err.Error()}
 	}
 	return outcome{err: err.Error(), unreachable: upstream.IsUnreachable(err)}
--- a/node/stagework/job.go
+++ b/node/stagework/job.go
@@ -111,7 +111,7 @@
 	for i, s := range j.Stages {
 		for _, k := range s.DependsOn {
 			if k < 0 || k >= i {
-				return verdict.New(verdict.NotRun, verdict.CodeInvalid, "stage %d depends on stage %d, which is not before it", i, k)
+				return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "stage %d depends on stage %d, which is not before it", i, k)
 			}
 		}
 	}
@@ -125,19 +125,19 @@
 }
 
 func errDeadlineExceeded() error {
-	return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline passed before the stages were completed")
+	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline passed before the stages were completed")
 }
 
 // errOverloaded refuses a job that would miss its goal.
 func errOverloaded(comeBack time.Duration) error {
-	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the stages are overloaded").After(comeBack)
+	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the stages are overloaded").WithRetryAfter(comeBack)
 }
 
 // errNotOwner says that another process owns the queues.
 func errNotOwner() error {
-	return verdict.New(verdict.NotRun, verdict.CodeLeaving, "another process owns the stage queues")
+	return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "another process owns the stage queues")
 }
 
 func errStageFailed(reason string) error {
-	return verdict.New(verdict.NotRun, verdict.CodeUpstream, "a stage failed: %s", reason)
+	return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "a stage failed: %s", reason)
 }
--- a/node/stagework/ownerlink.go
+++ b/node/stagework/ownerlink.go
@@ -235,7 +235,7 @@
 }
 
 func errNoOwner() error {
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no owner of the stage queues can be reached").After(noOwnerRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no owner of the stage queues can be reached").WithRetryAfter(noOwnerRetryAfter)
 }
 
 // Release frees what the owner holds for a call, once the call's engine has started to answer or
@@ -339,7 +339,7 @@
 	case err == nil:
 		return *result, result.Moved, nil
 	case errors.As(err, &v):
-		return r, v.Code == verdict.CodeLeaving, err
+		return r, v.Code == verdict.CodeUpstreamLeaving, err
 	}
 	return r, true, err
 }
--- a/node/state/state.go
+++ b/node/state/state.go
@@ -294,7 +294,7 @@
 }
 
 func (m *Machine) addMember(member wire.Member) {
-	if old, known := m.s.Members[member.ID]; known && !member.Follows(old) {
+	if old, known := m.s.Members[member.ID]; known && !member.NewerThan(old) {
 		return
 	}
 	m.s.Members[member.ID] = member
--- a/node/textdelta/textdelta_test.go
+++ b/node/textdelta/textdelta_test.go
@@ -14,7 +14,7 @@
 func drawText(t *rapid.T) string {
 	var b strings.Builder
 	for _, s := range rapid.SliceOfN(rapid.IntRange(0, 12), 0, 24).Draw(t, "sections") {
-		fmt.Fprintf(&b, "[customer:%d]\nshare = 1\n", s) // few names: doubles and moves are common
+		fmt.Fprintf(&b, "[customer:%d]\nshare = 1\n", s) // few different names, so that duplicates and moves are common
 	}
 	if rapid.Bool().Draw(t, "cut") && b.Len() > 0 {
 		return b.String()[rapid.IntRange(0, b.Len()-1).Draw(t, "from"):]
@@ -22,8 +22,8 @@
 	return b.String()
 }
 
-// TestDeltaFromEveryVersion checks every pair of versions against the plain
-// texts, with texts of doubled, moved and torn sections.
+// TestDeltaFromEveryVersion checks the deltas between all pairs of versions, for texts with
+// duplicate, moved and truncated sections.
 func TestDeltaFromEveryVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		texts := []string{drawText(t)}
@@ -34,26 +34,26 @@
 		}
 		want := texts[len(texts)-1]
 		for base, text := range texts[:len(texts)-1] {
-			d := h.Delta(uint64(base), xxhash.Sum64String(text))
+			d := h.DeltaFrom(uint64(base), xxhash.Sum64String(text))
 			if d == nil {
-				continue // the whole text is shorter
+				continue // the delta would not be shorter than the text
 			}
-			got, ends, err := Apply(text, Ends(text), d)
+			got, ends, err := Apply(text, SectionEnds(text), d)
 			if err != nil || got != want {
 				t.Fatalf("from version %d: %q, %v; want %q", base, got, err, want)
 			}
-			if fmt.Sprint(ends) != fmt.Sprint(Ends(want)) {
-				t.Fatalf("section ends %v, want %v", ends, Ends(want))
+			if fmt.Sprint(ends) != fmt.Sprint(SectionEnds(want)) {
+				t.Fatalf("section ends %v, want %v", ends, SectionEnds(want))
 			}
-			if h.Delta(uint64(base), 1) != nil {
+			if h.DeltaFrom(uint64(base), 1) != nil {
 				t.Fatal("a delta from a text that was never accepted")
 			}
 		}
 	})
 }
 
-// TestSmallChangeCostsItsSize fails when a change far behind, or two changes far
-// apart, send what did not change.
+// TestSmallChangeCostsItsSize checks that deltas contain only the changed sections, after many
+// versions and with changes far apart.
 func TestSmallChangeCostsItsSize(t *testing.T) {
 	text := func(a, b int) string {
 		var s strings.Builder
@@ -73,7 +73,7 @@
 	for v := 2; v < 600; v++ {
 		h = h.Next(uint64(v), text(v, 2*v))
 	}
-	d := h.Delta(1, xxhash.Sum64String(text(1, 1)))
+	d := h.DeltaFrom(1, xxhash.Sum64String(text(1, 1)))
 	if d == nil || literalBytes(d) > 80 || len(d.Pieces) != 5 {
 		t.Fatalf("delta over 598 versions: %+v", d)
 	}
@@ -85,7 +85,7 @@
 	f.Add("[a]", 0, int(^uint(0)>>1), "")
 	f.Fuzz(func(t *testing.T, base string, from, count int, text string) {
 		d := &wire.ConfigDelta{Pieces: []wire.TextPiece{{From: from, Count: count, Text: text}}}
-		if got, _, err := Apply(base, Ends(base), d); err == nil && xxhash.Sum64String(got) != 0 {
+		if got, _, err := Apply(base, SectionEnds(base), d); err == nil && xxhash.Sum64String(got) != 0 {
 			t.Fatal("a text with another hash was accepted")
 		}
 	})
--- a/node/upstream/pool.go
+++ b/node/upstream/pool.go
@@ -100,7 +100,7 @@
 // connectError returns the error of a failed connection attempt. If the call's own deadline ended it, the
 // wait was too short to call the upstream unreachable.
 func connectError(ctx context.Context, address string, err error) error {
-	cause := verdict.New(verdict.NotRun, verdict.CodeUpstream, "connect to %s: %v", address, err)
+	cause := verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "connect to %s: %v", address, err)
 	var timed net.Error
 	if errors.As(err, &timed) && timed.Timeout() && ctx.Err() == nil {
 		return unreachableError{cause}
--- a/node/upstream/unreachable_test.go
+++ b/node/upstream/unreachable_test.go
@@ -31,7 +31,7 @@
 		if IsUnreachable(err) != c.want {
 			t.Errorf("%s: %v", name, IsUnreachable(err))
 		}
-		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeUpstream {
+		if v := verdict.From(err); v.Verdict != verdict.NotRun || v.Code != verdict.CodeUpstreamFailed {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
