--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the administration API of a control process: JSON over
-// HTTP, the one way to change the configuration.
+// Package admin implements the administration API of a control process: JSON over HTTP. It is the only way to
+// change the configuration.
 package admin
 
 import (
@@ -27,7 +27,7 @@
 	"caperdrum.org/node/state"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
@@ -36,7 +36,7 @@
 	Security *security.Store  `optional:"true"`
 }
 
-// Service is the administration listener.
+// Service serves the administration API.
 type Service struct {
 	p      Params
 	server *http.Server
@@ -45,14 +45,14 @@
 const (
 	readHeaderTimeout = 5 * time.Second
 	requestTimeout    = 5 * time.Second
-	maxText           = 16 << 20
+	maxChangeBytes    = 16 << 20
 )
 
-// New returns the service; Start opens its listener.
+// New returns the service. Start opens its listener.
 func New(p Params) *Service {
 	s := &Service{p: p}
 	r := chi.NewRouter()
-	r.Post("/v1/init", s.init) // works once, on empty data folders
+	r.Post("/v1/init", s.init) // unauthenticated: works only once, on empty data directories
 	r.Group(func(r chi.Router) {
 		r.Use(s.authenticate)
 		s.routes(r)
@@ -61,7 +61,7 @@
 	return s
 }
 
-// Handler returns the API without its listener.
+// Handler returns the HTTP handler of the API, for use without the listener.
 func (s *Service) Handler() http.Handler { return s.server.Handler }
 
 func (s *Service) routes(r chi.Router) {
@@ -80,7 +80,7 @@
 		r.Post("/v1/config", s.apply)
 		r.Put("/v1/evacuations/{data_center}", s.startEvacuation)
 		r.Delete("/v1/evacuations/{data_center}", s.endEvacuation)
-		r.Delete("/v1/quarantine/{fingerprint}", s.liftBar)
+		r.Delete("/v1/quarantine/{fingerprint}", s.liftQuarantine)
 		r.Put("/v1/rollouts/{service}", s.startRollout)
 		r.Delete("/v1/rollouts/{service}", s.abortRollout)
 	})
@@ -106,23 +106,23 @@
 // Stop implements kernel.Stopper.
 func (s *Service) Stop(ctx context.Context) error { return s.server.Shutdown(ctx) }
 
-// errRefused says that the answer was written already.
-var errRefused = errors.New("admin: refused")
+// errResponseWritten says that the error response has already been written.
+var errResponseWritten = errors.New("admin: refused")
 
-// futureNumber refuses a change whose base does not exist yet. It must not be
-// proposed: the rights were checked against no text.
-type futureNumber struct{ number, current uint64 }
+// versionAheadError rejects a change whose base version does not exist yet. It must not be proposed, because
+// there was no text to check the permissions against.
+type versionAheadError struct{ number, current uint64 }
 
 // Error implements error.
-func (e *futureNumber) Error() string {
+func (e *versionAheadError) Error() string {
 	return fmt.Sprintf("number %d is not the version in force, %d, plus one", e.number, e.current)
 }
 
-// Error is the JSON body of a refused call.
+// Error is the JSON body of a rejected call.
 type Error struct {
 	Message  string              `json:"message"`
 	Remedy   string              `json:"remedy,omitempty"`
-	Leader   string              `json:"leader,omitempty"` // peer address of the leader, when another process leads
+	Leader   string              `json:"leader,omitempty"` // peer address of the leader, if another process leads
 	Problems []strictini.Problem `json:"problems,omitempty"`
 }
 
@@ -132,9 +132,9 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-func (s *Service) fail(w http.ResponseWriter, err error) {
+func (s *Service) writeError(w http.ResponseWriter, err error) {
 	var problems strictini.Problems
-	var future *futureNumber
+	var future *versionAheadError
 	switch {
 	case errors.As(err, &future):
 		writeJSON(w, http.StatusConflict, wire.ChangeResult{Version: future.current, Reason: future.Error()})
@@ -149,15 +149,15 @@
 	}
 }
 
-// init forms a new cluster and returns the first administrators' key.
+// init bootstraps a new cluster and returns the key of the initial administrators team.
 func (s *Service) init(w http.ResponseWriter, r *http.Request) {
 	if err := s.p.Control.Init(r.Context()); err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
-	key, shown := newKey(firstTeam)
-	for _, c := range []state.TeamCommand{{Put: &state.Team{Name: firstTeam, Role: wire.RoleAdministrator}}, {AddKey: &key}} {
-		if err := s.commitFirst(r.Context(), w, c); err != nil {
+	key, shown := newKey(initialTeam)
+	for _, c := range []state.TeamCommand{{Put: &state.Team{Name: initialTeam, Role: wire.RoleAdministrator}}, {AddKey: &key}} {
+		if err := s.commitWhenLeader(r.Context(), w, c); err != nil {
 			return
 		}
 	}
@@ -165,14 +165,15 @@
 	writeJSON(w, http.StatusOK, wire.InitReply{Status: s.p.Control.Status(), Key: shown})
 }
 
-const electionPause = 50 * time.Millisecond
+const leaderPollInterval = 50 * time.Millisecond
 
-// commitFirst waits for the new cluster's only voter to lead.
-func (s *Service) commitFirst(ctx context.Context, w http.ResponseWriter, c state.TeamCommand) error {
+// commitWhenLeader waits until the only voter of the new cluster has become leader, and then commits the
+// change.
+func (s *Service) commitWhenLeader(ctx context.Context, w http.ResponseWriter, c state.TeamCommand) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	for !s.p.Control.Replica().IsLeader() && ctx.Err() == nil {
-		time.Sleep(electionPause)
+		time.Sleep(leaderPollInterval)
 	}
 	return s.commitTeam(ctx, w, c)
 }
@@ -189,14 +190,14 @@
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	if err := s.p.Control.Replica().ReadBarrier(ctx); err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, s.p.Control.Replica().View().Config)
 }
 
 func (s *Service) readChange(w http.ResponseWriter, r *http.Request) (*wire.ChangeRequest, error) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxText))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxChangeBytes))
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -216,7 +217,7 @@
 
 func (s *Service) validate(w http.ResponseWriter, r *http.Request) {
 	if _, err := s.readChange(w, r); err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
@@ -225,7 +226,7 @@
 func (s *Service) diff(w http.ResponseWriter, r *http.Request) {
 	c, err := s.readChange(w, r)
 	if err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	v := s.p.Control.Replica().View()
@@ -235,7 +236,7 @@
 func (s *Service) apply(w http.ResponseWriter, r *http.Request) {
 	c, err := s.readChange(w, r)
 	if err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	if c.ChangeID == "" {
@@ -244,12 +245,12 @@
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	if err := s.checkRights(ctx, r, c); err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	res, err := s.p.Control.Replica().Propose(ctx, state.Command{Change: c})
 	if err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	out := *res.Change
@@ -262,10 +263,9 @@
 	writeJSON(w, status, out)
 }
 
-// checkRights notes who makes the change and what it touches, and refuses it
-// when that is not the team's own. The comparison is with the text in force;
-// if another change comes in between, the number is spent and this change is
-// refused anyway.
+// checkRights records the author of the change and the sections that it modifies, and rejects it if the team
+// has no permission for one of them. It compares with the active text. If another change is committed in
+// between, this change's number is taken and it is rejected anyway.
 func (s *Service) checkRights(ctx context.Context, r *http.Request, c *wire.ChangeRequest) error {
 	if err := s.p.Control.Replica().ReadBarrier(ctx); err != nil {
 		return err
@@ -278,7 +278,7 @@
 	case c.Number <= current.Version:
 		return nil // a resend or a conflict: nothing will be applied
 	case c.Number > current.Version+1:
-		return &futureNumber{number: c.Number, current: current.Version}
+		return &versionAheadError{number: c.Number, current: current.Version}
 	}
 	c.Sections = optext.ChangedSections(current.Text, c.Text)
 	return optext.CheckRights(c.Sections, rightsOf(team))
--- a/node/admin/admin_test.go
+++ b/node/admin/admin_test.go
@@ -41,7 +41,7 @@
 	handler http.Handler
 	control *control.Service
 	logs    *gbytes.Buffer
-	flush   func() // writes what waits; nothing is written after it
+	flush   func() // flushes and closes the log
 	ring    *timeline.Ring
 }
 
@@ -94,7 +94,7 @@
 }
 
 var _ = Describe("administration", func() {
-	It("admits nobody without a valid key", func() {
+	It("rejects requests without a valid key", func() {
 		a := start()
 		root := a.init()
 		Expect(a.call("", "GET", "/v1/status", nil, nil)).To(Equal(http.StatusUnauthorized))
@@ -104,7 +104,7 @@
 		Expect(a.call("", "POST", "/v1/init", nil, nil)).To(Equal(http.StatusConflict))
 	})
 
-	It("lets a team change its own part only", func() {
+	It("lets a team change only its own sections", func() {
 		a := start()
 		root := a.init()
 		Expect(a.apply(root, 1, "one", text1, nil)).To(Equal(http.StatusOK))
@@ -126,9 +126,9 @@
 		Expect(history[1].Sections).To(Equal([]string{"service:desk"}))
 	})
 
-	It("does not propose a change whose base does not exist yet", func() {
-		// The rights are checked against the text in force. A change numbered
-		// further ahead could otherwise come in after another one unchecked.
+	It("does not propose a change whose base version does not exist yet", func() {
+		// Permissions are checked against the active text. Without this rejection a change numbered further
+		// ahead could be applied after another change, unchecked.
 		a := start()
 		root := a.init()
 		Expect(a.apply(root, 1, "one", text1, nil)).To(Equal(http.StatusOK))
@@ -139,7 +139,7 @@
 		Expect(res.Accepted).To(BeTrue())
 	})
 
-	It("changes keys without a gap and never shows a secret again", func() {
+	It("rotates keys without interruption and never discloses a secret again", func() {
 		a := start()
 		root := a.init()
 		first := a.newKey(root, "ops", wire.TeamInfo{Role: wire.RoleViewer})
@@ -167,7 +167,7 @@
 		Expect(a.call(root, "PUT", "/v1/teams/administrators", wire.TeamInfo{Role: wire.RoleViewer}, nil)).To(Equal(http.StatusConflict))
 	})
 
-	DescribeTable("names the field and a remedy",
+	DescribeTable("names the invalid field and a remedy",
 		func(method, path string, in any, status int, field string) {
 			a := start()
 			root := a.init()
--- a/node/admin/auth.go
+++ b/node/admin/auth.go
@@ -17,17 +17,16 @@
 )
 
 const (
-	keyPrefix   = "cdk"
-	secretBytes = 32
-	bearer      = "Bearer "
-	openTeam    = "loopback" // the team of unauthenticated callers where the settings allow them
+	keyPrefix     = "cdk"
+	secretBytes   = 32
+	bearer        = "Bearer "
+	anonymousTeam = "loopback" // team of unauthenticated callers if the settings allow them
 )
 
 type teamContextKey struct{}
 
-// authenticate admits callers with a valid bearer key. A key that is known
-// here but was ended at another control process a moment ago may still pass
-// until this one has applied the change.
+// authenticate requires a valid bearer key. A key that was just revoked at another control process is
+// accepted until this process has applied the change.
 func (s *Service) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		team, ok := s.teamOf(r)
@@ -43,7 +42,7 @@
 func (s *Service) teamOf(r *http.Request) (state.Team, bool) {
 	header := r.Header.Get("Authorization")
 	if header == "" && s.p.Settings.Control.OpenAdmin {
-		return state.Team{Name: openTeam, Role: wire.RoleAdministrator}, true
+		return state.Team{Name: anonymousTeam, Role: wire.RoleAdministrator}, true
 	}
 	key, ok := strings.CutPrefix(header, bearer)
 	if !ok {
@@ -81,7 +80,7 @@
 	return optext.Rights{All: t.Role == wire.RoleAdministrator, Services: t.Services, Pipelines: t.Pipelines}
 }
 
-// newKey makes a bearer key. Only its hash goes into the replicated state.
+// newKey generates a bearer key. Only its hash enters the replicated state.
 func newKey(team string) (state.Key, wire.NewKey) {
 	var secret [secretBytes]byte
 	rand.Read(secret[:]) // never fails
--- a/node/admin/evacuations.go
+++ b/node/admin/evacuations.go
@@ -15,7 +15,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	if err := s.p.Control.Replica().ReadBarrier(ctx); err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, s.p.Control.Evacuations())
@@ -25,18 +25,20 @@
 
 func (s *Service) endEvacuation(w http.ResponseWriter, r *http.Request) { s.evacuate(w, r, false) }
 
-// evacuate carries out an order for the revision that this process knew when the call came.
+// evacuate starts or ends an evacuation. The order is based on the revision that this process knew when the
+// request arrived.
 func (s *Service) evacuate(w http.ResponseWriter, r *http.Request, out bool) {
 	dataCenter := chi.URLParam(r, "data_center")
 	order := &wire.EvacuationOrder{DataCenter: dataCenter, Out: out, Base: s.p.Control.Evacuations().Of(dataCenter).Revision, Author: callerOf(r).Name}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	result, err := s.p.Control.Evacuate(ctx, order)
-	s.answer(w, result, err, "see the data centres in GET /v1/members")
+	s.writeResult(w, result, err, "see the data centres in GET /v1/members")
 }
 
-// answer writes the result of an order, or why it had none. remedy is where to see what orders may name.
-func (s *Service) answer(w http.ResponseWriter, result any, err error, remedy string) {
+// writeResult writes the result of an order, or the reason for its rejection. remedy says where to look up
+// the valid targets.
+func (s *Service) writeResult(w http.ResponseWriter, result any, err error, remedy string) {
 	var v *verdict.Error
 	switch {
 	case err == nil:
@@ -44,6 +46,6 @@
 	case errors.As(err, &v) && (v.Code == verdict.CodeUnknown || v.Code == verdict.CodeInvalid || v.Code == verdict.CodeConflict):
 		writeJSON(w, v.Status, Error{Message: v.Message, Remedy: remedy})
 	default:
-		s.fail(w, err)
+		s.writeError(w, err)
 	}
 }
--- a/node/admin/quarantine.go
+++ b/node/admin/quarantine.go
@@ -13,15 +13,15 @@
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	if err := s.p.Control.Replica().ReadBarrier(ctx); err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, s.p.Control.Quarantine())
 }
 
-func (s *Service) liftBar(w http.ResponseWriter, r *http.Request) {
+func (s *Service) liftQuarantine(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	err := s.p.Control.LiftBar(ctx, wire.Fingerprint(chi.URLParam(r, "fingerprint")))
-	s.answer(w, struct{}{}, err, "see the fingerprints in GET /v1/quarantine")
+	s.writeResult(w, struct{}{}, err, "see the fingerprints in GET /v1/quarantine")
 }
--- a/node/admin/quarantine_test.go
+++ b/node/admin/quarantine_test.go
@@ -13,8 +13,8 @@
 	"caperdrum.org/node/state"
 )
 
-var _ = Describe("calls in quarantine", func() {
-	It("are listed, and lifted by their fingerprint only", func() {
+var _ = Describe("quarantined calls", func() {
+	It("are listed, and released only by their fingerprint", func() {
 		a := start()
 		key := a.init()
 		var report wire.CrashReport
--- a/node/admin/teams.go
+++ b/node/admin/teams.go
@@ -14,14 +14,15 @@
 	"caperdrum.org/node/state"
 )
 
-// firstTeam is the team whose key the forming of the cluster returns.
-const firstTeam = "administrators"
+// initialTeam is the team whose key is returned when the cluster is initialized.
+const initialTeam = "administrators"
 
-const maxTeamBody = 64 << 10
+const maxTeamBytes = 64 << 10
 
 var teamName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// proposeTeam commits a change of teams and answers, unless it went well.
+// proposeTeam commits a change to a team. It returns whether that succeeded; if not, it has written the error
+// response.
 func (s *Service) proposeTeam(w http.ResponseWriter, r *http.Request, c state.TeamCommand) bool {
 	c.Author = callerOf(r).Name
 	if err := s.commitTeam(r.Context(), w, c); err != nil {
@@ -35,12 +36,12 @@
 	defer cancel()
 	res, err := s.p.Control.Replica().Propose(ctx, state.Command{Team: &c})
 	if err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return err
 	}
 	if !res.Team.Done {
 		writeJSON(w, http.StatusConflict, Error{Message: res.Team.Reason, Remedy: "see GET /v1/teams"})
-		return errRefused
+		return errResponseWritten
 	}
 	return nil
 }
@@ -52,7 +53,7 @@
 func (s *Service) putTeam(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "team")
 	var info wire.TeamInfo
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxTeamBody)).Decode(&info); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxTeamBytes)).Decode(&info); err != nil {
 		writeJSON(w, http.StatusBadRequest, Error{Message: "body: " + err.Error(), Remedy: "send {role, services, pipelines} as JSON"})
 		return
 	}
@@ -79,8 +80,7 @@
 	}
 }
 
-// addKey makes one more key for a team. The secret is shown in this answer
-// and never again.
+// addKey adds a key to a team. The secret is part of this response only.
 func (s *Service) addKey(w http.ResponseWriter, r *http.Request) {
 	key, shown := newKey(chi.URLParam(r, "team"))
 	if s.proposeTeam(w, r, state.TeamCommand{AddKey: &key}) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// endKey ends a key now or after the time that the query names, so that a new
-// key can be spread before the old one stops working.
+// endKey revokes a key, at once or after the duration in the query parameter "after". A delay leaves time to
+// distribute a new key first.
 func (s *Service) endKey(w http.ResponseWriter, r *http.Request) {
 	after := time.Duration(0)
 	if raw := r.URL.Query().Get("after"); raw != "" {
--- a/node/announce/announce.go
+++ b/node/announce/announce.go
@@ -1,5 +1,5 @@
-// Package announce watches the upstream beside an agent and takes it out of
-// service while it does not answer its health check.
+// Package announce runs the health check of the upstream next to an agent and marks it unhealthy while the
+// check fails.
 package announce
 
 import (
@@ -15,7 +15,7 @@
 	"caperdrum.org/node/settings"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
@@ -23,7 +23,7 @@
 	Gate     *gate.Service `name:"gate"`
 }
 
-// Service is the health check of one upstream.
+// Service checks the health of one upstream.
 type Service struct {
 	url    string
 	log    logr.Logger
@@ -33,14 +33,13 @@
 }
 
 const (
-	checkInterval = time.Second
-	checkTimeout  = 2 * time.Second
-	maxBody       = 4 << 10 // bytes of an answer that are read
-	failuresOut   = 2       // failed checks in a row that take the upstream out
+	checkInterval      = time.Second
+	checkTimeout       = 2 * time.Second
+	maxBodyBytes       = 4 << 10 // bytes read of a response
+	unhealthyThreshold = 2       // consecutive failed checks after which the upstream is unhealthy
 )
 
-// New returns the service. Until the first good check the upstream counts as
-// leaving.
+// New returns the service. Until the first successful check the upstream counts as leaving.
 func New(p Params) *Service {
 	return &Service{url: "http://" + p.Settings.Agent.Upstream + p.Settings.Agent.HealthPath, log: p.Log, gate: p.Gate,
 		client: &http.Client{Timeout: checkTimeout}}
@@ -77,8 +76,8 @@
 			continue
 		}
 		failures++
-		if failures == failuresOut && ctx.Err() == nil {
-			s.log.Info("upstream out of service", "failed_checks", failures)
+		if failures == unhealthyThreshold && ctx.Err() == nil {
+			s.log.Info("upstream failed its health checks", "failed_checks", failures)
 			s.gate.SetHealthy(false)
 		}
 	}
@@ -93,7 +92,7 @@
 	if err != nil {
 		return false
 	}
-	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // an unread body costs the connection
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes)) // the connection is reused only if the body was read
 	resp.Body.Close()
 	return resp.StatusCode < http.StatusInternalServerError
 }
--- a/node/cmd/caperdrumd/main.go
+++ b/node/cmd/caperdrumd/main.go
@@ -1,5 +1,4 @@
-// Command caperdrumd is caperdrum's daemon. It plays the roles that its
-// settings file names.
+// Command caperdrumd is the daemon of caperdrum. It runs the roles that its settings file lists.
 package main
 
 import (
--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -1,5 +1,5 @@
-// Package controlclient makes the calls of operators and of upstreams that
-// announce themselves to the leader, from whatever process they reached.
+// Package controlclient forwards calls of operators and heartbeats of self-registering upstreams to the
+// leader, from whichever process received them.
 package controlclient
 
 import (
@@ -18,16 +18,16 @@
 )
 
 const (
-	// gather is how long signs of life are collected for one call. An upstream
-	// waits a second for its answer; at 34 signs of life a second over 8
-	// processes it halves the calls.
-	gather = 100 * time.Millisecond
-	// announceTimeout bounds a call of upstreams: an upstream that had no
-	// answer within a second tries another process.
+	// batchWindow is the time for which heartbeats are collected into one call. An upstream waits up to a
+	// second for its response. At 34 heartbeats a second over 8 processes, batching halves the number of
+	// calls.
+	batchWindow = 100 * time.Millisecond
+	// announceTimeout limits a call made for upstreams. An upstream that gets no response within a second
+	// tries another process.
 	announceTimeout = 800 * time.Millisecond
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	ConfigSync *configsync.Service `name:"configsync"`
@@ -38,11 +38,11 @@
 	control *peer.Control
 	view    func() *configsync.View
 
-	mu   sync.Mutex
-	next *batch // collects signs of life; nil while there are none
+	mu      sync.Mutex
+	pending *batch // collects heartbeats; nil if there are none
 }
 
-// batch is a call with signs of life, made or still collecting.
+// batch is a call with heartbeats, sent or still being filled.
 type batch struct {
 	upstreams []wire.Member
 	done      chan struct{}
@@ -54,19 +54,20 @@
 	return &Service{control: p.ConfigSync.Control(), view: p.ConfigSync.View}
 }
 
-// ErrUnknownService says that the text names no such service with upstreams that announce
-// themselves.
+// ErrUnknownService says that the configuration has no such service with self-registering upstreams
+// (upstreams = announced).
 const ErrUnknownService = errors.ConstError("controlclient: no such service is configured")
 
-// Announce passes an upstream's sign of life to the leader, together with
-// others. It returns once the members hold the record. One of a service that the text does
-// not name is not passed on, so that nobody fills the members with names, and none while
-// this process knows neither; before there is a text all are, and one that leaves always is.
+// Announce forwards the heartbeat of an upstream to the leader, batched with others, and returns once the
+// leader has recorded it in the membership. It rejects upstreams of services that the configuration does not
+// have, so that arbitrary names can't fill the membership, and all upstreams while this process does not know
+// the configuration. Before the first configuration every service is accepted, and an upstream that leaves
+// always is.
 func (s *Service) Announce(ctx context.Context, m wire.Member) error {
-	if err := s.mayAnnounce(m); err != nil {
+	if err := s.checkAnnounce(m); err != nil {
 		return err
 	}
-	b := s.join(m)
+	b := s.enqueue(m)
 	select {
 	case <-b.done:
 		return b.err
@@ -75,13 +76,13 @@
 	}
 }
 
-func (s *Service) mayAnnounce(m wire.Member) error {
+func (s *Service) checkAnnounce(m wire.Member) error {
 	c := s.Held()
 	switch {
 	case m.Leaving:
 		return nil
 	case c == nil:
-		return errNoText
+		return errNoConfig
 	case len(c.Services) == 0:
 		return nil
 	}
@@ -91,22 +92,22 @@
 	return nil
 }
 
-func (s *Service) join(m wire.Member) *batch {
+func (s *Service) enqueue(m wire.Member) *batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next == nil {
+	if s.pending == nil {
 		b := &batch{done: make(chan struct{})}
-		s.next = b
-		time.AfterFunc(gather, func() { s.send(b) })
+		s.pending = b
+		time.AfterFunc(batchWindow, func() { s.send(b) })
 	}
-	s.next.upstreams = append(s.next.upstreams, m)
-	return s.next
+	s.pending.upstreams = append(s.pending.upstreams, m)
+	return s.pending
 }
 
 func (s *Service) send(b *batch) {
 	s.mu.Lock()
-	if s.next == b {
-		s.next = nil
+	if s.pending == b {
+		s.pending = nil
 	}
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
@@ -115,109 +116,110 @@
 	close(b.done)
 }
 
-// Leave tells the leader that an upstream leaves. It returns once the members
-// hold the mark, or are known not to hold the upstream.
-// started names the start that leaves; zero is the one that the members hold.
+// Leave tells the leader that an upstream leaves. It returns once the upstream is marked as leaving, or is
+// known not to be a member. started is the incarnation that leaves; zero means the one in the membership.
 func (s *Service) Leave(ctx context.Context, id wire.MemberID, started uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	return s.control.CallLeader(ctx, control.MethodLeave, wire.LeaveRequest{ID: id, Incarnation: started}, nil)
 }
 
-// Put replaces the operators' text if the version is above the one in force.
+// Put replaces the operator configuration if version is higher than the active one.
 func (s *Service) Put(ctx context.Context, version uint64, text string) (wire.PutResult, error) {
 	var result wire.PutResult
 	err := s.control.CallLeader(ctx, control.MethodPut, wire.PutRequest{Version: version, Text: text}, &result)
 	return result, err
 }
 
-// Evacuate starts or ends the evacuation of a data centre, as an operator asks who still waits
-// for the answer when ctx is valid. The order holds for what this process knew when it came: one
-// that lay at a frozen process while others were acknowledged is overtaken, and has no effect.
+// Evacuate starts or ends the evacuation of a data centre on behalf of an operator who waits for the response
+// as long as ctx is valid. The order is based on the revision that this process knew when the request
+// arrived: if the process was frozen while later orders were acknowledged, the order is outdated and has no
+// effect.
 func (s *Service) Evacuate(ctx context.Context, dataCenter string, out bool) (wire.EvacuationResult, error) {
 	var result wire.EvacuationResult
 	held := s.view()
 	if held == nil || held.Version == 0 {
-		return result, errNoText
+		return result, errNoConfig
 	}
 	order := wire.EvacuationOrder{DataCenter: dataCenter, Out: out, Base: held.Evacuations.Of(dataCenter).Revision}
-	if err := s.stillWanted(ctx); err != nil {
+	if err := s.checkCallerWaiting(ctx); err != nil {
 		return result, err
 	}
 	err := s.control.CallLeader(ctx, control.MethodEvacuate, order, &result)
 	return result, err
 }
 
-// stillWanted reports whether the sender of an order has left: a round trip to a quorum gives time to
-// notice it.
-func (s *Service) stillWanted(ctx context.Context) error {
+// checkCallerWaiting returns an error if the caller has disconnected. The round trip to a quorum gives the
+// process time to notice.
+func (s *Service) checkCallerWaiting(ctx context.Context) error {
 	if _, err := s.Config(ctx); err != nil {
 		return err
 	}
 	return ctx.Err()
 }
 
-// StartRollout starts a roll-out, as an operator asks who still waits for the answer when ctx is valid.
-// Like an evacuation it holds for what this process knew when it came.
+// StartRollout starts a rollout on behalf of an operator who waits for the response as long as ctx is valid.
+// Like an evacuation, the order is based on the revision that this process knew when the request arrived.
 func (s *Service) StartRollout(ctx context.Context, service, target string, span time.Duration) (wire.RolloutResult, error) {
 	var result wire.RolloutResult
 	held := s.view()
 	if held == nil || held.Version == 0 {
-		return result, errNoText
+		return result, errNoConfig
 	}
 	order := wire.RolloutOrder{Service: service, Target: target, Span: span, Base: held.Rollouts.Of(service).Revision}
 	if err := control.CheckRollout(held.Config, &order); err != nil {
-		return result, s.unlessNewer(ctx, err)
+		return result, s.refusalIfCurrent(ctx, err)
 	}
-	if err := s.stillWanted(ctx); err != nil {
+	if err := s.checkCallerWaiting(ctx); err != nil {
 		return result, err
 	}
 	err := s.control.CallLeader(ctx, control.MethodStartRollout, order, &result)
 	return result, err
 }
 
-// unlessNewer returns a refusal that this process's text gives reason for, or that it can't tell: a
-// newer text may name the service.
-func (s *Service) unlessNewer(ctx context.Context, refusal error) error {
+// refusalIfCurrent returns the refusal if it is based on the active configuration, and errStaleConfig
+// otherwise: a newer configuration may contain the service.
+func (s *Service) refusalIfCurrent(ctx context.Context, refusal error) error {
 	version := s.view().Version
 	text, err := s.Config(ctx)
 	if err != nil {
 		return err
 	}
 	if text.Version != version {
-		return errBehind
+		return errStaleConfig
 	}
 	return refusal
 }
 
-// errBehind says that this process's text has been replaced.
-var errBehind = errors.New("controlclient: this process is behind the configuration in force")
+// errStaleConfig says that the configuration of this process has been replaced.
+var errStaleConfig = errors.New("controlclient: this process is behind the configuration in force")
 
-// Rollout returns the last roll-out of a service, as a quorum has confirmed it.
+// Rollout returns the latest rollout of a service, confirmed by a quorum.
 func (s *Service) Rollout(ctx context.Context, service string) (wire.Rollout, error) {
 	var r wire.Rollout
 	err := s.control.CallLeader(ctx, control.MethodRollout, control.RolloutRead{Service: service}, &r)
 	return r, err
 }
 
-// ReportRollouts tells the leader what this process has counted.
+// ReportRollouts sends the call counts of this process to the leader.
 func (s *Service) ReportRollouts(ctx context.Context, report *wire.RolloutReport) error {
 	return s.control.CallLeader(ctx, control.MethodReportRollout, report, nil)
 }
 
-// ReportCrashes tells the leader of calls that end upstreams. It returns once a quorum holds the report.
+// ReportCrashes reports calls that crash upstreams to the leader. It returns once a quorum has stored the
+// report.
 func (s *Service) ReportCrashes(ctx context.Context, report *wire.CrashReport) error {
 	return s.control.CallLeader(ctx, control.MethodCrashes, report, nil)
 }
 
-// Text is the operators' text in force, as a quorum has confirmed it.
+// Text is the active operator configuration, confirmed by a quorum.
 type Text struct {
 	wire.ConfigText
-	// Parsed is what Text says, where this process had parsed it already; else nil.
+	// Parsed is the parsed form of Text if this process already had it; else nil.
 	Parsed *optext.Config
 }
 
-// Held returns the configuration that this process holds, or nil.
+// Held returns the configuration that this process knows, or nil.
 func (s *Service) Held() *optext.Config {
 	if v := s.view(); v != nil {
 		return v.Config
@@ -225,8 +227,8 @@
 	return nil
 }
 
-// Config returns the text in force, confirmed by a quorum. It moves between processes
-// only if this one does not hold it.
+// Config returns the active configuration, confirmed by a quorum. The text is only transferred if this
+// process does not have it.
 func (s *Service) Config(ctx context.Context) (Text, error) {
 	var req wire.ConfigRequest
 	held := s.view()
@@ -241,10 +243,10 @@
 		return Text{ConfigText: *reply.Text}, nil
 	}
 	if held == nil {
-		return Text{}, errNoText
+		return Text{}, errNoConfig
 	}
 	return Text{ConfigText: wire.ConfigText{Version: held.Version, Text: held.Text, Hash: held.Hash}, Parsed: held.Config}, nil
 }
 
-// errNoText says that this process does not know yet whether there is a text.
-var errNoText = errors.New("controlclient: no configuration yet")
+// errNoConfig says that this process does not know yet whether there is a configuration.
+var errNoConfig = errors.New("controlclient: no configuration yet")
--- a/node/controlclient/controlclient_test.go
+++ b/node/controlclient/controlclient_test.go
@@ -16,7 +16,7 @@
 	"caperdrum.org/node/peer"
 )
 
-// newService calls a leader that answers signs of life as a test says.
+// newService returns a service whose leader answers heartbeats with answer.
 func newService(t *testing.T, answer func(*wire.AnnounceRequest) error) *Service {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,8 +36,8 @@
 	return &Service{control: c, view: func() *configsync.View { return &configsync.View{Config: &optext.Config{}} }}
 }
 
-// TestSignsOfLifeShareACall announces many upstreams at once: each is answered,
-// and together they need few calls.
+// TestSignsOfLifeShareACall sends heartbeats of many upstreams at once. Each gets a response, and they share
+// fewer calls.
 func TestSignsOfLifeShareACall(t *testing.T) {
 	var mu sync.Mutex
 	calls, seen := 0, map[wire.MemberID]bool{}
@@ -53,7 +53,7 @@
 	const n = 50
 	joined := make(chan *batch, n)
 	for i := range n {
-		joined <- s.join(wire.AnnouncedUpstream(wire.MemberID(string(rune('a'+i))), "s", "x", "d", false))
+		joined <- s.enqueue(wire.AnnouncedUpstream(wire.MemberID(string(rune('a'+i))), "s", "x", "d", false))
 	}
 	for range n {
 		b := <-joined
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestFailureReachesEveryUpstream refuses a call: nobody is told that its sign of
-// life was taken.
+// TestFailureReachesEveryUpstream rejects a batch: no upstream of it may be told that its heartbeat was
+// recorded.
 func TestFailureReachesEveryUpstream(t *testing.T) {
 	s := newService(t, func(*wire.AnnounceRequest) error { return verdict.New(verdict.NotRun, verdict.CodeInvalid, "refused") })
 	var wg sync.WaitGroup
@@ -84,7 +84,7 @@
 	wg.Wait()
 }
 
-// TestOnlyConfiguredServicesAreAnnounced lists what a process passes on.
+// TestOnlyConfiguredServicesAreAnnounced checks which upstreams a process accepts heartbeats from.
 func TestOnlyConfiguredServicesAreAnnounced(t *testing.T) {
 	config, err := optext.Parse("t", []byte("[service:a]\nkind = plain\nupstreams = announced\n[service:b]\nkind = plain\n"))
 	if err != nil {
@@ -98,16 +98,16 @@
 		leaving bool
 		want    error
 	}{
-		{"a service of the text", known, "a", false, nil},
-		{"one with agents", known, "b", false, ErrUnknownService},
-		{"one that the text does not name", known, "c", false, ErrUnknownService},
-		{"one that leaves", known, "c", true, nil},
-		{"before there is a text", first, "c", false, nil},
-		{"before the process knows", none, "a", false, errNoText},
-		{"one that leaves before the process knows", none, "a", true, nil},
+		{"configured service", known, "a", false, nil},
+		{"service with agents", known, "b", false, ErrUnknownService},
+		{"service that is not configured", known, "c", false, ErrUnknownService},
+		{"upstream that leaves", known, "c", true, nil},
+		{"before the first configuration", first, "c", false, nil},
+		{"configuration not known yet", none, "a", false, errNoConfig},
+		{"upstream that leaves, configuration not known yet", none, "a", true, nil},
 	} {
 		s := &Service{view: func() *configsync.View { return c.view }}
-		if err := s.mayAnnounce(wire.AnnouncedUpstream("m", c.service, "10.0.0.1:80", "d", c.leaving)); !errors.Is(err, c.want) {
+		if err := s.checkAnnounce(wire.AnnouncedUpstream("m", c.service, "10.0.0.1:80", "d", c.leaving)); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon builds and runs one process from a list of modules. The
-// product's daemon and an adapter's differ in their modules only.
+// Package daemon builds a process from a list of modules and runs it. Product daemon and adapters differ only
+// in their modules.
 package daemon
 
 import (
@@ -42,37 +42,35 @@
 	"caperdrum.org/node/upstream"
 )
 
-// Exit statuses of a process.
+// Exit codes of the process.
 const (
 	ExitOK       = 0
 	ExitFailure  = 1
 	ExitSettings = 2
 )
 
-// Options say how a process is built.
+// Options configure the process.
 type Options struct {
 	Settings *settings.Settings
 	Logs     io.Writer
-	// Protocol is spoken on routes; nil is upstream.Native.
+	// Protocol is the protocol spoken with upstreams; nil means upstream.Native.
 	Protocol upstream.Protocol
-	// Extra are modules beside those of the roles. They start last, and stop
-	// first.
+	// Extra are modules in addition to those of the roles. They start last and stop first.
 	Extra []kernel.Module
 }
 
-// entryGCPercent lets an entry's heap grow to four times what is live before
-// it is collected. An entry's live heap is small and its garbage, a request's
-// buffers and headers, is not: at 100 the collector took a quarter of the
-// processor time of a call.
+// entryGCPercent is the GOGC value of entries: the heap may grow to four times the live heap before a
+// collection. An entry has a small live heap but much garbage (request buffers and headers). At 100, the
+// collector took a quarter of the CPU time of a call.
 const entryGCPercent = 300
 
-// heapPart is the part of the process's memory above which the collector runs
-// more often, whatever entryGCPercent says. The rest is for the program, the C
-// library and bytes that the kernel holds for the process.
-const heapPart = 0.6
+// heapFraction is the share of the process's memory above which the collector runs more often, regardless of
+// entryGCPercent. The rest is for the program, the C library and memory that the kernel holds for the
+// process.
+const heapFraction = 0.6
 
-// tuneCollector leaves values from the environment (GOGC, GOMEMLIMIT) in force.
-func tuneCollector(set *settings.Settings) {
+// configureGC sets GC percent and memory limit unless the environment does (GOGC, GOMEMLIMIT).
+func configureGC(set *settings.Settings) {
 	if os.Getenv("GOGC") == "" && (set.Has(settings.Entry) || set.Has(settings.Proxy)) {
 		runtimedebug.SetGCPercent(entryGCPercent)
 	}
@@ -81,14 +79,13 @@
 	}
 }
 
-// heapLimit returns the limit for the collector in bytes, of a process that may
-// use that many MB.
-func heapLimit(memory int) int64 { return int64(heapPart * float64(memory) * (1 << 20)) }
+// heapLimit returns the memory limit of the collector in bytes. memory is what the process may use, in MB.
+func heapLimit(memory int) int64 { return int64(heapFraction * float64(memory) * (1 << 20)) }
 
-// Run runs the process until it is told to stop, and returns its exit status.
+// Run runs the process until SIGTERM, SIGINT or a failure, and returns its exit code.
 func Run(o Options) int {
 	set := o.Settings
-	tuneCollector(set)
+	configureGC(set)
 	log, flush := logging.New(o.Logs, set.Node.Name, set.Node.LogLevel)
 	defer flush()
 	store, err := security.New(security.Files(set.TLS))
@@ -125,8 +122,8 @@
 	return ExitOK
 }
 
-// modulesOf lists the modules of the process's roles in starting order; they
-// stop in the reverse order, so what callers reach stops first.
+// modulesOf lists the modules of the process's roles in start order. They stop in reverse order, so that the
+// listeners for callers stop first.
 func modulesOf(set *settings.Settings) []kernel.Module {
 	modules := []kernel.Module{{Name: "reload", New: newReloader}, {Name: "debug", New: debug.New}}
 	if set.Has(settings.Control) {
--- a/node/daemon/daemon_test.go
+++ b/node/daemon/daemon_test.go
@@ -8,16 +8,16 @@
 	"caperdrum.org/node/settings"
 )
 
-// TestCollectorKnowsTheMemory reads the limits that the collector works with.
+// TestCollectorKnowsTheMemory checks the memory limit that is derived from the settings.
 func TestCollectorKnowsTheMemory(t *testing.T) {
 	t.Setenv("GOGC", "")
 	t.Setenv("GOMEMLIMIT", "")
 	defer runtimedebug.SetMemoryLimit(runtimedebug.SetMemoryLimit(-1))
 	for memory, want := range map[int]int64{0: math.MaxInt64, 200: 120 << 20} {
 		runtimedebug.SetMemoryLimit(math.MaxInt64)
-		tuneCollector(&settings.Settings{Node: settings.Node{Memory: memory}})
+		configureGC(&settings.Settings{Node: settings.Node{Memory: memory}})
 		if got := runtimedebug.SetMemoryLimit(-1); got != want {
-			t.Errorf("%d MB: a limit of %d bytes, want %d", memory, got, want)
+			t.Errorf("%d MB: limit is %d bytes, want %d", memory, got, want)
 		}
 	}
 }
--- a/node/daemon/reload.go
+++ b/node/daemon/reload.go
@@ -14,8 +14,8 @@
 	"caperdrum.org/node/settings"
 )
 
-// reloadInterval is how often the settings file is looked at, since it may also
-// change without a signal.
+// reloadInterval is how often the modification time of the settings file is checked, since it may also change
+// without a signal.
 const reloadInterval = time.Second
 
 type reloadParams struct {
@@ -25,12 +25,11 @@
 	Directory *peer.Directory
 }
 
-// reloader takes over what may change in the settings of a running process:
-// where control processes are looked for.
+// reloader applies the settings that can change at run time: the addresses of the control processes.
 type reloader struct {
-	p      reloadParams
-	seen   time.Time
-	cancel context.CancelFunc
+	p           reloadParams
+	lastModTime time.Time
+	cancel      context.CancelFunc
 }
 
 func newReloader(p reloadParams) *reloader { return &reloader{p: p} }
@@ -41,12 +40,12 @@
 	r.cancel = cancel
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	r.seen = r.changed()
+	r.lastModTime = r.modTime()
 	go r.run(ctx, hup)
 	return nil
 }
 
-// Stop implements kernel.Stopper. SIGHUP stays without effect.
+// Stop implements kernel.Stopper. SIGHUP remains caught and has no effect.
 func (r *reloader) Stop(context.Context) error {
 	r.cancel()
 	return nil
@@ -60,18 +59,18 @@
 		case <-ctx.Done():
 			return
 		case <-hup:
-			r.load("signal")
+			r.reload("signal")
 		case <-ticker.C:
-			if at := r.changed(); !at.Equal(r.seen) {
-				r.seen = at
-				r.load("file changed")
+			if at := r.modTime(); !at.Equal(r.lastModTime) {
+				r.lastModTime = at
+				r.reload("file changed")
 			}
 		}
 	}
 }
 
-// changed returns when the file was last written; zero when it cannot be seen.
-func (r *reloader) changed() time.Time {
+// modTime returns when the file was last modified; zero if it can't be read.
+func (r *reloader) modTime() time.Time {
 	info, err := os.Stat(r.p.Settings.File)
 	if err != nil {
 		return time.Time{}
@@ -79,11 +78,11 @@
 	return info.ModTime()
 }
 
-// load keeps the settings in force when the file is not valid.
-func (r *reloader) load(why string) {
+// reload keeps the current settings if the file is not valid.
+func (r *reloader) reload(why string) {
 	next, err := settings.Load(r.p.Settings.File)
 	if err != nil {
-		r.p.Log.Error(err, "settings not reloaded", "reason", why)
+		r.p.Log.Error(err, "failed to reload settings", "reason", why)
 		return
 	}
 	r.p.Directory.Configure(next.Peers.Control)
--- a/node/debug/debug.go
+++ b/node/debug/debug.go
@@ -1,4 +1,4 @@
-// Package debug serves a process's metrics (expvar) and time line over HTTP.
+// Package debug serves the metrics (expvar), profiles and event timeline of a process over HTTP.
 package debug
 
 import (
@@ -18,7 +18,7 @@
 	"caperdrum.org/node/settings"
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	Settings *settings.Settings
@@ -26,23 +26,23 @@
 	Security *security.Store `optional:"true"`
 }
 
-// Server is the debug listener.
+// Server serves the debug endpoints.
 type Server struct {
 	address  string
 	security *security.Store
 	http     *http.Server
 }
 
-// Address returns where the server listens.
+// Address returns the listen address of the server.
 func (s *Server) Address() string { return s.address }
 
 const readHeaderTimeout = 5 * time.Second
 
-// New returns the server; Start opens its listener.
+// New returns the server. Start opens its listener.
 func New(p Params) *Server {
 	r := chi.NewRouter()
 	r.Handle("/debug/vars", expvar.Handler())
-	r.Get("/metrics", writeText)
+	r.Get("/metrics", writeMetrics)
 	r.HandleFunc("/debug/pprof/*", pprof.Index)
 	r.HandleFunc("/debug/pprof/profile", pprof.Profile)
 	r.Get("/debug/timeline", func(w http.ResponseWriter, req *http.Request) { writeTimeline(w, req, p.Ring) })
--- a/node/debug/text.go
+++ b/node/debug/metrics.go
@@ -11,17 +11,17 @@
 	"strings"
 )
 
-// leftOut are the variables that package expvar publishes by itself: a command line, and
-// the collector's figures, of which memory is written alone.
-var leftOut = []string{"cmdline", "memstats"}
+// excludedVars are variables that package expvar publishes itself: the command line and the runtime's memory
+// statistics.
+var excludedVars = []string{"cmdline", "memstats"}
 
-// writeText writes all metrics as text, a value a line, in the format that monitoring
-// systems scrape: NAME{of="...",what="..."} VALUE. A text value is a label of the value 1.
-func writeText(w http.ResponseWriter, _ *http.Request) {
+// writeMetrics writes all metrics in the Prometheus text format, one sample per line:
+// NAME{of="...",what="..."} VALUE. A string value becomes a label of a sample with the value 1.
+func writeMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	var b strings.Builder
 	expvar.Do(func(kv expvar.KeyValue) {
-		if slices.Contains(leftOut, kv.Key) {
+		if slices.Contains(excludedVars, kv.Key) {
 			return
 		}
 		var value any
@@ -31,20 +31,20 @@
 		}
 		writeValue(&b, kv.Key, nil, value)
 	})
-	io.WriteString(w, b.String()) // a reader that left needs no answer
+	io.WriteString(w, b.String()) // the client may have disconnected; there is nobody to report the error to
 }
 
-// labelNames name the levels of a nested value; deeper ones are left out.
+// labelNames are the labels for the levels of a nested value; deeper levels are omitted.
 var labelNames = [...]string{"of", "what", "value"}
 
 func writeValue(b *strings.Builder, name string, labels []string, value any) {
 	switch v := value.(type) {
 	case float64:
-		writeLine(b, name, labels, strconv.FormatFloat(v, 'f', -1, 64))
+		writeSample(b, name, labels, strconv.FormatFloat(v, 'f', -1, 64))
 	case bool:
-		writeLine(b, name, labels, map[bool]string{false: "0", true: "1"}[v])
+		writeSample(b, name, labels, map[bool]string{false: "0", true: "1"}[v])
 	case string:
-		writeLine(b, name, append(slices.Clip(labels), v), "1")
+		writeSample(b, name, append(slices.Clip(labels), v), "1")
 	case map[string]any:
 		for _, key := range sortedKeys(v) {
 			writeValue(b, name, append(slices.Clip(labels), key), v[key])
@@ -61,7 +61,7 @@
 	return keys
 }
 
-func writeLine(b *strings.Builder, name string, labels []string, value string) {
+func writeSample(b *strings.Builder, name string, labels []string, value string) {
 	if len(labels) > len(labelNames) {
 		return
 	}
--- a/node/debug/text_test.go
+++ b/node/debug/metrics_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestMetricsAsText reads metrics of all forms as text.
+// TestMetricsAsText checks the text format for every kind of value.
 func TestMetricsAsText(t *testing.T) {
 	expvar.NewInt("test_calls").Set(7)
 	refused := expvar.NewMap("test_refused")
@@ -17,7 +17,7 @@
 		return map[string]any{"leads": true, "term": 4, "owner": "vm-1", "members": map[string]int{"ready": 2}}
 	}))
 	w := httptest.NewRecorder()
-	writeText(w, nil)
+	writeMetrics(w, nil)
 	for _, want := range []string{
 		"test_calls 7\n",
 		"test_refused{of=\"busy\"} 3\n",
@@ -32,6 +32,6 @@
 		}
 	}
 	if strings.Contains(w.Body.String(), "cmdline") {
-		t.Error("the command line is a metric")
+		t.Error("cmdline is exported as a metric")
 	}
 }
--- a/node/discovery/discovery.go
+++ b/node/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery lets a process find the control processes from seeds: it
-// tells others where they are, and asks the seeds once it has lost its own way.
+// Package discovery lets a process find the control processes through seeds. It tells other processes where
+// the control processes are, and queries the seeds when this process has lost contact with a quorum.
 package discovery
 
 import (
@@ -23,14 +23,14 @@
 )
 
 const (
-	// lostAfter is the age of the last confirmation by a quorum after which the
-	// seeds are asked. Twice what synchronization takes when all is well.
-	lostAfter   = 2500 * time.Millisecond
-	askInterval = 500 * time.Millisecond
-	askTimeout  = 400 * time.Millisecond
+	// staleAfter is the age of the last confirmation by a quorum above which the seeds are queried. It is
+	// twice the time that synchronization normally takes.
+	staleAfter    = 2500 * time.Millisecond
+	queryInterval = 500 * time.Millisecond
+	queryTimeout  = 400 * time.Millisecond
 )
 
-// Params are what the service needs.
+// Params are the dependencies of the service.
 type Params struct {
 	dig.In
 	Settings   *settings.Settings
@@ -41,46 +41,45 @@
 	ConfigSync *configsync.Service `name:"configsync"`
 }
 
-// Service answers and asks where control processes listen.
+// Service queries the addresses of control processes, and answers such queries.
 type Service struct {
-	p      Params
-	server *peer.Server // nil where the control role has one
-	mu     sync.Mutex   // guards namer
-	namer  formation.Namer
-	listen net.Listener
-	cancel context.CancelFunc
+	p       Params
+	server  *peer.Server // nil if the control role runs one
+	mu      sync.Mutex   // guards namer
+	elector formation.Namer
+	listen  net.Listener
+	cancel  context.CancelFunc
 }
 
-// New returns the service. A process without the control role gets a peer
-// server of its own.
+// New returns the service. A process without the control role gets its own peer server.
 func New(p Params) *Service {
-	s := &Service{p: p, namer: formation.Namer{FirstStart: p.Settings.Peers.FirstStart}}
+	s := &Service{p: p, elector: formation.Namer{FirstStart: p.Settings.Peers.FirstStart}}
 	if !p.Settings.Has(settings.Control) {
 		s.server = peer.NewServer()
-		peer.Handle(s.server, peer.MethodWhere, s.where)
-		peer.Handle(s.server, peer.MethodTell, s.told)
+		peer.Handle(s.server, peer.MethodWhere, s.handleWhere)
+		peer.Handle(s.server, peer.MethodTell, s.handleTell)
 		peer.Handle(s.server, peer.MethodPing, peer.Ping)
-		peer.Handle(s.server, formation.MethodHello, s.hello)
+		peer.Handle(s.server, formation.MethodHello, s.handleHello)
 	}
 	return s
 }
 
-// Server is this process's peer server; nil where the control role has one.
+// Server returns the peer server of this process; nil if the control role runs one.
 func (s *Service) Server() *peer.Server { return s.server }
 
-func (s *Service) where(context.Context, *peer.Empty) (*peer.Where, error) {
+func (s *Service) handleWhere(context.Context, *peer.Empty) (*peer.Where, error) {
 	return &peer.Where{Control: s.p.Directory.Learned()}, nil
 }
 
-func (s *Service) told(_ context.Context, w *peer.Where) (*peer.Empty, error) {
+func (s *Service) handleTell(_ context.Context, w *peer.Where) (*peer.Empty, error) {
 	s.p.Directory.Learn(w.Control)
 	return &peer.Empty{}, nil
 }
 
-func (s *Service) hello(_ context.Context, h *formation.Hello) (*formation.Answer, error) {
+func (s *Service) handleHello(_ context.Context, h *formation.Hello) (*formation.Answer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer := s.namer.Hello(*h)
+	answer := s.elector.Hello(*h)
 	return &answer, nil
 }
 
@@ -88,7 +87,7 @@
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	go s.seek(ctx)
+	go s.querySeeds(ctx)
 	if s.server == nil {
 		return nil
 	}
@@ -111,26 +110,26 @@
 	return nil
 }
 
-// seek asks the seeds while this process hears of no quorum.
-func (s *Service) seek(ctx context.Context) {
+// querySeeds queries the seeds in turn while this process has no contact with a quorum.
+func (s *Service) querySeeds(ctx context.Context) {
 	turn := 0
-	periodic.Run(ctx, clockwork.NewRealClock(), askInterval, func() {
+	periodic.Run(ctx, clockwork.NewRealClock(), queryInterval, func() {
 		turn++
 		seeds := s.p.Directory.Configured()
-		if s.p.ConfigSync.StampAge() > lostAfter && len(seeds) > 0 {
-			s.ask(ctx, seeds[turn%len(seeds)])
+		if s.p.ConfigSync.StampAge() > staleAfter && len(seeds) > 0 {
+			s.querySeed(ctx, seeds[turn%len(seeds)])
 		}
 	})
 }
 
-func (s *Service) ask(ctx context.Context, seed string) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (s *Service) querySeed(ctx context.Context, seed string) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	client := peer.NewClient(seed, s.p.Dial)
 	defer client.Close()
 	var where peer.Where
 	if err := client.Call(ctx, peer.MethodWhere, peer.Empty{}, &where); err != nil {
-		s.p.Log.V(logging.Detail).Info("seed not heard", "address", seed, "error", err.Error())
+		s.p.Log.V(logging.Detail).Info("seed did not respond", "address", seed, "error", err.Error())
 		return
 	}
 	s.p.Directory.Learn(where.Control)
--- a/node/disk/disk.go
+++ b/node/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk is the small part of a file system that durable state needs.
-// Tests replace it with one that forgets unsynced bytes.
+// Package disk abstracts the file system operations that durable state needs. Tests use an implementation
+// that loses unsynced bytes.
 package disk
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/juju/errors"
 )
 
-// File is an open file. Bytes written are durable only after Sync.
+// File is an open file. Written bytes are durable only after Sync.
 type File interface {
 	io.Writer
 	io.Closer
@@ -20,19 +20,18 @@
 	Truncate(size int64) error
 }
 
-// FS is one data folder. Names are relative to it and hold no separators. A
-// created, renamed or removed name is durable only after SyncDir.
+// FS is one data directory. Names are relative to it and contain no separators. A created, renamed or removed
+// name is durable only after SyncDir.
 type FS interface {
-	// Create opens a new file for writing; one of that name must not exist.
+	// Create creates a file and opens it for writing. It fails if the name exists.
 	Create(name string) (File, error)
-	// Append opens an existing file; writes go to its end.
+	// Append opens an existing file for writing at its end.
 	Append(name string) (File, error)
-	// ReadFile returns a file's bytes. The error satisfies os.IsNotExist when
-	// it does not exist.
+	// ReadFile returns the content of a file. The error satisfies os.IsNotExist if the file does not exist.
 	ReadFile(name string) ([]byte, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// List returns all names, sorted.
+	// List returns the names of all regular files, sorted.
 	List() ([]string, error)
 	SyncDir() error
 }
@@ -42,13 +41,13 @@
 	fileMode = 0o600
 )
 
-// Dir is an FS in a folder of the operating system.
+// Dir implements FS with a directory of the operating system.
 type Dir struct {
 	path string
-	lock *os.File // open for as long as the folder is locked
+	lock *os.File // open as long as the directory is locked
 }
 
-// OpenDir returns the FS of the folder, which it makes if it does not exist.
+// OpenDir returns the FS of a directory and creates the directory if needed.
 func OpenDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, errors.Annotate(err, "data folder")
@@ -56,13 +55,13 @@
 	return &Dir{path: path}, nil
 }
 
-// ErrInUse says that another process holds the data folder.
+// ErrInUse says that another process has locked the data directory.
 var ErrInUse = errors.New("the data folder is in use by another process; stop that one first")
 
 const lockName = "lock"
 
-// Lock keeps other processes out of the folder for as long as this process
-// lives. A second process would cut off the record that the first is writing.
+// Lock takes an exclusive lock on the directory for the lifetime of this process. A second process would
+// truncate the record that the first one is writing.
 func (d *Dir) Lock() error {
 	f, err := os.OpenFile(d.join(lockName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -123,8 +122,8 @@
 
 func (d *Dir) join(name string) string { return filepath.Join(d.path, name) }
 
-// WriteFile replaces a file's content atomically: after it returns nil the new
-// content is durable, and at no time is there a mixture of old and new.
+// WriteFile replaces the content of a file atomically. Once it returns nil the new content is durable; a
+// reader never sees a mixture of old and new content.
 func WriteFile(fs FS, name string, data []byte) error {
 	tmp := name + ".tmp"
 	if err := fs.Remove(tmp); err != nil && !os.IsNotExist(err) {
--- a/node/disk/disktest/disktest.go
+++ b/node/disk/disktest/disktest.go
@@ -1,8 +1,6 @@
-// Package disktest is a disk.FS in memory that forgets what was not synced,
-// for tests of code that must survive a crash. It models a POSIX file system:
-// a crash may keep any prefix of the bytes written since the last Sync, may
-// leave zeros in their place, and may keep any prefix of the names changed
-// since the last SyncDir.
+// Package disktest is an in-memory disk.FS that loses unsynced data, for crash tests. It models a POSIX file
+// system: a crash may keep any prefix of the bytes written since the last Sync, may replace them by zeros,
+// and may keep any prefix of the name changes since the last SyncDir.
 package disktest
 
 import (
@@ -23,51 +21,51 @@
 var ErrCrashed = errors.New("disktest: crashed")
 
 type inode struct {
-	data   []byte // what a reader sees
-	synced []byte // what a crash keeps
+	data   []byte // content that a reader sees
+	synced []byte // content that survives a crash
 }
 
-type rename struct {
+type nameChange struct {
 	name string
-	node *inode // nil for a removed name
+	node *inode // nil if the name is removed
 }
 
-// FS implements disk.FS. It is not safe for concurrent use, but for FillAfter.
+// FS implements disk.FS. Only FillAfter is safe for concurrent use.
 type FS struct {
 	live    map[string]*inode
 	durable map[string]*inode
-	pending []rename // changes of names since the last SyncDir, in order
-	epoch   int      // files opened before a crash are dead
+	pending []nameChange // name changes since the last SyncDir, in order
+	epoch   int          // number of crashes; file handles from before a crash are invalid
 
-	left     int          // operations until the planned crash, negative for none
-	free     atomic.Int64 // bytes until the disk is full, negative for no limit
-	rand     *rand.Rand
-	syncFail bool
+	opsLeft   int          // operations until the planned crash; negative for none
+	freeBytes atomic.Int64 // bytes until the disk is full; negative for no limit
+	rand      *rand.Rand
+	syncFail  bool
 }
 
-// New returns an empty file system. The seed decides what a crash keeps.
+// New returns an empty file system. The seed determines what a crash keeps.
 func New(seed uint64) *FS {
-	fs := &FS{live: map[string]*inode{}, durable: map[string]*inode{}, left: -1, rand: rand.New(rand.NewPCG(seed, 1))}
-	fs.free.Store(-1)
+	fs := &FS{live: map[string]*inode{}, durable: map[string]*inode{}, opsLeft: -1, rand: rand.New(rand.NewPCG(seed, 1))}
+	fs.freeBytes.Store(-1)
 	return fs
 }
 
-// CrashAfter lets ops more operations succeed. The next one may take effect in
-// part and fails, as does everything after it until Crash.
-func (fs *FS) CrashAfter(ops int) { fs.left = ops }
+// CrashAfter lets ops more operations succeed. The next one fails and may take partial effect; all operations
+// after it fail too, until Crash is called.
+func (fs *FS) CrashAfter(ops int) { fs.opsLeft = ops }
 
-// FillAfter makes writes fail with ENOSPC after n more bytes; a negative number
-// gives the disk room without end. It may be called beside other operations.
-func (fs *FS) FillAfter(n int) { fs.free.Store(int64(n)) }
+// FillAfter makes writes fail with ENOSPC after n more bytes; a negative n removes the limit. It may be
+// called concurrently with other operations.
+func (fs *FS) FillAfter(n int) { fs.freeBytes.Store(int64(n)) }
 
-// FailSyncs makes every Sync of a file fail.
+// FailSyncs makes every Sync of a file fail with EIO, until Crash is called.
 func (fs *FS) FailSyncs() { fs.syncFail = true }
 
-// Crash forgets what was not synced and makes the file system usable again.
+// Crash discards unsynced data and makes the file system usable again.
 func (fs *FS) Crash() {
 	fs.epoch++
-	fs.left, fs.syncFail = -1, false
-	fs.free.Store(-1)
+	fs.opsLeft, fs.syncFail = -1, false
+	fs.freeBytes.Store(-1)
 	for _, r := range fs.pending[:fs.rand.IntN(len(fs.pending)+1)] {
 		setName(fs.durable, r)
 	}
@@ -75,13 +73,13 @@
 	fs.live = map[string]*inode{}
 	for _, name := range sortedNames(fs.durable) {
 		n := fs.durable[name]
-		n.data = fs.afterCrash(n)
+		n.data = fs.dataAfterCrash(n)
 		n.synced = slices.Clone(n.data)
 		fs.live[name] = n
 	}
 }
 
-func (fs *FS) afterCrash(n *inode) []byte {
+func (fs *FS) dataAfterCrash(n *inode) []byte {
 	tail, extends := bytes.CutPrefix(n.data, n.synced)
 	if !extends {
 		return slices.Clone(n.synced)
@@ -93,20 +91,20 @@
 	return append(slices.Clone(n.synced), kept...)
 }
 
-// Damage changes one byte of a file, as a failing disk would.
+// Damage flips a bit in one byte of a file, like a failing disk.
 func (fs *FS) Damage(name string, at int) { fs.live[name].data[at] ^= 0x40 }
 
-func (fs *FS) step() error {
-	if fs.left == 0 {
+func (fs *FS) countOp() error {
+	if fs.opsLeft == 0 {
 		return ErrCrashed
 	}
-	if fs.left > 0 {
-		fs.left--
+	if fs.opsLeft > 0 {
+		fs.opsLeft--
 	}
 	return nil
 }
 
-func setName(names map[string]*inode, r rename) {
+func setName(names map[string]*inode, r nameChange) {
 	if r.node == nil {
 		delete(names, r.name)
 		return
@@ -114,27 +112,27 @@
 	names[r.name] = r.node
 }
 
-func (fs *FS) change(r rename) {
+func (fs *FS) applyNameChange(r nameChange) {
 	setName(fs.live, r)
 	fs.pending = append(fs.pending, r)
 }
 
 // Create implements disk.FS.
 func (fs *FS) Create(name string) (disk.File, error) {
-	if err := fs.step(); err != nil {
+	if err := fs.countOp(); err != nil {
 		return nil, err
 	}
 	if fs.live[name] != nil {
 		return nil, &os.PathError{Op: "create", Path: name, Err: os.ErrExist}
 	}
 	n := &inode{}
-	fs.change(rename{name: name, node: n})
+	fs.applyNameChange(nameChange{name: name, node: n})
 	return &file{fs: fs, node: n, epoch: fs.epoch}, nil
 }
 
 // Append implements disk.FS.
 func (fs *FS) Append(name string) (disk.File, error) {
-	if err := fs.step(); err != nil {
+	if err := fs.countOp(); err != nil {
 		return nil, err
 	}
 	n := fs.live[name]
@@ -146,7 +144,7 @@
 
 // ReadFile implements disk.FS.
 func (fs *FS) ReadFile(name string) ([]byte, error) {
-	if err := fs.step(); err != nil {
+	if err := fs.countOp(); err != nil {
 		return nil, err
 	}
 	n := fs.live[name]
@@ -156,40 +154,41 @@
 	return slices.Clone(n.data), nil
 }
 
-// Rename implements disk.FS. Both names change in one step.
+// Rename implements disk.FS. It counts as one operation, but a crash may keep only the first of its two name
+// changes, so that both names exist.
 func (fs *FS) Rename(from, to string) error {
-	if err := fs.step(); err != nil {
+	if err := fs.countOp(); err != nil {
 		return err
 	}
 	n := fs.live[from]
 	if n == nil {
 		return notExist(from)
 	}
-	fs.change(rename{name: to, node: n})
-	fs.change(rename{name: from})
+	fs.applyNameChange(nameChange{name: to, node: n})
+	fs.applyNameChange(nameChange{name: from})
 	return nil
 }
 
 // Remove implements disk.FS.
 func (fs *FS) Remove(name string) error {
-	if err := fs.step(); err != nil {
+	if err := fs.countOp(); err != nil {
 		return err
 	}
 	if fs.live[name] == nil {
 		return notExist(name)
 	}
-	fs.change(rename{name: name})
+	fs.applyNameChange(nameChange{name: name})
 	return nil
 }
 
 // List implements disk.FS.
 func (fs *FS) List() ([]string, error) {
-	return sortedNames(fs.live), fs.step()
+	return sortedNames(fs.live), fs.countOp()
 }
 
 // SyncDir implements disk.FS.
 func (fs *FS) SyncDir() error {
-	if err := fs.step(); err != nil {
+	if err := fs.countOp(); err != nil {
 		return err
 	}
 	for _, r := range fs.pending {
@@ -218,27 +217,27 @@
 	epoch int
 }
 
-func (f *file) step() error {
+func (f *file) countOp() error {
 	if f.epoch != f.fs.epoch {
 		return ErrCrashed
 	}
-	return f.fs.step()
+	return f.fs.countOp()
 }
 
-// Write implements io.Writer. A write that fails may leave a part behind.
+// Write implements io.Writer. A failed write may leave a part of its data behind.
 func (f *file) Write(p []byte) (int, error) {
-	if err := f.step(); err != nil {
+	if err := f.countOp(); err != nil {
 		if f.epoch == f.fs.epoch {
 			f.node.data = append(f.node.data, p[:f.fs.rand.IntN(len(p)+1)]...)
 		}
 		return 0, err
 	}
-	if free := int(f.fs.free.Load()); free >= 0 && len(p) > free {
+	if free := int(f.fs.freeBytes.Load()); free >= 0 && len(p) > free {
 		f.node.data = append(f.node.data, p[:free]...)
-		f.fs.free.CompareAndSwap(int64(free), 0)
+		f.fs.freeBytes.CompareAndSwap(int64(free), 0)
 		return free, syscall.ENOSPC
 	} else if free >= 0 {
-		f.fs.free.CompareAndSwap(int64(free), int64(free-len(p)))
+		f.fs.freeBytes.CompareAndSwap(int64(free), int64(free-len(p)))
 	}
 	f.node.data = append(f.node.data, p...)
 	return len(p), nil
@@ -246,7 +245,7 @@
 
 // Sync implements disk.File.
 func (f *file) Sync() error {
-	if err := f.step(); err != nil {
+	if err := f.countOp(); err != nil {
 		return err
 	}
 	if f.fs.syncFail {
@@ -258,7 +257,7 @@
 
 // Truncate implements disk.File.
 func (f *file) Truncate(size int64) error {
-	if err := f.step(); err != nil {
+	if err := f.countOp(); err != nil {
 		return err
 	}
 	f.node.data = slices.Clone(f.node.data[:size])
--- a/node/formation/formation.go
+++ b/node/formation/formation.go
@@ -1,67 +1,66 @@
-// Package formation decides which process founds a self-forming cluster. All
-// processes start with the same list of seeds. The founder is the first seed
-// that has a disk; whether a VM has one never changes, so two processes cannot
-// both find that it is theirs to found. Where no seed has a disk, the seeds
-// name a founder among those that ask: whoever a majority of them names.
-//
+// Package formation decides which process bootstraps a self-forming cluster (the founder). All processes
+// start with the same list of seeds. The founder is the first seed that has a disk. Whether a VM has a disk
+// never changes, so two processes can't both conclude that they are the founder. If no seed has a disk, the
+// seeds vote for one of the processes that ask them, and the one with a majority of the votes is the founder.
 // The package has no clock, goroutine or I/O.
 package formation
 
-// MethodHello is the method by which seeds are asked.
+// MethodHello is the peer method that queries a seed.
 const MethodHello = "formation.hello"
 
-// Hello asks a seed. Address is the caller's, which has a disk, if it asks to be
-// named the founder.
+// Hello queries a seed. Address is set if the caller, which has a disk, requests the seed's vote; it is the
+// caller's address.
 type Hello struct {
 	Address string `json:"address,omitempty"`
 }
 
-// Answer is what a seed says of itself. The zero value says nothing.
+// Answer is the reply of a seed. The zero value carries no information.
 type Answer struct {
 	Known   bool   `json:"known"`
 	HasDisk bool   `json:"has_disk"`
-	Founder string `json:"founder,omitempty"` // whom a seed without a disk names; it never names another one
+	Founder string `json:"founder,omitempty"` // whom a seed without a disk has voted for; it never changes its vote
 }
 
-// Rule follows what one process that has a disk hears at its first start.
+// Rule is the state of a process with a disk at its first start: what it has learned from the seeds, and what
+// to do next.
 type Rule struct {
 	Self  string
 	Seeds []string
 
-	heard map[string]Answer
-	named map[string]Answer // answers to the question to be named
+	replies map[string]Answer
+	votes   map[string]Answer // replies to vote requests, by seed
 }
 
-// Step is what the process does next. The zero value is to wait: another
-// process founds.
+// Step is the next action of the process. The zero value means to wait, because another process is the
+// founder.
 type Step struct {
 	Found bool
-	Ask   string // address of a seed
-	Hello Hello  // the question
+	Ask   string // address of the seed to query
+	Hello Hello  // the query to send
 }
 
-// Heard notes a seed's answer to the question.
+// Heard records the reply of a seed to a query.
 func (r *Rule) Heard(seed string, h Hello, a Answer) {
 	if !a.Known {
 		return
 	}
-	if r.heard == nil {
-		r.heard, r.named = map[string]Answer{}, map[string]Answer{}
+	if r.replies == nil {
+		r.replies, r.votes = map[string]Answer{}, map[string]Answer{}
 	}
 	if h.Address != "" {
-		r.named[seed] = a
+		r.votes[seed] = a
 		return
 	}
-	r.heard[seed] = a
+	r.replies[seed] = a
 }
 
 // Next returns the next step.
 func (r *Rule) Next() Step {
 	for _, seed := range r.Seeds {
 		if seed == r.Self {
-			return Step{Found: true} // every seed before it has no disk
+			return Step{Found: true} // all seeds before it have no disk
 		}
-		a, known := r.heard[seed]
+		a, known := r.replies[seed]
 		if !known {
 			return Step{Ask: seed}
 		}
@@ -69,39 +68,39 @@
 			return Step{}
 		}
 	}
-	return r.claim()
+	return r.requestVotes()
 }
 
-// claim asks the seeds, none of which has a disk, to name this process. They are
-// asked in order, and one that names another process ends the round, so that no
-// three processes hold one seed each.
-func (r *Rule) claim() Step {
+// requestVotes asks the seeds, none of which has a disk, to vote for this process. They are asked in list
+// order, and a vote for another process ends the round. Otherwise three processes could hold one vote each,
+// and none a majority.
+func (r *Rule) requestVotes() Step {
 	mine := 0
 	for _, seed := range r.Seeds {
-		a, known := r.named[seed]
+		a, known := r.votes[seed]
 		switch {
 		case !known:
 			return Step{Ask: seed, Hello: Hello{Address: r.Self}}
 		case a.Founder == r.Self:
 			mine++
-		case a.Founder != "": // a seed that was not there at the first start names nobody
+		case a.Founder != "": // a seed that was restarted since the first start votes for nobody
 			return Step{}
 		}
 	}
 	return Step{Found: 2*mine > len(r.Seeds)}
 }
 
-// Namer is a seed without a disk. It names the first process that asks for it, if it
-// was there at the first start.
+// Namer is the vote of a seed without a disk. It votes for the first process that requests its vote, but only
+// at its first start: after a restart it has forgotten an earlier vote.
 type Namer struct {
 	FirstStart bool
-	founder    string
+	votedFor   string
 }
 
-// Hello answers a process that has a disk.
+// Hello replies to a query of a process that has a disk.
 func (n *Namer) Hello(h Hello) Answer {
-	if n.FirstStart && n.founder == "" && h.Address != "" {
-		n.founder = h.Address
+	if n.FirstStart && n.votedFor == "" && h.Address != "" {
+		n.votedFor = h.Address
 	}
-	return Answer{Known: true, Founder: n.founder}
+	return Answer{Known: true, Founder: n.votedFor}
 }
--- a/node/formation/formation_test.go
+++ b/node/formation/formation_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// process is one process of a first start.
+// process is one process of the cluster being formed.
 type process struct {
 	address string
 	disk    bool
@@ -16,10 +16,10 @@
 	founded bool
 }
 
-// TestNeverTwoFounders starts processes with the same seeds, lets them ask and
-// restart in any order and loses any answer. A restarted process without a disk
-// has forgotten whom it named and names nobody; one with a disk goes on by its
-// list of seeds. At most one process founds; and if all answers come, one does.
+// TestNeverTwoFounders starts processes with the same seeds in a random order, with random restarts and lost
+// replies. A restarted process without a disk has forgotten its vote and votes for nobody; one with a disk
+// starts over with its list of seeds. At most one process may become the founder, and exactly one must if
+// nothing restarts and all replies arrive in the end.
 func TestNeverTwoFounders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "processes")
@@ -84,10 +84,10 @@
 			}
 		}
 		if founders > 1 {
-			t.Fatalf("%d founders", founders)
+			t.Fatalf("%d founders, want at most 1", founders)
 		}
 		if restarts == 0 && disks > 0 && founders == 0 {
-			t.Fatal("no process founds although all answer")
+			t.Fatal("no founder although all seeds reply")
 		}
 	})
 }
--- a/node/internal/boottime/boottime.go
+++ b/node/internal/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime has a clock that also counts the time for which the VM was suspended. Go's own
-// reading of the steady clock (CLOCK_MONOTONIC) stands still meanwhile: a process that wakes up would take
-// what it was told before for younger than it is.
+// Package boottime provides a clock that includes the time during which the VM was suspended.
+// CLOCK_MONOTONIC, which Go reads, does not advance during a suspension, so a process that resumes would
+// underestimate the age of what it learned before.
 package boottime
 
 import (
@@ -10,15 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is the system's clock, whose times of day go on from the process's start by CLOCK_BOOTTIME: they
-// neither stand still nor jump. Its timers and tickers are those of the steady clock.
+// Clock is the system clock, except that its time of day advances by CLOCK_BOOTTIME from the start of the
+// process, so that it neither pauses nor jumps. Timers and tickers use the monotonic clock.
 type Clock struct {
 	clockwork.Clock
-	start   time.Time // time of day at elapsed zero, without a reading of the steady clock
+	start   time.Time // time of day at elapsed zero, without a monotonic reading
 	elapsed func() time.Duration
 }
 
-// system is one clock, so that times which different parts of the process have read can be compared.
+// system is shared by the whole process, so that times read in different places are comparable.
 var system = newClock(clockwork.NewRealClock(), sinceBoot)
 
 // System returns the clock of this process.
@@ -37,7 +37,7 @@
 // Until implements clockwork.Clock.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// sinceBoot reads CLOCK_BOOTTIME, which every Linux since 2.6.39 has.
+// sinceBoot reads CLOCK_BOOTTIME, which Linux has since 2.6.39.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/node/internal/periodic/periodic.go
+++ b/node/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic calls a function at intervals.
+// Package periodic calls a function at regular intervals.
 package periodic
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Run calls f every interval, one call at a time, until ctx ends. A call that
-// takes longer than the interval leaves calls out.
+// Run calls f every interval, one call at a time, until ctx ends. Ticks during a call that takes longer than
+// the interval are dropped.
 func Run(ctx context.Context, clock clockwork.Clock, interval time.Duration, f func()) {
 	ticker := clock.NewTicker(interval)
 	defer ticker.Stop()
--- a/node/internal/rapidtest/rapidtest.go
+++ b/node/internal/rapidtest/rapidtest.go
@@ -1,6 +1,5 @@
-// Package rapidtest sets up packages whose tests use rapid
-// (pgregory.net/rapid): `go test` must do the same every time, and `make fuzz`
-// passes seeds and lengths of its own.
+// Package rapidtest configures tests that use rapid (pgregory.net/rapid): `go test` must be reproducible,
+// while `make fuzz` passes its own seeds and lengths.
 package rapidtest
 
 import (
@@ -12,13 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-// Bubbled hides the deadline of a test, which must not be asked for inside of
-// a synctest bubble.
+// Bubbled hides the deadline of a test, because a synctest bubble must not ask for it.
 type Bubbled struct{ rapid.TB }
 
-// Main runs a package's tests with its own defaults of rapid's flags, each
-// written NAME=VALUE without the prefix "rapid.". The command line goes before
-// them. Call it from TestMain.
+// Main runs the tests of a package with its own defaults for the flags of rapid, each written as NAME=VALUE
+// without the prefix "rapid.". Flags on the command line override them. Call it from TestMain.
 func Main(m *testing.M, defaults ...string) {
 	for _, d := range defaults {
 		name, value, _ := strings.Cut(d, "=")
--- a/node/kernel/kernel.go
+++ b/node/kernel/kernel.go
@@ -1,7 +1,7 @@
-// Package kernel is the core of the daemon. It knows module names and a life
-// cycle, nothing of what the modules do. A module's constructor names the
-// services it needs, by `name` tags of a dig.In struct; the kernel builds them
-// in dependency order, starts them, and stops them in the reverse order.
+// Package kernel wires the modules of the daemon by dependency injection and runs their life cycle; it knows
+// nothing about what they do. The constructor of a module lists the services that it needs as fields of a
+// dig.In struct with `name` tags. The kernel builds the modules in dependency order, starts them, and stops
+// them in reverse order.
 package kernel
 
 import (
@@ -18,25 +18,23 @@
 // Module is a named service of the daemon.
 type Module struct {
 	Name string
-	New  any // dig constructor whose first result is the service
+	New  any // dig constructor; its first result is the service
 }
 
-// Validator is a service that checks its settings before anything starts.
+// Validator is a service that validates its settings before any module starts.
 type Validator interface{ Validate() error }
 
-// Starter is a service that does work of its own. Start must not block; ctx
-// only bounds the start itself.
+// Starter is a service with work to start. Start must not block; ctx limits only the start itself.
 type Starter interface {
 	Start(ctx context.Context) error
 }
 
-// Stopper is a service that must be stopped. Stop finishes work in flight
-// until ctx ends.
+// Stopper is a service that must be stopped. Stop completes the work in flight until ctx ends.
 type Stopper interface {
 	Stop(ctx context.Context) error
 }
 
-// Kernel holds the modules of one process.
+// Kernel holds the modules of a process.
 type Kernel struct {
 	log       logr.Logger
 	container *dig.Container
@@ -53,14 +51,14 @@
 	return k
 }
 
-// Supply adds a constructor of an unnamed value that all modules may ask for.
+// Supply registers a constructor for an unnamed value that every module can depend on.
 func (k *Kernel) Supply(constructor any) {
 	if err := k.container.Provide(constructor); err != nil {
 		panic("kernel: " + err.Error())
 	}
 }
 
-// Add registers modules. They start in the order in which they are added.
+// Add registers modules. They start in the order of registration.
 func (k *Kernel) Add(modules ...Module) error {
 	for _, m := range modules {
 		if err := k.container.Provide(m.New, dig.Name(m.Name)); err != nil {
@@ -71,8 +69,7 @@
 	return nil
 }
 
-// Fail reports that a running service can go on no longer. The process stops
-// with the first reported error.
+// Fail reports that a running service can't continue. The first reported error stops the process.
 func (k *Kernel) Fail(err error) {
 	select {
 	case k.failed <- err:
@@ -80,7 +77,7 @@
 	}
 }
 
-// Provision builds and validates every module without starting any.
+// Provision builds and validates all modules without starting any.
 func (k *Kernel) Provision() error {
 	for _, m := range k.modules {
 		service, err := k.resolve(m)
@@ -97,8 +94,8 @@
 	return nil
 }
 
-// resolve asks the container for the named service through a dig.In struct
-// made for the constructor's result type.
+// resolve gets the named service from the container through a dig.In struct that is generated for the
+// constructor's result type.
 func (k *Kernel) resolve(m Module) (any, error) {
 	result := reflect.TypeOf(m.New).Out(0)
 	in := reflect.StructOf([]reflect.StructField{
@@ -114,7 +111,7 @@
 	return service, err
 }
 
-// Start starts all modules. When one fails, those already started are stopped.
+// Start starts all modules until one fails; the caller must then stop those that were started.
 func (k *Kernel) Start(ctx context.Context) error {
 	for _, m := range k.modules {
 		if s, ok := k.services[m.Name].(Starter); ok {
@@ -148,8 +145,8 @@
 	return first
 }
 
-// Run provisions and starts everything, waits until ctx ends or a service
-// fails, and then stops everything within the time that drain gives.
+// Run provisions and starts all modules, waits until ctx ends or a service fails, and then stops them all
+// within the context that drain returns.
 func (k *Kernel) Run(ctx context.Context, drain func() (context.Context, context.CancelFunc)) error {
 	if err := k.Provision(); err != nil {
 		return err
--- a/node/security/security.go
+++ b/node/security/security.go
@@ -1,7 +1,6 @@
-// Package security gives the process's listeners and connections their
-// encryption: mutual TLS between caperdrum's processes, TLS towards callers
-// and administrators. Certificate files are read again when they change, so a
-// renewal needs no restart. Plain text is for loopback addresses only.
+// Package security encrypts the listeners and connections of the process: mutual TLS between caperdrum's
+// processes, TLS for callers and administrators. Certificate files are reloaded when they change, so renewing
+// them needs no restart. Plain text is for loopback addresses only.
 package security
 
 import (
@@ -16,51 +15,50 @@
 	"github.com/juju/errors"
 )
 
-// Files name PEM files. CallerCertificate and CallerKey default to
-// Certificate and Key.
+// Files are the paths of PEM files. CallerCertificate and CallerKey default to Certificate and Key.
 type Files struct {
-	CA                string // authority of all processes' certificates
-	Certificate       string // this process, as client and as server, with its IP numbers
+	CA                string // CA that signs the certificates of all processes
+	Certificate       string // of this process, both as client and as server; must contain its IP addresses
 	Key               string
 	CallerCertificate string
 	CallerKey         string
 }
 
-// Purpose says who connects to a listener.
+// Purpose says who may connect to a listener.
 type Purpose int
 
 // Purposes of a listener.
 const (
-	Peers   Purpose = iota // caperdrum's own processes: a certificate is asked for
+	Peers   Purpose = iota // caperdrum's own processes; client certificates are required
 	Callers                // callers and administrators
 )
 
 const (
-	reloadInterval   = time.Second // how often a handshake may look at the files
+	reloadInterval   = time.Second // minimum time between checks for changed files
 	handshakeTimeout = 5 * time.Second
 	dialTimeout      = time.Second
 )
 
-// ErrUnreadable says that certificate files cannot be used.
+// ErrUnreadable says that certificate files can't be loaded.
 var ErrUnreadable = errors.New("security: certificate files")
 
 // Store holds the current certificates. A nil Store means plain text.
 type Store struct {
 	files Files
 
-	mu      sync.Mutex
-	checked time.Time
-	stamp   [5]time.Time // modification times of the loaded files
-	current *material
+	mu        sync.Mutex
+	lastCheck time.Time
+	modTimes  [5]time.Time // modification times of the loaded files
+	current   *credentials
 }
 
-type material struct {
+type credentials struct {
 	pool   *x509.CertPool
 	peer   tls.Certificate
 	caller tls.Certificate
 }
 
-// New loads the files. Without a CA it returns nil, which is plain text.
+// New loads the files. Without a CA it returns nil, which means plain text.
 func New(f Files) (*Store, error) {
 	if f.CA == "" {
 		return nil, nil
@@ -73,16 +71,16 @@
 	if err != nil {
 		return nil, err
 	}
-	s.current, s.stamp, s.checked = m, s.times(), time.Now()
+	s.current, s.modTimes, s.lastCheck = m, s.readModTimes(), time.Now()
 	return s, nil
 }
 
-func (s *Store) load() (*material, error) {
+func (s *Store) load() (*credentials, error) {
 	ca, err := os.ReadFile(s.files.CA)
 	if err != nil {
 		return nil, errors.Annotatef(ErrUnreadable, "%v", err)
 	}
-	m := &material{pool: x509.NewCertPool()}
+	m := &credentials{pool: x509.NewCertPool()}
 	if !m.pool.AppendCertsFromPEM(ca) {
 		return nil, errors.Annotatef(ErrUnreadable, "%s holds no certificate", s.files.CA)
 	}
@@ -95,7 +93,7 @@
 	return m, nil
 }
 
-func (s *Store) times() [5]time.Time {
+func (s *Store) readModTimes() [5]time.Time {
 	var out [5]time.Time
 	for i, name := range []string{s.files.CA, s.files.Certificate, s.files.Key, s.files.CallerCertificate, s.files.CallerKey} {
 		if info, err := os.Stat(name); err == nil {
@@ -105,37 +103,38 @@
 	return out
 }
 
-// now returns the current material. Files that changed but do not load, such
-// as a certificate whose key is not written yet, leave the old ones in use.
-func (s *Store) now() *material {
+// currentCredentials returns the current certificates, reloading changed files. If changed files can't be
+// loaded, for example because the key of a new certificate is not written yet, the old certificates stay in
+// use.
+func (s *Store) currentCredentials() *credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.checked) < reloadInterval {
+	if time.Since(s.lastCheck) < reloadInterval {
 		return s.current
 	}
-	s.checked = time.Now()
-	stamp := s.times()
-	if stamp == s.stamp {
+	s.lastCheck = time.Now()
+	stamp := s.readModTimes()
+	if stamp == s.modTimes {
 		return s.current
 	}
 	if m, err := s.load(); err == nil {
-		s.current, s.stamp = m, stamp
+		s.current, s.modTimes = m, stamp
 	}
 	return s.current
 }
 
-// Listen opens a listener for the purpose.
+// Listen opens a TCP listener with the encryption for the purpose.
 func (s *Store) Listen(address string, p Purpose) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil || s == nil {
 		return l, err
 	}
-	return tls.NewListener(l, s.server(p)), nil
+	return tls.NewListener(l, s.serverConfig(p)), nil
 }
 
-func (s *Store) server(p Purpose) *tls.Config {
+func (s *Store) serverConfig(p Purpose) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		m := s.now()
+		m := s.currentCredentials()
 		if p == Callers {
 			return &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{m.caller}}, nil
 		}
@@ -144,8 +143,7 @@
 	}}
 }
 
-// Dial connects to another process of the system. It has the type of
-// peer.Dialer.
+// Dial connects to another caperdrum process. It implements peer.Dialer.
 func (s *Store) Dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	raw, err := d.DialContext(ctx, "tcp", address)
@@ -157,20 +155,20 @@
 		raw.Close()
 		return nil, err
 	}
-	m := s.now()
+	m := s.currentCredentials()
 	conn := tls.Client(raw, &tls.Config{MinVersion: tls.VersionTLS13, ServerName: host, RootCAs: m.pool, Certificates: []tls.Certificate{m.peer}})
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	if err := conn.HandshakeContext(ctx); err != nil {
 		raw.Close()
-		// Nothing was sent on behalf of the caller: the same as not connected.
+		// Nothing was sent for the caller yet, so report it like a failed connection.
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: raw.RemoteAddr(), Err: err}
 	}
 	return conn, nil
 }
 
-// DialNetwork is Dial in the form that http.Transport takes. Requests keep the
-// scheme http; the connection below is encrypted.
+// DialNetwork is Dial with the signature of http.Transport.DialContext. Requests keep the scheme http; the
+// connection itself is encrypted.
 func (s *Store) DialNetwork(ctx context.Context, _, address string) (net.Conn, error) {
 	return s.Dial(ctx, address)
 }
--- a/node/security/security_test.go
+++ b/node/security/security_test.go
@@ -22,7 +22,7 @@
 	"caperdrum.org/node/security"
 )
 
-// authority signs certificates for tests.
+// authority is a CA or a certificate with its key.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -54,7 +54,7 @@
 	Expect(os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600)).To(Succeed())
 }
 
-// files writes a process's certificate, signed by ca, and trusts the given one.
+// files writes a certificate signed by ca and a CA file with trusted.
 func files(dir string, ca, trusted *authority) security.Files {
 	f := security.Files{CA: filepath.Join(dir, "ca"), Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key")}
 	leaf := sign(ca, false)
@@ -72,7 +72,7 @@
 	return s
 }
 
-// echo answers every connection with one byte.
+// echo returns one byte to every connection and closes it.
 func echo(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -114,8 +114,8 @@
 	address := l.Addr().String()
 
 	Expect(exchange(store(files(t.TempDir(), ca, ca)), address)).To(Succeed())
-	Expect(exchange(store(files(t.TempDir(), stranger, ca)), address)).NotTo(Succeed(), "a certificate of another authority")
-	Expect(exchange(store(files(t.TempDir(), ca, stranger)), address)).NotTo(Succeed(), "a server that the client does not trust")
+	Expect(exchange(store(files(t.TempDir(), stranger, ca)), address)).NotTo(Succeed(), "certificate of another CA")
+	Expect(exchange(store(files(t.TempDir(), ca, stranger)), address)).NotTo(Succeed(), "server certificate of an untrusted CA")
 	var plain *security.Store
 	Expect(exchange(plain, address)).NotTo(Succeed(), "plain text")
 }
@@ -132,7 +132,7 @@
 	client := store(files(t.TempDir(), next, next))
 	Expect(exchange(client, l.Addr().String())).NotTo(Succeed())
 
-	// A file that does not load leaves the old certificates in use.
+	// A file that can't be loaded leaves the old certificates in use.
 	Expect(os.WriteFile(filepath.Join(dir, "cert"), []byte("half"), 0o600)).To(Succeed())
 	Eventually(func() error { return exchange(store(files(t.TempDir(), old, old)), l.Addr().String()) }, "10s").Should(Succeed())
 	files(dir, next, next)
