--- a/ctl/adminclient/adminclient.go
+++ b/ctl/adminclient/adminclient.go
@@ -1,5 +1,5 @@
-// Package adminclient calls the administration API. It tries the control
-// processes in turn until the leader has answered.
+// Package adminclient calls the administration API. It tries the control processes in turn until the leader
+// responds.
 package adminclient
 
 import (
@@ -30,9 +30,8 @@
 	http      *http.Client
 }
 
-// TLS names the PEM files for encrypted calls. Without a CA calls are plain
-// text. The certificate is shown to debug listeners, which admit only those
-// that the CA has signed.
+// TLS names the PEM files for encrypted calls. Without a CA, calls are plain text. The client certificate is
+// presented to debug listeners, which require one signed by the CA.
 type TLS struct {
 	CA, Certificate, Key string
 }
@@ -59,7 +58,7 @@
 
 const callTimeout = 6 * time.Second
 
-// NewTLS is New with encrypted calls.
+// NewTLS is like New, but calls are encrypted.
 func NewTLS(addresses []string, key string, t TLS) (*Client, error) {
 	c := New(addresses, key)
 	cfg, err := t.config()
@@ -71,12 +70,12 @@
 	return c, nil
 }
 
-// New returns a client that authenticates with the bearer key, if there is one.
+// New returns a client that authenticates with the bearer key, unless it is empty.
 func New(addresses []string, key string) *Client {
 	return &Client{addresses: addresses, key: key, scheme: "http", http: &http.Client{Timeout: callTimeout}}
 }
 
-// Refusal is a call that a control process understood and refused.
+// Refusal is the error of a call that a control process rejected.
 type Refusal struct {
 	Status   int
 	Message  string              `json:"message"`
@@ -95,7 +94,7 @@
 	return r.Message + "; " + r.Remedy
 }
 
-// final reports whether another control process would refuse as well.
+// final reports whether every other control process would reject the call as well.
 func (r *Refusal) final() bool {
 	switch r.Status {
 	case http.StatusUnprocessableEntity, http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound, http.StatusConflict:
@@ -104,8 +103,8 @@
 	return false
 }
 
-// call sends one call to one address. The conflict of a
-// change is an answer and is decoded into out.
+// call sends one call to one address. A change result with status 409 is a regular result and is decoded into
+// out.
 func (c *Client) call(ctx context.Context, address, method, path string, in, out any) error {
 	var body bytes.Buffer
 	if in != nil {
@@ -135,10 +134,10 @@
 	return refusal
 }
 
-const leaderPause = 100 * time.Millisecond
+const leaderRetryInterval = 100 * time.Millisecond
 
-// leader repeats an idempotent call until the leader answers or ctx ends.
-func (c *Client) leader(ctx context.Context, method, path string, in, out any) error {
+// callLeader repeats an idempotent call, trying the addresses in turn, until the leader responds or ctx ends.
+func (c *Client) callLeader(ctx context.Context, method, path string, in, out any) error {
 	var last error
 	for i := 0; ctx.Err() == nil; i++ {
 		last = c.call(ctx, c.addresses[i%len(c.addresses)], method, path, in, out)
@@ -151,62 +150,62 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(leaderPause):
+		case <-time.After(leaderRetryInterval):
 		}
 	}
 	return errors.Annotate(last, "no leader answered")
 }
 
-// Init makes the first control process the voter of a new cluster. The answer
-// holds the first administrators' key, which is not shown again.
+// Init bootstraps a new cluster with the first control process as its voter. The reply contains the key of
+// the initial administrators team, which can't be read again.
 func (c *Client) Init(ctx context.Context) (wire.InitReply, error) {
 	var reply wire.InitReply
 	err := c.call(ctx, c.addresses[0], http.MethodPost, "/v1/init", nil, &reply)
 	return reply, err
 }
 
-// WithKey returns a client that uses another key.
+// WithKey returns a copy of the client that uses another key.
 func (c *Client) WithKey(key string) *Client {
 	other := *c
 	other.key = key
 	return &other
 }
 
-// Apply proposes a change. The same change id makes a resend harmless.
+// Apply proposes a configuration change. Resending it with the same change ID has no further effect.
 func (c *Client) Apply(ctx context.Context, change wire.ChangeRequest) (wire.ChangeResult, error) {
 	var res wire.ChangeResult
-	err := c.leader(ctx, http.MethodPost, "/v1/config", change, &res)
+	err := c.callLeader(ctx, http.MethodPost, "/v1/config", change, &res)
 	return res, err
 }
 
-// Validate has a text checked without proposing it.
+// Validate checks a configuration without proposing it.
 func (c *Client) Validate(ctx context.Context, text string) error {
 	var out struct{}
-	return c.leader(ctx, http.MethodPost, "/v1/config/validate", wire.ChangeRequest{Text: text}, &out)
+	return c.callLeader(ctx, http.MethodPost, "/v1/config/validate", wire.ChangeRequest{Text: text}, &out)
 }
 
-// Diff compares a text with the one in force.
+// Diff compares a configuration with the active one.
 func (c *Client) Diff(ctx context.Context, text string) (wire.ChangeResult, error) {
 	var res wire.ChangeResult
-	err := c.leader(ctx, http.MethodPost, "/v1/config/diff", wire.ChangeRequest{Text: text}, &res)
+	err := c.callLeader(ctx, http.MethodPost, "/v1/config/diff", wire.ChangeRequest{Text: text}, &res)
 	return res, err
 }
 
-// Config returns the text in force.
+// Config returns the active configuration.
 func (c *Client) Config(ctx context.Context) (wire.ConfigText, error) {
 	var out wire.ConfigText
-	err := c.leader(ctx, http.MethodGet, "/v1/config", nil, &out)
+	err := c.callLeader(ctx, http.MethodGet, "/v1/config", nil, &out)
 	return out, err
 }
 
-// ControlStatus is one control process's report, or why there is none.
+// ControlStatus is the status of one control process, or the error of reading it.
 type ControlStatus struct {
 	Address string
 	Status  wire.ControlStatus
 	Err     error
 }
 
-// Status asks every control process.
+// Status queries every control process.
 func (c *Client) Status(ctx context.Context) []ControlStatus {
 	out := make([]ControlStatus, len(c.addresses))
 	var wg sync.WaitGroup
@@ -220,7 +219,7 @@
 	return out
 }
 
-// Members returns the leader's report of all members, sorted by id.
+// Members returns the leader's list of all members, sorted by ID.
 func (c *Client) Members(ctx context.Context) ([]wire.MemberStatus, error) {
 	for _, st := range c.Status(ctx) {
 		if st.Err != nil || st.Status.State != "leader" {
@@ -236,12 +235,12 @@
 	return nil, errors.New("no leader answered")
 }
 
-// Timeline collects the events of the processes at the given debug addresses
-// and names those that did not answer.
+// Timeline collects the events of the processes at the given debug addresses. It also returns the addresses
+// that could not be reached.
 func (c *Client) Timeline(ctx context.Context, addresses []string, query string) (events []timeline.Event, unreached []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	debug := c.WithKey("") // the key is for the control processes only
+	debug := c.WithKey("") // the key must only be sent to control processes
 	for _, a := range addresses {
 		wg.Go(func() {
 			var part []timeline.Event
@@ -263,7 +262,7 @@
 // Teams lists the teams and their keys, without secrets.
 func (c *Client) Teams(ctx context.Context) ([]wire.TeamInfo, error) {
 	var out []wire.TeamInfo
-	err := c.leader(ctx, http.MethodGet, "/v1/teams", nil, &out)
+	err := c.callLeader(ctx, http.MethodGet, "/v1/teams", nil, &out)
 	return out, err
 }
 
@@ -274,79 +273,79 @@
 		method = http.MethodPut
 	}
 	var result wire.EvacuationResult
-	err := c.leader(ctx, method, "/v1/evacuations/"+url.PathEscape(dataCenter), nil, &result)
+	err := c.callLeader(ctx, method, "/v1/evacuations/"+url.PathEscape(dataCenter), nil, &result)
 	return result, err
 }
 
-// Evacuations returns the data centres for which there ever was an order.
+// Evacuations returns the evacuations of all data centres that ever had one.
 func (c *Client) Evacuations(ctx context.Context) (wire.Evacuations, error) {
 	var out wire.Evacuations
-	err := c.leader(ctx, http.MethodGet, "/v1/evacuations", nil, &out)
+	err := c.callLeader(ctx, http.MethodGet, "/v1/evacuations", nil, &out)
 	return out, err
 }
 
-// Quarantine returns the calls under which upstreams ended, as the ledger holds them.
+// Quarantine returns the calls that crashed upstreams, as recorded in the ledger.
 func (c *Client) Quarantine(ctx context.Context) ([]wire.QuarantineEntry, error) {
 	var out []wire.QuarantineEntry
-	err := c.leader(ctx, http.MethodGet, "/v1/quarantine", nil, &out)
+	err := c.callLeader(ctx, http.MethodGet, "/v1/quarantine", nil, &out)
 	return out, err
 }
 
-// LiftBar ends the quarantine of a call.
+// LiftBar releases a call from quarantine.
 func (c *Client) LiftBar(ctx context.Context, f wire.Fingerprint) error {
 	var out struct{}
-	return c.leader(ctx, http.MethodDelete, "/v1/quarantine/"+url.PathEscape(string(f)), nil, &out)
+	return c.callLeader(ctx, http.MethodDelete, "/v1/quarantine/"+url.PathEscape(string(f)), nil, &out)
 }
 
-// Rollouts returns the last roll-out of each service.
+// Rollouts returns the latest rollout of each service.
 func (c *Client) Rollouts(ctx context.Context) (wire.Rollouts, error) {
 	var out wire.Rollouts
-	err := c.leader(ctx, http.MethodGet, "/v1/rollouts", nil, &out)
+	err := c.callLeader(ctx, http.MethodGet, "/v1/rollouts", nil, &out)
 	return out, err
 }
 
-// StartRollout moves a service's calls to a target version within span.
+// StartRollout shifts the calls of a service to a target version within span.
 func (c *Client) StartRollout(ctx context.Context, service, target string, span time.Duration) (wire.RolloutResult, error) {
 	var out wire.RolloutResult
-	err := c.leader(ctx, http.MethodPut, "/v1/rollouts/"+url.PathEscape(service), wire.RolloutOrder{Target: target, Span: span}, &out)
+	err := c.callLeader(ctx, http.MethodPut, "/v1/rollouts/"+url.PathEscape(service), wire.RolloutOrder{Target: target, Span: span}, &out)
 	return out, err
 }
 
-// AbortRollout rolls a running roll-out back.
+// AbortRollout rolls back the rollout in progress.
 func (c *Client) AbortRollout(ctx context.Context, service string) (wire.RolloutResult, error) {
 	var out wire.RolloutResult
-	err := c.leader(ctx, http.MethodDelete, "/v1/rollouts/"+url.PathEscape(service), nil, &out)
+	err := c.callLeader(ctx, http.MethodDelete, "/v1/rollouts/"+url.PathEscape(service), nil, &out)
 	return out, err
 }
 
-// PutTeam adds a team or replaces its rights.
+// PutTeam creates a team or replaces its permissions.
 func (c *Client) PutTeam(ctx context.Context, t wire.TeamInfo) error {
 	var out struct{}
-	return c.leader(ctx, http.MethodPut, "/v1/teams/"+url.PathEscape(t.Name), t, &out)
+	return c.callLeader(ctx, http.MethodPut, "/v1/teams/"+url.PathEscape(t.Name), t, &out)
 }
 
-// DeleteTeam removes a team and its keys.
+// DeleteTeam deletes a team and its keys.
 func (c *Client) DeleteTeam(ctx context.Context, name string) error {
 	var out struct{}
-	return c.leader(ctx, http.MethodDelete, "/v1/teams/"+url.PathEscape(name), nil, &out)
+	return c.callLeader(ctx, http.MethodDelete, "/v1/teams/"+url.PathEscape(name), nil, &out)
 }
 
-// AddKey makes one more key for a team. It is shown only in this answer.
+// AddKey adds a key to a team. Only this reply contains the secret.
 func (c *Client) AddKey(ctx context.Context, team string) (wire.NewKey, error) {
 	var out wire.NewKey
-	err := c.leader(ctx, http.MethodPost, "/v1/teams/"+url.PathEscape(team)+"/keys", nil, &out)
+	err := c.callLeader(ctx, http.MethodPost, "/v1/teams/"+url.PathEscape(team)+"/keys", nil, &out)
 	return out, err
 }
 
-// EndKey ends a key after the given time.
+// EndKey revokes a key after the given time.
 func (c *Client) EndKey(ctx context.Context, id string, after time.Duration) error {
 	var out struct{}
-	return c.leader(ctx, http.MethodDelete, "/v1/keys/"+url.PathEscape(id)+"?after="+after.String(), nil, &out)
+	return c.callLeader(ctx, http.MethodDelete, "/v1/keys/"+url.PathEscape(id)+"?after="+after.String(), nil, &out)
 }
 
-// History lists the latest changes, newest last.
+// History lists the latest configuration changes, newest last.
 func (c *Client) History(ctx context.Context) ([]wire.ChangeInfo, error) {
 	var out []wire.ChangeInfo
-	err := c.leader(ctx, http.MethodGet, "/v1/config/history", nil, &out)
+	err := c.callLeader(ctx, http.MethodGet, "/v1/config/history", nil, &out)
 	return out, err
 }
--- a/ctl/bench/arrivals.go
+++ b/ctl/bench/arrivals.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-// Segment is a stretch of time with a constant load. Load 1 is the nominal
-// capacity.
+// Segment is a period of constant load. Load 1 is the nominal capacity.
 type Segment struct {
 	Duration time.Duration
 	Load     float64
 }
 
-func total(profile []Segment) time.Duration {
+func totalDuration(profile []Segment) time.Duration {
 	var d time.Duration
 	for _, s := range profile {
 		d += s.Duration
@@ -21,9 +20,9 @@
 	return d
 }
 
-// poisson draws the arrival times of a Poisson process whose rate, per second,
-// is each segment's load times unit.
-func poisson(random *rand.Rand, profile []Segment, unit float64) []time.Duration {
+// poissonArrivals draws the arrival times of a Poisson process. Its rate per second is the load of each
+// segment times unit.
+func poissonArrivals(random *rand.Rand, profile []Segment, unit float64) []time.Duration {
 	var out []time.Duration
 	var start time.Duration
 	for _, s := range profile {
@@ -32,7 +31,7 @@
 		for at := start; rate > 0; {
 			at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 			if at >= end {
-				break // memoryless: the next segment starts afresh
+				break // memoryless: the next segment starts anew
 			}
 			out = append(out, at)
 		}
@@ -41,9 +40,9 @@
 	return out
 }
 
-// onOff turns a profile into one that is twice as high for a period and zero
-// for the next.
-func onOff(profile []Segment, period time.Duration) []Segment {
+// onOffProfile returns a profile that alternates between twice the load for one period and no load for the
+// next.
+func onOffProfile(profile []Segment, period time.Duration) []Segment {
 	var out []Segment
 	on := true
 	left := period
@@ -65,30 +64,30 @@
 	return out
 }
 
-// size draws a log-normal size in bytes.
-func size(random *rand.Rand, f *Flow) int {
+// querySize draws a log-normally distributed size in bytes.
+func querySize(random *rand.Rand, f *Flow) int {
 	n := float64(f.Median) * math.Exp(random.NormFloat64()*f.Sigma)
 	return max(1, min(int(n), f.Max))
 }
 
 const (
-	letters   = "abcdefghijklmnopqrstuvwxyz "
-	proseSize = 1 << 16
+	letters        = "abcdefghijklmnopqrstuvwxyz "
+	textSourceSize = 1 << 16
 )
 
-// prose is text to take words from.
-var prose = func() string {
+// textSource is pseudo-random text that queries are cut from.
+var textSource = func() string {
 	random := rand.New(rand.NewPCG(1, 1))
-	b := make([]byte, proseSize)
+	b := make([]byte, textSourceSize)
 	for i := range b {
 		b[i] = letters[random.IntN(len(letters))]
 	}
 	return string(b)
 }()
 
-// words returns n bytes of text, at most half of the prose.
-func words(random *rand.Rand, n int) string {
-	n = min(n, proseSize/2)
-	start := random.IntN(proseSize - n)
-	return prose[start : start+n]
+// randomText returns n bytes of text, at most half of textSource.
+func randomText(random *rand.Rand, n int) string {
+	n = min(n, textSourceSize/2)
+	start := random.IntN(textSourceSize - n)
+	return textSource[start : start+n]
 }
--- a/ctl/bench/bench.go
+++ b/ctl/bench/bench.go
@@ -18,52 +18,52 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// Config says what to measure and where.
+// Config says what to measure and on which system.
 type Config struct {
 	Deployment   Deployment
 	Scenarios    []Scenario
 	Policies     []Policy
-	Text         string // of the operators; policies vary it
+	Text         string // operator configuration, which the policies modify
 	Repeats      int
 	Seed         uint64
 	Entries      []string // addresses
 	Admin        *adminclient.Client
-	Control      string // of the stand-ins
-	EntryPIDFile string // holds the process id of the entry to kill; empty leaves such scenarios out
+	Control      string // control address of the stand-ins
+	EntryPIDFile string // holds the process ID of the entry to kill; if empty, scenarios that need it are skipped
 	Progress     io.Writer
 }
 
-// Bench is one measurement.
+// Bench runs the scenarios and collects their results.
 type Bench struct {
-	c       Config
-	system  *system
-	up      *upstreams
-	sender  *httpSender
-	results map[string]*Result
-	order   []*Result
-	tag     string // of this measurement
-	runs    int
+	c        Config
+	system   *system
+	standins *standinControl
+	sender   *httpSender
+	results  map[string]*Result
+	order    []*Result
+	runTag   string // unique prefix of the request IDs of this measurement
+	runs     int
 }
 
-// New returns a measurement of a running system.
+// New returns a Bench for a running system.
 func New(c Config) *Bench {
 	b := newBalancer(c.Entries)
 	agents := 0
 	for _, p := range c.Deployment.Pools {
 		agents += p.Count
 	}
-	return &Bench{c: c, up: newUpstreams(c.Control), sender: newSender(b), results: map[string]*Result{}, tag: uuid.NewString()[:tagLength],
+	return &Bench{c: c, standins: newStandinControl(c.Control), sender: newSender(b), results: map[string]*Result{}, runTag: uuid.NewString()[:tagLength],
 		system: &system{admin: c.Admin, balancer: b, agents: agents}}
 }
 
-// Run measures every scenario under every policy, and all that again for each
-// repeat, with the policies' order turned round, so that a drift of the
-// machine hits all alike. Equal repeats have equal schedules for all policies.
+// Run measures every scenario under every policy, once per repeat. Every other repeat runs the policies in
+// reverse order, so that a drift of the machine affects all of them alike. In the same repeat all policies
+// get the same schedule.
 func (b *Bench) Run(ctx context.Context) ([]*Result, error) {
 	b.sender.balancer.watch(ctx)
 	for _, sc := range b.c.Scenarios {
 		if sc.KillEntry > 0 && b.c.EntryPIDFile == "" {
-			fmt.Fprintf(b.c.Progress, "%s: not run, no entry to kill was named\n", sc.Name)
+			fmt.Fprintf(b.c.Progress, "%s: skipped, no process ID file of an entry to kill was given\n", sc.Name)
 			continue
 		}
 		for repeat := range b.c.Repeats {
@@ -72,7 +72,7 @@
 				if repeat%2 == 1 {
 					n = len(b.c.Policies) - 1 - i
 				}
-				if err := b.one(ctx, sc, b.c.Policies[n], b.c.Seed+uint64(repeat)); err != nil {
+				if err := b.runOnce(ctx, sc, b.c.Policies[n], b.c.Seed+uint64(repeat)); err != nil {
 					return b.finish(), fmt.Errorf("%s under %s: %w", sc.Name, b.c.Policies[n].Name, err)
 				}
 			}
@@ -83,7 +83,7 @@
 
 func (b *Bench) finish() []*Result {
 	for _, r := range b.order {
-		r.finish()
+		r.computeQuantiles()
 	}
 	return b.order
 }
@@ -99,16 +99,16 @@
 
 const (
 	tagLength  = 8
-	settleTime = 300 * time.Millisecond // for work that was cancelled at the end
-	startDelay = 200 * time.Millisecond // before the first request
+	settleTime = 300 * time.Millisecond // time for work that was cancelled at the end of the run
+	startDelay = 200 * time.Millisecond // time before the first request
 )
 
-func (b *Bench) one(ctx context.Context, sc Scenario, p Policy, seed uint64) error {
+func (b *Bench) runOnce(ctx context.Context, sc Scenario, p Policy, seed uint64) error {
 	if err := b.prepare(ctx, sc, p); err != nil {
 		return err
 	}
 	b.runs++
-	plan := Plan{Deployment: b.c.Deployment, Scenario: sc, Seed: seed, Tag: fmt.Sprintf("%s-%03d", b.tag, b.runs), Rates: NominalRates(b.c.Deployment, sc, b.c.Seed)}
+	plan := Plan{Deployment: b.c.Deployment, Scenario: sc, Seed: seed, Tag: fmt.Sprintf("%s-%03d", b.runTag, b.runs), Rates: NominalRates(b.c.Deployment, sc, b.c.Seed)}
 	schedule := plan.Schedule()
 	markFitting(plan, schedule)
 	r := b.result(sc, p)
@@ -118,22 +118,22 @@
 		return err
 	}
 	time.Sleep(settleTime)
-	t, err := b.up.truth(ctx)
+	t, err := b.standins.truth(ctx)
 	if err != nil {
 		return err
 	}
 	r.check(outcomes, t)
-	b.system.counters(ctx).since(before, r.Counters)
-	_, ideal := idealHits(b.c.Deployment, t.generated(schedule))
+	b.system.counters(ctx).addDeltas(before, r.Counters)
+	_, ideal := idealCacheHits(b.c.Deployment, t.generatedRequests(schedule))
 	r.Runs++
-	r.Hits += (t.hitShare() - r.Hits) / float64(r.Runs)
+	r.Hits += (t.cacheHitRatio() - r.Hits) / float64(r.Runs)
 	r.Ideal += (ideal - r.Ideal) / float64(r.Runs)
-	r.Seconds += (total(sc.Profile) - sc.Warm).Seconds()
-	return b.up.reset(ctx)
+	r.Seconds += (totalDuration(sc.Profile) - sc.Warm).Seconds()
+	return b.standins.reset(ctx)
 }
 
 func (b *Bench) prepare(ctx context.Context, sc Scenario, p Policy) error {
-	if err := b.up.reset(ctx); err != nil {
+	if err := b.standins.reset(ctx); err != nil {
 		return err
 	}
 	text, err := p.Apply(b.c.Text)
@@ -143,16 +143,16 @@
 	if err := b.system.apply(ctx, text); err != nil {
 		return err
 	}
-	if err := b.system.ready(ctx); err != nil {
+	if err := b.system.waitReady(ctx); err != nil {
 		return err
 	}
 	if sc.LoadLag > 0 {
-		return b.up.loadLag(ctx, sc.LoadLag)
+		return b.standins.loadLag(ctx, sc.LoadLag)
 	}
 	return nil
 }
 
-// load runs the schedule, with the scenario's faults at their times.
+// load runs the schedule and injects the faults of the scenario at their times.
 func (b *Bench) load(ctx context.Context, sc Scenario, p Policy, schedule []*Request, r *Result) []Outcome {
 	bar := progressbar.NewOptions(len(schedule), progressbar.OptionSetWriter(b.c.Progress), progressbar.OptionSetDescription(sc.Name+" / "+p.Name),
 		progressbar.OptionShowCount(), progressbar.OptionThrottle(time.Second/4), progressbar.OptionClearOnFinish())
@@ -179,20 +179,20 @@
 }
 
 func (b *Bench) inject(ctx context.Context, f TimedFault) {
-	if !pause(ctx, f.At) {
+	if !sleepContext(ctx, f.At) {
 		return
 	}
 	for _, name := range f.targets(b.c.Deployment) {
-		if err := b.up.fault(ctx, name, f.Fault); err != nil {
-			fmt.Fprintf(b.c.Progress, "fault at %s not in force: %v\n", name, err)
+		if err := b.standins.fault(ctx, name, f.Fault); err != nil {
+			fmt.Fprintf(b.c.Progress, "fault at %s not injected: %v\n", name, err)
 		}
 	}
 }
 
-// killEntry kills the entry whose process id stands in the file, without
-// warning. Whoever started it starts it again.
+// killEntry sends SIGKILL to the entry whose process ID is in the file. The process that started the entry
+// restarts it.
 func (b *Bench) killEntry(ctx context.Context, at time.Duration) {
-	if !pause(ctx, at) {
+	if !sleepContext(ctx, at) {
 		return
 	}
 	data, err := os.ReadFile(b.c.EntryPIDFile)
--- a/ctl/bench/bench_test.go
+++ b/ctl/bench/bench_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestLoadIsWhatTheScenarioStates compares the work that a schedule offers to
-// each home service with the stated load, and what fits with the capacity.
+// TestLoadIsWhatTheScenarioStates compares the work that a schedule offers to each home service with the load
+// of the scenario, and the requests that fit with the capacity.
 func TestLoadIsWhatTheScenarioStates(t *testing.T) {
 	for _, d := range []Deployment{Argyris(), Blomsterhallen()} {
 		for name, load := range map[string]float64{"late-reports": 0.6, "overload": 3} {
@@ -49,13 +49,13 @@
 			schedule := p.Schedule()
 			markFitting(p, schedule)
 			offered, fitting := 0.0, 0.0
-			for i, w := range works(d, schedule) {
-				offered += w[llm]
+			for i, w := range workByRequest(d, schedule) {
+				offered += w[engineService]
 				if schedule[i].Fits {
-					fitting += w[llm]
+					fitting += w[engineService]
 				}
 			}
-			capacity := float64(d.Pool(llm).Count) * total(p.Scenario.Profile).Seconds()
+			capacity := float64(d.Pool(engineService).Count) * totalDuration(p.Scenario.Profile).Seconds()
 			if math.Abs(offered/capacity-load) > 0.1*load {
 				t.Errorf("%s %s: offered %.2f of the engines' capacity", d.Name, name, offered/capacity)
 			}
@@ -112,12 +112,12 @@
 	}
 	for _, cu := range d.Customers {
 		if c.Customers[cu.Name] == nil {
-			t.Fatalf("%s: customer %s is not in the text", d.Name, cu.Name)
+			t.Fatalf("%s: customer %s is not in the configuration", d.Name, cu.Name)
 		}
 	}
 }
 
-// stalled answers nothing until it is released.
+// stalled is a sender that blocks until it is released.
 type stalled struct{ release chan struct{} }
 
 func (s stalled) Send(context.Context, *Request, time.Time) Reply {
@@ -125,9 +125,9 @@
 	return Reply{Whole: true, Answered: true}
 }
 
-// TestStallShowsInEveryDelayedRequest sends 10 requests, 100 ms apart, to a
-// server that stalls for 2 s. A generator that waited for answers, or counted
-// from the actual start, would see one slow request.
+// TestStallShowsInEveryDelayedRequest sends 10 requests, 100 ms apart, to a server that stalls for 2 s. A
+// generator that waits for replies, or measures from the actual start, would report a single slow request
+// (coordinated omission).
 func TestStallShowsInEveryDelayedRequest(t *testing.T) {
 	const n, gap, stall = 10, 100 * time.Millisecond, 2 * time.Second
 	flow := &Flow{Deadline: time.Second}
@@ -157,14 +157,14 @@
 	clock.Advance(stall - (n-1)*gap)
 	close(server.release)
 	<-ended
-	r.finish()
+	r.computeQuantiles()
 	if r.latency.TotalCount() != n || r.latency.Min() < 1099_000 || r.latency.Max() < 1999_000 || r.Late != n {
 		t.Fatalf("%d latencies from %d to %d µs, %d late; want %d from 1.1 s to 2 s, all late", r.latency.TotalCount(), r.latency.Min(), r.latency.Max(), r.Late, n)
 	}
 }
 
 func TestOutcomesAreCheckedAgainstWhatRan(t *testing.T) {
-	quote := &Flow{Name: "quote", Deadline: time.Second, Services: []string{"encoder", llm}}
+	quote := &Flow{Name: "quote", Deadline: time.Second, Services: []string{"encoder", engineService}}
 	keyedFlow := &Flow{Name: "confirm", Deadline: time.Second, Services: []string{"desk"}}
 	refused := Reply{Answered: true, Verdict: verdict.NotRun, Sends: 1}
 	whole := Reply{Answered: true, Whole: true, Text: "right", Sends: 1}
@@ -180,10 +180,10 @@
 	record := func(id string, runs, completed int, longest, held time.Duration) standin.RunRecord {
 		return standin.RunRecord{Request: id, Runs: runs, Completed: completed, Longest: longest, Held: held}
 	}
-	ran := &truth{bodies: map[string]int{"twice": 2}, accounts: []standin.Account{
+	ran := &groundTruth{bodies: map[string]int{"twice": 2}, accounts: []standin.Account{
 		{Name: "encoder-1", Records: []standin.RunRecord{record("encoded", 1, 1, time.Second, time.Second), record("generated", 1, 1, time.Second, time.Second)}},
-		{Name: llm + "-1", Records: []standin.RunRecord{record("generated", 1, 0, 0, time.Second), record("whole", 1, 1, 2*time.Second, 2*time.Second)}},
-		{Name: llm + "-2", Records: []standin.RunRecord{record("whole", 1, 0, 0, time.Second)}},
+		{Name: engineService + "-1", Records: []standin.RunRecord{record("generated", 1, 0, 0, time.Second), record("whole", 1, 1, 2*time.Second, 2*time.Second)}},
+		{Name: engineService + "-2", Records: []standin.RunRecord{record("whole", 1, 0, 0, time.Second)}},
 	}}
 	r := newResult(Scenario{}, "")
 	for _, o := range outcomes {
@@ -194,7 +194,7 @@
 	if want := []int{3, 3, 1, 1, 1, 1, 1}; !reflect.DeepEqual(got, want) {
 		t.Fatalf("attained, refused, wrong, false, partly, doubled, phantom: %v, want %v", got, want)
 	}
-	if c := r.Costs[llm]; c != (Cost{Held: 4, Extra: 1, Abandoned: 1}) {
+	if c := r.Costs[engineService]; c != (Cost{Held: 4, Extra: 1, Abandoned: 1}) {
 		t.Fatalf("cost of the engines: %+v", c)
 	}
 }
@@ -206,7 +206,7 @@
 		event + event:                      {Text: "a a "},
 	} {
 		var got Reply
-		got.stream(strings.NewReader(body))
+		got.readStream(strings.NewReader(body))
 		if got.Whole != want.Whole || got.Text != want.Text || len(got.Gaps) != 1 {
 			t.Errorf("%q: %+v", body, got)
 		}
--- a/ctl/bench/capacity.go
+++ b/ctl/bench/capacity.go
@@ -7,11 +7,10 @@
 	"caperdrum.org/fake/standin"
 )
 
-// idealHits returns, for each request, the prompt tokens that a single cache
-// with the memory of all engines together would hold, and the share of all
-// prompt tokens that this is.
-func idealHits(d Deployment, schedule []*Request) (hits []int, share float64) {
-	p := d.Pool(llm)
+// idealCacheHits returns, for each request, the prompt tokens that a single prefix cache as large as those of
+// all engines together would hit, and the ratio of all hits to all prompt tokens.
+func idealCacheHits(d Deployment, schedule []*Request) (hits []int, share float64) {
+	p := d.Pool(engineService)
 	cache := standin.NewPrefixCache(p.Count * p.Options.CacheBlocks)
 	hits = make([]int, len(schedule))
 	sum, all := 0, 0
@@ -27,18 +26,16 @@
 	return hits, float64(sum) / float64(max(all, 1))
 }
 
-// assumedHits is the part of the ideal cache hits that the nominal capacity
-// counts on.
-const assumedHits = 0.9
+// assumedHitRatio is the fraction of the ideal cache hits that the nominal capacity assumes.
+const assumedHitRatio = 0.9
 
-// works returns what each request takes of each service it uses, in seconds of
-// one upstream.
-func works(d Deployment, schedule []*Request) []map[string]float64 {
-	hits, _ := idealHits(d, schedule)
+// workByRequest returns, for each request, the work at each service that it uses, in seconds of one upstream.
+func workByRequest(d Deployment, schedule []*Request) []map[string]float64 {
+	hits, _ := idealCacheHits(d, schedule)
 	out := make([]map[string]float64, len(schedule))
 	for i, r := range schedule {
 		out[i] = map[string]float64{}
-		prompt := standin.PromptTokens(r.Prompt) - int(assumedHits*float64(hits[i]))
+		prompt := standin.PromptTokens(r.Prompt) - int(assumedHitRatio*float64(hits[i]))
 		for _, s := range r.Flow.Services {
 			out[i][s] = d.Pool(s).work(r.queryBytes, prompt, r.Flow.Tokens)
 		}
@@ -46,18 +43,18 @@
 	return out
 }
 
-// NominalRates returns the rate of each flow at load 1: its part of its home
-// service's capacity, by the mean work of a trial schedule.
+// NominalRates returns the request rate of each flow at load 1, per second: its share of the capacity of its
+// home service divided by the mean work of a request in a trial schedule.
 func NominalRates(d Deployment, sc Scenario, seed uint64) map[string]float64 {
 	rates := map[string]float64{}
 	for _, f := range d.Flows {
 		p := d.Pool(f.Home)
 		rates[f.Name] = f.Part * float64(p.Count) / p.work(f.Median, f.Median, f.Tokens)
 	}
-	trial := Plan{Deployment: d, Scenario: Scenario{Name: "trial", Profile: steady(trialTime, 1), ChatHeavy: sc.ChatHeavy}, Seed: seed, Tag: "trial", Rates: rates}
+	trial := Plan{Deployment: d, Scenario: Scenario{Name: "trial", Profile: constantLoad(trialTime, 1), ChatHeavy: sc.ChatHeavy}, Seed: seed, Tag: "trial", Rates: rates}
 	schedule := trial.Schedule()
 	sum, count := map[string]float64{}, map[string]float64{}
-	for i, w := range works(d, schedule) {
+	for i, w := range workByRequest(d, schedule) {
 		f := schedule[i].Flow
 		sum[f.Name] += w[f.Home]
 		count[f.Name]++
@@ -73,12 +70,12 @@
 	slotTime  = time.Second
 )
 
-// markFitting marks the requests that are within capacity: in every second,
-// those of small customers first, then those of large ones that keep to their
-// part, then a flooding customer's, each in order of arrival, as long as every
-// service they use has capacity left in that second.
+// markFitting marks the requests that are within capacity. In every second, capacity is given first to the
+// requests of small customers, then to those of large customers that stay within their share, then to those
+// of the flooding customer, each in order of arrival. A request fits if every service that it uses has
+// capacity left.
 func markFitting(p Plan, schedule []*Request) {
-	work := works(p.Deployment, schedule)
+	work := workByRequest(p.Deployment, schedule)
 	index := make([]int, len(schedule))
 	for i := range index {
 		index[i] = i
@@ -106,11 +103,11 @@
 		if n == 0 || slot(i) != slot(index[n-1]) {
 			left = p.capacityAt(schedule[i].At)
 		}
-		schedule[i].Fits = take(left, work[i])
+		schedule[i].Fits = reserve(left, work[i])
 	}
 }
 
-func take(left, work map[string]float64) bool {
+func reserve(left, work map[string]float64) bool {
 	for s, w := range work {
 		if left[s] < w {
 			return false
@@ -122,14 +119,14 @@
 	return true
 }
 
-// capacityAt returns each service's capacity in one slot, in seconds of one
-// upstream, without what faulty upstreams lack.
+// capacityAt returns the capacity of each service in one slot, in seconds of one upstream, reduced by the
+// capacity that faulty upstreams lose.
 func (p Plan) capacityAt(at time.Duration) map[string]float64 {
 	out := map[string]float64{}
 	for _, pool := range p.Deployment.Pools {
 		out[pool.Service] = float64(pool.Count) * slotTime.Seconds()
 		if pool.Options.Kind != standin.KindEngine {
-			out[pool.Service] *= plainPart
+			out[pool.Service] *= maxPlainUtilization
 		}
 	}
 	for _, f := range p.Scenario.Faults {
--- a/ctl/bench/deployment.go
+++ b/ctl/bench/deployment.go
@@ -1,6 +1,5 @@
-// Package bench measures a running system under load and faults: an open-loop
-// generator, the scenarios, the check of every answer against what the
-// stand-ins ran, and the reports.
+// Package bench measures a running system under load and faults. It contains an open-loop load generator, the
+// scenarios, a check of every response against what the stand-ins ran, and reports.
 package bench
 
 import (
@@ -11,15 +10,15 @@
 	"caperdrum.org/fake/standin"
 )
 
-// Pool is the set of stand-ins behind one service.
+// Pool is the set of stand-ins of one service.
 type Pool struct {
 	Service string
 	Count   int
-	Slots   int // calls that one stand-in runs at a time; the service's concurrency
+	Slots   int // concurrent calls per stand-in; becomes the concurrency of the service
 	Options standin.Options
 }
 
-// Deployment is a size and mix of load at which scenarios run.
+// Deployment is a system size and a load mix to run scenarios with.
 type Deployment struct {
 	Name        string
 	DataCenters []string
@@ -30,20 +29,20 @@
 	Customers   []Customer
 }
 
-// Customer is a caller with its part of the load.
+// Customer is a source of load.
 type Customer struct {
 	Name  string
-	Large bool // takes what the small ones leave
+	Large bool // large customers share the load that the small ones leave
 }
 
-// smallPart is what one small customer offers of a flow's capacity. It is
-// under its share in either deployment's text, at any load.
-const smallPart = 0.04
+// smallCustomerShare is the load that one small customer offers of a flow's capacity. It is below the share
+// in the configuration of either deployment, at any load.
+const smallCustomerShare = 0.04
 
-// Call is the way a flow reaches the system.
+// Call is the API that a flow uses.
 type Call int
 
-// Ways of calling.
+// APIs.
 const (
 	CallPipeline Call = iota // POST /v1/pipelines/TARGET
 	CallChat                 // POST /v1/chat/completions with model TARGET, multi-turn
@@ -51,111 +50,111 @@
 	CallPlain                // POST /v1/services/TARGET/lookup
 )
 
-// Flow is one kind of request.
+// Flow is a type of request with its rate and sizes.
 type Flow struct {
 	Name     string
 	Call     Call
 	Target   string
 	Deadline time.Duration
-	Home     string   // service whose capacity sets the flow's rate
-	Part     float64  // of the home service's capacity at load 1
-	Services []string // all that it uses
-	Tokens   int      // of its answer; pipelines use the engines' own number
-	Median   int      // bytes of the query
-	Sigma    float64  // of the log-normal size of the query: heavy tails
-	Max      int      // bytes of the query
-
-	Documents int  // in the prompt of a pipeline's generate stage
-	Reranked  bool // in turned order
+	Home     string   // service whose capacity determines the flow's rate
+	Part     float64  // share of the home service's capacity at load 1
+	Services []string // all services that a request uses, in order
+	Tokens   int      // tokens of the response; pipelines use the default of the engines
+	Median   int      // median query size, bytes
+	Sigma    float64  // sigma of the log-normal query size (heavy-tailed)
+	Max      int      // maximum query size, bytes
+
+	Documents int  // number of documents in the prompt of a pipeline's generate stage
+	Reranked  bool // whether a reranker reverses the order of the documents
 }
 
 const (
-	engineSlots  = 8
-	engineTokens = 24
-	poolSigma    = 0.3
-	llm          = "llm"
+	engineSlots   = 8
+	engineTokens  = 24
+	poolSigma     = 0.3
+	engineService = "llm"
 )
 
-func engines(n int) Pool {
-	return Pool{Service: llm, Count: n, Slots: engineSlots, Options: standin.Options{
+func enginePool(n int) Pool {
+	return Pool{Service: engineService, Count: n, Slots: engineSlots, Options: standin.Options{
 		Kind: standin.KindEngine, Delay: 2 * time.Millisecond, TokenDelay: 20 * time.Millisecond, SequenceDelay: time.Millisecond,
 		PrefillDelay: 50 * time.Microsecond, Tokens: engineTokens, MaxBatch: engineSlots, CacheBlocks: 1500,
 		LoadLag: 200 * time.Millisecond, EventLag: 300 * time.Millisecond, EventLoss: 0.05, TransferDelay: 100 * time.Microsecond,
 	}}
 }
 
-func others(service, kind string, n, slots int, median, perKilobyte time.Duration) Pool {
+func servicePool(service, kind string, n, slots int, median, perKilobyte time.Duration) Pool {
 	return Pool{Service: service, Count: n, Slots: slots, Options: standin.Options{
 		Kind: kind, Concurrency: slots, Delay: median, Sigma: poolSigma, PerKilobyte: perKilobyte}}
 }
 
-// Argyris is the deployment of Argyris at today's size: 20 engines, an order
-// desk of 4, 15 plain services, and the pools before the engines.
+// Argyris is the current deployment of Argyris: 20 engines, an order desk of 4 upstreams, 15 upstreams of
+// plain services, and the pools of the stages before the engines.
 func Argyris() Deployment {
 	ms := time.Millisecond
 	return Deployment{
 		Name: "argyris", DataCenters: []string{"aspropyrgos", "elefsina", "marousi", "koropi"}, Entries: 3, Controls: 3,
 		Pools: []Pool{
-			engines(20),
-			others("encoder", standin.KindEncoder, 3, 4, 60*ms, 100*ms),
-			others("retriever", standin.KindRetriever, 3, 4, 110*ms, 0),
-			others("reranker", standin.KindReranker, 2, 4, 80*ms, 0),
-			others("order-desk", standin.KindPlain, 4, 2, 80*ms, 0),
-			others("batch-traceability", standin.KindPlain, 5, 1, 100*ms, 0),
-			others("certificate-archive", standin.KindPlain, 5, 1, 100*ms, 0),
-			others("price-list", standin.KindPlain, 5, 1, 100*ms, 0),
+			enginePool(20),
+			servicePool("encoder", standin.KindEncoder, 3, 4, 60*ms, 100*ms),
+			servicePool("retriever", standin.KindRetriever, 3, 4, 110*ms, 0),
+			servicePool("reranker", standin.KindReranker, 2, 4, 80*ms, 0),
+			servicePool("order-desk", standin.KindPlain, 4, 2, 80*ms, 0),
+			servicePool("batch-traceability", standin.KindPlain, 5, 1, 100*ms, 0),
+			servicePool("certificate-archive", standin.KindPlain, 5, 1, 100*ms, 0),
+			servicePool("price-list", standin.KindPlain, 5, 1, 100*ms, 0),
 		},
 		Flows: []Flow{
-			{Name: "quote", Call: CallPipeline, Target: "quote", Deadline: 3 * time.Second, Home: llm, Part: 0.4, Tokens: engineTokens,
-				Services: []string{"encoder", "retriever", "reranker", llm}, Median: 150, Sigma: 1, Max: 3000, Documents: standin.DefaultDocuments, Reranked: true},
-			{Name: "chat", Call: CallChat, Target: "buyer-chat", Deadline: 2 * time.Second, Home: llm, Part: 0.4, Tokens: engineTokens,
-				Services: []string{llm}, Median: 80, Sigma: 0.5, Max: 400},
-			{Name: "certificate", Call: CallPipeline, Target: "certificate-check", Deadline: 5 * time.Second, Home: llm, Part: 0.2, Tokens: engineTokens,
-				Services: []string{"encoder", llm}, Median: 400, Sigma: 1, Max: 6000},
-			keyed("confirm", "order-desk", time.Second),
-			plain("batch-traceability"), plain("certificate-archive"), plain("price-list"),
+			{Name: "quote", Call: CallPipeline, Target: "quote", Deadline: 3 * time.Second, Home: engineService, Part: 0.4, Tokens: engineTokens,
+				Services: []string{"encoder", "retriever", "reranker", engineService}, Median: 150, Sigma: 1, Max: 3000, Documents: standin.DefaultDocuments, Reranked: true},
+			{Name: "chat", Call: CallChat, Target: "buyer-chat", Deadline: 2 * time.Second, Home: engineService, Part: 0.4, Tokens: engineTokens,
+				Services: []string{engineService}, Median: 80, Sigma: 0.5, Max: 400},
+			{Name: "certificate", Call: CallPipeline, Target: "certificate-check", Deadline: 5 * time.Second, Home: engineService, Part: 0.2, Tokens: engineTokens,
+				Services: []string{"encoder", engineService}, Median: 400, Sigma: 1, Max: 6000},
+			keyedServiceFlow("confirm", "order-desk", time.Second),
+			plainServiceFlow("batch-traceability"), plainServiceFlow("certificate-archive"), plainServiceFlow("price-list"),
 		},
 		Customers: []Customer{{"foundry-east", true}, {"foundry-west", true}, {"additive-shop", false}, {"sintering-plant", false}, {"walk-in", false}},
 	}
 }
 
-// Blomsterhallen is the deployment of Blomsterhallen at today's size: 12
-// engines, a clock of 3, 15 plain services, and the pools before the engines.
+// Blomsterhallen is the current deployment of Blomsterhallen: 12 engines, an auction clock of 3 upstreams, 15
+// upstreams of plain services, and the pools of the stages before the engines.
 func Blomsterhallen() Deployment {
 	ms := time.Millisecond
 	return Deployment{
 		Name: "blomsterhallen", DataCenters: []string{"koege", "roskilde", "ringsted"}, Entries: 3, Controls: 3,
 		Pools: []Pool{
-			engines(12),
-			others("encoder", standin.KindEncoder, 2, 4, 100*ms, 100*ms),
-			others("retriever", standin.KindRetriever, 2, 4, 130*ms, 0),
-			others("clock-bidding", standin.KindPlain, 3, 4, 60*ms, 0),
-			others("grower-ledger", standin.KindPlain, 5, 1, 100*ms, 0),
-			others("trolley-logistics", standin.KindPlain, 5, 1, 100*ms, 0),
-			others("buyer-portal", standin.KindPlain, 5, 1, 100*ms, 0),
+			enginePool(12),
+			servicePool("encoder", standin.KindEncoder, 2, 4, 100*ms, 100*ms),
+			servicePool("retriever", standin.KindRetriever, 2, 4, 130*ms, 0),
+			servicePool("clock-bidding", standin.KindPlain, 3, 4, 60*ms, 0),
+			servicePool("grower-ledger", standin.KindPlain, 5, 1, 100*ms, 0),
+			servicePool("trolley-logistics", standin.KindPlain, 5, 1, 100*ms, 0),
+			servicePool("buyer-portal", standin.KindPlain, 5, 1, 100*ms, 0),
 		},
 		Flows: []Flow{
-			{Name: "dispute", Call: CallChat, Target: "dispute-reply", Deadline: 2 * time.Second, Home: llm, Part: 0.3, Tokens: engineTokens,
-				Services: []string{llm}, Median: 120, Sigma: 0.5, Max: 500},
-			{Name: "quality", Call: CallPipeline, Target: "quality-summary", Deadline: 5 * time.Second, Home: llm, Part: 0.4, Tokens: engineTokens,
-				Services: []string{"encoder", "retriever", llm}, Median: 150, Sigma: 1, Max: 3000, Documents: standin.DefaultDocuments},
-			{Name: "lot", Call: CallPipeline, Target: "lot-description", Deadline: 5 * time.Second, Home: llm, Part: 0.3, Tokens: engineTokens,
-				Services: []string{llm}, Median: 300, Sigma: 1, Max: 3000},
-			keyed("bid", "clock-bidding", 600*ms),
-			plain("grower-ledger"), plain("trolley-logistics"), plain("buyer-portal"),
+			{Name: "dispute", Call: CallChat, Target: "dispute-reply", Deadline: 2 * time.Second, Home: engineService, Part: 0.3, Tokens: engineTokens,
+				Services: []string{engineService}, Median: 120, Sigma: 0.5, Max: 500},
+			{Name: "quality", Call: CallPipeline, Target: "quality-summary", Deadline: 5 * time.Second, Home: engineService, Part: 0.4, Tokens: engineTokens,
+				Services: []string{"encoder", "retriever", engineService}, Median: 150, Sigma: 1, Max: 3000, Documents: standin.DefaultDocuments},
+			{Name: "lot", Call: CallPipeline, Target: "lot-description", Deadline: 5 * time.Second, Home: engineService, Part: 0.3, Tokens: engineTokens,
+				Services: []string{engineService}, Median: 300, Sigma: 1, Max: 3000},
+			keyedServiceFlow("bid", "clock-bidding", 600*ms),
+			plainServiceFlow("grower-ledger"), plainServiceFlow("trolley-logistics"), plainServiceFlow("buyer-portal"),
 		},
 		Customers: []Customer{{"wholesale-funen", true}, {"wholesale-zealand", true}, {"florist-a", false}, {"florist-b", false}, {"grower-pool", false}},
 	}
 }
 
-const plainPart = 0.85 // a pool with random service times is full before 1
+const maxPlainUtilization = 0.85 // random service times saturate a pool below a utilization of 1
 
-func keyed(name, service string, deadline time.Duration) Flow {
-	return Flow{Name: name, Call: CallKeyed, Target: service, Deadline: deadline, Home: service, Part: plainPart, Services: []string{service}, Median: 40, Max: 80}
+func keyedServiceFlow(name, service string, deadline time.Duration) Flow {
+	return Flow{Name: name, Call: CallKeyed, Target: service, Deadline: deadline, Home: service, Part: maxPlainUtilization, Services: []string{service}, Median: 40, Max: 80}
 }
 
-func plain(service string) Flow {
-	return Flow{Name: service, Call: CallPlain, Target: service, Deadline: time.Second, Home: service, Part: plainPart, Services: []string{service}, Median: 40, Max: 80}
+func plainServiceFlow(service string) Flow {
+	return Flow{Name: service, Call: CallPlain, Target: service, Deadline: time.Second, Home: service, Part: maxPlainUtilization, Services: []string{service}, Median: 40, Max: 80}
 }
 
 // ByName returns the named deployment.
@@ -178,7 +177,7 @@
 	return Pool{}
 }
 
-// Members returns the names of a pool's stand-ins.
+// Members returns the names of the stand-ins of a pool.
 func (p Pool) Members() []string {
 	out := make([]string, p.Count)
 	for i := range out {
@@ -187,8 +186,8 @@
 	return out
 }
 
-// work returns the part of one upstream's second that a call takes: for an
-// engine, at a full batch, with cached prompt tokens left out.
+// work returns the work of a call in seconds of one upstream. For an engine it assumes a full batch;
+// promptTokens must not include cached tokens.
 func (p Pool) work(queryBytes, promptTokens, tokens int) float64 {
 	o := p.Options
 	if o.Kind == standin.KindEngine {
--- a/ctl/bench/plot.go
+++ b/ctl/bench/plot.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	plotHeight   = 9 * vg.Centimeter
-	plotMargin   = 6 * vg.Centimeter
-	perScenario  = 2.6 * vg.Centimeter
-	barsOfGroup  = 1.8 * vg.Centimeter
-	labelTilt    = 0.4  // radians
-	legendMargin = 1.25 // of the full height, to keep the legend off the bars
+	plotHeight       = 9 * vg.Centimeter
+	plotMargin       = 6 * vg.Centimeter
+	widthPerScenario = 2.6 * vg.Centimeter
+	groupWidth       = 1.8 * vg.Centimeter
+	labelRotation    = 0.4  // radians
+	legendMargin     = 1.25 // factor on the y axis that keeps the legend off the bars
 )
 
-// WritePlot draws the share attained of what the capacity allows, one group of
-// bars for each scenario and one bar for each policy. The file's extension,
-// svg or png among others, chooses the format.
+// WritePlot draws attainment relative to capacity as a bar chart, with one group per scenario and one bar per
+// policy. The extension of the file (svg, png and others) selects the format.
 func (r *Report) WritePlot(path string, d Deployment) error {
 	scenarios, policies, value := r.grid(d)
 	p := plot.New()
@@ -26,7 +25,7 @@
 	p.Y.Label.Text = "per cent"
 	p.Y.Min, p.Y.Max = 0, 100*legendMargin
 	p.Legend.Top = true
-	width := barsOfGroup / vg.Length(max(len(policies), 1))
+	width := groupWidth / vg.Length(max(len(policies), 1))
 	for i, policy := range policies {
 		values := make(plotter.Values, len(scenarios))
 		for j, s := range scenarios {
@@ -43,12 +42,13 @@
 		p.Legend.Add(policy, bars)
 	}
 	p.NominalX(scenarios...)
-	p.X.Min, p.X.Max = -0.5, float64(len(scenarios))-0.5 // whole groups
-	p.X.Tick.Label.Rotation = -labelTilt
-	return p.Save(plotMargin+perScenario*vg.Length(len(scenarios)), plotHeight, path)
+	p.X.Min, p.X.Max = -0.5, float64(len(scenarios))-0.5 // show the outer groups completely
+	p.X.Tick.Label.Rotation = -labelRotation
+	return p.Save(plotMargin+widthPerScenario*vg.Length(len(scenarios)), plotHeight, path)
 }
 
-// grid returns the scenarios and policies in the order of the results.
+// grid returns the scenarios and policies in the order of the results, and the value of each pair by
+// "SCENARIO POLICY".
 func (r *Report) grid(d Deployment) (scenarios, policies []string, value map[string]float64) {
 	value = map[string]float64{}
 	seen := map[string]bool{}
--- a/ctl/bench/policy.go
+++ b/ctl/bench/policy.go
@@ -12,22 +12,20 @@
 	"caperdrum.org/api/strictini"
 )
 
-// Policy is a variant of the operators' text.
+// Policy is a variant of the operator configuration.
 type Policy struct {
 	Name string
-	Keys map[string]string // KIND.KEY to value, KIND being service or pipeline
+	Keys map[string]string // values by KIND.KEY; KIND is service or pipeline
 }
 
-// baseline switches off what sets the product's policies apart from the
-// plainest way to route.
-var baseline = map[string]string{"service.hedge_percent": "0", "service.queue": "fifo", "service.shed": "false", "pipeline.refuse_late": "false"}
+// baselineKeys disable the scheduling features that go beyond plain routing.
+var baselineKeys = map[string]string{"service.hedge_percent": "0", "service.queue": "fifo", "service.shed": "false", "pipeline.refuse_late": "false"}
 
 const pipelineKeys = "refuse_late class deadline"
 
-// ParsePolicies reads a comma-separated list of variants: "text" or
-// "predicted" is the text as it is, "round-robin", "random" and
-// "least-in-flight" are baselines, and NAME[KEY=VALUE;...] sets keys of every
-// service or, for keys of pipelines, every pipeline.
+// ParsePolicies parses a comma-separated list of variants. "text" and "predicted" are the unmodified
+// configuration; "round-robin", "random" and "least-in-flight" are baselines; NAME[KEY=VALUE;...] sets keys
+// of every service or, for pipeline keys, of every pipeline.
 func ParsePolicies(list string) ([]Policy, error) {
 	var out []Policy
 	for _, item := range strictini.SplitList(list) {
@@ -35,12 +33,12 @@
 		p := Policy{Name: name, Keys: map[string]string{}}
 		switch {
 		case custom:
-			if err := p.set(strings.TrimSuffix(spec, "]")); err != nil {
+			if err := p.setKeys(strings.TrimSuffix(spec, "]")); err != nil {
 				return nil, err
 			}
 		case name == "text" || name == optext.RoutingPolicies[0]:
 		case slices.Contains(optext.RoutingPolicies, name):
-			for k, v := range baseline {
+			for k, v := range baselineKeys {
 				p.Keys[k] = v
 			}
 			p.Keys["service.routing"] = name
@@ -52,7 +50,7 @@
 	return out, nil
 }
 
-func (p *Policy) set(spec string) error {
+func (p *Policy) setKeys(spec string) error {
 	for _, pair := range strings.Split(spec, ";") {
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
@@ -67,9 +65,9 @@
 	return nil
 }
 
-// Apply returns the text with the policy's keys set.
+// Apply returns the configuration with the keys of the policy set.
 func (p Policy) Apply(text string) (string, error) {
-	return edit(text, func(s *ini.Section, kind string) {
+	return editSections(text, func(s *ini.Section, kind string) {
 		for key, value := range p.Keys {
 			k, name, _ := strings.Cut(key, ".")
 			if k == kind {
@@ -79,9 +77,9 @@
 	})
 }
 
-// edit lets f change every section of a text; kind is the part of the
-// section's name before the colon.
-func edit(text string, f func(s *ini.Section, kind string)) (string, error) {
+// editSections applies f to every section of a configuration and validates the result. kind is the part of
+// the section name before the colon.
+func editSections(text string, f func(s *ini.Section, kind string)) (string, error) {
 	file, err := ini.Load([]byte(text))
 	if err != nil {
 		return "", err
--- a/ctl/bench/prepare.go
+++ b/ctl/bench/prepare.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/fake/standin"
 )
 
-// Layout gives every process of a deployment its loopback address. Net is the
-// first two bytes, such as 127.1, so that several can run on one machine.
+// Layout assigns loopback addresses to the processes of a deployment. Net is the first two bytes, such as
+// 127.1, so that several deployments can run on one machine.
 type Layout struct{ Net string }
 
 const (
@@ -36,16 +36,16 @@
 	return fmt.Sprintf("%s.%d.%d:%d", l.Net, part, host, port)
 }
 
-// Standins returns the address of the stand-ins' control.
+// Standins returns the control address of the stand-ins.
 func (l Layout) Standins() string { return l.address(hostBench, 1, portUpstream) }
 
 // Entries returns the addresses of a deployment's entries.
-func (l Layout) Entries(d Deployment) []string { return l.list(hostEntry, d.Entries, portEntry) }
+func (l Layout) Entries(d Deployment) []string { return l.addresses(hostEntry, d.Entries, portEntry) }
 
 // Admin returns the administration addresses of a deployment.
-func (l Layout) Admin(d Deployment) []string { return l.list(hostControl, d.Controls, portAdmin) }
+func (l Layout) Admin(d Deployment) []string { return l.addresses(hostControl, d.Controls, portAdmin) }
 
-func (l Layout) list(part, n, port int) []string {
+func (l Layout) addresses(part, n, port int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = l.address(part, i+1, port)
@@ -53,9 +53,8 @@
 	return out
 }
 
-// Prepare writes what a deployment on loopback needs into a folder: settings
-// of every process, the stand-ins, the operators' text and, for scripts, a
-// list of the processes in the order of their start.
+// Prepare writes the files of a loopback deployment into a directory: the settings of every process, the
+// stand-ins, the operator configuration and, for scripts, the list of processes in start order.
 func Prepare(dir string, d Deployment, l Layout, text string, seed uint64) error {
 	text, err := d.Text(text)
 	if err != nil {
@@ -67,42 +66,42 @@
 		files["settings/"+name+".ini"] = content
 		names = append(names, name)
 	}
-	peers := strings.Join(l.list(hostControl, d.Controls, portPeer), ", ")
+	peers := strings.Join(l.addresses(hostControl, d.Controls, portPeer), ", ")
 	for i := range d.Controls {
 		name := fmt.Sprintf("control-%d", i+1)
 		host := i + 1
-		add(name, node(name, d.place(i), "control", "data/"+name, peers)+
-			section("control", "listen", l.address(hostControl, host, portPeer), "admin", l.address(hostControl, host, portAdmin))+
-			section("debug", "listen", l.address(hostControl, host, portDebug)))
+		add(name, nodeSections(name, d.dataCenterAt(i), "control", "data/"+name, peers)+
+			iniSection("control", "listen", l.address(hostControl, host, portPeer), "admin", l.address(hostControl, host, portAdmin))+
+			iniSection("debug", "listen", l.address(hostControl, host, portDebug)))
 	}
 	host := 0
 	var standins strings.Builder
-	standins.WriteString(section("control", "listen", l.Standins()))
+	standins.WriteString(iniSection("control", "listen", l.Standins()))
 	for _, p := range d.Pools {
 		for _, member := range p.Members() {
 			host++
 			upstream := l.address(hostUpstream, host, portUpstream)
 			standins.WriteString(standinSection(member, upstream, p.Options, seed+uint64(host)))
 			name := "agent-" + member
-			add(name, node(name, d.place(host), "agent", "", peers)+
-				section("agent", "listen", l.address(hostUpstream, host, portGate), "service", p.Service, "upstream", upstream)+
-				section("debug", "listen", l.address(hostUpstream, host, portDebug)))
+			add(name, nodeSections(name, d.dataCenterAt(host), "agent", "", peers)+
+				iniSection("agent", "listen", l.address(hostUpstream, host, portGate), "service", p.Service, "upstream", upstream)+
+				iniSection("debug", "listen", l.address(hostUpstream, host, portDebug)))
 		}
 	}
 	for i := range d.Entries {
 		name := fmt.Sprintf("entry-%d", i+1)
-		add(name, node(name, d.place(i), "entry", "", peers)+
-			section("entry", "listen", l.address(hostEntry, i+1, portEntry))+
-			section("debug", "listen", l.address(hostEntry, i+1, portDebug)))
+		add(name, nodeSections(name, d.dataCenterAt(i), "entry", "", peers)+
+			iniSection("entry", "listen", l.address(hostEntry, i+1, portEntry))+
+			iniSection("debug", "listen", l.address(hostEntry, i+1, portDebug)))
 	}
 	files["standins.ini"] = standins.String()
 	files["processes"] = strings.Join(names, "\n") + "\n"
 	files["entries"] = strings.Join(l.Entries(d), ",") + "\n"
 	files["admin"] = strings.Join(l.Admin(d), ",") + "\n"
-	return write(dir, d, files)
+	return writeFiles(dir, d, files)
 }
 
-func write(dir string, d Deployment, files map[string]string) error {
+func writeFiles(dir string, d Deployment, files map[string]string) error {
 	for i := range d.Controls {
 		if err := os.MkdirAll(filepath.Join(dir, "data", fmt.Sprintf("control-%d", i+1)), 0o755); err != nil {
 			return err
@@ -119,28 +118,28 @@
 	return nil
 }
 
-func (d Deployment) place(i int) string { return d.DataCenters[i%len(d.DataCenters)] }
+func (d Deployment) dataCenterAt(i int) string { return d.DataCenters[i%len(d.DataCenters)] }
 
-// Text returns the deployment's operators' text with each service's
-// concurrency set to what its stand-ins run at a time.
+// Text returns the operator configuration with the concurrency of each service set to the number of slots of
+// its stand-ins.
 func (d Deployment) Text(text string) (string, error) {
-	return edit(text, func(s *ini.Section, kind string) {
+	return editSections(text, func(s *ini.Section, kind string) {
 		if p := d.Pool(strings.TrimPrefix(s.Name(), "service:")); kind == "service" && p.Count > 0 {
 			s.Key("concurrency").SetValue(strconv.Itoa(p.Slots))
 		}
 	})
 }
 
-func node(name, dataCenter, role, dataDir, peers string) string {
+func nodeSections(name, dataCenter, role, dataDir, peers string) string {
 	pairs := []string{"name", name, "vm", "vm-" + name, "data_center", dataCenter, "roles", role}
 	if dataDir != "" {
 		pairs = append(pairs, "data_dir", dataDir)
 	}
-	return section("node", pairs...) + section("peers", "control", peers)
+	return iniSection("node", pairs...) + iniSection("peers", "control", peers)
 }
 
-// section writes an INI section of keys and values.
-func section(name string, pairs ...string) string {
+// iniSection formats an INI section from alternating keys and values.
+func iniSection(name string, pairs ...string) string {
 	var b strings.Builder
 	b.WriteString("[" + name + "]\n")
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -160,5 +159,5 @@
 	} else {
 		pairs = append(pairs, "concurrency", number(o.Concurrency), "sigma", fmt.Sprint(o.Sigma), "per_kilobyte", o.PerKilobyte.String())
 	}
-	return section("standin:"+name, pairs...)
+	return iniSection("standin:"+name, pairs...)
 }
--- a/ctl/bench/report.go
+++ b/ctl/bench/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Report is everything that one measurement gave.
+// Report is the result of a measurement.
 type Report struct {
 	At         time.Time `json:"at"`
 	Deployment string    `json:"deployment"`
@@ -28,7 +28,7 @@
 	return os.WriteFile(path, append(data, '\n'), 0o644)
 }
 
-// ReadJSON reads a report that WriteJSON wrote.
+// ReadJSON reads a report written by WriteJSON.
 func ReadJSON(path string) (*Report, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 
 const tableHead = "SCENARIO\tPOLICY\tOFFERED\tATTAINED\tWITHIN\tSMALL\tREFUSED\tLATE\tFAILED\tWRONG\tDOUBLED\tFALSE NOT-RUN\tPARTLY RUN\tEXTRA\tHITS/IDEAL\tFIRST p50/95/99 ms\tTOKEN p99\tHELD s"
 
-// WriteTable writes one row for each scenario and policy.
+// WriteTable writes one row per scenario and policy, followed by notes.
 func (r *Report) WriteTable(out io.Writer, d Deployment) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, tableHead)
@@ -54,11 +54,12 @@
 	r.writeNotes(out)
 }
 
-const doubtShare = 0.01 // of requests started late
+const maxLateShare = 0.01 // fraction of requests that started late
 
-// doubt warns of a result that says more about the machine than the system.
-func (r *Result) doubt() string {
-	if share(r.GeneratorLate, r.Total.Offered) <= doubtShare {
+// lateGeneratorWarning returns a warning if the load generator itself was too slow for the result to be
+// comparable.
+func (r *Result) lateGeneratorWarning() string {
+	if ratio(r.GeneratorLate, r.Total.Offered) <= maxLateShare {
 		return ""
 	}
 	return "; DO NOT COMPARE, repeat on a quieter machine"
@@ -66,7 +67,7 @@
 
 func percent(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
 
-// writeNotes tells what a reader must know beside the table.
+// writeNotes explains anomalies in the table.
 func (r *Report) writeNotes(out io.Writer) {
 	seen := map[string]bool{}
 	for _, x := range r.Results {
@@ -78,7 +79,7 @@
 			seen[x.Scenario] = true
 		}
 		if x.GeneratorLate > 0 {
-			fmt.Fprintf(out, "  %s: %d requests started over %s late: the machine was busy%s\n", x.Policy, x.GeneratorLate, generatorLate, x.doubt())
+			fmt.Fprintf(out, "  %s: %d requests started over %s late: the machine was busy%s\n", x.Policy, x.GeneratorLate, generatorLate, x.lateGeneratorWarning())
 		}
 		if x.Phantom > 0 {
 			fmt.Fprintf(out, "  %s: %d keyed calls were answered but never ran\n", x.Policy, x.Phantom)
@@ -92,34 +93,34 @@
 	}
 }
 
-// WriteDetails writes, for each result, attainment by flow and customer, cost
-// by service and the causes of failures.
+// WriteDetails writes, for each result, attainment by flow and customer, cost by service and the causes of
+// failures.
 func (r *Report) WriteDetails(out io.Writer) {
 	for _, x := range r.Results {
 		fmt.Fprintf(out, "\n%s under %s, %d runs, %.0f s\n", x.Scenario, x.Policy, x.Runs, x.Seconds)
 		writeCounts(out, "flow", x.ByFlow)
 		writeCounts(out, "customer", x.ByCustomer)
-		for _, s := range sorted(x.Costs) {
+		for _, s := range sortedKeys(x.Costs) {
 			c := x.Costs[s]
 			fmt.Fprintf(out, "  cost %s: held %.1f s, extra %.2f s, abandoned %.2f s\n", s, c.Held, c.Extra, c.Abandoned)
 		}
-		for _, s := range sorted(x.Reasons) {
+		for _, s := range sortedKeys(x.Reasons) {
 			fmt.Fprintf(out, "  without a whole answer: %s: %d\n", s, x.Reasons[s])
 		}
-		for _, s := range sorted(x.Counters) {
+		for _, s := range sortedKeys(x.Counters) {
 			fmt.Fprintf(out, "  processes' %s: %.6g\n", s, x.Counters[s])
 		}
 	}
 }
 
 func writeCounts(out io.Writer, kind string, m map[string]*Count) {
-	for _, k := range sorted(m) {
+	for _, k := range sortedKeys(m) {
 		c := m[k]
 		fmt.Fprintf(out, "  %s %s: offered %d, attained %s, within capacity %s\n", kind, k, c.Offered, percent(c.Of()), percent(c.Within()))
 	}
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
 		out = append(out, k)
--- a/ctl/bench/result.go
+++ b/ctl/bench/result.go
@@ -6,8 +6,7 @@
 	hdrhistogram "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Count is how many requests were offered and attained. Fitting ones are
-// within capacity.
+// Count is the number of requests offered and attained. Fitting requests are those within capacity.
 type Count struct {
 	Offered         int `json:"offered"`
 	Attained        int `json:"attained"`
@@ -22,62 +21,62 @@
 	c.FittingAttained += o.FittingAttained
 }
 
-// Of returns the attained share of all offered.
-func (c Count) Of() float64 { return share(c.Attained, c.Offered) }
+// Of returns the fraction of the offered requests that were attained.
+func (c Count) Of() float64 { return ratio(c.Attained, c.Offered) }
 
-// Within returns the attained number as a share of what the capacity allows.
-func (c Count) Within() float64 { return min(1, share(c.Attained, c.Fitting)) }
+// Within returns the attained requests relative to those within capacity, at most 1.
+func (c Count) Within() float64 { return min(1, ratio(c.Attained, c.Fitting)) }
 
-func share(n, of int) float64 {
+func ratio(n, of int) float64 {
 	if of == 0 {
 		return 1
 	}
 	return float64(n) / float64(of)
 }
 
-// Result is what one scenario gave under one policy, over all repeats.
+// Result is the result of one scenario under one policy, over all repeats.
 type Result struct {
 	Scenario   string  `json:"scenario"`
 	Policy     string  `json:"policy"`
 	Assumption string  `json:"assumption"`
 	Runs       int     `json:"runs"`
-	Seconds    float64 `json:"seconds"` // that count
+	Seconds    float64 `json:"seconds"` // measured time, without warm-up
 	Total      Count   `json:"total"`
 
 	ByFlow     map[string]*Count `json:"by_flow"`
 	ByCustomer map[string]*Count `json:"by_customer"`
-	Verdicts   map[string]int    `json:"verdicts"` // of requests without a whole answer
-	Reasons    map[string]int    `json:"reasons"`  // code of each failure
+	Verdicts   map[string]int    `json:"verdicts"` // of requests without a complete response
+	Reasons    map[string]int    `json:"reasons"`  // by flow, verdict and error code
 
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 	Wrong   int `json:"wrong"`
 
-	WrongAnswers []WrongAnswer `json:"wrong_answers,omitempty"` // the first few
+	WrongAnswers []WrongAnswer `json:"wrong_answers,omitempty"` // at most maxWrongKept
 
-	FalseNotRun   int `json:"false_not_run"`  // refused as not run, but the last stage ran
-	PartlyRun     int `json:"partly_run"`     // refused as not run, but an earlier stage ran
-	Doubled       int `json:"doubled"`        // keyed calls that ran more than once
-	Phantom       int `json:"phantom"`        // keyed calls answered whole that never ran
-	Cut           int `json:"cut"`            // event streams that broke off, also where a later send got the whole answer
-	Resent        int `json:"resent"`         // requests sent more than once by the caller
-	SlowRefusals  int `json:"slow_refusals"`  // refusals after more than half the deadline
-	GeneratorLate int `json:"generator_late"` // requests that started over 20 ms late: the tool or machine was busy
+	FalseNotRun   int `json:"false_not_run"`  // rejected as not run, but the last stage ran
+	PartlyRun     int `json:"partly_run"`     // rejected as not run, but an earlier stage ran
+	Doubled       int `json:"doubled"`        // calls with an idempotency key that ran more than once
+	Phantom       int `json:"phantom"`        // calls with an idempotency key that got a complete response but never ran
+	Cut           int `json:"cut"`            // truncated event streams, including those where a resend succeeded
+	Resent        int `json:"resent"`         // requests that the caller sent more than once
+	SlowRefusals  int `json:"slow_refusals"`  // rejections after more than half the deadline
+	GeneratorLate int `json:"generator_late"` // requests that started over 20 ms late because the generator or the machine was busy
 
 	Costs    map[string]Cost    `json:"costs"`
-	Counters map[string]float64 `json:"counters"`   // the processes' own, over the run
-	Hits     float64            `json:"hits"`       // share of prompt tokens cached, mean over runs
-	Ideal    float64            `json:"ideal_hits"` // with a single cache of the same memory
+	Counters map[string]float64 `json:"counters"`   // increase of the processes' own metrics
+	Hits     float64            `json:"hits"`       // fraction of prompt tokens that were cached, mean over runs
+	Ideal    float64            `json:"ideal_hits"` // the same for a single cache of the same total size
 
 	FirstToken   Quantiles `json:"first_token"`
 	BetweenToken Quantiles `json:"between_tokens"`
-	Latency      Quantiles `json:"latency"` // of whole answers
+	Latency      Quantiles `json:"latency"` // of complete responses
 
 	first, between, latency *hdrhistogram.Histogram
 }
 
-// Quantiles of a latency, in milliseconds.
+// Quantiles of a latency distribution, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
@@ -96,7 +95,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(max(d, time.Microsecond), maxLatency).Microseconds()) // cannot fail within these bounds
+	h.RecordValue(min(max(d, time.Microsecond), maxLatency).Microseconds()) // can't fail within these bounds
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
@@ -110,7 +109,7 @@
 		first: newHistogram(), between: newHistogram(), latency: newHistogram()}
 }
 
-// Extra returns the share of all slot time that hedges and retries cost.
+// Extra returns the fraction of the slot time that was spent on hedges and retries.
 func (r *Result) Extra() float64 {
 	var extra, held float64
 	for _, c := range r.Costs {
@@ -132,7 +131,7 @@
 	return held
 }
 
-// HitsOfIdeal returns the cache hits relative to the ideal cache's.
+// HitsOfIdeal returns the cache hits relative to those of the ideal cache.
 func (r *Result) HitsOfIdeal() float64 {
 	if r.Ideal == 0 {
 		return 1
@@ -140,14 +139,14 @@
 	return r.Hits / r.Ideal
 }
 
-// Within returns the attained share of what the capacity allows. Flows with the
-// same home service make up for each other, since which requests of an overload
-// are attained is the system's choice; different services do not.
+// Within returns the attained requests relative to those within capacity. Flows with the same home service
+// compensate for each other, because the system may choose which requests of an overload to attain; different
+// services do not.
 func (r *Result) Within(d Deployment) float64 {
 	home := map[string]*Count{}
 	for _, f := range d.Flows {
 		if n := r.ByFlow[f.Name]; n != nil {
-			at(home, f.Home).add(*n)
+			countFor(home, f.Home).add(*n)
 		}
 	}
 	attained, fitting := 0, 0
@@ -155,11 +154,11 @@
 		attained += min(n.Attained, n.Fitting)
 		fitting += n.Fitting
 	}
-	return share(attained, fitting)
+	return ratio(attained, fitting)
 }
 
-// SmallestShare returns the attained share of the small customer that fared
-// worst. All that small customers offer is within their shares.
+// SmallestShare returns the attainment of the small customer with the lowest one. All requests of small
+// customers are within their shares.
 func (r *Result) SmallestShare(d Deployment) float64 {
 	worst := 1.0
 	for _, c := range d.Customers {
@@ -170,14 +169,14 @@
 	return worst
 }
 
-func at(m map[string]*Count, key string) *Count {
+func countFor(m map[string]*Count, key string) *Count {
 	if m[key] == nil {
 		m[key] = &Count{}
 	}
 	return m[key]
 }
 
-// count takes in one outcome. Histograms hold requests that count only.
+// count adds an outcome, unless its request belongs to the warm-up.
 func (r *Result) count(o Outcome) {
 	if o.Request.Warm {
 		return
@@ -191,8 +190,8 @@
 		one.Fitting, one.FittingAttained = 1, one.Attained
 	}
 	r.Total.add(one)
-	at(r.ByFlow, o.Request.Flow.Name).add(one)
-	at(r.ByCustomer, o.Request.Customer.Name).add(one)
+	countFor(r.ByFlow, o.Request.Flow.Name).add(one)
+	countFor(r.ByCustomer, o.Request.Customer.Name).add(one)
 	if o.Late > generatorLate {
 		r.GeneratorLate++
 	}
@@ -201,13 +200,13 @@
 		r.Resent++
 	}
 	r.classify(o, class)
-	r.time(o)
+	r.recordLatencies(o)
 }
 
-// maxWrongKept bounds the wrong answers that are kept word for word.
+// maxWrongKept limits the wrong answers that are recorded in full.
 const maxWrongKept = 5
 
-// WrongAnswer is an answer that did not belong to its request.
+// WrongAnswer is a complete response that is not the one to its request.
 type WrongAnswer struct {
 	Request string `json:"request"`
 	Flow    string `json:"flow"`
@@ -241,11 +240,11 @@
 		verdictName = o.Reply.Verdict.String()
 	}
 	r.Verdicts[verdictName]++
-	r.Reasons[o.Request.Flow.Name+" "+verdictName+" "+code(o.Reply.Reason)]++
+	r.Reasons[o.Request.Flow.Name+" "+verdictName+" "+reasonCode(o.Reply.Reason)]++
 }
 
-// code returns the start of a reason, which has few different values.
-func code(reason string) string {
+// reasonCode returns the part of a reason before the colon, which has low cardinality.
+func reasonCode(reason string) string {
 	for i, c := range reason {
 		if c == ':' {
 			return reason[:i]
@@ -254,7 +253,7 @@
 	return reason
 }
 
-func (r *Result) time(o Outcome) {
+func (r *Result) recordLatencies(o Outcome) {
 	if o.First > 0 {
 		record(r.first, o.First)
 	}
@@ -267,14 +266,14 @@
 }
 
 // check compares the outcomes with what the stand-ins ran.
-func (r *Result) check(outcomes []Outcome, t *truth) {
-	ran := t.ranAt()
+func (r *Result) check(outcomes []Outcome, t *groundTruth) {
+	ran := t.servicesByRequest()
 	for _, o := range outcomes {
 		if o.Request.Key != "" {
 			r.checkKeyed(o, t.bodies[string(o.Request.Body)])
 		}
 		if o.Class() != Refused || o.Reply.Sends > 1 {
-			continue // of several sends an earlier one may have run, by its own verdict
+			continue // an earlier send may have run, as its own verdict said
 		}
 		services := o.Request.Flow.Services
 		switch at := ran[o.Request.ID]; {
@@ -299,6 +298,6 @@
 	}
 }
 
-func (r *Result) finish() {
+func (r *Result) computeQuantiles() {
 	r.FirstToken, r.BetweenToken, r.Latency = quantiles(r.first), quantiles(r.between), quantiles(r.latency)
 }
--- a/ctl/bench/runner.go
+++ b/ctl/bench/runner.go
@@ -10,40 +10,38 @@
 	"caperdrum.org/api/verdict"
 )
 
-// Reply is what became of a request that was sent, maybe more than once.
+// Reply is the result of a request, possibly after several sends.
 type Reply struct {
 	Status   int
 	Verdict  verdict.Verdict
-	Cut      bool // its event stream broke off
+	Cut      bool // the event stream of the last send was truncated
 	Whole    bool
 	Text     string          // generated text or confirmation
-	First    time.Time       // of the first token; zero without one
-	Gaps     []time.Duration // between tokens
+	First    time.Time       // time of the first token; zero if there was none
+	Gaps     []time.Duration // times between tokens
 	Sends    int
-	Cuts     int    // event streams that broke off, over all sends
-	Reason   string // of a failure
-	Answered bool   // an entry answered, with whatever status
+	Cuts     int    // truncated event streams over all sends
+	Reason   string // reason of a failure
+	Answered bool   // an entry responded, with any status
 }
 
-// Sender sends a request with what is left of its deadline and waits for the
-// reply.
+// Sender sends a request with the remaining time of its deadline and waits for the reply.
 type Sender interface {
 	Send(ctx context.Context, r *Request, deadline time.Time) Reply
 }
 
-// Outcome is a request with its reply. Times count from the intended start.
+// Outcome is a request with its reply. Times are measured from the intended start.
 type Outcome struct {
 	Request *Request
 	Reply   Reply
-	Late    time.Duration // of the actual start
+	Late    time.Duration // delay of the actual start
 	Latency time.Duration
-	First   time.Duration // zero without a token
+	First   time.Duration // time to the first token; zero if there was none
 }
 
-// Run sends every request of the schedule at its time, whether earlier ones
-// are answered or not (an open loop), and measures from the intended start, so
-// that a stall of the system, or of this process, shows in the latencies of
-// all requests that it delayed (Tene, "How NOT to Measure Latency", 2015).
+// Run sends every request of the schedule at its time, regardless of earlier replies (an open loop), and
+// measures from the intended start. That way a stall of the system or of this process shows in the latencies
+// of all requests that it delayed (Tene, "How NOT to Measure Latency", 2015).
 func Run(ctx context.Context, clock clockwork.Clock, schedule []*Request, sender Sender, done func(Outcome)) {
 	start := clock.Now()
 	var wg sync.WaitGroup
@@ -70,19 +68,19 @@
 	return o
 }
 
-// Class sorts outcomes.
+// Class classifies outcomes.
 type Class int
 
 // Classes of outcomes.
 const (
-	Attained Class = iota // whole, correct, within the deadline
-	TooLate               // whole and correct after the deadline
-	Refused               // not run, by the system's word
-	Failed                // anything else without a whole answer
-	Wrong                 // whole, but not the answer to this request
+	Attained Class = iota // complete and correct within the deadline
+	TooLate               // complete and correct after the deadline
+	Refused               // rejected with the verdict that it did not run
+	Failed                // any other outcome without a complete response
+	Wrong                 // complete, but not the response to this request
 )
 
-// Class sorts the outcome.
+// Class returns the class of the outcome.
 func (o Outcome) Class() Class {
 	switch {
 	case o.Reply.Whole && o.Reply.Text != o.Request.Expect:
--- a/ctl/bench/schedule.go
+++ b/ctl/bench/schedule.go
@@ -10,36 +10,35 @@
 	"caperdrum.org/fake/standin"
 )
 
-// Request is one request of a schedule, with the answer that it must get.
+// Request is a scheduled request with its expected response.
 type Request struct {
-	At       time.Duration // intended start, from the start of the run
+	At       time.Duration // intended start, relative to the start of the run
 	ID       string
 	Flow     *Flow
 	Customer Customer
-	Warm     bool // before the time that counts
+	Warm     bool // part of the warm-up
 	Path     string
 	Key      string
 	Body     []byte
 	Stream   bool
-	Expect   string // text or confirmation
-	Prompt   string // that the engine sees; empty without one
-	Answer   string // what the engine appends to it
-	Fits     bool   // within the capacity, see markFitting
+	Expect   string // expected text or confirmation
+	Prompt   string // prompt that the engine receives; empty if no engine is used
+	Answer   string // what the engine appends to the prompt
+	Fits     bool   // within capacity, see markFitting
 
 	queryBytes int
 }
 
-// Plan is what a schedule is made from.
+// Plan determines a schedule.
 type Plan struct {
 	Deployment Deployment
 	Scenario   Scenario
 	Seed       uint64
-	Tag        string             // starts every request id; differs for every run, since keys may be used once
-	Rates      map[string]float64 // of each flow at load 1, per second
+	Tag        string             // prefix of every request ID; unique per run, since idempotency keys must not be reused
+	Rates      map[string]float64 // rate of each flow at load 1, per second
 }
 
-// Schedule returns the requests in the order of their start. The same plan
-// always gives the same schedule.
+// Schedule returns the requests in start order. It is deterministic.
 func (p Plan) Schedule() []*Request {
 	var out []*Request
 	for i := range p.Deployment.Flows {
@@ -53,12 +52,12 @@
 	random := rand.New(rand.NewPCG(p.Seed, index))
 	var out []*Request
 	for _, c := range p.Deployment.Customers {
-		for _, at := range poisson(random, p.profile(c), p.Rates[f.Name]) {
+		for _, at := range poissonArrivals(random, p.profile(c), p.Rates[f.Name]) {
 			out = append(out, &Request{At: at, Flow: f, Customer: c, Warm: at < p.Scenario.Warm})
 		}
 	}
 	sort.SliceStable(out, func(a, b int) bool { return out[a].At < out[b].At })
-	chats := &sessions{random: random, heavy: p.Scenario.ChatHeavy}
+	chats := &chatSessions{random: random, heavy: p.Scenario.ChatHeavy}
 	for n, r := range out {
 		r.ID = fmt.Sprintf("%s-%s-%d", p.Tag, f.Name, n)
 		r.fill(random, chats)
@@ -66,7 +65,7 @@
 	return out
 }
 
-// profile is one customer's part of the load.
+// profile returns the load profile of one customer.
 func (p Plan) profile(c Customer) []Segment {
 	small, large := 0, 0
 	for _, o := range p.Deployment.Customers {
@@ -79,7 +78,7 @@
 	flooder := p.Scenario.Flood > 0 && c == p.Deployment.Customers[0]
 	out := make([]Segment, len(p.Scenario.Profile))
 	for i, s := range p.Scenario.Profile {
-		each := smallPart * min(s.Load, 1)
+		each := smallCustomerShare * min(s.Load, 1)
 		load := each
 		if c.Large {
 			load = (s.Load - each*float64(small)) / float64(large)
@@ -90,7 +89,7 @@
 		out[i] = Segment{s.Duration, load}
 	}
 	if p.Scenario.OnOff > 0 && len(p.Deployment.Customers) > 1 && c == p.Deployment.Customers[1] {
-		return onOff(out, p.Scenario.OnOff)
+		return onOffProfile(out, p.Scenario.OnOff)
 	}
 	return out
 }
@@ -105,9 +104,9 @@
 	Note string `json:"note"`
 }
 
-func (r *Request) fill(random *rand.Rand, chats *sessions) {
+func (r *Request) fill(random *rand.Rand, chats *chatSessions) {
 	f := r.Flow
-	query := words(random, size(random, f))
+	query := randomText(random, querySize(random, f))
 	r.queryBytes = len(query)
 	switch f.Call {
 	case CallPipeline:
@@ -131,20 +130,20 @@
 }
 
 func encode(v any) []byte {
-	data, _ := json.Marshal(v) // the types of this package always encode
+	data, _ := json.Marshal(v) // the types of this package can always be encoded
 	return data
 }
 
-// sessions are the chats under way. The answers are known beforehand, so the
-// turns can be too.
-type sessions struct {
+// chatSessions are the open chats. The responses are known in advance, and so are the messages of later
+// turns.
+type chatSessions struct {
 	random *rand.Rand
 	heavy  bool
-	open   []*session
-	shared map[string]string // a customer's system prompt
+	open   []*chatSession
+	shared map[string]string // system prompts by customer
 }
 
-type session struct {
+type chatSession struct {
 	customer string
 	last     time.Duration
 	turns    int
@@ -152,14 +151,14 @@
 }
 
 const (
-	thinkTime     = 2500 * time.Millisecond // between a chat's turns, at least
-	maxTurns      = 6
-	continueShare = 0.7
-	sharedBytes   = 600
-	heavyBytes    = 4000
+	thinkTime         = 2500 * time.Millisecond // minimum time between the turns of a chat
+	maxTurns          = 6
+	continueShare     = 0.7
+	systemPromptBytes = 600
+	longPromptBytes   = 4000
 )
 
-func (s *sessions) fill(r *Request, query string) {
+func (s *chatSessions) fill(r *Request, query string) {
 	c := s.pick(r)
 	c.last = r.At
 	c.turns++
@@ -173,8 +172,8 @@
 	c.messages = append(c.messages[:len(c.messages):len(c.messages)], standin.ChatMessage{Role: "assistant", Content: r.Expect})
 }
 
-// pick continues one of the customer's chats or begins a new one.
-func (s *sessions) pick(r *Request) *session {
+// pick continues one of the customer's chats or starts a new one.
+func (s *chatSessions) pick(r *Request) *chatSession {
 	if s.random.Float64() < continueShare {
 		for i, c := range s.open {
 			if c.customer != r.Customer.Name || r.At-c.last < thinkTime {
@@ -186,21 +185,21 @@
 			return c
 		}
 	}
-	c := &session{customer: r.Customer.Name, messages: []standin.ChatMessage{{Role: "system", Content: s.systemPrompt(r.Customer.Name)}}}
+	c := &chatSession{customer: r.Customer.Name, messages: []standin.ChatMessage{{Role: "system", Content: s.systemPrompt(r.Customer.Name)}}}
 	s.open = append(s.open, c)
 	return c
 }
 
-func (s *sessions) systemPrompt(customer string) string {
+func (s *chatSessions) systemPrompt(customer string) string {
 	if s.shared == nil {
 		s.shared = map[string]string{}
 	}
 	if s.shared[customer] == "" {
-		n := sharedBytes
+		n := systemPromptBytes
 		if s.heavy {
-			n = heavyBytes
+			n = longPromptBytes
 		}
-		s.shared[customer] = words(s.random, n)
+		s.shared[customer] = randomText(s.random, n)
 	}
 	return s.shared[customer]
 }
--- a/ctl/bench/sender.go
+++ b/ctl/bench/sender.go
@@ -19,8 +19,8 @@
 	"caperdrum.org/fake/standin"
 )
 
-// balancer stands for the platform's balancer: it spreads requests over the
-// entries that report ready.
+// balancer simulates the load balancer of the platform: it distributes requests over the entries that report
+// ready.
 type balancer struct {
 	entries []string
 	ready   []atomic.Bool
@@ -37,7 +37,7 @@
 	return &balancer{entries: entries, ready: make([]atomic.Bool, len(entries)), http: &http.Client{Timeout: readyTimeout}}
 }
 
-// watch follows the entries' readiness until ctx ends.
+// watch polls the readiness of the entries until ctx ends.
 func (b *balancer) watch(ctx context.Context) {
 	b.check()
 	go func() {
@@ -78,7 +78,7 @@
 	return n
 }
 
-// pick returns the next ready entry other than the one to avoid, or any.
+// pick returns the next ready entry other than avoid. If there is none, it returns any entry.
 func (b *balancer) pick(avoid string) string {
 	first := b.next.Add(1)
 	for i := range uint64(len(b.entries)) {
@@ -90,7 +90,7 @@
 	return b.entries[first%uint64(len(b.entries))]
 }
 
-// httpSender sends over HTTP, as a caller behind the balancer would.
+// httpSender sends requests over HTTP, like a caller behind the load balancer.
 type httpSender struct {
 	balancer *balancer
 	client   *http.Client
@@ -99,9 +99,9 @@
 const (
 	idleConnections = 2048
 	connectTimeout  = time.Second
-	patience        = time.Second // beyond the deadline, for a late answer
+	lateReplyGrace  = time.Second // time beyond the deadline in which a late response is still accepted
 	maxSends        = 3
-	resendPause     = 50 * time.Millisecond
+	resendDelay     = 50 * time.Millisecond
 )
 
 func newSender(b *balancer) *httpSender {
@@ -109,36 +109,35 @@
 	return &httpSender{b, &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnections, DisableCompression: true}}}
 }
 
-// Send implements Sender. What is sent again: any call whose connection failed
-// without an answer or in the middle of its event stream (streams come from
-// pipelines, which are repeatable here), and a keyed call whose outcome is not
-// known; each through another entry.
+// Send implements Sender. It resends through another entry: calls whose connection failed without a response
+// or in the middle of the event stream (streams come from pipelines, which are repeatable here), and calls
+// with an idempotency key whose outcome is unknown.
 func (s *httpSender) Send(ctx context.Context, r *Request, deadline time.Time) Reply {
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(patience))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateReplyGrace))
 	defer cancel()
 	entry, cuts := "", 0
 	for n := 1; ; n++ {
 		entry = s.balancer.pick(entry)
-		reply := s.once(ctx, entry, r, deadline)
+		reply := s.sendOnce(ctx, entry, r, deadline)
 		if reply.Cut {
 			cuts++
 		}
 		reply.Sends, reply.Cuts = n, cuts
-		if reply.Whole || n == maxSends || !again(r, reply) || !time.Now().Before(deadline) {
+		if reply.Whole || n == maxSends || !shouldResend(r, reply) || !time.Now().Before(deadline) {
 			return reply
 		}
-		time.Sleep(resendPause)
+		time.Sleep(resendDelay)
 	}
 }
 
-func again(r *Request, reply Reply) bool {
+func shouldResend(r *Request, reply Reply) bool {
 	if !reply.Answered || reply.Cut {
 		return true
 	}
 	return r.Key != "" && reply.Verdict != verdict.NotRun && reply.Status >= http.StatusInternalServerError
 }
 
-func (s *httpSender) once(ctx context.Context, entry string, r *Request, deadline time.Time) Reply {
+func (s *httpSender) sendOnce(ctx context.Context, entry string, r *Request, deadline time.Time) Reply {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return Reply{Reason: err.Error()}
@@ -158,20 +157,20 @@
 	defer resp.Body.Close()
 	reply := Reply{Status: resp.StatusCode, Answered: true, Verdict: verdict.Parse(resp.Header.Get(wire.HeaderVerdict))}
 	if resp.StatusCode != http.StatusOK {
-		body, _ := io.ReadAll(resp.Body) // a part explains as well
-		reply.Reason = failureOf(resp.StatusCode, body)
+		body, _ := io.ReadAll(resp.Body) // a partial body is good enough
+		reply.Reason = errorSummary(resp.StatusCode, body)
 		return reply
 	}
 	if r.Stream {
-		reply.stream(resp.Body)
+		reply.readStream(resp.Body)
 	} else {
-		reply.plain(resp.Body)
+		reply.readPlain(resp.Body)
 	}
 	return reply
 }
 
-// failureOf returns the code and the message of an error body.
-func failureOf(status int, body []byte) string {
+// errorSummary returns code and message of an error body.
+func errorSummary(status int, body []byte) string {
 	var b struct {
 		Error struct {
 			Code    string `json:"code"`
@@ -184,7 +183,7 @@
 	return b.Error.Code + ": " + b.Error.Message
 }
 
-func (p *Reply) plain(body io.Reader) {
+func (p *Reply) readPlain(body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		p.Reason = err.Error()
@@ -199,12 +198,12 @@
 
 var (
 	dataPrefix = []byte("data: ")
-	doneMark   = []byte("[DONE]")
+	doneEvent  = []byte("[DONE]")
 )
 
-// stream reads an event stream and notes when each token came. An answer in
-// one piece is a stream of one token.
-func (p *Reply) stream(body io.Reader) {
+// readStream reads an event stream and records when each token arrived. A response in one piece is a stream
+// of one token.
+func (p *Reply) readStream(body io.Reader) {
 	var whole bytes.Buffer
 	var last time.Time
 	lines := bufio.NewReader(io.TeeReader(body, &whole))
@@ -212,7 +211,7 @@
 		line, err := lines.ReadBytes('\n')
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), dataPrefix)
 		switch {
-		case ok && bytes.Equal(data, doneMark):
+		case ok && bytes.Equal(data, doneEvent):
 			p.Whole = true
 		case ok && bytes.Contains(data, []byte(`"content"`)):
 			now := time.Now()
--- a/ctl/bench/standins.go
+++ b/ctl/bench/standins.go
@@ -14,19 +14,19 @@
 	"caperdrum.org/fake/standin"
 )
 
-// upstreams is the control of the stand-ins.
-type upstreams struct {
+// standinControl calls the control API of the stand-ins.
+type standinControl struct {
 	address string
 	http    *http.Client
 }
 
 const controlTimeout = 10 * time.Second
 
-func newUpstreams(address string) *upstreams {
-	return &upstreams{address, &http.Client{Timeout: controlTimeout}}
+func newStandinControl(address string) *standinControl {
+	return &standinControl{address, &http.Client{Timeout: controlTimeout}}
 }
 
-func (u *upstreams) call(ctx context.Context, method, path string, in, out any) error {
+func (u *standinControl) call(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader = http.NoBody
 	if in != nil {
 		body = bytes.NewReader(encode(in))
@@ -50,26 +50,26 @@
 	return errors.Trace(json.NewDecoder(resp.Body).Decode(out))
 }
 
-func (u *upstreams) reset(ctx context.Context) error {
+func (u *standinControl) reset(ctx context.Context) error {
 	return u.call(ctx, http.MethodPost, "/reset", nil, nil)
 }
 
-func (u *upstreams) fault(ctx context.Context, name string, f standin.Fault) error {
+func (u *standinControl) fault(ctx context.Context, name string, f standin.Fault) error {
 	return u.call(ctx, http.MethodPost, "/fault/"+name, f, nil)
 }
 
-func (u *upstreams) loadLag(ctx context.Context, lag time.Duration) error {
+func (u *standinControl) loadLag(ctx context.Context, lag time.Duration) error {
 	return u.call(ctx, http.MethodPost, "/load-lag/"+lag.String(), nil, nil)
 }
 
-// truth is what the stand-ins ran.
-type truth struct {
+// groundTruth is what the stand-ins actually ran.
+type groundTruth struct {
 	accounts []standin.Account
-	bodies   map[string]int // runs of each body by plain services
+	bodies   map[string]int // number of runs by request body, at plain services
 }
 
-func (u *upstreams) truth(ctx context.Context) (*truth, error) {
-	t := &truth{bodies: map[string]int{}}
+func (u *standinControl) truth(ctx context.Context) (*groundTruth, error) {
+	t := &groundTruth{bodies: map[string]int{}}
 	if err := u.call(ctx, http.MethodGet, "/account", nil, &t.accounts); err != nil {
 		return nil, err
 	}
@@ -79,8 +79,8 @@
 // serviceOf returns the service of a stand-in, which is named SERVICE-NUMBER.
 func serviceOf(name string) string { return name[:strings.LastIndexByte(name, '-')] }
 
-// ranAt returns the services that began work for each request id.
-func (t *truth) ranAt() map[string]map[string]bool {
+// servicesByRequest returns the services that began work for each request ID.
+func (t *groundTruth) servicesByRequest() map[string]map[string]bool {
 	out := map[string]map[string]bool{}
 	for _, a := range t.accounts {
 		for _, r := range a.Records {
@@ -93,27 +93,27 @@
 	return out
 }
 
-// generated returns the requests that an engine began to work on.
-func (t *truth) generated(schedule []*Request) []*Request {
-	ran := t.ranAt()
+// generatedRequests returns the requests that an engine began to work on.
+func (t *groundTruth) generatedRequests(schedule []*Request) []*Request {
+	ran := t.servicesByRequest()
 	var out []*Request
 	for _, r := range schedule {
-		if ran[r.ID][llm] {
+		if ran[r.ID][engineService] {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// Cost is what one service's upstreams spent.
+// Cost is the slot time spent by the upstreams of one service, in seconds.
 type Cost struct {
-	Held      float64 `json:"held_seconds"`      // slot time in work
-	Extra     float64 `json:"extra_seconds"`     // of it beside the longest whole run of a request: hedges and retries
-	Abandoned float64 `json:"abandoned_seconds"` // of it for requests without any whole run there
+	Held      float64 `json:"held_seconds"`      // total
+	Extra     float64 `json:"extra_seconds"`     // of it, beyond the longest complete run of a request: hedges and retries
+	Abandoned float64 `json:"abandoned_seconds"` // of it, for requests without any complete run at the service
 }
 
 // costs sums up the work by service.
-func (t *truth) costs() map[string]Cost {
+func (t *groundTruth) costs() map[string]Cost {
 	type work struct{ held, longest time.Duration }
 	by := map[string]map[string]work{}
 	for _, a := range t.accounts {
@@ -144,8 +144,8 @@
 	return out
 }
 
-// hitShare returns the share of the engines' prompt tokens that were cached.
-func (t *truth) hitShare() float64 {
+// cacheHitRatio returns the fraction of the engines' prompt tokens that were cached.
+func (t *groundTruth) cacheHitRatio() float64 {
 	cached, all := 0, 0
 	for _, a := range t.accounts {
 		cached += a.CachedTokens
--- a/ctl/bench/system.go
+++ b/ctl/bench/system.go
@@ -13,21 +13,21 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// system is the running system under measurement.
+// system is the running system under test.
 type system struct {
 	admin    *adminclient.Client
 	balancer *balancer
 	agents   int
-	text     string // in force
+	text     string // active configuration
 }
 
 const (
-	applyTimeout = 20 * time.Second
-	readyWait    = 30 * time.Second
-	poll         = 50 * time.Millisecond
+	applyTimeout       = 20 * time.Second
+	systemReadyTimeout = 30 * time.Second
+	pollInterval       = 50 * time.Millisecond
 )
 
-// apply puts a text in force everywhere, unless it is already.
+// apply makes a configuration active on every member, unless it already is.
 func (s *system) apply(ctx context.Context, text string) error {
 	if text == s.text {
 		return nil
@@ -43,28 +43,28 @@
 		return err
 	}
 	if !res.Accepted {
-		return fmt.Errorf("the text was refused: %s", res.Reason)
+		return fmt.Errorf("the configuration was rejected: %s", res.Reason)
 	}
 	s.text = text
-	return s.await(ctx, "the text in force", func(m wire.MemberStatus) bool { return m.ConfigVersion >= res.Version })
+	return s.waitForMembers(ctx, "active configuration", func(m wire.MemberStatus) bool { return m.ConfigVersion >= res.Version })
 }
 
-// ready waits until every agent takes work and every entry is ready.
-func (s *system) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+// waitReady waits until every agent accepts work and every entry is ready.
+func (s *system) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, systemReadyTimeout)
 	defer cancel()
-	if err := s.await(ctx, "every upstream in service", func(m wire.MemberStatus) bool { return !m.Leaving }); err != nil {
+	if err := s.waitForMembers(ctx, "upstreams in service", func(m wire.MemberStatus) bool { return !m.Leaving }); err != nil {
 		return err
 	}
 	for s.balancer.readyCount() < len(s.balancer.entries) {
-		if !pause(ctx, poll) {
+		if !sleepContext(ctx, pollInterval) {
 			return fmt.Errorf("only %d of %d entries are ready", s.balancer.readyCount(), len(s.balancer.entries))
 		}
 	}
 	return nil
 }
 
-func (s *system) await(ctx context.Context, what string, ok func(wire.MemberStatus) bool) error {
+func (s *system) waitForMembers(ctx context.Context, what string, ok func(wire.MemberStatus) bool) error {
 	for {
 		rows, err := s.admin.Members(ctx)
 		agents, missing := 0, ""
@@ -79,13 +79,13 @@
 		if err == nil && missing == "" && agents >= s.agents {
 			return nil
 		}
-		if !pause(ctx, poll) {
-			return fmt.Errorf("no %s: %d of %d agents, missing %s (%v)", what, agents, s.agents, missing, err)
+		if !sleepContext(ctx, pollInterval) {
+			return fmt.Errorf("timed out waiting for %s: %d of %d agents, missing %s (%v)", what, agents, s.agents, missing, err)
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -94,19 +94,19 @@
 	}
 }
 
-// counterWords are parts of the names of the metrics that a report shows.
-var counterWords = []string{"retries", "hedge", "resum", "eject", "brownout", "stage_upstream_seconds", heldSeconds}
+// counterNameParts are parts of the names of the metrics that a report includes.
+var counterNameParts = []string{"retries", "hedge", "resum", "eject", "brownout", "stage_upstream_seconds", heldSeconds}
 
-// heldSeconds is how long an agent's upstream was loaded.
+// heldSeconds is the metric for how long the upstream of an agent had a model loaded or was under an order.
 const heldSeconds = "upstream_held_seconds"
 
-// counters are the metrics of each entry, and those of each agent under its
-// service, by name.
+// counters are the metrics by member and name. Metrics of agents that count for their service have the
+// service in their name.
 type counters map[wire.MemberID]map[string]float64
 
-// since adds to sum what the counters grew by. Those of an entry that was
-// started meanwhile began at zero.
-func (c counters) since(before counters, sum map[string]float64) {
+// addDeltas adds the increase of the counters to sum. Counters of a process that was restarted in between
+// started from zero.
+func (c counters) addDeltas(before counters, sum map[string]float64) {
 	for id, vars := range c {
 		for name, v := range vars {
 			if old := before[id][name]; old <= v {
@@ -121,12 +121,12 @@
 	out := counters{}
 	rows, err := s.admin.Members(ctx)
 	if err != nil {
-		return out // a report without counters; the stand-ins have the costs
+		return out // the report has no counters then; costs are taken from the stand-ins
 	}
 	for _, m := range rows {
 		vars := map[string]float64{}
 		s.addVars(ctx, m.Debug, vars)
-		if held, ok := vars[heldSeconds]; ok { // an agent's: loaded time counts as the service's cost
+		if held, ok := vars[heldSeconds]; ok { // of an agent: counted as cost of its service
 			delete(vars, heldSeconds)
 			vars[heldSeconds+"/"+m.Service] = held
 		}
@@ -138,10 +138,10 @@
 func (s *system) addVars(ctx context.Context, address string, out map[string]float64) {
 	vars, err := s.admin.ProcessVars(ctx, address)
 	if err != nil {
-		return // an entry that was killed
+		return // the entry was killed
 	}
 	for name, raw := range vars {
-		for _, w := range counterWords {
+		for _, w := range counterNameParts {
 			if strings.Contains(name, w) {
 				addNumbers(name, raw, out)
 				break
--- a/ctl/capacity/capacity_test.go
+++ b/ctl/capacity/capacity_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Max(1, math.Abs(b)) }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Max(1, math.Abs(b)) }
 
 func TestFit(t *testing.T) {
 	for _, c := range []struct {
@@ -19,18 +19,18 @@
 		{"noise", []float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}, Line{Base: 0.3, Slope: 0.8, R2: 0.64, From: 0, To: 3}},
 	} {
 		got := Fit(c.x, c.y)
-		if !near(got.Base, c.want.Base) || !near(got.Slope, c.want.Slope) || !near(got.R2, c.want.R2) || got.From != c.want.From || got.To != c.want.To {
+		if !almostEqual(got.Base, c.want.Base) || !almostEqual(got.Slope, c.want.Slope) || !almostEqual(got.R2, c.want.R2) || got.From != c.want.From || got.To != c.want.To {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
 	if got := (Line{Base: -4, Slope: 2}).At(10); got != 20 {
-		t.Errorf("a negative base counted: %v", got)
+		t.Errorf("a negative intercept was counted: %v", got)
 	}
 }
 
-// madeUp returns the sample that known unit costs give: 100 µs/s a member at a
-// follower, 150 at the leader, 10 for passed renewals, 30 in the member, and so on.
-func madeUp(n, customers int) Sample {
+// syntheticSample returns the sample that results from known unit costs: 100 µs/s per member at a follower,
+// 150 at the leader, 10 for forwarded renewals, 30 in the member, and so on.
+func syntheticSample(n, customers int) Sample {
 	x := float64(n)
 	large := float64(customers / 25_000)
 	const seconds = 5
@@ -54,9 +54,9 @@
 }
 
 func TestSlopesAreThoseOfTheSamples(t *testing.T) {
-	m := &Measurement{Texts: []Sample{madeUp(2, 25_000), madeUp(12, 25_000)}}
+	m := &Measurement{Texts: []Sample{syntheticSample(2, 25_000), syntheticSample(12, 25_000)}}
 	for _, n := range []int{10, 50, 200, 500} {
-		m.Sizes = append(m.Sizes, madeUp(n, 100))
+		m.Sizes = append(m.Sizes, syntheticSample(n, 100))
 	}
 	s := SlopesOf(m)
 	for _, c := range []struct {
@@ -71,7 +71,7 @@
 		{"restart", s.Restart.CPU, 5000}, {"restart attached", s.RestartAttached.CPU, 40}, {"restart in a member", s.RestartMember.CPU, 20}, {"its bytes", s.RestartMember.Bytes, 900},
 		{"view base", s.ViewBase, 50e3}, {"view", s.ViewMember, 600}, {"leader memory", s.LeaderRSS.Slope, 4e3},
 	} {
-		if !near(c.got, c.want) {
+		if !almostEqual(c.got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, c.got, c.want)
 		}
 	}
@@ -79,7 +79,7 @@
 
 func TestChangeGrowsWithTheText(t *testing.T) {
 	c := Change{Small: Cost{CPU: 10, Bytes: 100}, Large: Cost{CPU: 50, Bytes: 900}}
-	if got := c.of(0.25); got != (Cost{CPU: 20, Bytes: 300}) {
+	if got := c.atShare(0.25); got != (Cost{CPU: 20, Bytes: 300}) {
 		t.Error(got)
 	}
 }
@@ -101,31 +101,31 @@
 		Row{Role: "entry or agent, control only", Calls: 1, Cost: Cost{CPU: 30, Bytes: 500}, Memory: 16.7e6})
 	for i, got := range append(flat, relayed...) {
 		w := want[i]
-		if got.Role != w.Role || !near(got.Calls, w.Calls) || !near(got.CPU, w.CPU) || !near(got.Bytes, w.Bytes) || !near(got.Memory, w.Memory) {
+		if got.Role != w.Role || !almostEqual(got.Calls, w.Calls) || !almostEqual(got.CPU, w.CPU) || !almostEqual(got.Bytes, w.Bytes) || !almostEqual(got.Memory, w.Memory) {
 			t.Errorf("%+v, want %+v", got, w)
 		}
 	}
 }
 
 func TestOnlyTheMarkedPartIsReplaced(t *testing.T) {
-	page, err := replaceBetween([]byte("a\n"+beginMark+"old\n"+endMark+"b\n"), []byte("new\n"))
+	page, err := replaceMarkedPart([]byte("a\n"+beginMark+"old\n"+endMark+"b\n"), []byte("new\n"))
 	if err != nil || string(page) != "a\n"+beginMark+"new\n"+endMark+"b\n" {
 		t.Errorf("%q %v", page, err)
 	}
 	for _, bad := range []string{"", beginMark, endMark + beginMark} {
-		if _, err := replaceBetween([]byte(bad), nil); err == nil {
-			t.Errorf("%q was taken for a page", bad)
+		if _, err := replaceMarkedPart([]byte(bad), nil); err == nil {
+			t.Errorf("%q was accepted as a page", bad)
 		}
 	}
 }
 
 func TestVerdictNamesEveryBudgetThatIsBroken(t *testing.T) {
 	r := Row{Role: "entry or agent, control only", Cost: Cost{CPU: budgetCPU, Bytes: budgetBytes}, Memory: budgetMemory}
-	if got := r.verdict(); got != "within" {
+	if got := r.budgetVerdict(); got != "within" {
 		t.Error(got)
 	}
 	r.CPU, r.Bytes, r.Memory = budgetCPU+1, budgetBytes+1, budgetMemory+1
-	if got := r.verdict(); !strings.Contains(got, "processor") || !strings.Contains(got, "bytes") || !strings.Contains(got, "memory") {
+	if got := r.budgetVerdict(); !strings.Contains(got, "processor") || !strings.Contains(got, "bytes") || !strings.Contains(got, "memory") {
 		t.Error(got)
 	}
 }
--- a/ctl/capacity/cluster.go
+++ b/ctl/capacity/cluster.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	voters    = 3
-	waitLimit = 60 * time.Second
-	poll      = 20 * time.Millisecond
+	voters       = 3
+	waitTimeout  = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 // cluster is a set of separate caperdrumd control processes on loopback.
@@ -108,7 +108,7 @@
 	return errors.Trace(p.cmd.Start())
 }
 
-// form initializes the cluster and waits until all vote.
+// form initializes the cluster and waits until all processes are voters.
 func (c *cluster) form(ctx context.Context) error {
 	started := false
 	return waitFor(ctx, "three voters", func() bool {
@@ -125,7 +125,7 @@
 	})
 }
 
-// roles returns the process that leads and the others.
+// roles returns the leader and the other processes.
 func (c *cluster) roles(ctx context.Context) (leader *process, followers []*process, err error) {
 	name := ""
 	for _, s := range c.admin.Status(ctx) {
@@ -146,20 +146,20 @@
 	return leader, followers, nil
 }
 
-// apply puts a text in force and returns its version.
+// apply makes a configuration active and returns its version.
 func (c *cluster) apply(ctx context.Context, text string) (uint64, error) {
 	res, err := c.admin.Apply(ctx, wire.ChangeRequest{Number: c.version + 1, Text: text, ChangeID: uuid.NewString()})
 	if err != nil {
 		return 0, err
 	}
 	if !res.Accepted {
-		return 0, errors.Errorf("capacity: the text was refused: %s", res.Reason)
+		return 0, errors.Errorf("capacity: the configuration was rejected: %s", res.Reason)
 	}
 	c.version = res.Version
 	return res.Version, nil
 }
 
-// stop ends the processes that were started, and removes their files.
+// stop kills the processes of the cluster and removes their files.
 func (c *cluster) stop() {
 	for _, p := range c.control {
 		if p.cmd != nil && p.cmd.Process != nil {
@@ -171,13 +171,13 @@
 }
 
 func waitFor(ctx context.Context, what string, done func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, waitLimit)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("capacity: waited in vain: %s", what)
-		case <-time.After(poll):
+			return errors.Errorf("capacity: timed out waiting for %s", what)
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
--- a/ctl/capacity/fit.go
+++ b/ctl/capacity/fit.go
@@ -1,7 +1,6 @@
-// Package capacity measures how the cost of control grows with the number of
-// members, on one machine, and works out from these slopes what each role
-// spends at larger sizes. Command capacity writes the result into
-// docs/CAPACITY.md.
+// Package capacity measures on one machine how the cost of the control plane grows with the number of
+// members, and extrapolates the cost of each role to larger sizes from these slopes. Command capacity writes
+// the result into docs/CAPACITY.md.
 package capacity
 
 import "math"
@@ -9,12 +8,12 @@
 // Line is a straight line fitted to measured points by least squares.
 type Line struct {
 	Base, Slope float64
-	R2          float64 // share of the variance that the line explains, 1 at best
-	From, To    float64 // range of x that was measured
+	R2          float64 // coefficient of determination, at most 1
+	From, To    float64 // measured range of x
 }
 
-// Fit returns the least-squares line through the points. It needs two
-// different x at least; else the slope is NaN.
+// Fit returns the least-squares line through the points. With fewer than two different values of x the slope
+// is NaN.
 func Fit(x, y []float64) Line {
 	n := float64(len(x))
 	var sx, sy float64
@@ -40,6 +39,5 @@
 	return l
 }
 
-// At returns the line's value at x. A negative base, which noise gives, counts
-// as none.
+// At returns the value of the line at x. A negative base, which is due to noise, counts as zero.
 func (l Line) At(x float64) float64 { return max(l.Base, 0) + l.Slope*x }
--- a/ctl/capacity/measure.go
+++ b/ctl/capacity/measure.go
@@ -12,42 +12,42 @@
 	"caperdrum.org/node/configsync"
 )
 
-// Options of a measurement.
+// Options configure a measurement.
 type Options struct {
 	Daemon    string // path of caperdrumd
-	Sizes     []int  // numbers of members, with a small text
-	TextSizes []int  // numbers of members, with a text of Customers
+	Sizes     []int  // numbers of members to measure with a small configuration
+	TextSizes []int  // numbers of members to measure with a configuration of Customers customers
 	Customers int
 	Progress  func(string)
 }
 
 const (
-	settle          = 2 * time.Second // after a start, until buffers and leases are steady
-	idleTime        = 5 * time.Second
-	smallText       = 100 // customers
-	changes         = 12
-	textChanges     = 6
-	restarts        = 8
-	betweenChanges  = 300 * time.Millisecond
-	betweenRestarts = 100 * time.Millisecond
+	settleTime             = 2 * time.Second // time after a start until buffers and leases are in steady state
+	idleTime               = 5 * time.Second
+	smallConfigCustomers   = 100 // customers
+	changeCount            = 12
+	largeConfigChangeCount = 6
+	restartCount           = 8
+	changeInterval         = 300 * time.Millisecond
+	restartInterval        = 100 * time.Millisecond
 )
 
-// Measurement is all that a run measured.
+// Measurement is the result of the measurement.
 type Measurement struct {
 	When  time.Time `json:"when"`
 	Cores int       `json:"cores"`
 	Sizes []Sample  `json:"sizes"`
-	Texts []Sample  `json:"texts"` // few members, large text
+	Texts []Sample  `json:"texts"` // few members, large configuration
 }
 
-// MeasureSizes replaces the samples with a small text. It calls save after
-// each, since a run may be ended early.
+// MeasureSizes replaces the samples with a small configuration. It calls save after each sample, since the
+// run may be interrupted.
 func (o Options) MeasureSizes(ctx context.Context, m *Measurement, save func() error) error {
 	m.When, m.Sizes = time.Now().UTC(), nil
-	return o.measure(ctx, &m.Sizes, o.Sizes, smallText, save)
+	return o.measure(ctx, &m.Sizes, o.Sizes, smallConfigCustomers, save)
 }
 
-// MeasureTexts replaces the samples with a large text.
+// MeasureTexts replaces the samples with a large configuration.
 func (o Options) MeasureTexts(ctx context.Context, m *Measurement, save func() error) error {
 	m.Texts = nil
 	return o.measure(ctx, &m.Texts, o.TextSizes, o.Customers, save)
@@ -67,10 +67,10 @@
 	return nil
 }
 
-// run is one cluster with its members.
-type run struct {
-	c         *cluster
-	ms        *members
+// clusterRun is the measurement of one cluster with its members.
+type clusterRun struct {
+	cluster   *cluster
+	members   *members
 	leader    *process
 	followers []*process
 	sample    *Sample
@@ -84,17 +84,17 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{c: c, ms: &members{}, sample: &Sample{Members: n, Customers: customers}}
-	defer func() { r.ms.stop() }()
+	r := &clusterRun{cluster: c, members: &members{}, sample: &Sample{Members: n, Customers: customers}}
+	defer func() { r.members.stop() }()
 	if r.leader, r.followers, err = c.roles(ctx); err != nil {
 		return nil, err
 	}
 	for _, p := range c.control {
-		r.ms.control = append(r.ms.control, p.peer)
+		r.members.control = append(r.members.control, p.peer)
 	}
-	steps := []func(context.Context) error{r.start, r.idle, r.changes, r.restarts, r.sameLeader}
-	if customers == smallText {
-		steps = append(steps, r.aside, r.sameLeader)
+	steps := []func(context.Context) error{r.start, r.measureIdle, r.measureChanges, r.measureRestarts, r.checkSameLeader}
+	if customers == smallConfigCustomers {
+		steps = append(steps, r.measureFollowersOnly, r.checkSameLeader)
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
@@ -106,52 +106,52 @@
 	return r.sample, nil
 }
 
-func (r *run) start(ctx context.Context) error {
-	if _, err := r.c.apply(ctx, customers(r.sample.Customers, 0, 1)); err != nil {
+func (r *clusterRun) start(ctx context.Context) error {
+	if _, err := r.cluster.apply(ctx, configWithCustomers(r.sample.Customers, 0, 1)); err != nil {
 		return err
 	}
-	before := heap()
-	if err := r.ms.start(ctx, r.sample.Members); err != nil {
+	before := heapInUse()
+	if err := r.members.start(ctx, r.sample.Members); err != nil {
 		return err
 	}
-	time.Sleep(settle)
-	r.sample.Heap = heap() - before
+	time.Sleep(settleTime)
+	r.sample.Heap = heapInUse() - before
 	return nil
 }
 
-func (r *run) idle(context.Context) (err error) {
+func (r *clusterRun) measureIdle(context.Context) (err error) {
 	r.sample.Idle, err = r.phase(0, func() error { time.Sleep(idleTime); return nil })
 	return err
 }
 
-func (r *run) changes(ctx context.Context) (err error) {
-	n := changes
-	if r.sample.Customers > smallText {
-		n = textChanges
+func (r *clusterRun) measureChanges(ctx context.Context) (err error) {
+	n := changeCount
+	if r.sample.Customers > smallConfigCustomers {
+		n = largeConfigChangeCount
 	}
 	var texts []string
 	for i := range n {
-		texts = append(texts, customers(r.sample.Customers, i, 2))
+		texts = append(texts, configWithCustomers(r.sample.Customers, i, 2))
 	}
 	var times []float64
 	r.sample.Changes, err = r.phase(n, func() error {
 		for _, text := range texts {
-			version, err := r.c.apply(ctx, text)
+			version, err := r.cluster.apply(ctx, text)
 			if err != nil {
 				return err
 			}
 			accepted := time.Now()
-			if err := waitFor(ctx, "a change in force", func() bool {
-				return r.ms.all(func(v *configsync.View) bool { return v.Version >= version })
+			if err := waitFor(ctx, "a change to become active", func() bool {
+				return r.members.allMatch(func(v *configsync.View) bool { return v.Version >= version })
 			}); err != nil {
 				return err
 			}
-			for _, m := range r.ms.list {
+			for _, m := range r.members.list {
 				if at, ok := m.at.Load(version); ok {
 					times = append(times, max(0, at.(time.Time).Sub(accepted).Seconds()*1000))
 				}
 			}
-			time.Sleep(betweenChanges)
+			time.Sleep(changeInterval)
 		}
 		return nil
 	})
@@ -164,45 +164,45 @@
 	return err
 }
 
-func (r *run) restarts(ctx context.Context) (err error) {
-	r.sample.Restarts, err = r.phase(restarts, func() error {
-		for i := range restarts {
-			if err := r.ms.restart(ctx, i%r.sample.Members); err != nil {
+func (r *clusterRun) measureRestarts(ctx context.Context) (err error) {
+	r.sample.Restarts, err = r.phase(restartCount, func() error {
+		for i := range restartCount {
+			if err := r.members.restart(ctx, i%r.sample.Members); err != nil {
 				return err
 			}
-			time.Sleep(betweenRestarts)
+			time.Sleep(restartInterval)
 		}
 		return nil
 	})
 	return err
 }
 
-// aside measures the idle cost once more with all members at the followers, so
-// that the leader only takes their renewals. A relay would work as these do.
-func (r *run) aside(ctx context.Context) (err error) {
-	r.ms.stop()
-	r.ms = &members{}
+// measureFollowersOnly measures the idle cost with all members at the followers, so that the leader only
+// handles their renewals. Relays would behave like these followers.
+func (r *clusterRun) measureFollowersOnly(ctx context.Context) (err error) {
+	r.members.stop()
+	r.members = &members{}
 	for _, p := range r.followers {
-		r.ms.control = append(r.ms.control, p.peer)
+		r.members.control = append(r.members.control, p.peer)
 	}
-	if err := r.ms.start(ctx, r.sample.Members); err != nil {
+	if err := r.members.start(ctx, r.sample.Members); err != nil {
 		return err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	r.sample.Aside, err = r.phase(0, func() error { time.Sleep(idleTime); return nil })
 	return err
 }
 
-// sameLeader fails when the roles changed, which would mix their costs.
-func (r *run) sameLeader(ctx context.Context) error {
-	leader, _, err := r.c.roles(ctx)
+// checkSameLeader fails if the leader changed, because that would mix the costs of leader and followers.
+func (r *clusterRun) checkSameLeader(ctx context.Context) error {
+	leader, _, err := r.cluster.roles(ctx)
 	if err == nil && leader != r.leader {
 		err = errors.New("capacity: the leader changed during the run")
 	}
 	return err
 }
 
-func (r *run) phase(events int, body func() error) (Phase, error) {
+func (r *clusterRun) phase(events int, body func() error) (Phase, error) {
 	before, err := r.usage()
 	if err != nil {
 		return Phase{}, err
@@ -224,7 +224,7 @@
 
 func (u Usage) minus(o Usage) Usage { return Usage{CPU: u.CPU - o.CPU, Bytes: u.Bytes - o.Bytes} }
 
-func (r *run) usage() (p Phase, err error) {
+func (r *clusterRun) usage() (p Phase, err error) {
 	if p.Leader, err = readUsage(r.leader.cmd.Process.Pid); err != nil {
 		return p, err
 	}
@@ -236,12 +236,12 @@
 		p.Follower.CPU += u.CPU / float64(len(r.followers))
 		p.Follower.Bytes += u.Bytes / float64(len(r.followers))
 	}
-	p.Members = Usage{CPU: ownCPU(), Bytes: float64(r.ms.bytes.Load())}
+	p.Members = Usage{CPU: ownCPU(), Bytes: float64(r.members.bytes.Load())}
 	return p, nil
 }
 
-// customers is a text with n customers, of which one has another share.
-func customers(n, changed, share int) string {
+// configWithCustomers returns a configuration with n customers, one of which, changed, has another share.
+func configWithCustomers(n, changed, share int) string {
 	var text strings.Builder
 	text.WriteString("[service:llm]\nkind = engine\nrepeatable = true\n")
 	for i := range n {
--- a/ctl/capacity/members.go
+++ b/ctl/capacity/members.go
@@ -17,16 +17,16 @@
 	"caperdrum.org/node/settings"
 )
 
-// members are agents as control sees them, all in this process, over TCP.
+// members simulates agents in this process. They synchronize with the control processes over TCP.
 type members struct {
-	control []string // peer addresses
+	control []string // peer addresses of the control processes
 	bytes   atomic.Int64
 	list    []*member
 }
 
 type member struct {
 	*configsync.Service
-	at sync.Map // version to the time it came into force here
+	at sync.Map // time at which each configuration version became active here
 }
 
 func (ms *members) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -54,7 +54,7 @@
 	return n, err
 }
 
-// settingsOf is the i-th member: an agent of one of 18 data centres.
+// settingsOf returns the settings of member i, an agent in one of 18 data centres.
 func (ms *members) settingsOf(i int) *settings.Settings {
 	name := fmt.Sprintf("agent-llm-%05d", i)
 	address := fmt.Sprintf("10.%d.%d.%d", i/65536, i/256%256, i%256)
@@ -66,22 +66,22 @@
 	}
 }
 
-func (ms *members) begin(i int) *member {
+func (ms *members) startMember(i int) *member {
 	m := &member{Service: configsync.New(configsync.Params{Settings: ms.settingsOf(i), Log: logr.Discard(), Ring: timeline.NewRing("m", "v", 16), Dial: ms.dial})}
 	m.OnChange(func(v *configsync.View) { m.at.LoadOrStore(v.Version, time.Now()) })
 	m.Start(context.Background())
 	return m
 }
 
-// start adds n members and waits until all know all.
+// start adds n members and waits until every member knows all of them.
 func (ms *members) start(ctx context.Context, n int) error {
 	for i := range n {
-		ms.list = append(ms.list, ms.begin(i))
+		ms.list = append(ms.list, ms.startMember(i))
 	}
-	return waitFor(ctx, "all members known to all", func() bool { return ms.all(func(v *configsync.View) bool { return len(v.ByService["llm"]) == n }) })
+	return waitFor(ctx, "all members to know each other", func() bool { return ms.allMatch(func(v *configsync.View) bool { return len(v.ByService["llm"]) == n }) })
 }
 
-func (ms *members) all(ok func(*configsync.View) bool) bool {
+func (ms *members) allMatch(ok func(*configsync.View) bool) bool {
 	for _, m := range ms.list {
 		if v := m.View(); v == nil || !ok(v) {
 			return false
@@ -90,15 +90,15 @@
 	return true
 }
 
-// restart ends member i without a farewell, starts it again and waits until
-// all know the new start.
+// restart stops member i without deregistering it, starts it again and waits until every member knows the new
+// incarnation.
 func (ms *members) restart(ctx context.Context, i int) error {
-	halt(ms.list[i])
-	m := ms.begin(i)
+	stopMember(ms.list[i])
+	m := ms.startMember(i)
 	ms.list[i] = m
 	self := m.Self()
-	return waitFor(ctx, "a restart known to all", func() bool {
-		return ms.all(func(v *configsync.View) bool {
+	return waitFor(ctx, "all members to know a restart", func() bool {
+		return ms.allMatch(func(v *configsync.View) bool {
 			m, known := v.Members.Get(self.ID)
 			return known && m.Incarnation == self.Incarnation
 		})
@@ -108,20 +108,20 @@
 func (ms *members) stop() {
 	var wg sync.WaitGroup
 	for _, m := range ms.list {
-		wg.Go(func() { halt(m) })
+		wg.Go(func() { stopMember(m) })
 	}
 	wg.Wait()
 	ms.list = nil
 }
 
-func halt(m *member) {
+func stopMember(m *member) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	m.Stop(ctx)
 }
 
-// heap is the memory in use after a collection, stacks included.
-func heap() float64 {
+// heapInUse returns the memory in use after a collection, including stacks.
+func heapInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/ctl/capacity/plot.go
+++ b/ctl/capacity/plot.go
@@ -15,26 +15,26 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// series is one measured quantity over the number of members.
+// series is a measured quantity plotted against the number of members.
 type series struct {
 	name string
 	of   func(Sample) float64
 }
 
-// Plots draws the measured points with their lines as SVG files.
+// Plots draws the measured points and the fitted lines as SVG files.
 func Plots(docs string, m *Measurement) error {
 	err := draw(filepath.Join(docs, "capacity-processor.svg"), "Idle: processor time", "ms a second", m, []series{
-		{"leader, members spread", func(s Sample) float64 { return s.Idle.rate(leaderCPU) / 1000 }},
-		{"leader, renewals only", func(s Sample) float64 { return s.Aside.rate(leaderCPU) / 1000 }},
-		{"follower with half of the members", func(s Sample) float64 { return s.Aside.rate(followerCPU) / 1000 }},
+		{"leader, members spread", func(s Sample) float64 { return s.Idle.perSecond(leaderCPU) / 1000 }},
+		{"leader, renewals only", func(s Sample) float64 { return s.Aside.perSecond(leaderCPU) / 1000 }},
+		{"follower with half of the members", func(s Sample) float64 { return s.Aside.perSecond(followerCPU) / 1000 }},
 	})
 	if err != nil {
 		return err
 	}
 	return draw(filepath.Join(docs, "capacity-bytes.svg"), "Idle: bytes read and written", "kB a second", m, []series{
-		{"leader, members spread", func(s Sample) float64 { return s.Idle.rate(leaderBytes) / 1000 }},
-		{"leader, renewals only", func(s Sample) float64 { return s.Aside.rate(leaderBytes) / 1000 }},
-		{"follower with half of the members", func(s Sample) float64 { return s.Aside.rate(followerBytes) / 1000 }},
+		{"leader, members spread", func(s Sample) float64 { return s.Idle.perSecond(leaderBytes) / 1000 }},
+		{"leader, renewals only", func(s Sample) float64 { return s.Aside.perSecond(leaderBytes) / 1000 }},
+		{"follower with half of the members", func(s Sample) float64 { return s.Aside.perSecond(followerBytes) / 1000 }},
 	})
 }
 
--- a/ctl/capacity/sample.go
+++ b/ctl/capacity/sample.go
@@ -12,43 +12,43 @@
 	"github.com/juju/errors"
 )
 
-// Usage is what a process used between two moments.
+// Usage is the resource usage of a process over a period.
 type Usage struct {
-	CPU   float64 `json:"cpu_us"` // processor time, µs
-	Bytes float64 `json:"bytes"`  // read and written, files and connections
+	CPU   float64 `json:"cpu_us"` // CPU time, µs
+	Bytes float64 `json:"bytes"`  // bytes read and written, files and connections
 }
 
-// Phase is one part of a run: idle, or with changes or restarts.
+// Phase is one phase of a run: idle, with changes or with restarts.
 type Phase struct {
 	Seconds  float64 `json:"seconds"`
-	Events   int     `json:"events"` // changes or restarts
+	Events   int     `json:"events"` // number of changes or restarts
 	Leader   Usage   `json:"leader"`
-	Follower Usage   `json:"follower"` // mean of the followers
-	Members  Usage   `json:"members"`  // all together; bytes are those of their connections
+	Follower Usage   `json:"follower"` // mean over the followers
+	Members  Usage   `json:"members"`  // sum over all members; bytes of their connections
 }
 
-// Sample holds the phases of one cluster size.
+// Sample contains the phases of one cluster size.
 type Sample struct {
 	Members   int     `json:"members"`
-	Customers int     `json:"customers"` // in the text
-	Load      string  `json:"load"`      // load averages of the machine at the end
-	Idle      Phase   `json:"idle"`      // members spread over leader and followers
+	Customers int     `json:"customers"` // in the configuration
+	Load      string  `json:"load"`      // load averages of the machine (1 and 5 min) at the end
+	Idle      Phase   `json:"idle"`      // members distributed over leader and followers
 	Changes   Phase   `json:"changes"`
 	Restarts  Phase   `json:"restarts"`
-	Aside     Phase   `json:"aside"` // idle, with all members at followers
+	Aside     Phase   `json:"aside"` // idle, with all members at the followers
 	InForce50 float64 `json:"in_force_p50_ms"`
 	InForce99 float64 `json:"in_force_p99_ms"`
-	Heap      float64 `json:"heap_bytes"`       // of all members
-	LeaderRSS float64 `json:"leader_rss_bytes"` // at the end of the changes
+	Heap      float64 `json:"heap_bytes"`       // of all members together
+	LeaderRSS float64 `json:"leader_rss_bytes"` // after the changes
 }
 
-// perEvent returns what one event costs above the idle rate.
+// perEvent returns the cost of one event beyond the idle cost.
 func (p Phase) perEvent(idle Phase, use func(Phase) float64) float64 {
 	return (use(p) - use(idle)*p.Seconds/idle.Seconds) / float64(p.Events)
 }
 
-// rate returns a use per second.
-func (p Phase) rate(use func(Phase) float64) float64 { return use(p) / p.Seconds }
+// perSecond returns a usage per second.
+func (p Phase) perSecond(use func(Phase) float64) float64 { return use(p) / p.Seconds }
 
 func leaderCPU(p Phase) float64     { return p.Leader.CPU }
 func leaderBytes(p Phase) float64   { return p.Leader.Bytes }
@@ -57,9 +57,9 @@
 func membersCPU(p Phase) float64    { return p.Members.CPU }
 func membersBytes(p Phase) float64  { return p.Members.Bytes }
 
-const clockTick = 10_000 // µs of a tick in /proc/PID/stat
+const clockTick = 10_000 // µs per tick in /proc/PID/stat
 
-// readUsage returns what a process has used since its start.
+// readUsage returns the usage of a process since its start.
 func readUsage(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -76,7 +76,7 @@
 	return Usage{CPU: (user + system) * clockTick, Bytes: read + written}, err
 }
 
-// readRSS returns a process's resident memory in bytes.
+// readRSS returns the resident memory of a process in bytes.
 func readRSS(pid int) (float64, error) {
 	kb, err := readField(pid, "status", "VmRSS")
 	return kb * 1024, err
@@ -96,7 +96,7 @@
 	return 0, errors.Errorf("capacity: no %s in /proc/%d/%s", name, pid, file)
 }
 
-// ownCPU is the processor time that this process has used, in µs.
+// ownCPU returns the CPU time of this process in µs.
 func ownCPU() float64 {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/ctl/capacity/tables.go
+++ b/ctl/capacity/tables.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Budget for control on a node that does other work too.
+// Budget of the control plane on a node that also does other work.
 const (
-	budgetCPU    = 31_000. // µs a second: 3.1% of a core
-	budgetBytes  = 14_000. // a second
+	budgetCPU    = 31_000. // µs per second: 3.1% of a core
+	budgetBytes  = 14_000. // bytes per second
 	budgetMemory = 32e6
 )
 
@@ -30,10 +30,10 @@
 	for _, s := range append(append([]Sample{}, m.Sizes...), m.Texts...) {
 		aside := "not run"
 		if s.Aside.Seconds > 0 {
-			aside = fmt.Sprintf("%.1f, %.1f", s.Aside.rate(leaderCPU)/1000, s.Aside.rate(followerCPU)/1000)
+			aside = fmt.Sprintf("%.1f, %.1f", s.Aside.perSecond(leaderCPU)/1000, s.Aside.perSecond(followerCPU)/1000)
 		}
 		fmt.Fprintf(b, "| %d, %d | %s | %.1f, %.1f, %.1f | %s | %.1f, %.1f | %.1f / %.0f | %.1f; %.0f | %.0f | %.0f |\n",
-			s.Members, s.Customers, s.Load, s.Idle.rate(leaderCPU)/1000, s.Idle.rate(followerCPU)/1000, s.Idle.rate(membersCPU)/1000, aside,
+			s.Members, s.Customers, s.Load, s.Idle.perSecond(leaderCPU)/1000, s.Idle.perSecond(followerCPU)/1000, s.Idle.perSecond(membersCPU)/1000, aside,
 			s.Changes.perEvent(s.Idle, leaderCPU)/1000, s.Changes.perEvent(s.Idle, followerCPU)/1000, s.InForce50, s.InForce99,
 			s.Restarts.perEvent(s.Idle, leaderCPU)/1000, s.Restarts.perEvent(s.Idle, membersBytes)/1000,
 			s.Heap/float64(s.Members)/1000, s.LeaderRSS/1e6)
@@ -66,15 +66,15 @@
 	b.WriteString("| plan | role | calls/s | a core, % | kB/s | memory, MB | against 3.1%, 14 kB/s, 32 MB |\n|---|---|---|---|---|---|---|\n")
 	for _, p := range Plans {
 		for _, r := range s.Rows(p) {
-			fmt.Fprintf(b, "| %s | %s | %.0f | %.2f | %.1f | %.1f | %s |\n", r.Plan, r.Role, r.Calls, r.CPU/1e4, r.Bytes/1000, r.Memory/1e6, r.verdict())
+			fmt.Fprintf(b, "| %s | %s | %.0f | %.2f | %.1f | %.1f | %s |\n", r.Plan, r.Role, r.Calls, r.CPU/1e4, r.Bytes/1000, r.Memory/1e6, r.budgetVerdict())
 		}
 	}
 	b.WriteString("\n")
 }
 
-// verdict names the budgets that a process on a shared node breaks. Control
-// and relays have VMs of their own, which the budget counts and does not bound.
-func (r Row) verdict() string {
+// budgetVerdict lists the budgets that a process on a shared node exceeds. Control processes and relays have
+// VMs of their own, to which the budgets don't apply.
+func (r Row) budgetVerdict() string {
 	if !strings.HasPrefix(r.Role, "entry") {
 		return "VM of its own"
 	}
--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -1,4 +1,4 @@
-// Package client sends callers' requests to entries and judges the answers.
+// Package client sends callers' requests to entries and evaluates the responses.
 package client
 
 import (
@@ -17,12 +17,12 @@
 	"caperdrum.org/api/wire"
 )
 
-// Client sends requests.
+// Client sends requests to entries. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
 const idleConnections = 1024
 
-// New returns a client without a timeout of its own.
+// New returns a client without a timeout; use the context of Send.
 func New() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections, DisableCompression: true}}}
 }
@@ -30,9 +30,9 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Request is one caller's request.
+// Request is a request of a caller.
 type Request struct {
-	Entry     string // address
+	Entry     string // address of the entry
 	Path      string
 	Customer  string
 	RequestID string
@@ -41,11 +41,11 @@
 	Body      []byte
 }
 
-// Answer is what came back.
+// Answer is the response to a request.
 type Answer struct {
 	Status     int
 	Verdict    verdict.Verdict
-	Whole      bool // the answer came to its end
+	Whole      bool // status 200 and received to its end
 	Replayed   bool
 	RetryAfter string
 	RequestID  string
@@ -54,8 +54,8 @@
 	Took       time.Duration
 }
 
-// Send sends r and reads the answer to its end. A cut answer is not an error;
-// it is not whole. The error says that no answer came.
+// Send sends r and reads the response to its end. A truncated response is no error, but is not Whole. An
+// error means that there was no response.
 func (c *Client) Send(ctx context.Context, r Request) (*Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Entry+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// ChatText returns the generated text of a streamed or whole chat answer.
+// ChatText returns the generated text of a chat response, streamed or not.
 func ChatText(body []byte) (string, error) {
 	type part struct {
 		Content string `json:"content"`
--- a/ctl/cmd/capacity/main.go
+++ b/ctl/cmd/capacity/main.go
@@ -1,6 +1,5 @@
-// Command capacity measures what control costs per member and writes the
-// tables of docs/CAPACITY.md and its plots from that. It starts and ends its
-// own caperdrumd processes on loopback.
+// Command capacity measures the cost of the control plane per member and generates the tables and plots of
+// docs/CAPACITY.md from it. It starts and stops its own caperdrumd processes on loopback.
 package main
 
 import (
@@ -20,8 +19,8 @@
 
 func main() {
 	daemon := flag.String("daemon", "bin/caperdrumd", "`path` of caperdrumd")
-	docs := flag.String("docs", "docs", "`folder` of CAPACITY.md")
-	part := flag.String("part", "", "measure `sizes` or texts; else only write the tables from the last figures")
+	docs := flag.String("docs", "docs", "`directory` of CAPACITY.md")
+	part := flag.String("part", "", "what to measure: `sizes` or texts; if empty, only write the tables from the last measurement")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -31,7 +30,7 @@
 	}
 }
 
-// run keeps the figures in capacity.json, beside the page.
+// run stores the measurement in capacity.json next to the page.
 func run(ctx context.Context, daemon, docs, part string) error {
 	figures := filepath.Join(docs, "capacity.json")
 	m, err := capacity.Load(figures)
--- a/ctl/cmd/caperdrum/main.go
+++ b/ctl/cmd/caperdrum/main.go
@@ -1,4 +1,4 @@
-// Command caperdrum is the operators' and developers' command.
+// Command caperdrum is the command-line tool for operators and developers.
 package main
 
 import (
--- a/ctl/commands/bench.go
+++ b/ctl/commands/bench.go
@@ -33,28 +33,28 @@
 	return "bench -prepare DIR [-deployment NAME] -text FILE\n  Writes a deployment on loopback; scripts/bench.sh starts it.\n" +
 		"bench -show FILE.json\n  Prints an earlier report.\n" +
 		"bench -entries A,B -admin A,B -standins A -text FILE [-scenario all] [-policies predicted,round-robin]\n" +
-		"  Loads the running system, which must stand over the stand-ins of the deployment.\n"
+		"  Runs the scenarios against a running system whose upstreams are the stand-ins of the deployment.\n"
 }
 
 // SetFlags implements subcommands.Command.
 func (b *Bench) SetFlags(f *flag.FlagSet) {
 	b.adminFlags.SetFlags(f)
 	f.StringVar(&b.deployment, "deployment", "argyris", "size and mix of load: argyris or blomsterhallen")
-	f.StringVar(&b.scenarios, "scenario", "main", "names, comma-separated; main is a short choice, all is all")
-	f.StringVar(&b.policies, "policies", "predicted,round-robin", "variants of the text to compare: text, a routing policy, or NAME[KEY=VALUE;...]")
-	f.StringVar(&b.text, "text", "", "operators' text that the policies vary")
+	f.StringVar(&b.scenarios, "scenario", "main", "names, comma-separated; main is a short selection, all is all")
+	f.StringVar(&b.policies, "policies", "predicted,round-robin", "variants of the configuration to compare: text, a routing policy, or NAME[KEY=VALUE;...]")
+	f.StringVar(&b.text, "text", "", "operator configuration that the policies modify")
 	f.StringVar(&b.entries, "entries", "", "`addresses` of the entries, comma-separated")
-	f.StringVar(&b.control, "standins", "", "`address` of the stand-ins' control")
-	f.StringVar(&b.net, "net", "127.1", "first two bytes of the loopback addresses that -prepare gives out")
-	f.StringVar(&b.prepare, "prepare", "", "write a deployment into this `folder` and stop")
-	f.StringVar(&b.pidFile, "entry-pid-file", "", "`file` with the process id of the entry that entry-killed kills")
+	f.StringVar(&b.control, "standins", "", "control `address` of the stand-ins")
+	f.StringVar(&b.net, "net", "127.1", "first two bytes of the loopback addresses that -prepare assigns")
+	f.StringVar(&b.prepare, "prepare", "", "write a deployment into this `directory` and exit")
+	f.StringVar(&b.pidFile, "entry-pid-file", "", "`file` with the process id of the entry to kill in the scenario entry-killed")
 	f.StringVar(&b.json, "json", "", "write the report to this `file`")
-	f.StringVar(&b.plot, "plot", "", "draw the comparison into these `files`, .svg or .png, comma-separated")
-	f.StringVar(&b.show, "show", "", "print the report of this JSON `file` and stop")
-	f.DurationVar(&b.measure, "measure", 8*time.Second, "time that counts in each run")
+	f.StringVar(&b.plot, "plot", "", "write a bar chart to these `files`, .svg or .png, comma-separated")
+	f.StringVar(&b.show, "show", "", "print the report of this JSON `file` and exit")
+	f.DurationVar(&b.measure, "measure", 8*time.Second, "measured time of each run, without warm-up")
 	f.IntVar(&b.repeats, "repeats", 1, "how often each scenario runs under each policy")
-	f.Uint64Var(&b.seed, "seed", 1, "of the load")
-	f.BoolVar(&b.details, "details", false, "print flows, customers, costs and causes too")
+	f.Uint64Var(&b.seed, "seed", 1, "seed of the generated load")
+	f.BoolVar(&b.details, "details", false, "also print flows, customers, costs and causes of failures")
 }
 
 // Execute implements subcommands.Command.
@@ -70,7 +70,7 @@
 	}
 	text, err := os.ReadFile(b.text)
 	if err != nil {
-		return usage(fmt.Errorf("name the operators' text with -text: %w", err))
+		return usage(fmt.Errorf("cannot read the operator configuration, see -text: %w", err))
 	}
 	if b.prepare != "" {
 		if err := bench.Prepare(b.prepare, d, bench.Layout{Net: b.net}, string(text), b.seed); err != nil {
@@ -89,7 +89,7 @@
 	c := bench.Config{Deployment: d, Text: text, Repeats: b.repeats, Seed: b.seed, Entries: strictini.SplitList(b.entries),
 		Control: b.control, EntryPIDFile: b.pidFile, Progress: os.Stderr}
 	if len(c.Entries) == 0 || c.Control == "" {
-		return c, fmt.Errorf("name -entries, -admin and -standins, or run scripts/bench.sh")
+		return c, fmt.Errorf("set -entries, -admin and -standins, or run scripts/bench.sh")
 	}
 	var err error
 	if c.Admin, err = b.client(); err != nil {
@@ -102,8 +102,7 @@
 	return c, err
 }
 
-// run measures and reports. What was measured before a failure is reported
-// too.
+// run measures and reports. Results from before a failure are reported too.
 func (b *Bench) run(ctx context.Context, c bench.Config) subcommands.ExitStatus {
 	results, err := bench.New(c).Run(ctx)
 	report := &bench.Report{At: time.Now(), Deployment: c.Deployment.Name, Seed: c.Seed, Repeats: c.Repeats, Results: results}
@@ -115,7 +114,7 @@
 	}
 	for _, r := range results {
 		if r.Wrong+r.Doubled+r.Phantom+r.FalseNotRun > 0 {
-			return failure(fmt.Errorf("a promise was broken: see WRONG, DOUBLED and FALSE NOT-RUN"))
+			return failure(fmt.Errorf("a guarantee was violated: see WRONG, DOUBLED and FALSE NOT-RUN"))
 		}
 	}
 	return subcommands.ExitSuccess
--- a/ctl/commands/common.go
+++ b/ctl/commands/common.go
@@ -1,4 +1,4 @@
-// Package commands holds the subcommands of caperdrum.
+// Package commands implements the subcommands of caperdrum.
 package commands
 
 import (
@@ -14,7 +14,7 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// adminFlags are shared by all commands that call the control processes.
+// adminFlags are the flags of all commands that call the control processes.
 type adminFlags struct {
 	admin, keyFile string
 	tls            adminclient.TLS
@@ -31,9 +31,9 @@
 
 func (a *adminFlags) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&a.admin, "admin", os.Getenv(adminEnv), "administration `addresses` of the control processes, comma-separated; default $"+adminEnv)
-	f.StringVar(&a.keyFile, "key-file", "", "`file` that holds the team's key; default the value of $"+keyEnv)
-	f.StringVar(&a.tls.CA, "tls-ca", os.Getenv(caEnv), "PEM `file` of the authority; default $"+caEnv+"; empty means plain text")
-	f.StringVar(&a.tls.Certificate, "tls-cert", os.Getenv(certEnv), "PEM `file` of your certificate, for the time line; default $"+certEnv)
+	f.StringVar(&a.keyFile, "key-file", "", "`file` with the team's key; default the value of $"+keyEnv)
+	f.StringVar(&a.tls.CA, "tls-ca", os.Getenv(caEnv), "PEM `file` of the CA; default $"+caEnv+"; empty means plain text")
+	f.StringVar(&a.tls.Certificate, "tls-cert", os.Getenv(certEnv), "PEM `file` of your certificate, for the timeline; default $"+certEnv)
 	f.StringVar(&a.tls.Key, "tls-key", os.Getenv(certKeyEnv), "PEM `file` of its key; default $"+certKeyEnv)
 }
 
@@ -66,11 +66,11 @@
 	return subcommands.ExitFailure
 }
 
-// readText returns the operators' text in the file that the single argument
-// names; "-" is standard input.
+// readText reads the operator configuration from the file that the single argument names, or from standard
+// input if that is "-".
 func readText(f *flag.FlagSet) (string, error) {
 	if f.NArg() != 1 {
-		return "", fmt.Errorf("name one text file, or - for standard input")
+		return "", fmt.Errorf("expected one argument: a configuration file, or - for standard input")
 	}
 	var data []byte
 	var err error
--- a/ctl/commands/config.go
+++ b/ctl/commands/config.go
@@ -16,11 +16,11 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// Validate checks a text without any process running.
+// Validate checks a configuration without calling any process.
 type Validate struct{}
 
 func (*Validate) Name() string             { return "validate" }
-func (*Validate) Synopsis() string         { return "check an operators' text" }
+func (*Validate) Synopsis() string         { return "check an operator configuration" }
 func (*Validate) Usage() string            { return "validate FILE\n" }
 func (*Validate) SetFlags(f *flag.FlagSet) {}
 
@@ -38,11 +38,11 @@
 	return subcommands.ExitSuccess
 }
 
-// Diff shows what a text would change.
+// Diff shows what a configuration would change.
 type Diff struct{ adminFlags }
 
 func (*Diff) Name() string     { return "diff" }
-func (*Diff) Synopsis() string { return "compare a text with the one in force" }
+func (*Diff) Synopsis() string { return "compare a configuration with the active one" }
 func (*Diff) Usage() string    { return "diff [-admin ADDRESSES] FILE\n" }
 
 // Execute implements subcommands.Command.
@@ -61,11 +61,11 @@
 	if err != nil {
 		return failure(err)
 	}
-	fmt.Printf("version in force: %d\n%s", res.Version, res.Diff)
+	fmt.Printf("active version: %d\n%s", res.Version, res.Diff)
 	return subcommands.ExitSuccess
 }
 
-// Apply hands a text over and waits until it is in force.
+// Apply proposes a configuration and waits until it is active on all members.
 type Apply struct {
 	adminFlags
 	number   uint64
@@ -74,17 +74,17 @@
 }
 
 func (*Apply) Name() string     { return "apply" }
-func (*Apply) Synopsis() string { return "put a text in force and wait until every process has it" }
+func (*Apply) Synopsis() string { return "apply a configuration and wait until every process has it" }
 func (*Apply) Usage() string {
 	return "apply [-admin ADDRESSES] [-number N] [-change-id ID] FILE\n" +
-		"  A lost answer is no reason to worry: the same -change-id again gets the first answer.\n"
+		"  If the response is lost, run it again with the same -change-id to get the result.\n"
 }
 
 // SetFlags implements subcommands.Command.
 func (a *Apply) SetFlags(f *flag.FlagSet) {
 	a.adminFlags.SetFlags(f)
-	f.Uint64Var(&a.number, "number", 0, "number of the change; default the version in force plus one")
-	f.StringVar(&a.changeID, "change-id", "", "name of the change, the same for every resend; default random")
+	f.Uint64Var(&a.number, "number", 0, "number of the change; default the active version plus one")
+	f.StringVar(&a.changeID, "change-id", "", "ID of the change, the same for every resend; default random")
 	f.DurationVar(&a.timeout, "timeout", 20*time.Second, "how long to wait")
 }
 
@@ -112,7 +112,7 @@
 		return failure(err)
 	}
 	if !res.Accepted {
-		fmt.Printf("refused: %s; version %d is in force, by change %s\n%s", res.Reason, res.Version, res.Winner, res.Diff)
+		fmt.Printf("rejected: %s; version %d is active, by change %s\n%s", res.Reason, res.Version, res.Winner, res.Diff)
 		return subcommands.ExitFailure
 	}
 	fmt.Printf("accepted: version %d, change %s\n", res.Version, change.ChangeID)
@@ -136,9 +136,9 @@
 
 const pollInterval = 50 * time.Millisecond
 
-// waitInForce waits until every member reports the version, and names those
-// that lag when time runs out. It says so once when all that are heard from
-// have it, and waits on for the others: until their leases end, they may run.
+// waitInForce waits until every member reports the version. On a timeout it lists the members that lag. When
+// all members that the leader hears from have the version it says so once, and waits for the others until
+// their leases expire, since they may still run.
 func waitInForce(ctx context.Context, cl *adminclient.Client, version uint64) subcommands.ExitStatus {
 	started := time.Now()
 	var members, behind []wire.MemberStatus
@@ -152,22 +152,22 @@
 				all[m.ID] = true
 			}
 			if len(behind) == 0 {
-				fmt.Printf("in force on %d of %d after %s\n", len(members), len(all), time.Since(started).Round(time.Millisecond))
-				printGone(all, members)
+				fmt.Printf("active on %d of %d after %s\n", len(members), len(all), time.Since(started).Round(time.Millisecond))
+				printDeparted(all, members)
 				return subcommands.ExitSuccess
 			}
 			if !told && onlySilent(rows, behind) {
 				told = true
-				fmt.Printf("in force on %d of %d after %s, all that are heard from; waiting for the others or the end of their leases\n",
+				fmt.Printf("active on %d of %d after %s, on all reachable members; waiting for the others or the end of their leases\n",
 					len(members)-len(behind), len(all), time.Since(started).Round(time.Millisecond))
 				printBehind(behind)
 			}
 		}
 		select {
 		case <-ctx.Done():
-			fmt.Printf("in force on %d of %d\n", len(members)-len(behind), len(all))
+			fmt.Printf("active on %d of %d\n", len(members)-len(behind), len(all))
 			printBehind(behind)
-			printGone(all, members)
+			printDeparted(all, members)
 			return subcommands.ExitFailure
 		case <-time.After(pollInterval):
 		}
@@ -180,12 +180,12 @@
 		if m.LastSeen < 0 {
 			version = "version not known"
 		}
-		fmt.Printf("  %s on %s: %s; %s\n", m.ID, m.VM, version, why(m))
+		fmt.Printf("  %s on %s: %s; %s\n", m.ID, m.VM, version, lagReason(m))
 	}
 }
 
-// onlySilent reports whether some members are heard from and all that lag are
-// not. Just after a change of the leader, one that works may be among these.
+// onlySilent reports whether only silent members lag and at least one member does not. Just after a leader
+// change a working member may seem silent.
 func onlySilent(rows, behind []wire.MemberStatus) bool {
 	for _, m := range behind {
 		if m.LastSeen >= 0 && m.LastSeen <= silentAfter {
@@ -195,31 +195,31 @@
 	return len(behind) < len(rows)
 }
 
-// silentAfter is the age of a renewal that a working process does not reach.
+// silentAfter is the age of the last lease renewal above which a member counts as silent. A working process
+// renews more often.
 const silentAfter = 1500 * time.Millisecond
 
-// why says what keeps a member from the latest version.
-func why(m wire.MemberStatus) string {
+// lagReason describes why a member does not have the latest version.
+func lagReason(m wire.MemberStatus) string {
 	switch {
 	case m.LastSeen < 0:
 		return "the leader has not heard from it yet"
 	case m.Fault != "":
-		return "it cannot take the text over: " + m.Fault
+		return "it cannot apply the configuration: " + m.Fault
 	case m.LastSeen > silentAfter:
-		return fmt.Sprintf("silent for %s: stalled, cut off or dead", m.LastSeen.Round(time.Millisecond))
+		return fmt.Sprintf("silent for %s: stalled, disconnected or dead", m.LastSeen.Round(time.Millisecond))
 	default:
-		return fmt.Sprintf("it renewed its lease %s ago and has not taken the text over yet", m.LastSeen.Round(time.Millisecond))
+		return fmt.Sprintf("it renewed its lease %s ago and has not applied the configuration yet", m.LastSeen.Round(time.Millisecond))
 	}
 }
 
-// printGone names those that were members while the change was awaited and are
-// none any more. They may still run with an older version.
-func printGone(all map[wire.MemberID]bool, members []wire.MemberStatus) {
+// printDeparted lists the members that disappeared while waiting. They may still run with an older version.
+func printDeparted(all map[wire.MemberID]bool, members []wire.MemberStatus) {
 	for _, m := range members {
 		delete(all, m.ID)
 	}
 	for _, id := range slices.Sorted(maps.Keys(all)) {
-		fmt.Printf("  %s: not a member any more; its lease ended or it left\n", id)
+		fmt.Printf("  %s: no longer a member; it left or its lease expired\n", id)
 	}
 }
 
--- a/ctl/commands/config_test.go
+++ b/ctl/commands/config_test.go
@@ -17,11 +17,11 @@
 		rows []wire.MemberStatus
 		want bool
 	}{
-		"one not heard from by a new leader": {[]wire.MemberStatus{has, row(0, -1)}, true},
-		"one silent":                         {[]wire.MemberStatus{has, row(6, silentAfter+1)}, true},
-		"one renewed and lags":               {[]wire.MemberStatus{has, row(6, silentAfter)}, false},
-		"one silent, one lags":               {[]wire.MemberStatus{has, row(6, -1), row(6, 0)}, false},
-		"nobody heard from":                  {[]wire.MemberStatus{row(0, -1), row(0, -1)}, false},
+		"one unknown to a new leader": {[]wire.MemberStatus{has, row(0, -1)}, true},
+		"one silent":                  {[]wire.MemberStatus{has, row(6, silentAfter+1)}, true},
+		"one renewed and lags":        {[]wire.MemberStatus{has, row(6, silentAfter)}, false},
+		"one silent, one lags":        {[]wire.MemberStatus{has, row(6, -1), row(6, 0)}, false},
+		"all unknown to a new leader": {[]wire.MemberStatus{row(0, -1), row(0, -1)}, false},
 	}
 	for name, c := range cases {
 		if got := onlySilent(c.rows, lagging(c.rows, version)); got != c.want {
--- a/ctl/commands/cost.go
+++ b/ctl/commands/cost.go
@@ -12,23 +12,23 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// cost is what the running processes have counted since their starts.
+// cost is the sum of the cost metrics of all processes since their starts.
 type cost struct {
 	services map[string]*serviceCost
 	stages   map[string]*stageCost
-	silent   []string // debug addresses that did not answer
+	silent   []string // debug addresses that did not respond
 }
 
-// serviceCost is in seconds over all upstreams of a service.
+// serviceCost is in seconds, summed over all upstreams of a service.
 type serviceCost struct {
 	upstreams           int
 	held, waking, inUse float64
 }
 
-// stageCost is in seconds over all attempts of a stage.
+// stageCost is in seconds, summed over all attempts of a stage.
 type stageCost struct{ calls, used, wasted float64 }
 
-// gatherCost asks all members.
+// gatherCost reads the metrics of all members.
 func gatherCost(ctx context.Context, cl *adminclient.Client, members []wire.MemberStatus) *cost {
 	addresses := make([]string, len(members))
 	for i, m := range members {
@@ -37,7 +37,7 @@
 	return sumCost(members, cl.Vars(ctx, addresses))
 }
 
-// sumCost adds up the metrics of members, which stand in the same order.
+// sumCost adds up the metrics of the members. members and vars have the same order.
 func sumCost(members []wire.MemberStatus, vars []adminclient.Vars) *cost {
 	c := &cost{services: map[string]*serviceCost{}, stages: map[string]*stageCost{}}
 	for i, v := range vars {
@@ -46,26 +46,26 @@
 			continue
 		}
 		if service := members[i].Service; service != "" {
-			s := entryOf(c.services, service)
+			s := entryFor(c.services, service)
 			s.upstreams++
 			s.held += v.Number("upstream_held_seconds")
 			s.waking += v.Number("upstream_wake_seconds")
 			s.inUse += v.Number("gate_busy_seconds")
 		}
 		for stage, n := range v.Numbers("stage_calls") {
-			entryOf(c.stages, stage).calls += n
+			entryFor(c.stages, stage).calls += n
 		}
 		for stage, n := range v.Numbers("stage_upstream_seconds") {
-			entryOf(c.stages, stage).used += n
+			entryFor(c.stages, stage).used += n
 		}
 		for stage, n := range v.Numbers("stage_wasted_seconds") {
-			entryOf(c.stages, stage).wasted += n
+			entryFor(c.stages, stage).wasted += n
 		}
 	}
 	return c
 }
 
-func entryOf[T any](m map[string]*T, key string) *T {
+func entryFor[T any](m map[string]*T, key string) *T {
 	if m[key] == nil {
 		m[key] = new(T)
 	}
--- a/ctl/commands/demo.go
+++ b/ctl/commands/demo.go
@@ -22,8 +22,7 @@
 	"caperdrum.org/fake/standin"
 )
 
-// Demo sends requests through a running system and checks every promise it
-// shows.
+// Demo sends requests through a running system and checks the guarantees of the product.
 type Demo struct {
 	adminFlags
 	entries, desks, text string
@@ -31,7 +30,7 @@
 }
 
 func (*Demo) Name() string     { return "demo" }
-func (*Demo) Synopsis() string { return "show a running system's promises, and check them" }
+func (*Demo) Synopsis() string { return "demonstrate and check the guarantees of a running system" }
 func (*Demo) Usage() string {
 	return "demo -entries A,B -desks A,B -text FILE [-kill PID] [-kill-control PID]\n"
 }
@@ -41,7 +40,7 @@
 	d.adminFlags.SetFlags(f)
 	f.StringVar(&d.entries, "entries", "", "`addresses` of two entries, comma-separated")
 	f.StringVar(&d.desks, "desks", "", "`addresses` of the stand-ins that count confirmations")
-	f.StringVar(&d.text, "text", "", "operators' text in force; the demo changes it")
+	f.StringVar(&d.text, "text", "", "active operator configuration; the demo changes it")
 	f.IntVar(&d.kill, "kill", 0, "process `id` of an agent to kill while requests run")
 	f.IntVar(&d.killControl, "kill-control", 0, "process `id` of a control process to kill")
 }
@@ -54,34 +53,34 @@
 	}
 	run := &demoRun{d: d, admin: cl, http: client.New(), entries: strictini.SplitList(d.entries), desks: strictini.SplitList(d.desks)}
 	if len(run.entries) < 2 || len(run.desks) == 0 {
-		return usage(fmt.Errorf("name two entries and the desks"))
+		return usage(fmt.Errorf("set -entries to two entries, and -desks"))
 	}
 	steps := []struct {
 		title string
 		do    func(context.Context) error
 	}{
-		{"a pipeline from encode to a streamed answer", run.pipeline},
-		{"a chat request, answered whole", run.chat},
+		{"a pipeline with a streamed response", run.pipeline},
+		{"a chat request with a complete response", run.chat},
 		{"one confirmation sent twice, through two entries", run.confirmation},
-		{"requests while an agent and a control process are killed", run.kills},
-		{"confirmations while the control processes choose a new leader", run.confirmation},
-		{"an operators' change, and the same change again", run.change},
-		{"an unknown customer is refused as not run", run.refusal},
-		{"the time line of the first request", run.timeline},
+		{"requests while an agent and a control process are killed", run.killProcesses},
+		{"confirmations while the control processes elect a new leader", run.confirmation},
+		{"a configuration change, and the same change again", run.change},
+		{"an unknown customer is rejected as not run", run.refusal},
+		{"the timeline of the first request", run.timeline},
 		{"cost by stage, over both entries", run.cost},
 	}
 	for _, s := range steps {
 		fmt.Printf("\n== %s\n", s.title)
 		if err := s.do(ctx); err != nil {
-			fmt.Printf("BROKEN: %v\n", err)
+			fmt.Printf("FAILED: %v\n", err)
 			return subcommands.ExitFailure
 		}
 	}
-	fmt.Printf("\nattainment: %d of %d requests answered whole\n", run.whole, run.sent)
+	fmt.Printf("\nattainment: %d of %d requests completed\n", run.whole, run.sent)
 	if run.whole != run.sent {
 		return subcommands.ExitFailure
 	}
-	fmt.Println("all promises held")
+	fmt.Println("all guarantees held")
 	return subcommands.ExitSuccess
 }
 
@@ -91,7 +90,7 @@
 	http    *client.Client
 	entries []string
 	desks   []string
-	first   string // id of the first request
+	first   string // ID of the first request
 
 	mu          sync.Mutex
 	sent, whole int
@@ -133,9 +132,9 @@
 	r.first = a.RequestID
 	text, err := client.ChatText(a.Body)
 	if err != nil || !a.Whole || text == "" {
-		return fmt.Errorf("not whole: status %d, %s (%v)", a.Status, a.Body, err)
+		return fmt.Errorf("incomplete: status %d, %s (%v)", a.Status, a.Body, err)
 	}
-	fmt.Printf("status %d, verdict %s, first byte %s, whole %s\n%s\n", a.Status, a.Verdict, a.FirstByte.Round(time.Millisecond), a.Took.Round(time.Millisecond), text)
+	fmt.Printf("status %d, verdict %s, first byte after %s, complete after %s\n%s\n", a.Status, a.Verdict, a.FirstByte.Round(time.Millisecond), a.Took.Round(time.Millisecond), text)
 	return nil
 }
 
@@ -180,7 +179,7 @@
 		if i == 0 {
 			first = string(a.Body)
 		} else if string(a.Body) != first || !a.Replayed {
-			return fmt.Errorf("the resend got another answer")
+			return fmt.Errorf("the resend got another response")
 		}
 	}
 	runs, err := r.countRuns(ctx, string(body))
@@ -221,7 +220,7 @@
 	killWorkers  = 8
 )
 
-func (r *demoRun) kills(ctx context.Context) error {
+func (r *demoRun) killProcesses(ctx context.Context) error {
 	var wg sync.WaitGroup
 	jobs := make(chan int)
 	var mu sync.Mutex
@@ -231,7 +230,7 @@
 			for i := range jobs {
 				query := fmt.Sprintf("request %d", i)
 				a, err := r.pipelineCall(ctx, r.entries[i%2], query, i%4 == 0)
-				if err != nil || !a.Whole || !rightAnswer(a.Body, query) {
+				if err != nil || !a.Whole || !isExpectedAnswer(a.Body, query) {
 					mu.Lock()
 					bad = append(bad, fmt.Sprintf("request %d: %v %+v", i, err, a))
 					mu.Unlock()
@@ -241,32 +240,32 @@
 	}
 	for i := range killRequests {
 		if i == killRequests/4 {
-			r.killPID("agent", r.d.kill)
+			r.killProcess("agent", r.d.kill)
 		}
 		if i == killRequests/2 {
-			r.killPID("control process", r.d.killControl)
+			r.killProcess("control process", r.d.killControl)
 		}
 		jobs <- i
 	}
 	close(jobs)
 	wg.Wait()
-	fmt.Printf("%d requests, %d not whole\n", killRequests, len(bad))
+	fmt.Printf("%d requests, %d incomplete\n", killRequests, len(bad))
 	for _, b := range bad {
 		fmt.Println("  ", b)
 	}
-	return nil // the share answered whole is judged at the end
+	return nil // Execute checks at the end that all requests were completed.
 }
 
-// rightAnswer reports whether the text is the one that the stand-in engine
-// gives for the query and the documents that the other stand-ins return.
-func rightAnswer(body []byte, query string) bool {
+// isExpectedAnswer reports whether the text is the one that the stand-in engine generates for the query and
+// the documents of the other stand-ins.
+func isExpectedAnswer(body []byte, query string) bool {
 	text, err := client.ChatText(body)
 	return err == nil && text == standin.PipelineText(query, demoTokens)
 }
 
 const demoTokens = 16
 
-func (r *demoRun) killPID(what string, pid int) {
+func (r *demoRun) killProcess(what string, pid int) {
 	if pid <= 0 {
 		return
 	}
@@ -293,11 +292,11 @@
 		return fmt.Errorf("not accepted: %+v %v", first, err)
 	}
 	if status := waitInForce(ctx, r.admin, first.Version); status != subcommands.ExitSuccess {
-		return fmt.Errorf("not in force everywhere")
+		return fmt.Errorf("not active on every member")
 	}
 	again, err := r.admin.Apply(ctx, c)
 	if err != nil || again.Version != first.Version || !again.Resent {
-		return fmt.Errorf("the resend got another answer: %+v %v", again, err)
+		return fmt.Errorf("the resend got another response: %+v %v", again, err)
 	}
 	fmt.Printf("resent: version %d again, nothing applied twice\n", again.Version)
 	return nil
@@ -310,7 +309,7 @@
 	}
 	fmt.Printf("status %d, verdict %s: %s", a.Status, a.Verdict, a.Body)
 	if a.Status != http.StatusBadRequest || a.Verdict.String() != "not-run" {
-		return fmt.Errorf("not refused as it should be")
+		return fmt.Errorf("not rejected as expected")
 	}
 	return nil
 }
@@ -331,8 +330,8 @@
 			stages++
 		}
 	}
-	if stages < 3 { // the killed agent's events are gone with it
-		return fmt.Errorf("only %d stages on the time line", stages)
+	if stages < 3 { // the events of the killed agent are lost
+		return fmt.Errorf("only %d stages in the timeline", stages)
 	}
 	return nil
 }
--- a/ctl/commands/evacuate.go
+++ b/ctl/commands/evacuate.go
@@ -14,13 +14,13 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// Evacuate keeps new calls away from a data centre's upstreams, and lets them back.
+// Evacuate starts, ends and lists evacuations of data centres.
 type Evacuate struct{ adminFlags }
 
 func (*Evacuate) Name() string     { return "evacuate" }
-func (*Evacuate) Synopsis() string { return "keep calls away from a data centre's upstreams" }
+func (*Evacuate) Synopsis() string { return "direct calls away from the upstreams of a data centre" }
 func (*Evacuate) Usage() string {
-	return "evacuate [-admin ADDRESSES] start DATA_CENTRE | end DATA_CENTRE | list\n  What runs there goes on; nothing new is sent until the evacuation ends.\n"
+	return "evacuate [-admin ADDRESSES] start DATA_CENTRE | end DATA_CENTRE | list\n  Running calls continue; no new calls are sent there until the evacuation ends.\n"
 }
 
 // Execute implements subcommands.Command.
@@ -38,7 +38,7 @@
 			return err
 		})
 	}
-	return usage(fmt.Errorf("name start, end or list, and the data centre"))
+	return usage(fmt.Errorf("expected start or end with a data centre, or list"))
 }
 
 func printEvacuations(ctx context.Context, cl *adminclient.Client) error {
--- a/ctl/commands/get.go
+++ b/ctl/commands/get.go
@@ -11,11 +11,11 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// Get prints the operators' text in force.
+// Get prints the active operator configuration.
 type Get struct{ adminFlags }
 
 func (*Get) Name() string     { return "get" }
-func (*Get) Synopsis() string { return "print the text in force; its version goes to standard error" }
+func (*Get) Synopsis() string { return "print the active configuration; its version goes to stderr" }
 func (*Get) Usage() string    { return "get [-admin ADDRESSES]\n" }
 
 // Execute implements subcommands.Command.
--- a/ctl/commands/quarantine.go
+++ b/ctl/commands/quarantine.go
@@ -15,13 +15,13 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// Quarantine shows the calls that end upstreams, and lets one back.
+// Quarantine lists quarantined calls, which crash upstreams, and releases them.
 type Quarantine struct{ adminFlags }
 
 func (*Quarantine) Name() string     { return "quarantine" }
-func (*Quarantine) Synopsis() string { return "calls that are kept from upstreams since they end them" }
+func (*Quarantine) Synopsis() string { return "list or release calls that crash upstreams" }
 func (*Quarantine) Usage() string {
-	return "quarantine [-admin ADDRESSES] list | lift FINGERPRINT\n  A refused call names its fingerprint. Lifting forgets what the call was accused of.\n"
+	return "quarantine [-admin ADDRESSES] list | lift FINGERPRINT\n  The response to a rejected call contains its fingerprint. lift also deletes the crash history of the call.\n"
 }
 
 // Execute implements subcommands.Command.
@@ -39,7 +39,7 @@
 			return err
 		})
 	}
-	return usage(fmt.Errorf("name list, or lift and the fingerprint"))
+	return usage(fmt.Errorf("expected list, or lift with a fingerprint"))
 }
 
 func printQuarantine(ctx context.Context, cl *adminclient.Client) error {
--- a/ctl/commands/rollout.go
+++ b/ctl/commands/rollout.go
@@ -14,23 +14,23 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// Rollout moves a service's calls to upstreams of another version.
+// Rollout shifts the calls of a service to upstreams of another version.
 type Rollout struct {
 	adminFlags
 	span time.Duration
 }
 
 func (*Rollout) Name() string     { return "rollout" }
-func (*Rollout) Synopsis() string { return "move a service's calls to another version" }
+func (*Rollout) Synopsis() string { return "shift the calls of a service to another version" }
 func (*Rollout) Usage() string {
 	return "rollout [-admin ADDRESSES] [-span DURATION] list | start SERVICE VERSION | status SERVICE | abort SERVICE\n" +
-		"  A part of the calls goes to the version; it gets all of them at the end of the span, or none if it\n  answers worse than the others.\n"
+		"  An increasing share of the calls goes to the version: all of them at the end of the span, or none if its\n  results are worse than those of the other versions.\n"
 }
 
 // SetFlags implements subcommands.Command.
 func (r *Rollout) SetFlags(f *flag.FlagSet) {
 	r.adminFlags.SetFlags(f)
-	f.DurationVar(&r.span, "span", 10*time.Minute, "until the roll-out must have ended")
+	f.DurationVar(&r.span, "span", 10*time.Minute, "maximum duration of the rollout")
 }
 
 // Execute implements subcommands.Command.
@@ -58,7 +58,7 @@
 			return writeResult(result, err)
 		})
 	}
-	return usage(fmt.Errorf("name list, start SERVICE VERSION, status SERVICE or abort SERVICE"))
+	return usage(fmt.Errorf("expected list, start SERVICE VERSION, status SERVICE or abort SERVICE"))
 }
 
 func writeResult(result wire.RolloutResult, err error) error {
@@ -75,7 +75,7 @@
 	}
 	r := list.Of(service)
 	if r.Order == 0 {
-		return fmt.Errorf("there was no roll-out of service %s", service)
+		return fmt.Errorf("service %s never had a rollout", service)
 	}
 	writeRollouts(r)
 	return nil
--- a/ctl/commands/standin.go
+++ b/ctl/commands/standin.go
@@ -17,41 +17,41 @@
 	"caperdrum.org/fake/standin"
 )
 
-// Standin runs stand-in upstreams.
+// Standin runs stand-ins for upstreams.
 type Standin struct {
 	opts   standin.Options
 	config string
 }
 
 func (*Standin) Name() string     { return "standin" }
-func (*Standin) Synopsis() string { return "run small stand-ins for upstreams" }
+func (*Standin) Synopsis() string { return "run stand-ins for upstreams" }
 func (*Standin) Usage() string {
 	return "standin -kind engine|encoder|retriever|reranker|plain -listen IP:PORT\n" +
-		"standin -config FILE\n  Runs every [standin:NAME] of the file; [control] listen = IP:PORT opens the control of them all.\n"
+		"standin -config FILE\n  Runs every [standin:NAME] of the file; [control] listen = IP:PORT serves the control API for all of them.\n"
 }
 
 // SetFlags implements subcommands.Command.
 func (s *Standin) SetFlags(f *flag.FlagSet) {
 	o := &s.opts
-	f.StringVar(&s.config, "config", "", "INI `file` with many stand-ins")
+	f.StringVar(&s.config, "config", "", "INI `file` with any number of stand-ins")
 	f.StringVar(&o.Kind, "kind", "plain", "kind of upstream")
 	f.StringVar(&o.Listen, "listen", "127.0.0.1:9000", "`address` to listen on")
-	f.DurationVar(&o.Delay, "delay", 2*time.Millisecond, "time until the first byte of an answer")
+	f.DurationVar(&o.Delay, "delay", 2*time.Millisecond, "time until the first byte of a response")
 	f.DurationVar(&o.TokenDelay, "token-delay", 2*time.Millisecond, "engine: time between tokens")
-	f.DurationVar(&o.SequenceDelay, "sequence-delay", 0, "engine: added to a step for each running sequence")
-	f.DurationVar(&o.PrefillDelay, "prefill-delay", 0, "engine: added to a step for each prompt token computed")
-	f.IntVar(&o.Tokens, "tokens", 16, "engine: tokens of an answer")
-	f.IntVar(&o.MaxBatch, "max-batch", 0, "engine: sequences that run at a time")
-	f.IntVar(&o.Concurrency, "concurrency", 0, "others: calls served at a time; 0 is no limit")
-	f.Float64Var(&o.Sigma, "sigma", 0, "others: of the log-normal service time")
-	f.Int64Var(&o.Seed, "seed", 1, "of everything random")
-	f.Float64Var(&o.Fault.Slow, "slow", 0, "fault: factor on all times")
-	f.BoolVar(&o.Fault.Silent, "silent", false, "fault: accept requests and never answer")
+	f.DurationVar(&o.SequenceDelay, "sequence-delay", 0, "engine: additional time per step for each running sequence")
+	f.DurationVar(&o.PrefillDelay, "prefill-delay", 0, "engine: additional time per step for each prompt token computed")
+	f.IntVar(&o.Tokens, "tokens", 16, "engine: tokens of a response")
+	f.IntVar(&o.MaxBatch, "max-batch", 0, "engine: maximum number of concurrent sequences")
+	f.IntVar(&o.Concurrency, "concurrency", 0, "other kinds: maximum number of concurrent calls; 0 means unlimited")
+	f.Float64Var(&o.Sigma, "sigma", 0, "other kinds: sigma of the log-normal service time")
+	f.Int64Var(&o.Seed, "seed", 1, "seed of the random number generator")
+	f.Float64Var(&o.Fault.Slow, "slow", 0, "fault: factor for all times")
+	f.BoolVar(&o.Fault.Silent, "silent", false, "fault: accept requests and never respond")
 	f.Float64Var(&o.Fault.Error, "error", 0, "fault: share of requests answered with status 500")
-	f.Float64Var(&o.Fault.Cut, "cut", 0, "fault: share of answers cut in the middle")
+	f.Float64Var(&o.Fault.Cut, "cut", 0, "fault: share of responses truncated in the middle")
 	f.BoolVar(&o.Models.Enabled, "orders", false, "engine: serve only with a model that an order loaded")
 	f.BoolVar(&o.Models.IgnoreTokens, "ignore-tokens", false, "engine: do not check fencing tokens")
-	f.DurationVar(&o.Models.LoadTime, "load-time", 200*time.Millisecond, "engine: time of a load besides the transfer")
+	f.DurationVar(&o.Models.LoadTime, "load-time", 200*time.Millisecond, "engine: time of a model load in addition to the transfer")
 	f.StringVar(&o.Models.Store, "weight-store", "", "engine: `address` of a weight store")
 	f.StringVar(&o.Models.FailLoads, "fail-loads", "", "engine: `version` whose loads fail")
 }
@@ -61,7 +61,7 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if s.config != "" {
-		return s.many(ctx)
+		return s.runFromConfig(ctx)
 	}
 	l, err := net.Listen("tcp", s.opts.Listen)
 	if err != nil {
@@ -78,14 +78,14 @@
 	return subcommands.ExitSuccess
 }
 
-// standinControl is the section [control].
+// standinControl is the section [control] of the configuration file.
 type standinControl struct {
 	Listen string `ini:"listen" required:"true"`
 }
 
 const standinSection = "standin:"
 
-func (s *Standin) many(ctx context.Context) subcommands.ExitStatus {
+func (s *Standin) runFromConfig(ctx context.Context) subcommands.ExitStatus {
 	control, items, err := readStandins(s.config)
 	if err != nil {
 		return usage(err)
--- a/ctl/commands/status.go
+++ b/ctl/commands/status.go
@@ -16,7 +16,7 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// Init forms a new cluster.
+// Init bootstraps a new cluster.
 type Init struct {
 	adminFlags
 	voters  int
@@ -25,15 +25,15 @@
 }
 
 func (*Init) Name() string     { return "init" }
-func (*Init) Synopsis() string { return "form a new cluster, once, on empty data folders" }
+func (*Init) Synopsis() string { return "initialize a new cluster, once, on empty data directories" }
 func (*Init) Usage() string {
-	return "init [-admin ADDRESSES] [-voters N]\n  The first address becomes the first voter; the others join by themselves.\n"
+	return "init [-admin ADDRESSES] [-voters N]\n  The first address becomes the first voter; the others join automatically.\n"
 }
 
 // SetFlags implements subcommands.Command.
 func (i *Init) SetFlags(f *flag.FlagSet) {
 	i.adminFlags.SetFlags(f)
-	f.IntVar(&i.voters, "voters", 3, "voters to wait for")
+	f.IntVar(&i.voters, "voters", 3, "number of voters to wait for")
 	f.StringVar(&i.saveKey, "save-key", "", "`file` to write the administrators' key to, instead of printing it")
 	f.DurationVar(&i.timeout, "timeout", 30*time.Second, "how long to wait")
 }
@@ -66,7 +66,7 @@
 	return failure(fmt.Errorf("fewer than %d voters after %s: see caperdrum status", i.voters, i.timeout))
 }
 
-// showKey hands out the first administrators' key, which cannot be had again.
+// showKey saves or prints the initial administrators' key, which can't be read again.
 func (i *Init) showKey(key string) error {
 	if i.saveKey != "" {
 		return os.WriteFile(i.saveKey, []byte(key+"\n"), keyFileMode)
@@ -77,7 +77,7 @@
 
 const keyFileMode = 0o600
 
-// retryInit waits for a control process that is still starting.
+// retryInit retries while the control process is not reachable yet.
 func retryInit(ctx context.Context, cl *adminclient.Client) (wire.InitReply, error) {
 	for {
 		reply, err := cl.Init(ctx)
@@ -89,7 +89,7 @@
 	}
 }
 
-// Status prints what the control processes report.
+// Status prints the status of the control processes, the members and the costs.
 type Status struct{ adminFlags }
 
 func (*Status) Name() string { return "status" }
@@ -137,17 +137,17 @@
 	}
 	w.Flush()
 	for _, r := range failed {
-		fmt.Printf("%s: %s\n", r.Address, noStatus(r.Err))
+		fmt.Printf("%s: %s\n", r.Address, statusFailure(r.Err))
 	}
 	return len(failed) == 0
 }
 
-// noStatus says why a control process gave no report. One that has no state
-// yet knows no keys either, and refuses them all.
-func noStatus(err error) string {
+// statusFailure describes why a control process returned no status. A process without replicated state knows
+// no keys and rejects them all.
+func statusFailure(err error) string {
 	var refusal *adminclient.Refusal
 	if errors.As(err, &refusal) && refusal.Status == http.StatusUnauthorized {
-		return "refused the key: it is not valid, or this process has no state yet"
+		return "rejected the key: it is invalid, or this process has no state yet"
 	}
 	return "not reached: " + err.Error()
 }
--- a/ctl/commands/teams.go
+++ b/ctl/commands/teams.go
@@ -18,7 +18,7 @@
 
 const adminTimeout = 10 * time.Second
 
-// withClient runs do with a client and a bounded time.
+// withClient calls do with a client and a timeout.
 func (a *adminFlags) withClient(ctx context.Context, do func(context.Context, *adminclient.Client) error) subcommands.ExitStatus {
 	cl, err := a.client()
 	if err != nil {
@@ -32,14 +32,14 @@
 	return subcommands.ExitSuccess
 }
 
-// Teams lists, makes and deletes teams.
+// Teams lists, creates, changes and deletes teams.
 type Teams struct {
 	adminFlags
 	role, services, pipelines, remove string
 }
 
 func (*Teams) Name() string     { return "teams" }
-func (*Teams) Synopsis() string { return "list teams, or make, change or delete one" }
+func (*Teams) Synopsis() string { return "list teams, or create, change or delete one" }
 func (*Teams) Usage() string {
 	return "teams [-role viewer|operator|administrator] [-services A,B] [-pipelines A,B] [NAME]\n  teams -delete NAME\n"
 }
@@ -47,7 +47,7 @@
 // SetFlags implements subcommands.Command.
 func (t *Teams) SetFlags(f *flag.FlagSet) {
 	t.adminFlags.SetFlags(f)
-	f.StringVar(&t.role, "role", "viewer", "what the named team may do")
+	f.StringVar(&t.role, "role", "viewer", "role of the named team")
 	f.StringVar(&t.services, "services", "", "services an operator team may change, comma-separated")
 	f.StringVar(&t.pipelines, "pipelines", "", "pipelines an operator team may change, comma-separated")
 	f.StringVar(&t.remove, "delete", "", "`team` to delete with all its keys")
@@ -89,7 +89,7 @@
 	return w.Flush()
 }
 
-// Key makes and ends keys.
+// Key creates and revokes keys.
 type Key struct {
 	adminFlags
 	add, end string
@@ -97,23 +97,23 @@
 }
 
 func (*Key) Name() string     { return "key" }
-func (*Key) Synopsis() string { return "make a key for a team, or end one" }
+func (*Key) Synopsis() string { return "create a key for a team, or revoke one" }
 func (*Key) Usage() string {
-	return "key -add TEAM | key -end ID [-after 24h]\n  To change keys without a gap: add one, spread it, end the old one.\n"
+	return "key -add TEAM | key -end ID [-after 24h]\n  To rotate keys without interruption: add one, distribute it, end the old one.\n"
 }
 
 // SetFlags implements subcommands.Command.
 func (k *Key) SetFlags(f *flag.FlagSet) {
 	k.adminFlags.SetFlags(f)
-	f.StringVar(&k.add, "add", "", "`team` that gets one more key; it is printed once")
-	f.StringVar(&k.end, "end", "", "`id` of the key to end")
-	f.DurationVar(&k.after, "after", 0, "how long the ended key still works")
+	f.StringVar(&k.add, "add", "", "`team` to create a key for; the key is printed once")
+	f.StringVar(&k.end, "end", "", "`id` of the key to revoke")
+	f.DurationVar(&k.after, "after", 0, "how long the revoked key remains valid")
 }
 
 // Execute implements subcommands.Command.
 func (k *Key) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if (k.add == "") == (k.end == "") {
-		return usage(fmt.Errorf("name either -add or -end"))
+		return usage(fmt.Errorf("set either -add or -end"))
 	}
 	return k.withClient(ctx, func(ctx context.Context, cl *adminclient.Client) error {
 		if k.end != "" {
@@ -127,7 +127,7 @@
 	})
 }
 
-// Members prints the members alone.
+// Members prints the list of members.
 type Members struct{ adminFlags }
 
 func (*Members) Name() string     { return "members" }
@@ -145,7 +145,7 @@
 	})
 }
 
-// History prints who changed what.
+// History prints the latest configuration changes and their authors.
 type History struct{ adminFlags }
 
 func (*History) Name() string     { return "history" }
--- a/ctl/commands/timeline.go
+++ b/ctl/commands/timeline.go
@@ -18,7 +18,7 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// Timeline merges the events of all processes.
+// Timeline prints the merged event timeline of all processes.
 type Timeline struct {
 	adminFlags
 	request, customer, vm, kind string
@@ -27,7 +27,7 @@
 }
 
 func (*Timeline) Name() string     { return "timeline" }
-func (*Timeline) Synopsis() string { return "show the events of all processes in one order" }
+func (*Timeline) Synopsis() string { return "show the events of all processes in chronological order" }
 func (*Timeline) Usage() string {
 	return "timeline [-admin ADDRESSES] [-request ID] [-since 1m] [-format text|json|html]\n"
 }
@@ -39,8 +39,8 @@
 	f.StringVar(&t.customer, "customer", "", "only events of this customer")
 	f.StringVar(&t.vm, "vm", "", "only events of this VM")
 	f.StringVar(&t.kind, "kind", "", "only events of this kind")
-	f.DurationVar(&t.since, "since", 0, "only events of this last while")
-	f.StringVar(&t.also, "also", "", "further debug `addresses`, comma-separated")
+	f.DurationVar(&t.since, "since", 0, "only events of the last `duration`")
+	f.StringVar(&t.also, "also", "", "additional debug `addresses`, comma-separated")
 	f.StringVar(&t.format, "format", "text", "text, json, or html: one page with a lane for each process")
 }
 
@@ -82,8 +82,8 @@
 	w.Flush()
 }
 
-// report is the JSON form of a time line.
-type report struct {
+// timelineReport is the JSON form of a timeline.
+type timelineReport struct {
 	Events    []timeline.Event `json:"events"`
 	Unreached []string         `json:"not_reached"`
 }
@@ -91,11 +91,11 @@
 func writeJSON(events []timeline.Event, unreached []string) error {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
-	return enc.Encode(report{events, unreached})
+	return enc.Encode(timelineReport{events, unreached})
 }
 
-// collect asks every process that the control processes know, and those
-// themselves, for its events. It names the addresses that did not answer.
+// collect reads the events of the control processes, of all members and of the addresses in -also. It also
+// returns the addresses that could not be reached.
 func (t *Timeline) collect(ctx context.Context, cl *adminclient.Client) ([]timeline.Event, []string, error) {
 	members, err := cl.Members(ctx)
 	if err != nil {
--- a/ctl/commands/timeline_html.go
+++ b/ctl/commands/timeline_html.go
@@ -28,7 +28,7 @@
 	maxRows     = 2000
 )
 
-// kindColors are given to kinds by how often they occur.
+// kindColors are assigned to event kinds in the order of their frequency.
 var kindColors = []string{"#2f6db3", "#3a9a5c", "#d08a1d", "#8a57b8", "#c2453b", "#2a9aa5", "#7a6a53", "#b04a86", "#55606e", "#9aa32c"}
 
 type page struct {
@@ -78,20 +78,20 @@
 	return renderHTML(os.Stdout, events, unreached)
 }
 
-// renderHTML writes one self-contained page with a lane for each process.
+// renderHTML writes a self-contained page with one lane per process.
 func renderHTML(w io.Writer, events []timeline.Event, unreached []string) error {
 	p := page{Events: events, Unreached: unreached, Width: scaleStart + scaleWidth + scaleMargin, LaneHeight: laneHeight}
-	tops := p.layLanes()
-	colors := p.layLegend()
+	tops := p.layoutLanes()
+	colors := p.layoutLegend()
 	if len(events) > 0 {
-		p.layEvents(tops, colors)
+		p.layoutEvents(tops, colors)
 	}
 	p.Height = laneStart + laneHeight*len(p.Lanes)
 	return timelineTemplate.Execute(w, p)
 }
 
-// layLanes gives each process a lane, sorted by name, and returns their tops.
-func (p *page) layLanes() map[string]int {
+// layoutLanes gives each process a lane, sorted by name, and returns the top of each.
+func (p *page) layoutLanes() map[string]int {
 	vms := map[string]string{}
 	for _, e := range p.Events {
 		vms[e.Process] = e.VM
@@ -110,7 +110,7 @@
 	return tops
 }
 
-func (p *page) layLegend() map[timeline.Kind]string {
+func (p *page) layoutLegend() map[timeline.Kind]string {
 	counts := map[timeline.Kind]int{}
 	for _, e := range p.Events {
 		counts[e.Kind]++
@@ -130,7 +130,7 @@
 	return colors
 }
 
-func (p *page) layEvents(tops map[string]int, colors map[timeline.Kind]string) {
+func (p *page) layoutEvents(tops map[string]int, colors map[timeline.Kind]string) {
 	first, last := p.Events[0].At.Time(), p.Events[len(p.Events)-1].At.Time()
 	span := max(last.Sub(first), time.Millisecond)
 	place := func(at time.Time) int {
--- a/ctl/commands/weightstore.go
+++ b/ctl/commands/weightstore.go
@@ -26,7 +26,7 @@
 // SetFlags implements subcommands.Command.
 func (s *WeightStore) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&s.listen, "listen", "127.0.0.1:9100", "`address` to listen on")
-	f.Int64Var(&s.rate, "rate", 64<<20, "`bytes` per second over all readers")
+	f.Int64Var(&s.rate, "rate", 64<<20, "total `bytes` per second over all readers")
 }
 
 // Execute implements subcommands.Command.
--- a/ctl/orderstest/cluster_test.go
+++ b/ctl/orderstest/cluster_test.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	controls = 3
-	engines  = 3
-	patience = 90 * time.Second // on a busy machine; nothing is asserted about time
+	controls    = 3
+	engines     = 3
+	waitTimeout = 90 * time.Second // ample for a busy machine; the test asserts nothing about time
 )
 
-// Loopback networks 127.192.0.0 to 127.223.0.0; e2e has others.
+// Loopback networks 127.192.0.0 to 127.223.0.0. The e2e tests use others.
 const (
 	firstNet = 192
 	nets     = 32
 	subnets  = 250
 )
 
-// cluster is a running system of separate processes on kernel-chosen ports.
+// cluster is a running system of separate processes on ports assigned by the kernel.
 type cluster struct {
 	t       *testing.T
 	dir     string
@@ -47,9 +47,8 @@
 	version uint64
 }
 
-// freeAddress returns a free address on a loopback address of this process's
-// own. On 127.0.0.1 the kernel would give the port to a connection of somebody
-// else before the cluster listens on it.
+// freeAddress returns a free port of a loopback address that only this process uses. On 127.0.0.1 the kernel
+// could give the port to another program's connection before the cluster listens on it.
 func freeAddress(t *testing.T) string {
 	pid := os.Getpid()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:0", firstNet+pid%nets, 1+pid/nets%subnets))
@@ -152,25 +151,25 @@
 	})
 }
 
-// eventually waits for a condition that needs no more action.
+// eventually waits until ok returns true, and fails the test after waitTimeout.
 func (c *cluster) eventually(what string, ok func(context.Context) bool) {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for !ok(ctx) {
 		if ctx.Err() != nil {
-			c.t.Fatalf("not in %s: %s; engines %+v", patience, what, c.states())
+			c.t.Fatalf("not within %s: %s; engines %+v", waitTimeout, what, c.states())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// apply puts a text in force whose keys of the engines' service are given.
+// apply makes a configuration active. service contains further keys of the engines' service.
 func (c *cluster) apply(service string) {
 	c.t.Helper()
 	text := "[data_center:here]\nregion = here\n[service:llm]\nkind = engine\nrepeatable = true\nweight_bytes = 1000000\n" + service +
 		"\n[weight_store:store]\nrate = 4000000\nburst = 2000000\n[pipeline:chat]\ndeadline = 5s\nmodel = chat\n[stage:chat/generate]\nservice = llm\n[customer:desk]\nshare = 1\n"
-	c.eventually("the text is accepted", func(ctx context.Context) bool {
+	c.eventually("the configuration is accepted", func(ctx context.Context) bool {
 		res, err := c.admin.Apply(ctx, wire.ChangeRequest{Number: c.version + 1, Text: text, ChangeID: fmt.Sprintf("change-%d", c.version+1)})
 		return err == nil && res.Accepted
 	})
@@ -203,8 +202,8 @@
 	return out
 }
 
-// warm counts the engines that hold exactly this.
-func (c *cluster) warm(holds string) int {
+// countHolding counts the engines that hold exactly the given artifacts.
+func (c *cluster) countHolding(holds string) int {
 	n := 0
 	for _, st := range c.states() {
 		if wire.JoinArtifacts(st.Holds) == holds {
@@ -214,9 +213,9 @@
 	return n
 }
 
-func (c *cluster) waitWarm(holds string, n int) {
+func (c *cluster) waitHolding(holds string, n int) {
 	c.t.Helper()
-	c.eventually(fmt.Sprintf("%d engines hold %q", n, holds), func(context.Context) bool { return c.warm(holds) == n })
+	c.eventually(fmt.Sprintf("%d engines hold %q", n, holds), func(context.Context) bool { return c.countHolding(holds) == n })
 }
 
 func (c *cluster) busy() bool {
@@ -241,7 +240,8 @@
 	return name
 }
 
-// checkLogs judges what the engines saw: they check nothing themselves.
+// checkLogs checks the orders that the engines received, since the engines themselves check nothing: orders
+// must not overlap, and fencing tokens must increase.
 func (c *cluster) checkLogs() (orders int) {
 	c.t.Helper()
 	for i, e := range c.engines {
@@ -250,7 +250,7 @@
 			c.t.Fatal(err)
 		}
 		if log.Overlap {
-			c.t.Errorf("engine %d was told two things at once", i)
+			c.t.Errorf("engine %d received overlapping orders", i)
 		}
 		last := uint64(0)
 		for _, p := range log.Orders {
--- a/ctl/orderstest/doc.go
+++ b/ctl/orderstest/doc.go
@@ -1,3 +1,3 @@
-// Package orderstest drives orders through separate processes: control
-// leaders, agents, engines and a weight store. It holds only tests.
+// Package orderstest tests orders end to end with separate processes: control processes, agents, engines and
+// a weight store. It contains only tests.
 package orderstest
--- a/ctl/orderstest/orders_test.go
+++ b/ctl/orderstest/orders_test.go
@@ -17,13 +17,12 @@
 	return cl.Send(ctx, client.Request{Entry: c.entry, Path: "/v1/chat/completions", Customer: "desk", Body: []byte(chatBody)})
 }
 
-func right(a *client.Answer) bool {
+func isExpectedAnswer(a *client.Answer) bool {
 	text, err := client.ChatText(a.Body)
 	return err == nil && text == standin.Text("user:hello\n", 16)
 }
 
-// traffic sends chat requests one after the other and counts what became of
-// them.
+// traffic sends chat requests one after the other and counts their outcomes.
 type traffic struct {
 	mu                   sync.Mutex
 	whole, refused, lost int
@@ -45,7 +44,7 @@
 			a, err := c.chat(context.Background(), cl)
 			tr.mu.Lock()
 			switch {
-			case err == nil && a.Whole && right(a):
+			case err == nil && a.Whole && isExpectedAnswer(a):
 				tr.whole++
 			case err == nil && a.Verdict == verdict.NotRun:
 				tr.refused++
@@ -63,46 +62,46 @@
 	<-tr.done
 }
 
-// TestOrdersOverProcesses goes through the life of a service under orders,
-// with a fault in every step. The engines ignore fencing tokens.
+// TestOrdersOverProcesses runs a service through scaling, a rollout, a rollback and scaling to zero, with a
+// fault injected in every step. The engines ignore fencing tokens.
 func TestOrdersOverProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	c := startCluster(t)
 
-	t.Log("one engine is warmed and serves")
+	t.Log("one engine is warmed up and serves")
 	c.apply("models = m@1\nscale = threshold\nmin_warm = 1\nidle_after = 4s\nload_timeout = 6s")
-	c.waitWarm("m@1", 1)
+	c.waitHolding("m@1", 1)
 	cl := client.New()
-	c.eventually("an answer comes", func(ctx context.Context) bool {
+	c.eventually("a response arrives", func(ctx context.Context) bool {
 		a, err := c.chat(ctx, cl)
-		return err == nil && a.Whole && right(a)
+		return err == nil && a.Whole && isExpectedAnswer(a)
 	})
 
-	t.Log("an engine that forgets is loaded again")
+	t.Log("an engine that lost its model is loaded again")
 	for _, e := range c.engines {
 		post(t, e, "/v1/engine/forget")
 	}
-	c.waitWarm("m@1", 1)
+	c.waitHolding("m@1", 1)
 
-	t.Log("the leader is killed while orders are under way")
+	t.Log("the leader is killed while orders are in progress")
 	c.apply("models = m@1\nscale = threshold\nmin_warm = 3\nidle_after = 4s\nload_timeout = 6s")
-	c.eventually("an order is under way", func(context.Context) bool { return c.busy() })
+	c.eventually("an order is in progress", func(context.Context) bool { return c.busy() })
 	killed := c.leader()
 	c.kill(killed)
-	c.waitWarm("m@1", engines)
+	c.waitHolding("m@1", engines)
 	before := c.checkLogs()
-	if before != 5 { // 1 at first, 1 after forgetting, and 2 or, if the third engine kept nothing, 3 here
+	if before != 5 { // 1 at first, 1 after the loss, and 2 here, or 3 if the third engine kept nothing
 		t.Logf("%d orders so far", before)
 	}
 	c.startControl(int(killed[len(killed)-1] - '0'))
 
-	t.Log("an agent is killed between order and answer, during a roll-out under traffic")
+	t.Log("an agent is killed between order and result, during a rollout under traffic")
 	tr := c.startTraffic()
 	c.apply("models = m@2\nload_timeout = 6s")
 	killedAgent := -1
-	c.eventually("an order is under way", func(context.Context) bool {
+	c.eventually("an order is in progress", func(context.Context) bool {
 		for i, st := range c.states() {
 			if st.Busy {
 				killedAgent = i
@@ -112,41 +111,41 @@
 	})
 	c.kill([]string{"agent-0", "agent-1", "agent-2"}[killedAgent])
 	c.startAgent(killedAgent)
-	c.waitWarm("m@2", engines)
+	c.waitHolding("m@2", engines)
 
 	t.Log("a version that cannot be loaded is rolled back by a numbered change")
 	c.apply("models = m@3\nload_timeout = 6s")
-	c.eventually("the old version is back in the text", func(ctx context.Context) bool {
+	c.eventually("the old version is back in the configuration", func(ctx context.Context) bool {
 		cfg, err := c.admin.Config(ctx)
 		return err == nil && cfg.Version == c.version+1
 	})
 	c.version++
-	c.waitWarm("m@2", engines)
+	c.waitHolding("m@2", engines)
 	tr.end()
-	t.Logf("during both roll-outs: %d whole, %d refused as not run, %d lost", tr.whole, tr.refused, tr.lost)
+	t.Logf("during both rollouts: %d complete, %d rejected as not run, %d lost", tr.whole, tr.refused, tr.lost)
 	if tr.lost > 0 || tr.whole == 0 {
-		t.Errorf("%d requests lost, %d whole", tr.lost, tr.whole)
+		t.Errorf("%d requests lost, %d complete", tr.lost, tr.whole)
 	}
 
-	t.Log("the store stalls; when it goes on, the loads are tried again")
+	t.Log("the weight store stalls; when it recovers, the loads are retried")
 	post(t, c.store, "/stall?on=true")
 	for _, e := range c.engines {
 		post(t, e, "/v1/engine/forget")
 	}
-	c.eventually("a load is under way", func(context.Context) bool { return c.busy() })
+	c.eventually("a load is in progress", func(context.Context) bool { return c.busy() })
 	post(t, c.store, "/stall?on=false")
-	c.waitWarm("m@2", engines)
+	c.waitHolding("m@2", engines)
 
-	t.Log("the service parks; a request is refused at once and wakes it")
+	t.Log("the service scales to zero; a request is rejected at once and triggers a warm-up")
 	c.apply("models = m@2\nscale = threshold\nmin_warm = 0\nidle_after = 3s\nload_timeout = 6s")
-	c.waitWarm("", engines)
-	c.eventually("a request is refused as not run, with a time to come back", func(ctx context.Context) bool {
+	c.waitHolding("", engines)
+	c.eventually("a request is rejected as not run, with Retry-After", func(ctx context.Context) bool {
 		a, err := c.chat(ctx, cl)
 		return err == nil && a.Verdict == verdict.NotRun && a.RetryAfter != ""
 	})
-	c.eventually("the service answers again", func(ctx context.Context) bool {
+	c.eventually("the service responds again", func(ctx context.Context) bool {
 		a, err := c.chat(ctx, cl)
-		return err == nil && a.Whole && right(a)
+		return err == nil && a.Whole && isExpectedAnswer(a)
 	})
-	t.Logf("%d orders in all", c.checkLogs())
+	t.Logf("%d orders in total", c.checkLogs())
 }
