--- a/ctl/adminclient/adminclient.go
+++ b/ctl/adminclient/adminclient.go
@@ -138,14 +138,14 @@
 
 // callLeader repeats an idempotent call, trying the addresses in turn, until the leader responds or ctx ends.
 func (c *Client) callLeader(ctx context.Context, method, path string, in, out any) error {
-	var last error
+	var lastErr error
 	for i := 0; ctx.Err() == nil; i++ {
-		last = c.call(ctx, c.addresses[i%len(c.addresses)], method, path, in, out)
-		if last == nil {
+		lastErr = c.call(ctx, c.addresses[i%len(c.addresses)], method, path, in, out)
+		if lastErr == nil {
 			return nil
 		}
 		var r *Refusal
-		if errors.As(last, &r) && r.final() {
+		if errors.As(lastErr, &r) && r.final() {
 			return r
 		}
 		select {
@@ -153,7 +153,7 @@
 		case <-time.After(leaderRetryInterval):
 		}
 	}
-	return errors.Annotate(last, "no leader answered")
+	return errors.Annotate(lastErr, "no leader answered")
 }
 
 // Init bootstraps a new cluster with the first control process as its voter. The reply contains the key of
--- a/ctl/bench/bench.go
+++ b/ctl/bench/bench.go
@@ -35,7 +35,7 @@
 
 // Bench runs the scenarios and collects their results.
 type Bench struct {
-	c        Config
+	config   Config
 	system   *system
 	standins *standinControl
 	sender   *httpSender
@@ -52,7 +52,7 @@
 	for _, p := range c.Deployment.Pools {
 		agents += p.Count
 	}
-	return &Bench{c: c, standins: newStandinControl(c.Control), sender: newSender(b), results: map[string]*Result{}, runTag: uuid.NewString()[:tagLength],
+	return &Bench{config: c, standins: newStandinControl(c.Control), sender: newSender(b), results: map[string]*Result{}, runTag: uuid.NewString()[:tagLength],
 		system: &system{admin: c.Admin, balancer: b, agents: agents}}
 }
 
@@ -61,19 +61,19 @@
 // get the same schedule.
 func (b *Bench) Run(ctx context.Context) ([]*Result, error) {
 	b.sender.balancer.watch(ctx)
-	for _, sc := range b.c.Scenarios {
-		if sc.KillEntry > 0 && b.c.EntryPIDFile == "" {
-			fmt.Fprintf(b.c.Progress, "%s: skipped, no process ID file of an entry to kill was given\n", sc.Name)
+	for _, sc := range b.config.Scenarios {
+		if sc.KillEntry > 0 && b.config.EntryPIDFile == "" {
+			fmt.Fprintf(b.config.Progress, "%s: skipped, no process ID file of an entry to kill was given\n", sc.Name)
 			continue
 		}
-		for repeat := range b.c.Repeats {
-			for i := range b.c.Policies {
+		for repeat := range b.config.Repeats {
+			for i := range b.config.Policies {
 				n := i
 				if repeat%2 == 1 {
-					n = len(b.c.Policies) - 1 - i
+					n = len(b.config.Policies) - 1 - i
 				}
-				if err := b.runOnce(ctx, sc, b.c.Policies[n], b.c.Seed+uint64(repeat)); err != nil {
-					return b.finish(), fmt.Errorf("%s under %s: %w", sc.Name, b.c.Policies[n].Name, err)
+				if err := b.runOnce(ctx, sc, b.config.Policies[n], b.config.Seed+uint64(repeat)); err != nil {
+					return b.finish(), fmt.Errorf("%s under %s: %w", sc.Name, b.config.Policies[n].Name, err)
 				}
 			}
 		}
@@ -108,7 +108,7 @@
 		return err
 	}
 	b.runs++
-	plan := Plan{Deployment: b.c.Deployment, Scenario: sc, Seed: seed, Tag: fmt.Sprintf("%s-%03d", b.runTag, b.runs), Rates: NominalRates(b.c.Deployment, sc, b.c.Seed)}
+	plan := Plan{Deployment: b.config.Deployment, Scenario: sc, Seed: seed, Tag: fmt.Sprintf("%s-%03d", b.runTag, b.runs), Rates: NominalRates(b.config.Deployment, sc, b.config.Seed)}
 	schedule := plan.Schedule()
 	markFitting(plan, schedule)
 	r := b.result(sc, p)
@@ -124,7 +124,7 @@
 	}
 	r.check(outcomes, t)
 	b.system.counters(ctx).addDeltas(before, r.Counters)
-	_, ideal := idealCacheHits(b.c.Deployment, t.generatedRequests(schedule))
+	_, ideal := idealCacheHits(b.config.Deployment, t.generatedRequests(schedule))
 	r.Runs++
 	r.Hits += (t.cacheHitRatio() - r.Hits) / float64(r.Runs)
 	r.Ideal += (ideal - r.Ideal) / float64(r.Runs)
@@ -136,7 +136,7 @@
 	if err := b.standins.reset(ctx); err != nil {
 		return err
 	}
-	text, err := p.Apply(b.c.Text)
+	text, err := p.Apply(b.config.Text)
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 
 // load runs the schedule and injects the faults of the scenario at their times.
 func (b *Bench) load(ctx context.Context, sc Scenario, p Policy, schedule []*Request, r *Result) []Outcome {
-	bar := progressbar.NewOptions(len(schedule), progressbar.OptionSetWriter(b.c.Progress), progressbar.OptionSetDescription(sc.Name+" / "+p.Name),
+	bar := progressbar.NewOptions(len(schedule), progressbar.OptionSetWriter(b.config.Progress), progressbar.OptionSetDescription(sc.Name+" / "+p.Name),
 		progressbar.OptionShowCount(), progressbar.OptionThrottle(time.Second/4), progressbar.OptionClearOnFinish())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -182,9 +182,9 @@
 	if !sleepContext(ctx, f.At) {
 		return
 	}
-	for _, name := range f.targets(b.c.Deployment) {
+	for _, name := range f.targets(b.config.Deployment) {
 		if err := b.standins.fault(ctx, name, f.Fault); err != nil {
-			fmt.Fprintf(b.c.Progress, "fault at %s not injected: %v\n", name, err)
+			fmt.Fprintf(b.config.Progress, "fault at %s not injected: %v\n", name, err)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 	if !sleepContext(ctx, at) {
 		return
 	}
-	data, err := os.ReadFile(b.c.EntryPIDFile)
+	data, err := os.ReadFile(b.config.EntryPIDFile)
 	if err == nil {
 		var pid int
 		if pid, err = strconv.Atoi(strings.TrimSpace(string(data))); err == nil {
@@ -203,6 +203,6 @@
 		}
 	}
 	if err != nil {
-		fmt.Fprintf(b.c.Progress, "entry not killed: %v\n", err)
+		fmt.Fprintf(b.config.Progress, "entry not killed: %v\n", err)
 	}
 }
--- a/ctl/bench/schedule.go
+++ b/ctl/bench/schedule.go
@@ -42,13 +42,13 @@
 func (p Plan) Schedule() []*Request {
 	var out []*Request
 	for i := range p.Deployment.Flows {
-		out = append(out, p.flow(uint64(i), &p.Deployment.Flows[i])...)
+		out = append(out, p.scheduleFlow(uint64(i), &p.Deployment.Flows[i])...)
 	}
 	sort.SliceStable(out, func(a, b int) bool { return out[a].At < out[b].At })
 	return out
 }
 
-func (p Plan) flow(index uint64, f *Flow) []*Request {
+func (p Plan) scheduleFlow(index uint64, f *Flow) []*Request {
 	random := rand.New(rand.NewPCG(p.Seed, index))
 	var out []*Request
 	for _, c := range p.Deployment.Customers {
@@ -57,7 +57,7 @@
 		}
 	}
 	sort.SliceStable(out, func(a, b int) bool { return out[a].At < out[b].At })
-	chats := &chatSessions{random: random, heavy: p.Scenario.ChatHeavy}
+	chats := &chatSessions{random: random, longPrompts: p.Scenario.ChatHeavy}
 	for n, r := range out {
 		r.ID = fmt.Sprintf("%s-%s-%d", p.Tag, f.Name, n)
 		r.fill(random, chats)
@@ -137,10 +137,10 @@
 // chatSessions are the open chats. The responses are known in advance, and so are the messages of later
 // turns.
 type chatSessions struct {
-	random *rand.Rand
-	heavy  bool
-	open   []*chatSession
-	shared map[string]string // system prompts by customer
+	random        *rand.Rand
+	longPrompts   bool
+	open          []*chatSession
+	systemPrompts map[string]string // system prompts by customer
 }
 
 type chatSession struct {
@@ -191,15 +191,15 @@
 }
 
 func (s *chatSessions) systemPrompt(customer string) string {
-	if s.shared == nil {
-		s.shared = map[string]string{}
+	if s.systemPrompts == nil {
+		s.systemPrompts = map[string]string{}
 	}
-	if s.shared[customer] == "" {
+	if s.systemPrompts[customer] == "" {
 		n := systemPromptBytes
-		if s.heavy {
+		if s.longPrompts {
 			n = longPromptBytes
 		}
-		s.shared[customer] = randomText(s.random, n)
+		s.systemPrompts[customer] = randomText(s.random, n)
 	}
-	return s.shared[customer]
+	return s.systemPrompts[customer]
 }
--- a/ctl/bench/system.go
+++ b/ctl/bench/system.go
@@ -15,10 +15,10 @@
 
 // system is the running system under test.
 type system struct {
-	admin    *adminclient.Client
-	balancer *balancer
-	agents   int
-	text     string // active configuration
+	admin        *adminclient.Client
+	balancer     *balancer
+	agents       int
+	activeConfig string // empty until apply has succeeded once
 }
 
 const (
@@ -29,7 +29,7 @@
 
 // apply makes a configuration active on every member, unless it already is.
 func (s *system) apply(ctx context.Context, text string) error {
-	if text == s.text {
+	if text == s.activeConfig {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
@@ -45,7 +45,7 @@
 	if !res.Accepted {
 		return fmt.Errorf("the configuration was rejected: %s", res.Reason)
 	}
-	s.text = text
+	s.activeConfig = text
 	return s.waitForMembers(ctx, "active configuration", func(m wire.MemberStatus) bool { return m.ConfigVersion >= res.Version })
 }
 
@@ -100,13 +100,13 @@
 // heldSeconds is the metric for how long the upstream of an agent had a model loaded or was under an order.
 const heldSeconds = "upstream_held_seconds"
 
-// counters are the metrics by member and name. Metrics of agents that count for their service have the
+// countersByMember are metrics by member and name. Metrics of agents that count for their service have the
 // service in their name.
-type counters map[wire.MemberID]map[string]float64
+type countersByMember map[wire.MemberID]map[string]float64
 
 // addDeltas adds the increase of the counters to sum. Counters of a process that was restarted in between
 // started from zero.
-func (c counters) addDeltas(before counters, sum map[string]float64) {
+func (c countersByMember) addDeltas(before countersByMember, sum map[string]float64) {
 	for id, vars := range c {
 		for name, v := range vars {
 			if old := before[id][name]; old <= v {
@@ -117,8 +117,8 @@
 	}
 }
 
-func (s *system) counters(ctx context.Context) counters {
-	out := counters{}
+func (s *system) counters(ctx context.Context) countersByMember {
+	out := countersByMember{}
 	rows, err := s.admin.Members(ctx)
 	if err != nil {
 		return out // the report has no counters then; costs are taken from the stand-ins
--- a/ctl/capacity/measure.go
+++ b/ctl/capacity/measure.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	for _, p := range c.control {
-		r.members.control = append(r.members.control, p.peer)
+		r.members.controlAddresses = append(r.members.controlAddresses, p.peer)
 	}
 	steps := []func(context.Context) error{r.start, r.measureIdle, r.measureChanges, r.measureRestarts, r.checkSameLeader}
 	if customers == smallConfigCustomers {
@@ -147,7 +147,7 @@
 				return err
 			}
 			for _, m := range r.members.list {
-				if at, ok := m.at.Load(version); ok {
+				if at, ok := m.activeSince.Load(version); ok {
 					times = append(times, max(0, at.(time.Time).Sub(accepted).Seconds()*1000))
 				}
 			}
@@ -183,7 +183,7 @@
 	r.members.stop()
 	r.members = &members{}
 	for _, p := range r.followers {
-		r.members.control = append(r.members.control, p.peer)
+		r.members.controlAddresses = append(r.members.controlAddresses, p.peer)
 	}
 	if err := r.members.start(ctx, r.sample.Members); err != nil {
 		return err
--- a/ctl/capacity/members.go
+++ b/ctl/capacity/members.go
@@ -19,14 +19,14 @@
 
 // members simulates agents in this process. They synchronize with the control processes over TCP.
 type members struct {
-	control []string // peer addresses of the control processes
-	bytes   atomic.Int64
-	list    []*member
+	controlAddresses []string // peer addresses of the control processes
+	bytes            atomic.Int64
+	list             []*member
 }
 
 type member struct {
 	*configsync.Service
-	at sync.Map // time at which each configuration version became active here
+	activeSince sync.Map // time at which each configuration version became active here
 }
 
 func (ms *members) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -62,13 +62,13 @@
 		Node:  settings.Node{Name: name, VM: "vm-" + name, DataCenter: fmt.Sprintf("data-centre-%02d", i%18), Roles: []string{"agent"}},
 		Agent: settings.AgentRole{Service: "llm", Advertise: address + ":7200"},
 		Debug: settings.Debug{Listen: address + ":7102"},
-		Peers: settings.Peers{Control: ms.control},
+		Peers: settings.Peers{Control: ms.controlAddresses},
 	}
 }
 
 func (ms *members) startMember(i int) *member {
 	m := &member{Service: configsync.New(configsync.Params{Settings: ms.settingsOf(i), Log: logr.Discard(), Ring: timeline.NewRing("m", "v", 16), Dial: ms.dial})}
-	m.OnChange(func(v *configsync.View) { m.at.LoadOrStore(v.Version, time.Now()) })
+	m.OnChange(func(v *configsync.View) { m.activeSince.LoadOrStore(v.Version, time.Now()) })
 	m.Start(context.Background())
 	return m
 }
--- a/ctl/capacity/model.go
+++ b/ctl/capacity/model.go
@@ -100,8 +100,8 @@
 	s.Restart = base(event(m.Sizes, restartsPhase, leaderCPU), event(m.Sizes, restartsPhase, leaderBytes))
 	s.RestartAttached = slope(event(m.Sizes, restartsPhase, followerCPU), event(m.Sizes, restartsPhase, followerBytes), voters)
 	// Each restart makes a member copy its member list, so the time is proportional to its length.
-	copied := fitOver(m.Sizes, func(s Sample) float64 { return s.Restarts.perEvent(s.Idle, membersCPU) / float64(s.Members) })
-	s.RestartMember = Cost{copied.Slope, event(m.Sizes, restartsPhase, membersBytes).Slope}
+	perKnownMember := fitOver(m.Sizes, func(s Sample) float64 { return s.Restarts.perEvent(s.Idle, membersCPU) / float64(s.Members) })
+	s.RestartMember = Cost{perKnownMember.Slope, event(m.Sizes, restartsPhase, membersBytes).Slope}
 
 	view := fitOver(m.Sizes, func(s Sample) float64 { return s.Heap / float64(s.Members) })
 	s.ViewBase, s.ViewMember = max(view.Base, 0), view.Slope
--- a/ctl/capacity/plot.go
+++ b/ctl/capacity/plot.go
@@ -17,8 +17,8 @@
 
 // series is a measured quantity plotted against the number of members.
 type series struct {
-	name string
-	of   func(Sample) float64
+	name  string
+	value func(Sample) float64
 }
 
 // Plots draws the measured points and the fitted lines as SVG files.
@@ -45,9 +45,9 @@
 	for i, s := range all {
 		var points plotter.XYs
 		for _, sample := range m.Sizes {
-			points = append(points, plotter.XY{X: float64(sample.Members), Y: s.of(sample)})
+			points = append(points, plotter.XY{X: float64(sample.Members), Y: s.value(sample)})
 		}
-		fit := fitOver(m.Sizes, s.of)
+		fit := fitOver(m.Sizes, s.value)
 		dots, err := plotter.NewScatter(points)
 		if err != nil {
 			return errors.Trace(err)
--- a/ctl/commands/config.go
+++ b/ctl/commands/config.go
@@ -143,7 +143,7 @@
 	started := time.Now()
 	var members, behind []wire.MemberStatus
 	all := map[wire.MemberID]bool{}
-	told := false
+	reported := false
 	for {
 		rows, err := cl.Members(ctx)
 		if err == nil {
@@ -156,8 +156,8 @@
 				printDeparted(all, members)
 				return subcommands.ExitSuccess
 			}
-			if !told && onlySilent(rows, behind) {
-				told = true
+			if !reported && onlySilent(rows, behind) {
+				reported = true
 				fmt.Printf("active on %d of %d after %s, on all reachable members; waiting for the others or the end of their leases\n",
 					len(members)-len(behind), len(all), time.Since(started).Round(time.Millisecond))
 				printBehind(behind)
--- a/ctl/commands/cost.go
+++ b/ctl/commands/cost.go
@@ -14,15 +14,15 @@
 
 // cost is the sum of the cost metrics of all processes since their starts.
 type cost struct {
-	services map[string]*serviceCost
-	stages   map[string]*stageCost
-	silent   []string // debug addresses that did not respond
+	services  map[string]*serviceCost
+	stages    map[string]*stageCost
+	unreached []string // debug addresses that did not respond
 }
 
 // serviceCost is in seconds, summed over all upstreams of a service.
 type serviceCost struct {
-	upstreams           int
-	held, waking, inUse float64
+	upstreams                 int
+	held, waking, attemptsRan float64
 }
 
 // stageCost is in seconds, summed over all attempts of a stage.
@@ -42,7 +42,7 @@
 	c := &cost{services: map[string]*serviceCost{}, stages: map[string]*stageCost{}}
 	for i, v := range vars {
 		if v.Err != nil {
-			c.silent = append(c.silent, v.Address)
+			c.unreached = append(c.unreached, v.Address)
 			continue
 		}
 		if service := members[i].Service; service != "" {
@@ -50,7 +50,7 @@
 			s.upstreams++
 			s.held += v.Number("upstream_held_seconds")
 			s.waking += v.Number("upstream_wake_seconds")
-			s.inUse += v.Number("gate_busy_seconds")
+			s.attemptsRan += v.Number("gate_busy_seconds")
 		}
 		for stage, n := range v.Numbers("stage_calls") {
 			entryFor(c.stages, stage).calls += n
@@ -77,7 +77,7 @@
 	fmt.Fprintln(w, "SERVICE\tUPSTREAMS\tHELD s\tWAKING s\tATTEMPTS RAN s")
 	for _, name := range slices.Sorted(maps.Keys(c.services)) {
 		s := c.services[name]
-		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.1f\n", name, s.upstreams, s.held, s.waking, s.inUse)
+		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.1f\n", name, s.upstreams, s.held, s.waking, s.attemptsRan)
 	}
 	w.Flush()
 	fmt.Fprintln(w, "STAGE\tATTEMPTS\tTIME s\tWASTED s")
@@ -86,7 +86,7 @@
 		fmt.Fprintf(w, "%s\t%.0f\t%.1f\t%.1f\n", name, s.calls, s.used, s.wasted)
 	}
 	w.Flush()
-	for _, a := range c.silent {
+	for _, a := range c.unreached {
 		fmt.Fprintf(out, "cost not counted: %s did not answer\n", a)
 	}
 }
--- a/ctl/commands/demo.go
+++ b/ctl/commands/demo.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return usage(err)
 	}
-	run := &demoRun{d: d, admin: cl, http: client.New(), entries: strictini.SplitList(d.entries), desks: strictini.SplitList(d.desks)}
+	run := &demoRun{flags: d, admin: cl, http: client.New(), entries: strictini.SplitList(d.entries), desks: strictini.SplitList(d.desks)}
 	if len(run.entries) < 2 || len(run.desks) == 0 {
 		return usage(fmt.Errorf("set -entries to two entries, and -desks"))
 	}
@@ -76,8 +76,8 @@
 			return subcommands.ExitFailure
 		}
 	}
-	fmt.Printf("\nattainment: %d of %d requests completed\n", run.whole, run.sent)
-	if run.whole != run.sent {
+	fmt.Printf("\nattainment: %d of %d requests completed\n", run.completed, run.sent)
+	if run.completed != run.sent {
 		return subcommands.ExitFailure
 	}
 	fmt.Println("all guarantees held")
@@ -85,15 +85,15 @@
 }
 
 type demoRun struct {
-	d       *Demo
-	admin   *adminclient.Client
-	http    *client.Client
-	entries []string
-	desks   []string
-	first   string // ID of the first request
+	flags          *Demo
+	admin          *adminclient.Client
+	http           *client.Client
+	entries        []string
+	desks          []string
+	firstRequestID string // ID of the first request
 
-	mu          sync.Mutex
-	sent, whole int
+	mu              sync.Mutex
+	sent, completed int
 }
 
 func (r *demoRun) send(ctx context.Context, req client.Request) (*client.Answer, error) {
@@ -102,7 +102,7 @@
 	defer r.mu.Unlock()
 	r.sent++
 	if err == nil && a.Whole {
-		r.whole++
+		r.completed++
 	}
 	return a, err
 }
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	r.first = a.RequestID
+	r.firstRequestID = a.RequestID
 	text, err := client.ChatText(a.Body)
 	if err != nil || !a.Whole || text == "" {
 		return fmt.Errorf("incomplete: status %d, %s (%v)", a.Status, a.Body, err)
@@ -240,10 +240,10 @@
 	}
 	for i := range killRequests {
 		if i == killRequests/4 {
-			r.killProcess("agent", r.d.kill)
+			r.killProcess("agent", r.flags.kill)
 		}
 		if i == killRequests/2 {
-			r.killProcess("control process", r.d.killControl)
+			r.killProcess("control process", r.flags.killControl)
 		}
 		jobs <- i
 	}
@@ -278,7 +278,7 @@
 func (r *demoRun) change(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
-	text, err := os.ReadFile(r.d.text)
+	text, err := os.ReadFile(r.flags.text)
 	if err != nil {
 		return err
 	}
@@ -315,7 +315,7 @@
 }
 
 func (r *demoRun) timeline(ctx context.Context) error {
-	t := &Timeline{request: r.first}
+	t := &Timeline{request: r.firstRequestID}
 	events, unreached, err := t.collect(ctx, r.admin)
 	if err != nil {
 		return err
--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -155,14 +155,14 @@
 		s.writeError(w, err)
 		return
 	}
-	key, shown := newKey(initialTeam)
+	key, newKeyReply := newKey(initialTeam)
 	for _, c := range []state.TeamCommand{{Put: &state.Team{Name: initialTeam, Role: wire.RoleAdministrator}}, {AddKey: &key}} {
 		if err := s.commitWhenLeader(r.Context(), w, c); err != nil {
 			return
 		}
 	}
 	s.p.Ring.Record(timeline.Event{Kind: "cluster-initialized"})
-	writeJSON(w, http.StatusOK, wire.InitReply{Status: s.p.Control.Status(), Key: shown})
+	writeJSON(w, http.StatusOK, wire.InitReply{Status: s.p.Control.Status(), Key: newKeyReply})
 }
 
 const leaderPollInterval = 50 * time.Millisecond
--- a/node/admin/teams.go
+++ b/node/admin/teams.go
@@ -82,10 +82,10 @@
 
 // addKey adds a key to a team. The secret is part of this response only.
 func (s *Service) addKey(w http.ResponseWriter, r *http.Request) {
-	key, shown := newKey(chi.URLParam(r, "team"))
+	key, newKeyReply := newKey(chi.URLParam(r, "team"))
 	if s.proposeTeam(w, r, state.TeamCommand{AddKey: &key}) {
 		s.p.Ring.Record(timeline.Event{Kind: "key-added", Detail: key.ID + " of " + key.Team + " by " + callerOf(r).Name})
-		writeJSON(w, http.StatusOK, shown)
+		writeJSON(w, http.StatusOK, newKeyReply)
 	}
 }
 
--- a/node/formation/formation.go
+++ b/node/formation/formation.go
@@ -75,19 +75,19 @@
 // order, and a vote for another process ends the round. Otherwise three processes could hold one vote each,
 // and none a majority.
 func (r *Rule) requestVotes() Step {
-	mine := 0
+	ownVotes := 0
 	for _, seed := range r.Seeds {
 		a, known := r.votes[seed]
 		switch {
 		case !known:
 			return Step{Ask: seed, Hello: Hello{Address: r.Self}}
 		case a.Founder == r.Self:
-			mine++
+			ownVotes++
 		case a.Founder != "": // a seed that was restarted since the first start votes for nobody
 			return Step{}
 		}
 	}
-	return Step{Found: 2*mine > len(r.Seeds)}
+	return Step{Found: 2*ownVotes > len(r.Seeds)}
 }
 
 // Namer is the vote of a seed without a disk. It votes for the first process that requests its vote, but only
