--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -77,7 +77,7 @@
 }
 
 func (s *Service) checkAnnounce(m wire.Member) error {
-	c := s.Held()
+	c := s.LocalConfig()
 	switch {
 	case m.Leaving:
 		return nil
@@ -212,15 +212,15 @@
 	return s.control.CallLeader(ctx, control.MethodCrashes, report, nil)
 }
 
-// Text is the active operator configuration, confirmed by a quorum.
-type Text struct {
+// ConfirmedConfig is the active operator configuration, confirmed by a quorum.
+type ConfirmedConfig struct {
 	wire.ConfigText
 	// Parsed is the parsed form of Text if this process already had it; else nil.
 	Parsed *optext.Config
 }
 
-// Held returns the configuration that this process knows, or nil.
-func (s *Service) Held() *optext.Config {
+// LocalConfig returns the configuration that this process knows, or nil.
+func (s *Service) LocalConfig() *optext.Config {
 	if v := s.view(); v != nil {
 		return v.Config
 	}
@@ -229,7 +229,7 @@
 
 // Config returns the active configuration, confirmed by a quorum. The text is only transferred if this
 // process does not have it.
-func (s *Service) Config(ctx context.Context) (Text, error) {
+func (s *Service) Config(ctx context.Context) (ConfirmedConfig, error) {
 	var req wire.ConfigRequest
 	held := s.view()
 	if held != nil {
@@ -237,15 +237,15 @@
 	}
 	var reply wire.ConfigReply
 	if err := s.control.CallLeader(ctx, control.MethodConfig, req, &reply); err != nil {
-		return Text{}, err
+		return ConfirmedConfig{}, err
 	}
 	if reply.Text != nil {
-		return Text{ConfigText: *reply.Text}, nil
+		return ConfirmedConfig{ConfigText: *reply.Text}, nil
 	}
 	if held == nil {
-		return Text{}, errNoConfig
+		return ConfirmedConfig{}, errNoConfig
 	}
-	return Text{ConfigText: wire.ConfigText{Version: held.Version, Text: held.Text, Hash: held.Hash}, Parsed: held.Config}, nil
+	return ConfirmedConfig{ConfigText: wire.ConfigText{Version: held.Version, Text: held.Text, Hash: held.Hash}, Parsed: held.Config}, nil
 }
 
 // errNoConfig says that this process does not know yet whether there is a configuration.
