--- a/node/disk/disktest/disktest.go
+++ b/node/disk/disktest/disktest.go
@@ -30,7 +30,7 @@
 	node *inode // nil if the name is removed
 }
 
-// FS implements disk.FS. Only FillAfter is safe for concurrent use.
+// FS implements disk.FS. Only SetFreeBytes is safe for concurrent use.
 type FS struct {
 	live    map[string]*inode
 	durable map[string]*inode
@@ -54,9 +54,9 @@
 // after it fail too, until Crash is called.
 func (fs *FS) CrashAfter(ops int) { fs.opsLeft = ops }
 
-// FillAfter makes writes fail with ENOSPC after n more bytes; a negative n removes the limit. It may be
+// SetFreeBytes makes writes fail with ENOSPC after n more bytes; a negative n removes the limit. It may be
 // called concurrently with other operations.
-func (fs *FS) FillAfter(n int) { fs.freeBytes.Store(int64(n)) }
+func (fs *FS) SetFreeBytes(n int) { fs.freeBytes.Store(int64(n)) }
 
 // FailSyncs makes every Sync of a file fail with EIO, until Crash is called.
 func (fs *FS) FailSyncs() { fs.syncFail = true }
@@ -91,8 +91,8 @@
 	return append(slices.Clone(n.synced), kept...)
 }
 
-// Damage flips a bit in one byte of a file, like a failing disk.
-func (fs *FS) Damage(name string, at int) { fs.live[name].data[at] ^= 0x40 }
+// FlipBit flips a bit in one byte of a file, like a failing disk.
+func (fs *FS) FlipBit(name string, at int) { fs.live[name].data[at] ^= 0x40 }
 
 func (fs *FS) countOp() error {
 	if fs.opsLeft == 0 {
--- a/node/replica/replica_test.go
+++ b/node/replica/replica_test.go
@@ -116,7 +116,7 @@
 	ctx := context.Background()
 	last := uint64(0)
 	for range 2 {
-		fs.FillAfter(4000)
+		fs.SetFreeBytes(4000)
 		for {
 			res, err := all[0].Propose(ctx, fence())
 			if err != nil {
@@ -137,10 +137,10 @@
 		if all[0].View().Fence < last {
 			t.Fatalf("the view went back to %d", all[0].View().Fence)
 		}
-		fs.FillAfter(-1)
+		fs.SetFreeBytes(-1)
 		await(all[0].IsLeader)
 	}
-	fs.FillAfter(0)
+	fs.SetFreeBytes(0)
 	if _, err := all[0].Propose(ctx, fence()); err == nil {
 		t.Fatal("acknowledged on a full disk")
 	}
@@ -183,7 +183,7 @@
 	old := leaderOf(all)
 	for i, r := range all {
 		if r == old {
-			disks[i].FillAfter(0)
+			disks[i].SetFreeBytes(0)
 		}
 	}
 	await(func() bool {
@@ -196,7 +196,7 @@
 		draw()
 	}
 	for _, d := range disks {
-		d.FillAfter(-1)
+		d.SetFreeBytes(-1)
 	}
 	target := seen
 	await(func() bool {
--- a/node/wal/reopen_test.go
+++ b/node/wal/reopen_test.go
@@ -41,15 +41,15 @@
 					acked++
 				}
 			case "fill":
-				fs.FillAfter(rapid.IntRange(0, 60).Draw(t, "bytes"))
+				fs.SetFreeBytes(rapid.IntRange(0, 60).Draw(t, "bytes"))
 				if l.Save(&consensus.HardState{Term: term}, []consensus.Entry{entry(acked+1, term)}) == nil {
 					acked++
 				}
-				fs.FillAfter(rapid.IntRange(0, 20).Draw(t, "bytes left"))
+				fs.SetFreeBytes(rapid.IntRange(0, 20).Draw(t, "bytes left"))
 				if _, _, err := wal.Reopen(fs); err == nil {
 					t.Fatal("opened on a full disk")
 				}
-				fs.FillAfter(-1)
+				fs.SetFreeBytes(-1)
 				l.Close()
 				if l, st, err = wal.Reopen(fs); err != nil {
 					t.Fatal(err)
@@ -70,11 +70,11 @@
 // after the folder was opened again: a crash may bring the removed file back.
 func TestDamageBehindANewBeginningIsIgnored(t *testing.T) {
 	fs, l, _ := filled(t)
-	fs.FillAfter(5)
+	fs.SetFreeBytes(5)
 	if l.Save(hard(1), []consensus.Entry{entry(4, 1)}) == nil {
 		t.Fatal("saved on a full disk")
 	}
-	fs.FillAfter(-1)
+	fs.SetFreeBytes(-1)
 	if _, _, err := wal.Reopen(fs); err != nil {
 		t.Fatal(err)
 	}
--- a/node/wal/wal_test.go
+++ b/node/wal/wal_test.go
@@ -77,7 +77,7 @@
 	_, _, sizes := filled(t)
 	for at := range int(sizes[2]) {
 		fs, _, _ := filled(t)
-		fs.Damage(firstLog, at)
+		fs.FlipBit(firstLog, at)
 		_, _, err := wal.Open(fs)
 		if errors.Cause(err) != wal.ErrCorrupt {
 			t.Fatalf("byte %d: %v", at, err)
@@ -94,7 +94,7 @@
 	if err := l.SaveSnapshot(snap, *hard(1), nil); err != nil {
 		t.Fatal(err)
 	}
-	fs.Damage("snap-00000000000000000003", 20)
+	fs.FlipBit("snap-00000000000000000003", 20)
 	if _, _, err := wal.Open(fs); errors.Cause(err) != wal.ErrCorrupt {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 // again: what reached the disk is unknown.
 func TestWriteErrorIsFinal(t *testing.T) {
 	for name, breakDisk := range map[string]func(*disktest.FS){
-		"full":        func(fs *disktest.FS) { fs.FillAfter(10) },
+		"full":        func(fs *disktest.FS) { fs.SetFreeBytes(10) },
 		"sync failed": func(fs *disktest.FS) { fs.FailSyncs() },
 	} {
 		fs, l, _ := filled(t)
@@ -141,7 +141,7 @@
 		if l.Save(nil, []consensus.Entry{entry(4, 1)}) == nil {
 			t.Fatalf("%s: saved", name)
 		}
-		fs.FillAfter(-1)
+		fs.SetFreeBytes(-1)
 		if err := l.Save(nil, []consensus.Entry{entry(4, 1)}); err == nil {
 			t.Fatalf("%s: taken after the failure", name)
 		}
@@ -153,7 +153,7 @@
 
 func TestFullDiskIsNamed(t *testing.T) {
 	fs, l, _ := filled(t)
-	fs.FillAfter(0)
+	fs.SetFreeBytes(0)
 	if err := l.Save(hard(2), nil); errors.Cause(err) != syscall.ENOSPC {
 		t.Fatal(err)
 	}
