--- a/node/control/formation.go
+++ b/node/control/formation.go
@@ -58,7 +58,7 @@
 // form founds the cluster if that is this process's part, and ends once the
 // process belongs to a cluster.
 func (s *Service) form(ctx context.Context) {
-	rule := formation.Rule{Self: s.set.Control.Advertise, Seeds: s.seeds}
+	rule := formation.FounderElection{Self: s.set.Control.Advertise, Seeds: s.seeds}
 	clients := map[string]*peer.Client{}
 	defer func() {
 		for _, c := range clients {
@@ -67,19 +67,19 @@
 	}()
 	for ctx.Err() == nil && !s.joined() {
 		step := rule.Next()
-		if step.Found {
+		if step.BecomeFounder {
 			s.found(ctx)
 			return
 		}
-		if step.Ask != "" {
-			if clients[step.Ask] == nil {
-				clients[step.Ask] = peer.NewClient(step.Ask, s.links.dial)
+		if step.Seed != "" {
+			if clients[step.Seed] == nil {
+				clients[step.Seed] = peer.NewClient(step.Seed, s.links.dial)
 			}
-			answer := s.hello(ctx, clients[step.Ask], step.Hello)
+			answer := s.hello(ctx, clients[step.Seed], step.Hello)
 			if answer.Known {
-				s.log.Info("seed heard", "address", step.Ask, "has_disk", answer.HasDisk, "founder", answer.Founder, "asked_to_be_named", step.Hello.Address != "")
+				s.log.Info("seed heard", "address", step.Seed, "has_disk", answer.HasDisk, "founder", answer.Founder, "asked_to_be_named", step.Hello.Address != "")
 			}
-			rule.Heard(step.Ask, step.Hello, answer)
+			rule.RecordReply(step.Seed, step.Hello, answer)
 		}
 		select {
 		case <-ctx.Done():
@@ -94,13 +94,13 @@
 }
 
 // hello asks a seed whether it can found. No answer says nothing.
-func (s *Service) hello(ctx context.Context, client *peer.Client, question formation.Hello) formation.Answer {
+func (s *Service) hello(ctx context.Context, client *peer.Client, question formation.Hello) formation.HelloReply {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	var answer formation.Answer
+	var answer formation.HelloReply
 	if err := client.Call(ctx, formation.MethodHello, question, &answer); err != nil {
 		s.log.V(logging.Detail).Info("seed not heard", "address", client.Address(), "error", err.Error())
-		return formation.Answer{}
+		return formation.HelloReply{}
 	}
 	return answer
 }
@@ -114,6 +114,6 @@
 }
 
 // answerHello tells that this process has a disk.
-func (s *Service) answerHello(context.Context, *formation.Hello) (*formation.Answer, error) {
-	return &formation.Answer{Known: true, HasDisk: true}, nil
+func (s *Service) answerHello(context.Context, *formation.Hello) (*formation.HelloReply, error) {
+	return &formation.HelloReply{Known: true, HasDisk: true}, nil
 }
--- a/node/control/selfforming_test.go
+++ b/node/control/selfforming_test.go
@@ -24,8 +24,8 @@
 		snap   *consensus.Snapshot
 		log    []consensus.Entry
 	}
-	rule    formation.Rule
-	namer   formation.Namer
+	rule    formation.FounderElection
+	namer   formation.Elector
 	node    *consensus.Node // nil while it is down, or has no disk
 	applied []string
 }
@@ -57,7 +57,7 @@
 	s := &formingSystem{t: t, proposed: map[string]bool{}, cut: map[string]bool{}}
 	n := rapid.IntRange(4, 6).Draw(t, "machines")
 	for i := range n {
-		s.machines = append(s.machines, &formingMachine{address: fmt.Sprint("m", i), disk: i < 3 || rapid.Bool().Draw(t, "disk"), first: true, namer: formation.Namer{FirstStart: true}})
+		s.machines = append(s.machines, &formingMachine{address: fmt.Sprint("m", i), disk: i < 3 || rapid.Bool().Draw(t, "disk"), first: true, namer: formation.Elector{FirstStart: true}})
 	}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, n-1), 3, 3, rapid.ID).Draw(t, "seeds") {
 		s.seeds = append(s.seeds, s.machines[i].address)
@@ -69,7 +69,7 @@
 }
 
 func (s *formingSystem) start(m *formingMachine) {
-	m.rule = formation.Rule{Self: m.address, Seeds: s.seeds}
+	m.rule = formation.FounderElection{Self: m.address, Seeds: s.seeds}
 	m.applied = nil
 	if !m.disk {
 		return
@@ -95,7 +95,7 @@
 		return
 	}
 	step := m.rule.Next()
-	if step.Found {
+	if step.BecomeFounder {
 		s.founded++
 		m.stored.formed = true
 		m.stored.snap = consensus.Bootstrap(m.peer(), nil)
@@ -103,12 +103,12 @@
 		s.start(m)
 		return
 	}
-	if seed := s.at(step.Ask); seed != nil && !s.cut[m.address] && !s.cut[step.Ask] {
-		answer := formation.Answer{Known: true, HasDisk: true}
+	if seed := s.at(step.Seed); seed != nil && !s.cut[m.address] && !s.cut[step.Seed] {
+		answer := formation.HelloReply{Known: true, HasDisk: true}
 		if !seed.disk {
-			answer = seed.namer.Hello(step.Hello)
+			answer = seed.namer.HandleHello(step.Hello)
 		}
-		m.rule.Heard(step.Ask, step.Hello, answer)
+		m.rule.RecordReply(step.Seed, step.Hello, answer)
 	}
 }
 
@@ -288,7 +288,7 @@
 			"propose": func(*rapid.T) { s.propose() },
 			"restart": func(*rapid.T) {
 				m := pick()
-				m.namer = formation.Namer{}
+				m.namer = formation.Elector{}
 				s.start(m)
 			},
 			"all": func(*rapid.T) {
@@ -296,7 +296,7 @@
 					return
 				}
 				for _, m := range s.machines {
-					m.namer = formation.Namer{}
+					m.namer = formation.Elector{}
 					s.start(m)
 				}
 			},
--- a/node/discovery/discovery.go
+++ b/node/discovery/discovery.go
@@ -46,14 +46,14 @@
 	p       Params
 	server  *peer.Server // nil if the control role runs one
 	mu      sync.Mutex   // guards namer
-	elector formation.Namer
+	elector formation.Elector
 	listen  net.Listener
 	cancel  context.CancelFunc
 }
 
 // New returns the service. A process without the control role gets its own peer server.
 func New(p Params) *Service {
-	s := &Service{p: p, elector: formation.Namer{FirstStart: p.Settings.Peers.FirstStart}}
+	s := &Service{p: p, elector: formation.Elector{FirstStart: p.Settings.Peers.FirstStart}}
 	if !p.Settings.Has(settings.Control) {
 		s.server = peer.NewServer()
 		peer.Handle(s.server, peer.MethodWhere, s.handleWhere)
@@ -76,10 +76,10 @@
 	return &peer.Empty{}, nil
 }
 
-func (s *Service) handleHello(_ context.Context, h *formation.Hello) (*formation.Answer, error) {
+func (s *Service) handleHello(_ context.Context, h *formation.Hello) (*formation.HelloReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer := s.elector.Hello(*h)
+	answer := s.elector.HandleHello(*h)
 	return &answer, nil
 }
 
--- a/node/formation/formation.go
+++ b/node/formation/formation.go
@@ -14,38 +14,38 @@
 	Address string `json:"address,omitempty"`
 }
 
-// Answer is the reply of a seed. The zero value carries no information.
-type Answer struct {
+// HelloReply is the reply of a seed. The zero value carries no information.
+type HelloReply struct {
 	Known   bool   `json:"known"`
 	HasDisk bool   `json:"has_disk"`
 	Founder string `json:"founder,omitempty"` // whom a seed without a disk has voted for; it never changes its vote
 }
 
-// Rule is the state of a process with a disk at its first start: what it has learned from the seeds, and what
+// FounderElection is the state of a process with a disk at its first start: what it has learned from the seeds, and what
 // to do next.
-type Rule struct {
+type FounderElection struct {
 	Self  string
 	Seeds []string
 
-	replies map[string]Answer
-	votes   map[string]Answer // replies to vote requests, by seed
+	replies map[string]HelloReply
+	votes   map[string]HelloReply // replies to vote requests, by seed
 }
 
 // Step is the next action of the process. The zero value means to wait, because another process is the
 // founder.
 type Step struct {
-	Found bool
-	Ask   string // address of the seed to query
-	Hello Hello  // the query to send
+	BecomeFounder bool
+	Seed          string // address of the seed to query
+	Hello         Hello  // the query to send
 }
 
-// Heard records the reply of a seed to a query.
-func (r *Rule) Heard(seed string, h Hello, a Answer) {
+// RecordReply records the reply of a seed to a query.
+func (r *FounderElection) RecordReply(seed string, h Hello, a HelloReply) {
 	if !a.Known {
 		return
 	}
 	if r.replies == nil {
-		r.replies, r.votes = map[string]Answer{}, map[string]Answer{}
+		r.replies, r.votes = map[string]HelloReply{}, map[string]HelloReply{}
 	}
 	if h.Address != "" {
 		r.votes[seed] = a
@@ -55,14 +55,14 @@
 }
 
 // Next returns the next step.
-func (r *Rule) Next() Step {
+func (r *FounderElection) Next() Step {
 	for _, seed := range r.Seeds {
 		if seed == r.Self {
-			return Step{Found: true} // all seeds before it have no disk
+			return Step{BecomeFounder: true} // all seeds before it have no disk
 		}
 		a, known := r.replies[seed]
 		if !known {
-			return Step{Ask: seed}
+			return Step{Seed: seed}
 		}
 		if a.HasDisk {
 			return Step{}
@@ -74,33 +74,33 @@
 // requestVotes asks the seeds, none of which has a disk, to vote for this process. They are asked in list
 // order, and a vote for another process ends the round. Otherwise three processes could hold one vote each,
 // and none a majority.
-func (r *Rule) requestVotes() Step {
+func (r *FounderElection) requestVotes() Step {
 	ownVotes := 0
 	for _, seed := range r.Seeds {
 		a, known := r.votes[seed]
 		switch {
 		case !known:
-			return Step{Ask: seed, Hello: Hello{Address: r.Self}}
+			return Step{Seed: seed, Hello: Hello{Address: r.Self}}
 		case a.Founder == r.Self:
 			ownVotes++
 		case a.Founder != "": // a seed that was restarted since the first start votes for nobody
 			return Step{}
 		}
 	}
-	return Step{Found: 2*ownVotes > len(r.Seeds)}
+	return Step{BecomeFounder: 2*ownVotes > len(r.Seeds)}
 }
 
-// Namer is the vote of a seed without a disk. It votes for the first process that requests its vote, but only
+// Elector is the vote of a seed without a disk. It votes for the first process that requests its vote, but only
 // at its first start: after a restart it has forgotten an earlier vote.
-type Namer struct {
+type Elector struct {
 	FirstStart bool
 	votedFor   string
 }
 
-// Hello replies to a query of a process that has a disk.
-func (n *Namer) Hello(h Hello) Answer {
+// HandleHello replies to a query of a process that has a disk.
+func (n *Elector) HandleHello(h Hello) HelloReply {
 	if n.FirstStart && n.votedFor == "" && h.Address != "" {
 		n.votedFor = h.Address
 	}
-	return Answer{Known: true, Founder: n.votedFor}
+	return HelloReply{Known: true, Founder: n.votedFor}
 }
--- a/node/formation/formation_test.go
+++ b/node/formation/formation_test.go
@@ -11,8 +11,8 @@
 type process struct {
 	address string
 	disk    bool
-	rule    Rule
-	namer   Namer
+	rule    FounderElection
+	namer   Elector
 	founded bool
 }
 
@@ -26,7 +26,7 @@
 		procs := map[string]*process{}
 		var all []*process
 		for i := range n {
-			p := &process{address: fmt.Sprint("p", i), disk: rapid.Bool().Draw(t, "disk"), namer: Namer{FirstStart: true}}
+			p := &process{address: fmt.Sprint("p", i), disk: rapid.Bool().Draw(t, "disk"), namer: Elector{FirstStart: true}}
 			procs[p.address] = p
 			all = append(all, p)
 		}
@@ -35,7 +35,7 @@
 			seeds = append(seeds, all[i].address)
 		}
 		for _, p := range all {
-			p.rule = Rule{Self: p.address, Seeds: seeds}
+			p.rule = FounderElection{Self: p.address, Seeds: seeds}
 		}
 		lossy := true
 		step := func(p *process) {
@@ -43,27 +43,27 @@
 				return
 			}
 			s := p.rule.Next()
-			p.founded = s.Found
-			if s.Ask == "" {
+			p.founded = s.BecomeFounder
+			if s.Seed == "" {
 				return
 			}
-			seed := procs[s.Ask]
-			answer := Answer{Known: true, HasDisk: true}
+			seed := procs[s.Seed]
+			answer := HelloReply{Known: true, HasDisk: true}
 			if !seed.disk {
-				answer = seed.namer.Hello(s.Hello)
+				answer = seed.namer.HandleHello(s.Hello)
 			}
 			if lossy && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
-				answer = Answer{}
+				answer = HelloReply{}
 			}
-			p.rule.Heard(s.Ask, s.Hello, answer)
+			p.rule.RecordReply(s.Seed, s.Hello, answer)
 		}
 		restarts := 0
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			p := all[rapid.IntRange(0, n-1).Draw(t, "who")]
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				restarts++
-				p.rule = Rule{Self: p.address, Seeds: seeds}
-				p.namer = Namer{}
+				p.rule = FounderElection{Self: p.address, Seeds: seeds}
+				p.namer = Elector{}
 				continue
 			}
 			step(p)
