--- a/node/admission/admission_test.go
+++ b/node/admission/admission_test.go
@@ -20,7 +20,7 @@
 // told is admitted.
 func TestRateHoldsInAnyWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(rapidtest.Bubbled{TB: t}, func(t *rapid.T) {
+		rapid.Check(rapidtest.NoDeadline{TB: t}, func(t *rapid.T) {
 			n := rapid.IntRange(1, 4).Draw(t, "entries")
 			c := &optext.Customer{Name: "c", Share: 1, Rate: rapid.Float64Range(0.5, 50).Draw(t, "rate")}
 			entries := make([]*Service, n)
--- a/node/internal/rapidtest/rapidtest.go
+++ b/node/internal/rapidtest/rapidtest.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Bubbled hides the deadline of a test, because a synctest bubble must not ask for it.
-type Bubbled struct{ rapid.TB }
+// NoDeadline hides the deadline of a test, because a synctest bubble must not ask for it.
+type NoDeadline struct{ rapid.TB }
 
 // Main runs the tests of a package with its own defaults for the flags of rapid, each written as NAME=VALUE
 // without the prefix "rapid.". Flags on the command line override them. Call it from TestMain.
--- a/node/pipeline/resume_test.go
+++ b/node/pipeline/resume_test.go
@@ -213,7 +213,7 @@
 // stream, under one id, with one role, one finish reason and one final event.
 func TestStreamIsWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(rapidtest.Bubbled{TB: t}, streamIsWhole)
+		rapid.Check(rapidtest.NoDeadline{TB: t}, streamIsWhole)
 	})
 }
 
--- a/node/retry/retry_test.go
+++ b/node/retry/retry_test.go
@@ -17,7 +17,7 @@
 // attempts, and a refusal comes only when that is so.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(rapidtest.Bubbled{TB: t}, func(t *rapid.T) {
+		rapid.Check(rapidtest.NoDeadline{TB: t}, func(t *rapid.T) {
 			percent := rapid.IntRange(0, 100).Draw(t, "percent")
 			b, reserve := NewBudget(percent), 10
 			if rapid.Bool().Draw(t, "of hedges") {
