--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -94,18 +94,18 @@
 		return ExitSettings
 	}
 	k := kernel.New(log)
-	k.Supply(func() *settings.Settings { return set })
-	k.Supply(func() logr.Logger { return log })
-	k.Supply(func() *timeline.Ring { return timeline.NewRing(set.Node.Name, set.Node.VM, set.Node.Timeline) })
-	k.Supply(func() *security.Store { return store })
-	k.Supply(func() peer.Dialer { return store.Dial })
-	k.Supply(func() *peer.Directory { return peer.NewDirectory(set.Peers.Control) })
+	k.Provide(func() *settings.Settings { return set })
+	k.Provide(func() logr.Logger { return log })
+	k.Provide(func() *timeline.Ring { return timeline.NewRing(set.Node.Name, set.Node.VM, set.Node.Timeline) })
+	k.Provide(func() *security.Store { return store })
+	k.Provide(func() peer.Dialer { return store.Dial })
+	k.Provide(func() *peer.Directory { return peer.NewDirectory(set.Peers.Control) })
 	if o.Protocol == nil {
 		o.Protocol = upstream.Native{}
 	}
-	k.Supply(func() upstream.Protocol { return o.Protocol })
-	k.Supply(func() *upstream.Notices { return upstream.NewNotices(log, boottime.System()) })
-	k.Supply(rollout.NewCounter)
+	k.Provide(func() upstream.Protocol { return o.Protocol })
+	k.Provide(func() *upstream.Notices { return upstream.NewNotices(log, boottime.System()) })
+	k.Provide(rollout.NewCounter)
 	if err := k.Add(append(modulesOf(set), o.Extra...)...); err != nil {
 		log.Error(err, "modules")
 		return ExitFailure
--- a/node/kernel/kernel.go
+++ b/node/kernel/kernel.go
@@ -47,12 +47,12 @@
 // New returns a kernel without modules.
 func New(log logr.Logger) *Kernel {
 	k := &Kernel{log: log, container: dig.New(), services: map[string]any{}, failed: make(chan error, 1)}
-	k.Supply(func() *Kernel { return k })
+	k.Provide(func() *Kernel { return k })
 	return k
 }
 
-// Supply registers a constructor for an unnamed value that every module can depend on.
-func (k *Kernel) Supply(constructor any) {
+// Provide registers a constructor for an unnamed value that every module can depend on.
+func (k *Kernel) Provide(constructor any) {
 	if err := k.container.Provide(constructor); err != nil {
 		panic("kernel: " + err.Error())
 	}
