--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -72,7 +72,7 @@
 
 // New returns the service.
 func New(p Params) *Service {
-	t := &http.Transport{DialContext: p.Security.DialNetwork, MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTimeout, DisableCompression: true}
+	t := &http.Transport{DialContext: p.Security.DialContext, MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTimeout, DisableCompression: true}
 	client := &http.Client{Transport: t, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	return &Service{ring: p.Ring, sync: p.Sync, client: client}
 }
--- a/node/security/security.go
+++ b/node/security/security.go
@@ -167,8 +167,8 @@
 	return conn, nil
 }
 
-// DialNetwork is Dial with the signature of http.Transport.DialContext. Requests keep the scheme http; the
+// DialContext is Dial with the signature of http.Transport.DialContext. Requests keep the scheme http; the
 // connection itself is encrypted.
-func (s *Store) DialNetwork(ctx context.Context, _, address string) (net.Conn, error) {
+func (s *Store) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	return s.Dial(ctx, address)
 }
