--- a/ctl/adminclient/adminclient.go
+++ b/ctl/adminclient/adminclient.go
@@ -291,8 +291,8 @@
 	return out, err
 }
 
-// LiftBar releases a call from quarantine.
-func (c *Client) LiftBar(ctx context.Context, f wire.Fingerprint) error {
+// LiftQuarantine releases a call from quarantine.
+func (c *Client) LiftQuarantine(ctx context.Context, f wire.Fingerprint) error {
 	var out struct{}
 	return c.callLeader(ctx, http.MethodDelete, "/v1/quarantine/"+url.PathEscape(string(f)), nil, &out)
 }
@@ -337,8 +337,8 @@
 	return out, err
 }
 
-// EndKey revokes a key after the given time.
-func (c *Client) EndKey(ctx context.Context, id string, after time.Duration) error {
+// RevokeKey revokes a key after the given time.
+func (c *Client) RevokeKey(ctx context.Context, id string, after time.Duration) error {
 	var out struct{}
 	return c.callLeader(ctx, http.MethodDelete, "/v1/keys/"+url.PathEscape(id)+"?after="+after.String(), nil, &out)
 }
--- a/ctl/commands/quarantine.go
+++ b/ctl/commands/quarantine.go
@@ -32,7 +32,7 @@
 		return q.withClient(ctx, printQuarantine)
 	case verb == "lift" && f.NArg() == 2 && name != "":
 		return q.withClient(ctx, func(ctx context.Context, cl *adminclient.Client) error {
-			err := cl.LiftBar(ctx, wire.Fingerprint(name))
+			err := cl.LiftQuarantine(ctx, wire.Fingerprint(name))
 			if err == nil {
 				fmt.Println(name + ": lifted")
 			}
--- a/ctl/commands/teams.go
+++ b/ctl/commands/teams.go
@@ -117,7 +117,7 @@
 	}
 	return k.withClient(ctx, func(ctx context.Context, cl *adminclient.Client) error {
 		if k.end != "" {
-			return cl.EndKey(ctx, k.end, k.after)
+			return cl.RevokeKey(ctx, k.end, k.after)
 		}
 		key, err := cl.AddKey(ctx, k.add)
 		if err == nil {
