--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -41,22 +41,22 @@
 	Body      []byte
 }
 
-// Answer is the response to a request.
-type Answer struct {
+// Response is the response to a request.
+type Response struct {
 	Status     int
 	Verdict    verdict.Verdict
-	Whole      bool // status 200 and received to its end
+	Complete   bool // status 200 and received to its end
 	Replayed   bool
 	RetryAfter string
 	RequestID  string
 	Body       []byte
 	FirstByte  time.Duration
-	Took       time.Duration
+	Duration   time.Duration
 }
 
-// Send sends r and reads the response to its end. A truncated response is no error, but is not Whole. An
+// Send sends r and reads the response to its end. A truncated response is no error, but is not Complete. An
 // error means that there was no response.
-func (c *Client) Send(ctx context.Context, r Request) (*Answer, error) {
+func (c *Client) Send(ctx context.Context, r Request) (*Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Entry+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -75,14 +75,14 @@
 		return nil, errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	a := &Answer{Status: resp.StatusCode, Verdict: verdict.Parse(resp.Header.Get(wire.HeaderVerdict)),
+	a := &Response{Status: resp.StatusCode, Verdict: verdict.Parse(resp.Header.Get(wire.HeaderVerdict)),
 		Replayed: resp.Header.Get(wire.HeaderReplayed) == "true", RetryAfter: resp.Header.Get(wire.HeaderRetryAfter),
 		RequestID: resp.Header.Get(wire.HeaderRequestID), FirstByte: time.Since(started)}
 	a.Body, err = io.ReadAll(resp.Body)
-	a.Took = time.Since(started)
-	a.Whole = err == nil && resp.StatusCode == http.StatusOK
+	a.Duration = time.Since(started)
+	a.Complete = err == nil && resp.StatusCode == http.StatusOK
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), wire.ContentEventStream) {
-		a.Whole = a.Whole && bytes.HasSuffix(bytes.TrimSpace(a.Body), []byte(wire.EndStreamOfChat))
+		a.Complete = a.Complete && bytes.HasSuffix(bytes.TrimSpace(a.Body), []byte(wire.EndStreamOfChat))
 	}
 	return a, nil
 }
--- a/ctl/commands/demo.go
+++ b/ctl/commands/demo.go
@@ -96,12 +96,12 @@
 	sent, completed int
 }
 
-func (r *demoRun) send(ctx context.Context, req client.Request) (*client.Answer, error) {
+func (r *demoRun) send(ctx context.Context, req client.Request) (*client.Response, error) {
 	a, err := r.http.Send(ctx, req)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent++
-	if err == nil && a.Whole {
+	if err == nil && a.Complete {
 		r.completed++
 	}
 	return a, err
@@ -120,7 +120,7 @@
 	Stream bool   `json:"stream"`
 }
 
-func (r *demoRun) pipelineCall(ctx context.Context, entry, query string, stream bool) (*client.Answer, error) {
+func (r *demoRun) pipelineCall(ctx context.Context, entry, query string, stream bool) (*client.Response, error) {
 	return r.send(ctx, client.Request{Entry: entry, Path: "/v1/pipelines/quote", Customer: "foundry", Body: mustJSON(pipelineBody{query, stream})})
 }
 
@@ -131,10 +131,10 @@
 	}
 	r.firstRequestID = a.RequestID
 	text, err := client.ChatText(a.Body)
-	if err != nil || !a.Whole || text == "" {
+	if err != nil || !a.Complete || text == "" {
 		return fmt.Errorf("incomplete: status %d, %s (%v)", a.Status, a.Body, err)
 	}
-	fmt.Printf("status %d, verdict %s, first byte after %s, complete after %s\n%s\n", a.Status, a.Verdict, a.FirstByte.Round(time.Millisecond), a.Took.Round(time.Millisecond), text)
+	fmt.Printf("status %d, verdict %s, first byte after %s, complete after %s\n%s\n", a.Status, a.Verdict, a.FirstByte.Round(time.Millisecond), a.Duration.Round(time.Millisecond), text)
 	return nil
 }
 
@@ -230,7 +230,7 @@
 			for i := range jobs {
 				query := fmt.Sprintf("request %d", i)
 				a, err := r.pipelineCall(ctx, r.entries[i%2], query, i%4 == 0)
-				if err != nil || !a.Whole || !isExpectedAnswer(a.Body, query) {
+				if err != nil || !a.Complete || !isExpectedAnswer(a.Body, query) {
 					mu.Lock()
 					bad = append(bad, fmt.Sprintf("request %d: %v %+v", i, err, a))
 					mu.Unlock()
--- a/ctl/orderstest/orders_test.go
+++ b/ctl/orderstest/orders_test.go
@@ -13,11 +13,11 @@
 
 const chatBody = `{"model":"chat","messages":[{"role":"user","content":"hello"}]}`
 
-func (c *cluster) chat(ctx context.Context, cl *client.Client) (*client.Answer, error) {
+func (c *cluster) chat(ctx context.Context, cl *client.Client) (*client.Response, error) {
 	return cl.Send(ctx, client.Request{Entry: c.entry, Path: "/v1/chat/completions", Customer: "desk", Body: []byte(chatBody)})
 }
 
-func isExpectedAnswer(a *client.Answer) bool {
+func isExpectedAnswer(a *client.Response) bool {
 	text, err := client.ChatText(a.Body)
 	return err == nil && text == standin.Text("user:hello\n", 16)
 }
@@ -44,7 +44,7 @@
 			a, err := c.chat(context.Background(), cl)
 			tr.mu.Lock()
 			switch {
-			case err == nil && a.Whole && isExpectedAnswer(a):
+			case err == nil && a.Complete && isExpectedAnswer(a):
 				tr.whole++
 			case err == nil && a.Verdict == verdict.NotRun:
 				tr.refused++
@@ -76,7 +76,7 @@
 	cl := client.New()
 	c.eventually("a response arrives", func(ctx context.Context) bool {
 		a, err := c.chat(ctx, cl)
-		return err == nil && a.Whole && isExpectedAnswer(a)
+		return err == nil && a.Complete && isExpectedAnswer(a)
 	})
 
 	t.Log("an engine that lost its model is loaded again")
@@ -145,7 +145,7 @@
 	})
 	c.eventually("the service responds again", func(ctx context.Context) bool {
 		a, err := c.chat(ctx, cl)
-		return err == nil && a.Whole && isExpectedAnswer(a)
+		return err == nil && a.Complete && isExpectedAnswer(a)
 	})
 	t.Logf("%d orders in total", c.checkLogs())
 }
--- a/e2e/harness/load.go
+++ b/e2e/harness/load.go
@@ -118,23 +118,23 @@
 }
 
 // send returns nil when no whole answer came back over the connection.
-func (l *Load) send(i int64, r client.Request) *client.Answer {
+func (l *Load) send(i int64, r client.Request) *client.Response {
 	e := l.entry(i)
 	r.Entry, r.Customer, r.Timeout = e.Address, Customer, requestTimeout
 	ctx, cancel := context.WithTimeout(context.Background(), giveUp)
 	defer cancel()
 	a, err := l.client.Send(ctx, r)
 	switch {
-	case err != nil, a.Status == 200 && !a.Whole:
+	case err != nil, a.Status == 200 && !a.Complete:
 		l.Lost.Add(1)
 		if l.strict {
 			l.s.T.Errorf("lost through %s: %v %+v", e.Name, err, a)
 		}
 		time.Sleep(resendPause)
 		return nil
-	case a.Whole && r.Key != "":
+	case a.Complete && r.Key != "":
 		l.Confirmed.Add(1)
-	case a.Whole:
+	case a.Complete:
 		l.Answered.Add(1)
 	default:
 		l.Refused.Add(1)
@@ -168,13 +168,13 @@
 // that "not run" can be checked.
 const leftOut = 2
 
-func (l *Load) sendKey(i int64, c *confirmation) *client.Answer {
+func (l *Load) sendKey(i int64, c *confirmation) *client.Response {
 	a := l.send(i, client.Request{Path: "/v1/services/" + Desk + "/confirm", Key: c.key, Body: []byte(c.body)})
 	if a == nil {
 		return nil
 	}
 	switch {
-	case a.Whole:
+	case a.Complete:
 		l.check(c, a)
 	case a.Verdict == verdict.MayHaveRun && a.RetryAfter == "":
 		c.unknown = true // final: the outcome is lost with its gate
@@ -182,7 +182,7 @@
 	return a
 }
 
-func (l *Load) check(c *confirmation, a *client.Answer) {
+func (l *Load) check(c *confirmation, a *client.Response) {
 	var got struct {
 		Confirmation string `json:"confirmation"`
 		Run          int    `json:"run"`
@@ -209,7 +209,7 @@
 		want = standin.PipelineText(prompt, Tokens)
 	}
 	a := l.send(i, r)
-	if a == nil || !a.Whole {
+	if a == nil || !a.Complete {
 		return
 	}
 	if text, err := client.ChatText(a.Body); err != nil || text != want {
@@ -247,7 +247,7 @@
 	}
 	end := time.Now().Add(hungAfter)
 	for i := int64(0); time.Now().Before(end); i++ {
-		if a := l.sendKey(i, c); a != nil && (a.Whole || c.unknown) {
+		if a := l.sendKey(i, c); a != nil && (a.Complete || c.unknown) {
 			return
 		}
 	}
--- a/e2e/quorum_test.go
+++ b/e2e/quorum_test.go
@@ -19,7 +19,7 @@
 	c := client.New()
 	const patience = time.Minute
 	body := `{"lot":"no-quorum"}`
-	send := func() (*client.Answer, time.Duration) {
+	send := func() (*client.Response, time.Duration) {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
 		started := time.Now()
@@ -34,14 +34,14 @@
 	for range 3 {
 		a, took := send()
 		t.Logf("%d %s, come back after %s s: %s", a.Status, a.Verdict, a.RetryAfter, took)
-		if a.Whole || a.Verdict != verdict.NotRun || a.RetryAfter == "" || took > patience/2 {
+		if a.Complete || a.Verdict != verdict.NotRun || a.RetryAfter == "" || took > patience/2 {
 			t.Fatalf("without a quorum: %+v after %s", a, took)
 		}
 	}
 	harness.Together(s.Controls[1:], func(c *harness.Control) { c.Start() })
 	s.Leader()
 	harness.Eventually(t, func() string {
-		if a, _ := send(); !a.Whole {
+		if a, _ := send(); !a.Complete {
 			return "a whole answer"
 		}
 		return ""
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -54,11 +54,11 @@
 		if status := p.Stop(); status != 0 {
 			t.Errorf("%s: exit status %d", p.Name, status)
 		}
-		if a := <-confirmed; a == nil || !a.Whole || s.Runs.Of(role) != 1 {
+		if a := <-confirmed; a == nil || !a.Complete || s.Runs.Of(role) != 1 {
 			t.Errorf("confirmation while %s stopped: %+v, %d runs", p.Name, a, s.Runs.Of(role))
 		}
 		a := <-streamed
-		if a == nil || !a.Whole {
+		if a == nil || !a.Complete {
 			t.Errorf("stream while %s stopped: %+v", p.Name, a)
 		} else if text, err := client.ChatText(a.Body); err != nil || text != standin.Text("user:"+role+"\n", harness.Tokens) {
 			t.Errorf("stream while %s stopped: %q, %v", p.Name, text, err)
@@ -78,7 +78,7 @@
 // inFlight sends the request until the upstream has begun with it, and returns
 // where its answer comes. An entry that has not heard yet of an agent that just
 // joined refuses it as not run; any other answer before the beginning fails.
-func inFlight(t *testing.T, began <-chan string, r client.Request) <-chan *client.Answer {
+func inFlight(t *testing.T, began <-chan string, r client.Request) <-chan *client.Response {
 	t.Helper()
 	hung := time.After(hungAfter)
 	for {
@@ -97,8 +97,8 @@
 	}
 }
 
-func sendAside(t *testing.T, r client.Request) <-chan *client.Answer {
-	out := make(chan *client.Answer, 1)
+func sendAside(t *testing.T, r client.Request) <-chan *client.Response {
+	out := make(chan *client.Response, 1)
 	r.Customer, r.Timeout = harness.Customer, 10*longWork
 	go func() {
 		c := client.New()
