--- a/ctl/bench/bench.go
+++ b/ctl/bench/bench.go
@@ -23,7 +23,7 @@
 	Deployment   Deployment
 	Scenarios    []Scenario
 	Policies     []Policy
-	Text         string // operator configuration, which the policies modify
+	ConfigText   string // operator configuration, which the policies modify
 	Repeats      int
 	Seed         uint64
 	Entries      []string // addresses
@@ -128,7 +128,7 @@
 	r.Runs++
 	r.Hits += (t.cacheHitRatio() - r.Hits) / float64(r.Runs)
 	r.Ideal += (ideal - r.Ideal) / float64(r.Runs)
-	r.Seconds += (totalDuration(sc.Profile) - sc.Warm).Seconds()
+	r.Seconds += (totalDuration(sc.Profile) - sc.Warmup).Seconds()
 	return b.standins.reset(ctx)
 }
 
@@ -136,7 +136,7 @@
 	if err := b.standins.reset(ctx); err != nil {
 		return err
 	}
-	text, err := p.Apply(b.config.Text)
+	text, err := p.Apply(b.config.ConfigText)
 	if err != nil {
 		return err
 	}
--- a/ctl/bench/bench_test.go
+++ b/ctl/bench/bench_test.go
@@ -51,7 +51,7 @@
 			offered, fitting := 0.0, 0.0
 			for i, w := range workByRequest(d, schedule) {
 				offered += w[engineService]
-				if schedule[i].Fits {
+				if schedule[i].FitsCapacity {
 					fitting += w[engineService]
 				}
 			}
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, err := d.Text(string(source))
+		text, err := d.ConfigText(string(source))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,7 +122,7 @@
 
 func (s stalled) Send(context.Context, *Request, time.Time) Reply {
 	<-s.release
-	return Reply{Whole: true, Answered: true}
+	return Reply{Complete: true, Answered: true}
 }
 
 // TestStallShowsInEveryDelayedRequest sends 10 requests, 100 ms apart, to a server that stalls for 2 s. A
@@ -167,15 +167,15 @@
 	quote := &Flow{Name: "quote", Deadline: time.Second, Services: []string{"encoder", engineService}}
 	keyedFlow := &Flow{Name: "confirm", Deadline: time.Second, Services: []string{"desk"}}
 	refused := Reply{Answered: true, Verdict: verdict.NotRun, Sends: 1}
-	whole := Reply{Answered: true, Whole: true, Text: "right", Sends: 1}
+	whole := Reply{Answered: true, Complete: true, Text: "right", Sends: 1}
 	outcomes := []Outcome{
 		{Request: &Request{ID: "never", Flow: quote}, Reply: refused},
 		{Request: &Request{ID: "encoded", Flow: quote}, Reply: refused},
 		{Request: &Request{ID: "generated", Flow: quote}, Reply: refused},
-		{Request: &Request{ID: "whole", Flow: quote, Expect: "right"}, Reply: whole},
-		{Request: &Request{ID: "crossed", Flow: quote, Expect: "other"}, Reply: whole},
-		{Request: &Request{ID: "twice", Key: "twice", Body: []byte("twice"), Flow: keyedFlow, Expect: "right"}, Reply: whole},
-		{Request: &Request{ID: "phantom", Key: "phantom", Body: []byte("phantom"), Flow: keyedFlow, Expect: "right"}, Reply: whole},
+		{Request: &Request{ID: "whole", Flow: quote, Expected: "right"}, Reply: whole},
+		{Request: &Request{ID: "crossed", Flow: quote, Expected: "other"}, Reply: whole},
+		{Request: &Request{ID: "twice", Key: "twice", Body: []byte("twice"), Flow: keyedFlow, Expected: "right"}, Reply: whole},
+		{Request: &Request{ID: "phantom", Key: "phantom", Body: []byte("phantom"), Flow: keyedFlow, Expected: "right"}, Reply: whole},
 	}
 	record := func(id string, runs, completed int, longest, held time.Duration) standin.RunRecord {
 		return standin.RunRecord{Request: id, Runs: runs, Completed: completed, Longest: longest, Held: held}
@@ -202,12 +202,12 @@
 func TestStreamIsWholeOnlyWithItsFinalEvent(t *testing.T) {
 	const event = "data: {\"choices\":[{\"delta\":{\"content\":\"a \"}}]}\n\n"
 	for body, want := range map[string]Reply{
-		event + event + "data: [DONE]\n\n": {Whole: true, Text: "a a "},
+		event + event + "data: [DONE]\n\n": {Complete: true, Text: "a a "},
 		event + event:                      {Text: "a a "},
 	} {
 		var got Reply
 		got.readStream(strings.NewReader(body))
-		if got.Whole != want.Whole || got.Text != want.Text || len(got.Gaps) != 1 {
+		if got.Complete != want.Complete || got.Text != want.Text || len(got.TokenGaps) != 1 {
 			t.Errorf("%q: %+v", body, got)
 		}
 	}
--- a/ctl/bench/capacity.go
+++ b/ctl/bench/capacity.go
@@ -49,9 +49,9 @@
 	rates := map[string]float64{}
 	for _, f := range d.Flows {
 		p := d.Pool(f.Home)
-		rates[f.Name] = f.Part * float64(p.Count) / p.work(f.Median, f.Median, f.Tokens)
+		rates[f.Name] = f.CapacityShare * float64(p.Count) / p.work(f.Median, f.Median, f.Tokens)
 	}
-	trial := Plan{Deployment: d, Scenario: Scenario{Name: "trial", Profile: constantLoad(trialTime, 1), ChatHeavy: sc.ChatHeavy}, Seed: seed, Tag: "trial", Rates: rates}
+	trial := Plan{Deployment: d, Scenario: Scenario{Name: "trial", Profile: constantLoad(trialTime, 1), LongPrompts: sc.LongPrompts}, Seed: seed, Tag: "trial", Rates: rates}
 	schedule := trial.Schedule()
 	sum, count := map[string]float64{}, map[string]float64{}
 	for i, w := range workByRequest(d, schedule) {
@@ -60,7 +60,7 @@
 		count[f.Name]++
 	}
 	for _, f := range d.Flows {
-		rates[f.Name] = f.Part * float64(d.Pool(f.Home).Count) * count[f.Name] / sum[f.Name]
+		rates[f.Name] = f.CapacityShare * float64(d.Pool(f.Home).Count) * count[f.Name] / sum[f.Name]
 	}
 	return rates
 }
@@ -84,7 +84,7 @@
 		switch {
 		case !r.Customer.Large:
 			return 0
-		case p.Scenario.Flood > 0 && r.Customer == p.Deployment.Customers[0]:
+		case p.Scenario.FloodLoad > 0 && r.Customer == p.Deployment.Customers[0]:
 			return 2
 		default:
 			return 1
@@ -103,7 +103,7 @@
 		if n == 0 || slot(i) != slot(index[n-1]) {
 			left = p.capacityAt(schedule[i].At)
 		}
-		schedule[i].Fits = reserve(left, work[i])
+		schedule[i].FitsCapacity = reserve(left, work[i])
 	}
 }
 
--- a/ctl/bench/deployment.go
+++ b/ctl/bench/deployment.go
@@ -52,17 +52,17 @@
 
 // Flow is a type of request with its rate and sizes.
 type Flow struct {
-	Name     string
-	Call     Call
-	Target   string
-	Deadline time.Duration
-	Home     string   // service whose capacity determines the flow's rate
-	Part     float64  // share of the home service's capacity at load 1
-	Services []string // all services that a request uses, in order
-	Tokens   int      // tokens of the response; pipelines use the default of the engines
-	Median   int      // median query size, bytes
-	Sigma    float64  // sigma of the log-normal query size (heavy-tailed)
-	Max      int      // maximum query size, bytes
+	Name          string
+	Call          Call
+	Target        string
+	Deadline      time.Duration
+	Home          string   // service whose capacity determines the flow's rate
+	CapacityShare float64  // share of the home service's capacity at load 1
+	Services      []string // all services that a request uses, in order
+	Tokens        int      // tokens of the response; pipelines use the default of the engines
+	Median        int      // median query size, bytes
+	Sigma         float64  // sigma of the log-normal query size (heavy-tailed)
+	Max           int      // maximum query size, bytes
 
 	Documents int  // number of documents in the prompt of a pipeline's generate stage
 	Reranked  bool // whether a reranker reverses the order of the documents
@@ -105,11 +105,11 @@
 			servicePool("price-list", standin.KindPlain, 5, 1, 100*ms, 0),
 		},
 		Flows: []Flow{
-			{Name: "quote", Call: CallPipeline, Target: "quote", Deadline: 3 * time.Second, Home: engineService, Part: 0.4, Tokens: engineTokens,
+			{Name: "quote", Call: CallPipeline, Target: "quote", Deadline: 3 * time.Second, Home: engineService, CapacityShare: 0.4, Tokens: engineTokens,
 				Services: []string{"encoder", "retriever", "reranker", engineService}, Median: 150, Sigma: 1, Max: 3000, Documents: standin.DefaultDocuments, Reranked: true},
-			{Name: "chat", Call: CallChat, Target: "buyer-chat", Deadline: 2 * time.Second, Home: engineService, Part: 0.4, Tokens: engineTokens,
+			{Name: "chat", Call: CallChat, Target: "buyer-chat", Deadline: 2 * time.Second, Home: engineService, CapacityShare: 0.4, Tokens: engineTokens,
 				Services: []string{engineService}, Median: 80, Sigma: 0.5, Max: 400},
-			{Name: "certificate", Call: CallPipeline, Target: "certificate-check", Deadline: 5 * time.Second, Home: engineService, Part: 0.2, Tokens: engineTokens,
+			{Name: "certificate", Call: CallPipeline, Target: "certificate-check", Deadline: 5 * time.Second, Home: engineService, CapacityShare: 0.2, Tokens: engineTokens,
 				Services: []string{"encoder", engineService}, Median: 400, Sigma: 1, Max: 6000},
 			keyedServiceFlow("confirm", "order-desk", time.Second),
 			plainServiceFlow("batch-traceability"), plainServiceFlow("certificate-archive"), plainServiceFlow("price-list"),
@@ -134,11 +134,11 @@
 			servicePool("buyer-portal", standin.KindPlain, 5, 1, 100*ms, 0),
 		},
 		Flows: []Flow{
-			{Name: "dispute", Call: CallChat, Target: "dispute-reply", Deadline: 2 * time.Second, Home: engineService, Part: 0.3, Tokens: engineTokens,
+			{Name: "dispute", Call: CallChat, Target: "dispute-reply", Deadline: 2 * time.Second, Home: engineService, CapacityShare: 0.3, Tokens: engineTokens,
 				Services: []string{engineService}, Median: 120, Sigma: 0.5, Max: 500},
-			{Name: "quality", Call: CallPipeline, Target: "quality-summary", Deadline: 5 * time.Second, Home: engineService, Part: 0.4, Tokens: engineTokens,
+			{Name: "quality", Call: CallPipeline, Target: "quality-summary", Deadline: 5 * time.Second, Home: engineService, CapacityShare: 0.4, Tokens: engineTokens,
 				Services: []string{"encoder", "retriever", engineService}, Median: 150, Sigma: 1, Max: 3000, Documents: standin.DefaultDocuments},
-			{Name: "lot", Call: CallPipeline, Target: "lot-description", Deadline: 5 * time.Second, Home: engineService, Part: 0.3, Tokens: engineTokens,
+			{Name: "lot", Call: CallPipeline, Target: "lot-description", Deadline: 5 * time.Second, Home: engineService, CapacityShare: 0.3, Tokens: engineTokens,
 				Services: []string{engineService}, Median: 300, Sigma: 1, Max: 3000},
 			keyedServiceFlow("bid", "clock-bidding", 600*ms),
 			plainServiceFlow("grower-ledger"), plainServiceFlow("trolley-logistics"), plainServiceFlow("buyer-portal"),
@@ -150,11 +150,11 @@
 const maxPlainUtilization = 0.85 // random service times saturate a pool below a utilization of 1
 
 func keyedServiceFlow(name, service string, deadline time.Duration) Flow {
-	return Flow{Name: name, Call: CallKeyed, Target: service, Deadline: deadline, Home: service, Part: maxPlainUtilization, Services: []string{service}, Median: 40, Max: 80}
+	return Flow{Name: name, Call: CallKeyed, Target: service, Deadline: deadline, Home: service, CapacityShare: maxPlainUtilization, Services: []string{service}, Median: 40, Max: 80}
 }
 
 func plainServiceFlow(service string) Flow {
-	return Flow{Name: service, Call: CallPlain, Target: service, Deadline: time.Second, Home: service, Part: maxPlainUtilization, Services: []string{service}, Median: 40, Max: 80}
+	return Flow{Name: service, Call: CallPlain, Target: service, Deadline: time.Second, Home: service, CapacityShare: maxPlainUtilization, Services: []string{service}, Median: 40, Max: 80}
 }
 
 // ByName returns the named deployment.
--- a/ctl/bench/plot.go
+++ b/ctl/bench/plot.go
@@ -62,7 +62,7 @@
 	for _, x := range r.Results {
 		scenarios = add(scenarios, "scenario ", x.Scenario)
 		policies = add(policies, "policy ", x.Policy)
-		value[x.Scenario+" "+x.Policy] = x.Within(d)
+		value[x.Scenario+" "+x.Policy] = x.AttainmentOfCapacity(d)
 	}
 	return scenarios, policies, value
 }
--- a/ctl/bench/report.go
+++ b/ctl/bench/report.go
@@ -46,9 +46,9 @@
 	fmt.Fprintln(w, tableHead)
 	for _, x := range r.Results {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%.0f/%.0f/%.0f\t%.0f\t%.1f\n",
-			x.Scenario, x.Policy, x.Total.Offered, percent(x.Total.Of()), percent(x.Within(d)), percent(x.SmallestShare(d)),
-			x.Refused, x.Late, x.Failed, x.Wrong, x.Doubled, x.FalseNotRun, x.PartlyRun, percent(x.Extra()), percent(x.HitsOfIdeal()),
-			x.FirstToken.P50, x.FirstToken.P95, x.FirstToken.P99, x.BetweenToken.P99, x.Held())
+			x.Scenario, x.Policy, x.Total.Offered, percent(x.Total.Attainment()), percent(x.AttainmentOfCapacity(d)), percent(x.SmallestShare(d)),
+			x.Refused, x.Late, x.Failed, x.Wrong, x.Doubled, x.FalseNotRun, x.PartlyRun, percent(x.ExtraShare()), percent(x.HitsOfIdeal()),
+			x.FirstToken.P50, x.FirstToken.P95, x.FirstToken.P99, x.BetweenToken.P99, x.HeldSeconds())
 	}
 	w.Flush()
 	r.writeNotes(out)
@@ -116,7 +116,7 @@
 func writeCounts(out io.Writer, kind string, m map[string]*Count) {
 	for _, k := range sortedKeys(m) {
 		c := m[k]
-		fmt.Fprintf(out, "  %s %s: offered %d, attained %s, within capacity %s\n", kind, k, c.Offered, percent(c.Of()), percent(c.Within()))
+		fmt.Fprintf(out, "  %s %s: offered %d, attained %s, within capacity %s\n", kind, k, c.Offered, percent(c.Attainment()), percent(c.AttainmentOfCapacity()))
 	}
 }
 
--- a/ctl/bench/result.go
+++ b/ctl/bench/result.go
@@ -21,11 +21,11 @@
 	c.FittingAttained += o.FittingAttained
 }
 
-// Of returns the fraction of the offered requests that were attained.
-func (c Count) Of() float64 { return ratio(c.Attained, c.Offered) }
+// Attainment returns the fraction of the offered requests that were attained.
+func (c Count) Attainment() float64 { return ratio(c.Attained, c.Offered) }
 
-// Within returns the attained requests relative to those within capacity, at most 1.
-func (c Count) Within() float64 { return min(1, ratio(c.Attained, c.Fitting)) }
+// AttainmentOfCapacity returns the attained requests relative to those within capacity, at most 1.
+func (c Count) AttainmentOfCapacity() float64 { return min(1, ratio(c.Attained, c.Fitting)) }
 
 func ratio(n, of int) float64 {
 	if of == 0 {
@@ -109,8 +109,8 @@
 		first: newHistogram(), between: newHistogram(), latency: newHistogram()}
 }
 
-// Extra returns the fraction of the slot time that was spent on hedges and retries.
-func (r *Result) Extra() float64 {
+// ExtraShare returns the fraction of the slot time that was spent on hedges and retries.
+func (r *Result) ExtraShare() float64 {
 	var extra, held float64
 	for _, c := range r.Costs {
 		extra += c.Extra
@@ -122,8 +122,8 @@
 	return extra / held
 }
 
-// Held returns the slot time over all services, in seconds.
-func (r *Result) Held() float64 {
+// HeldSeconds returns the slot time over all services, in seconds.
+func (r *Result) HeldSeconds() float64 {
 	var held float64
 	for _, c := range r.Costs {
 		held += c.Held
@@ -139,10 +139,10 @@
 	return r.Hits / r.Ideal
 }
 
-// Within returns the attained requests relative to those within capacity. Flows with the same home service
+// AttainmentOfCapacity returns the attained requests relative to those within capacity. Flows with the same home service
 // compensate for each other, because the system may choose which requests of an overload to attain; different
 // services do not.
-func (r *Result) Within(d Deployment) float64 {
+func (r *Result) AttainmentOfCapacity(d Deployment) float64 {
 	home := map[string]*Count{}
 	for _, f := range d.Flows {
 		if n := r.ByFlow[f.Name]; n != nil {
@@ -163,7 +163,7 @@
 	worst := 1.0
 	for _, c := range d.Customers {
 		if n := r.ByCustomer[c.Name]; n != nil && !c.Large {
-			worst = min(worst, n.Of())
+			worst = min(worst, n.Attainment())
 		}
 	}
 	return worst
@@ -178,7 +178,7 @@
 
 // count adds an outcome, unless its request belongs to the warm-up.
 func (r *Result) count(o Outcome) {
-	if o.Request.Warm {
+	if o.Request.Warmup {
 		return
 	}
 	class := o.Class()
@@ -186,16 +186,16 @@
 	if class == Attained {
 		one.Attained = 1
 	}
-	if o.Request.Fits {
+	if o.Request.FitsCapacity {
 		one.Fitting, one.FittingAttained = 1, one.Attained
 	}
 	r.Total.add(one)
 	countFor(r.ByFlow, o.Request.Flow.Name).add(one)
 	countFor(r.ByCustomer, o.Request.Customer.Name).add(one)
-	if o.Late > generatorLate {
+	if o.StartDelay > generatorLate {
 		r.GeneratorLate++
 	}
-	r.Cut += o.Reply.Cuts
+	r.Cut += o.Reply.TruncatedSends
 	if o.Reply.Sends > 1 {
 		r.Resent++
 	}
@@ -229,10 +229,10 @@
 	case Wrong:
 		r.Wrong++
 		if len(r.WrongAnswers) < maxWrongKept {
-			r.WrongAnswers = append(r.WrongAnswers, WrongAnswer{o.Request.ID, o.Request.Flow.Name, o.Reply.Sends, o.Request.Expect, o.Reply.Text})
+			r.WrongAnswers = append(r.WrongAnswers, WrongAnswer{o.Request.ID, o.Request.Flow.Name, o.Reply.Sends, o.Request.Expected, o.Reply.Text})
 		}
 	}
-	if o.Reply.Whole {
+	if o.Reply.Complete {
 		return
 	}
 	verdictName := "no answer"
@@ -254,13 +254,13 @@
 }
 
 func (r *Result) recordLatencies(o Outcome) {
-	if o.First > 0 {
-		record(r.first, o.First)
+	if o.FirstToken > 0 {
+		record(r.first, o.FirstToken)
 	}
-	for _, g := range o.Reply.Gaps {
+	for _, g := range o.Reply.TokenGaps {
 		record(r.between, g)
 	}
-	if o.Reply.Whole {
+	if o.Reply.Complete {
 		record(r.latency, o.Latency)
 	}
 }
--- a/ctl/bench/runner.go
+++ b/ctl/bench/runner.go
@@ -12,17 +12,17 @@
 
 // Reply is the result of a request, possibly after several sends.
 type Reply struct {
-	Status   int
-	Verdict  verdict.Verdict
-	Cut      bool // the event stream of the last send was truncated
-	Whole    bool
-	Text     string          // generated text or confirmation
-	First    time.Time       // time of the first token; zero if there was none
-	Gaps     []time.Duration // times between tokens
-	Sends    int
-	Cuts     int    // truncated event streams over all sends
-	Reason   string // reason of a failure
-	Answered bool   // an entry responded, with any status
+	Status         int
+	Verdict        verdict.Verdict
+	Truncated      bool // the event stream of the last send was truncated
+	Complete       bool
+	Text           string          // generated text or confirmation
+	FirstToken     time.Time       // time of the first token; zero if there was none
+	TokenGaps      []time.Duration // times between tokens
+	Sends          int
+	TruncatedSends int    // truncated event streams over all sends
+	Reason         string // reason of a failure
+	Answered       bool   // an entry responded, with any status
 }
 
 // Sender sends a request with the remaining time of its deadline and waits for the reply.
@@ -32,11 +32,11 @@
 
 // Outcome is a request with its reply. Times are measured from the intended start.
 type Outcome struct {
-	Request *Request
-	Reply   Reply
-	Late    time.Duration // delay of the actual start
-	Latency time.Duration
-	First   time.Duration // time to the first token; zero if there was none
+	Request    *Request
+	Reply      Reply
+	StartDelay time.Duration // delay of the actual start
+	Latency    time.Duration
+	FirstToken time.Duration // time to the first token; zero if there was none
 }
 
 // Run sends every request of the schedule at its time, regardless of earlier replies (an open loop), and
@@ -59,11 +59,11 @@
 }
 
 func perform(ctx context.Context, clock clockwork.Clock, r *Request, due time.Time, sender Sender) Outcome {
-	o := Outcome{Request: r, Late: clock.Since(due)}
+	o := Outcome{Request: r, StartDelay: clock.Since(due)}
 	o.Reply = sender.Send(ctx, r, due.Add(r.Flow.Deadline))
 	o.Latency = clock.Since(due)
-	if !o.Reply.First.IsZero() {
-		o.First = o.Reply.First.Sub(due)
+	if !o.Reply.FirstToken.IsZero() {
+		o.FirstToken = o.Reply.FirstToken.Sub(due)
 	}
 	return o
 }
@@ -83,11 +83,11 @@
 // Class returns the class of the outcome.
 func (o Outcome) Class() Class {
 	switch {
-	case o.Reply.Whole && o.Reply.Text != o.Request.Expect:
+	case o.Reply.Complete && o.Reply.Text != o.Request.Expected:
 		return Wrong
-	case o.Reply.Whole && o.Latency <= o.Request.Flow.Deadline:
+	case o.Reply.Complete && o.Latency <= o.Request.Flow.Deadline:
 		return Attained
-	case o.Reply.Whole:
+	case o.Reply.Complete:
 		return TooLate
 	case o.Reply.Answered && o.Reply.Verdict == verdict.NotRun:
 		return Refused
--- a/ctl/bench/scenario.go
+++ b/ctl/bench/scenario.go
@@ -10,17 +10,17 @@
 
 // Scenario is a load profile with faults.
 type Scenario struct {
-	Name       string
-	Assumption string // assumption about the capacity, shown in reports
-	Profile    []Segment
-	Warm       time.Duration // duration of the warm-up, which is not measured
-	Faults     []TimedFault
-	Flood      float64 // load of the first customer if it floods the system
-	OnOff      time.Duration
-	ChatHeavy  bool // chats have long shared system prompts
-	LoadLag    time.Duration
-	KillEntry  time.Duration // when an entry is killed; zero for never
-	Main       bool          // included in "main", the short selection
+	Name        string
+	Assumption  string // assumption about the capacity, shown in reports
+	Profile     []Segment
+	Warmup      time.Duration // duration of the warm-up, which is not measured
+	Faults      []TimedFault
+	FloodLoad   float64 // load of the first customer if it floods the system
+	OnOff       time.Duration
+	LongPrompts bool // chats have long shared system prompts
+	LoadLag     time.Duration
+	KillEntry   time.Duration // when an entry is killed; zero for never
+	Main        bool          // included in "main", the short selection
 }
 
 // TimedFault is a fault that lasts from At to the end of the run.
@@ -96,16 +96,16 @@
 			Assumption: "load 0.5; an engine and a repeatable plain upstream accept and never answer, and count nothing"},
 		{Name: "refusing", Profile: constantLoad(whole, 0.5), Faults: []TimedFault{{At: at, Role: RoleEngine, Fault: standin.Fault{Error: 1}}, {At: at, Role: RolePlain, Fault: standin.Fault{Error: 1}}},
 			Assumption: "load 0.5; an engine and a repeatable plain upstream answer 500 at once with good health checks, and count nothing"},
-		{Name: "flood", Main: true, Profile: constantLoad(whole, 0.5), Flood: 2.5,
+		{Name: "flood", Main: true, Profile: constantLoad(whole, 0.5), FloodLoad: 2.5,
 			Assumption: "four customers at their part of load 0.5; one large customer at 2.5 times the capacity, last in what counts as within"},
-		{Name: "chat-cache", Main: true, Profile: constantLoad(whole, 0.6), ChatHeavy: true,
+		{Name: "chat-cache", Main: true, Profile: constantLoad(whole, 0.6), LongPrompts: true,
 			Assumption: "load 0.6 with system prompts of 1,000 tokens; capacity counts on 0.9 of the ideal cache hits"},
 		{Name: "late-reports", Profile: constantLoad(whole, 0.6), LoadLag: 2 * time.Second, Assumption: "load 0.6; engines report load 2 s late"},
 		{Name: "entry-killed", Profile: constantLoad(whole, 0.5), KillEntry: at, Assumption: "load 0.5; one of three entries is killed, which takes no upstream capacity"},
 		{Name: "quiet", Profile: constantLoad(whole, idleLoad), Assumption: "load 0.05"},
 	}
 	for i := range list {
-		list[i].Warm = warmupTime
+		list[i].Warmup = warmupTime
 	}
 	return list
 }
--- a/ctl/bench/schedule.go
+++ b/ctl/bench/schedule.go
@@ -12,19 +12,19 @@
 
 // Request is a scheduled request with its expected response.
 type Request struct {
-	At       time.Duration // intended start, relative to the start of the run
-	ID       string
-	Flow     *Flow
-	Customer Customer
-	Warm     bool // part of the warm-up
-	Path     string
-	Key      string
-	Body     []byte
-	Stream   bool
-	Expect   string // expected text or confirmation
-	Prompt   string // prompt that the engine receives; empty if no engine is used
-	Answer   string // what the engine appends to the prompt
-	Fits     bool   // within capacity, see markFitting
+	At           time.Duration // intended start, relative to the start of the run
+	ID           string
+	Flow         *Flow
+	Customer     Customer
+	Warmup       bool // part of the warm-up
+	Path         string
+	Key          string
+	Body         []byte
+	Stream       bool
+	Expected     string // expected text or confirmation
+	Prompt       string // prompt that the engine receives; empty if no engine is used
+	Answer       string // what the engine appends to the prompt
+	FitsCapacity bool   // within capacity, see markFitting
 
 	queryBytes int
 }
@@ -53,11 +53,11 @@
 	var out []*Request
 	for _, c := range p.Deployment.Customers {
 		for _, at := range poissonArrivals(random, p.profile(c), p.Rates[f.Name]) {
-			out = append(out, &Request{At: at, Flow: f, Customer: c, Warm: at < p.Scenario.Warm})
+			out = append(out, &Request{At: at, Flow: f, Customer: c, Warmup: at < p.Scenario.Warmup})
 		}
 	}
 	sort.SliceStable(out, func(a, b int) bool { return out[a].At < out[b].At })
-	chats := &chatSessions{random: random, longPrompts: p.Scenario.ChatHeavy}
+	chats := &chatSessions{random: random, longPrompts: p.Scenario.LongPrompts}
 	for n, r := range out {
 		r.ID = fmt.Sprintf("%s-%s-%d", p.Tag, f.Name, n)
 		r.fill(random, chats)
@@ -75,7 +75,7 @@
 			small++
 		}
 	}
-	flooder := p.Scenario.Flood > 0 && c == p.Deployment.Customers[0]
+	flooder := p.Scenario.FloodLoad > 0 && c == p.Deployment.Customers[0]
 	out := make([]Segment, len(p.Scenario.Profile))
 	for i, s := range p.Scenario.Profile {
 		each := smallCustomerShare * min(s.Load, 1)
@@ -84,7 +84,7 @@
 			load = (s.Load - each*float64(small)) / float64(large)
 		}
 		if flooder {
-			load = p.Scenario.Flood
+			load = p.Scenario.FloodLoad
 		}
 		out[i] = Segment{s.Duration, load}
 	}
@@ -114,18 +114,18 @@
 		r.Path, r.Stream = "/v1/pipelines/"+f.Target, true
 		r.Body = encode(pipelineBody{query, true})
 		r.Prompt = standin.GroundedPrompt(query, f.Documents, f.Reranked)
-		r.Expect = standin.Text(r.Prompt, f.Tokens)
-		r.Answer = "assistant:" + r.Expect
+		r.Expected = standin.Text(r.Prompt, f.Tokens)
+		r.Answer = "assistant:" + r.Expected
 	case CallChat:
 		chats.fill(r, query)
 	case CallKeyed:
 		r.Path, r.Key = "/v1/services/"+f.Target+"/confirm", r.ID
 		r.Body = encode(serviceBody{r.ID, query})
-		r.Expect = standin.Confirmation(string(r.Body))
+		r.Expected = standin.Confirmation(string(r.Body))
 	default:
 		r.Path = "/v1/services/" + f.Target + "/lookup"
 		r.Body = encode(serviceBody{r.ID, query})
-		r.Expect = standin.Confirmation(string(r.Body))
+		r.Expected = standin.Confirmation(string(r.Body))
 	}
 }
 
@@ -167,9 +167,9 @@
 	r.Path, r.Stream = "/v1/chat/completions", true
 	r.Body = encode(req)
 	r.Prompt = req.Prompt()
-	r.Expect = standin.Text(r.Prompt, r.Flow.Tokens)
-	r.Answer = "assistant:" + r.Expect
-	c.messages = append(c.messages[:len(c.messages):len(c.messages)], standin.ChatMessage{Role: "assistant", Content: r.Expect})
+	r.Expected = standin.Text(r.Prompt, r.Flow.Tokens)
+	r.Answer = "assistant:" + r.Expected
+	c.messages = append(c.messages[:len(c.messages):len(c.messages)], standin.ChatMessage{Role: "assistant", Content: r.Expected})
 }
 
 // pick continues one of the customer's chats or starts a new one.
--- a/ctl/bench/sender.go
+++ b/ctl/bench/sender.go
@@ -119,11 +119,11 @@
 	for n := 1; ; n++ {
 		entry = s.balancer.pick(entry)
 		reply := s.sendOnce(ctx, entry, r, deadline)
-		if reply.Cut {
+		if reply.Truncated {
 			cuts++
 		}
-		reply.Sends, reply.Cuts = n, cuts
-		if reply.Whole || n == maxSends || !shouldResend(r, reply) || !time.Now().Before(deadline) {
+		reply.Sends, reply.TruncatedSends = n, cuts
+		if reply.Complete || n == maxSends || !shouldResend(r, reply) || !time.Now().Before(deadline) {
 			return reply
 		}
 		time.Sleep(resendDelay)
@@ -131,7 +131,7 @@
 }
 
 func shouldResend(r *Request, reply Reply) bool {
-	if !reply.Answered || reply.Cut {
+	if !reply.Answered || reply.Truncated {
 		return true
 	}
 	return r.Key != "" && reply.Verdict != verdict.NotRun && reply.Status >= http.StatusInternalServerError
@@ -193,7 +193,7 @@
 	if json.Unmarshal(data, &a) == nil {
 		p.Text = a.Confirmation
 	}
-	p.Whole = true
+	p.Complete = true
 }
 
 var (
@@ -212,13 +212,13 @@
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), dataPrefix)
 		switch {
 		case ok && bytes.Equal(data, doneEvent):
-			p.Whole = true
+			p.Complete = true
 		case ok && bytes.Contains(data, []byte(`"content"`)):
 			now := time.Now()
 			if last.IsZero() {
-				p.First = now
+				p.FirstToken = now
 			} else {
-				p.Gaps = append(p.Gaps, now.Sub(last))
+				p.TokenGaps = append(p.TokenGaps, now.Sub(last))
 			}
 			last = now
 		}
@@ -226,7 +226,7 @@
 			break
 		}
 		if err != nil {
-			p.Whole, p.Cut, p.Reason = false, true, err.Error()
+			p.Complete, p.Truncated, p.Reason = false, true, err.Error()
 			return
 		}
 	}
@@ -235,7 +235,7 @@
 		p.Reason = err.Error()
 	}
 	p.Text = text
-	if !p.Whole && p.Reason == "" {
+	if !p.Complete && p.Reason == "" {
 		p.Reason = "the stream ended without its final event"
 	}
 }
--- a/ctl/commands/bench.go
+++ b/ctl/commands/bench.go
@@ -86,7 +86,7 @@
 }
 
 func (b *Bench) config(d bench.Deployment, text string) (bench.Config, error) {
-	c := bench.Config{Deployment: d, Text: text, Repeats: b.repeats, Seed: b.seed, Entries: strictini.SplitList(b.entries),
+	c := bench.Config{Deployment: d, ConfigText: text, Repeats: b.repeats, Seed: b.seed, Entries: strictini.SplitList(b.entries),
 		Control: b.control, EntryPIDFile: b.pidFile, Progress: os.Stderr}
 	if len(c.Entries) == 0 || c.Control == "" {
 		return c, fmt.Errorf("set -entries, -admin and -standins, or run scripts/bench.sh")
