--- a/ctl/capacity/capacity_test.go
+++ b/ctl/capacity/capacity_test.go
@@ -14,16 +14,16 @@
 		x, y []float64
 		want Line
 	}{
-		{"exact", []float64{10, 50, 200}, []float64{25, 105, 405}, Line{Base: 5, Slope: 2, R2: 1, From: 10, To: 200}},
-		{"flat", []float64{1, 2}, []float64{3, 3}, Line{Base: 3, R2: 1, From: 1, To: 2}},
-		{"noise", []float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}, Line{Base: 0.3, Slope: 0.8, R2: 0.64, From: 0, To: 3}},
+		{"exact", []float64{10, 50, 200}, []float64{25, 105, 405}, Line{Intercept: 5, Slope: 2, R2: 1, From: 10, To: 200}},
+		{"flat", []float64{1, 2}, []float64{3, 3}, Line{Intercept: 3, R2: 1, From: 1, To: 2}},
+		{"noise", []float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}, Line{Intercept: 0.3, Slope: 0.8, R2: 0.64, From: 0, To: 3}},
 	} {
 		got := Fit(c.x, c.y)
-		if !almostEqual(got.Base, c.want.Base) || !almostEqual(got.Slope, c.want.Slope) || !almostEqual(got.R2, c.want.R2) || got.From != c.want.From || got.To != c.want.To {
+		if !almostEqual(got.Intercept, c.want.Intercept) || !almostEqual(got.Slope, c.want.Slope) || !almostEqual(got.R2, c.want.R2) || got.From != c.want.From || got.To != c.want.To {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
-	if got := (Line{Base: -4, Slope: 2}).At(10); got != 20 {
+	if got := (Line{Intercept: -4, Slope: 2}).At(10); got != 20 {
 		t.Errorf("a negative intercept was counted: %v", got)
 	}
 }
@@ -64,7 +64,7 @@
 		got, want float64
 	}{
 		{"leader base", s.LeaderBase.CPU, 2000}, {"follower base", s.FollowerBase.CPU, 1000},
-		{"attached", s.Attached.CPU, 100}, {"attached at the leader", s.AttachedLeader.CPU, 150}, {"renewed", s.Renewed.CPU, 10},
+		{"attached", s.AtFollower.CPU, 100}, {"attached at the leader", s.AtLeader.CPU, 150}, {"renewed", s.ForwardedRenewals.CPU, 10},
 		{"member", s.Member.CPU, 30}, {"member bytes", s.Member.Bytes, 500},
 		{"change", s.Change.Large.CPU, 400e3}, {"change at a follower", s.ChangeFollower.Large.CPU, 90e3}, {"change attached", s.ChangeAttached.CPU, 60},
 		{"change in the member", s.ChangeMember.Large.CPU, 700}, {"its bytes", s.ChangeMember.Small.Bytes, 800},
@@ -85,7 +85,7 @@
 }
 
 func TestRows(t *testing.T) {
-	s := Slopes{LeaderBase: Cost{CPU: 1000}, FollowerBase: Cost{CPU: 500}, Attached: Cost{CPU: 100}, AttachedLeader: Cost{CPU: 150}, Renewed: Cost{CPU: 10},
+	s := Slopes{LeaderBase: Cost{CPU: 1000}, FollowerBase: Cost{CPU: 500}, AtFollower: Cost{CPU: 100}, AtLeader: Cost{CPU: 150}, ForwardedRenewals: Cost{CPU: 10},
 		Member: Cost{CPU: 30, Bytes: 500}, Change: Change{Large: Cost{CPU: 8000}}, ChangeFollower: Change{Large: Cost{CPU: 4000, Bytes: 100}}, ChangeMember: Change{Large: Cost{CPU: 20}}, RestartMember: Cost{CPU: 2, Bytes: 70}, ViewBase: 1e6, ViewMember: 1000}
 	flat := s.Rows(Plan{Members: 1000, Customers: 25_000, Voters: 5, Changes: 0.5, Restarts: 0.1})
 	want := []Row{
--- a/ctl/capacity/fit.go
+++ b/ctl/capacity/fit.go
@@ -7,9 +7,9 @@
 
 // Line is a straight line fitted to measured points by least squares.
 type Line struct {
-	Base, Slope float64
-	R2          float64 // coefficient of determination, at most 1
-	From, To    float64 // measured range of x
+	Intercept, Slope float64
+	R2               float64 // coefficient of determination, at most 1
+	From, To         float64 // measured range of x
 }
 
 // Fit returns the least-squares line through the points. With fewer than two different values of x the slope
@@ -31,7 +31,7 @@
 		yy += dy * dy
 	}
 	l.Slope = xy / xx
-	l.Base = sy/n - l.Slope*sx/n
+	l.Intercept = sy/n - l.Slope*sx/n
 	l.R2 = 1
 	if yy > 0 {
 		l.R2 = xy * xy / (xx * yy)
@@ -39,5 +39,5 @@
 	return l
 }
 
-// At returns the value of the line at x. A negative base, which is due to noise, counts as zero.
-func (l Line) At(x float64) float64 { return max(l.Base, 0) + l.Slope*x }
+// At returns the value of the line at x. A negative intercept, which is due to noise, counts as zero.
+func (l Line) At(x float64) float64 { return max(l.Intercept, 0) + l.Slope*x }
--- a/ctl/capacity/measure.go
+++ b/ctl/capacity/measure.go
@@ -34,16 +34,16 @@
 
 // Measurement is the result of the measurement.
 type Measurement struct {
-	When  time.Time `json:"when"`
-	Cores int       `json:"cores"`
-	Sizes []Sample  `json:"sizes"`
-	Texts []Sample  `json:"texts"` // few members, large configuration
+	MeasuredAt time.Time `json:"when"`
+	Cores      int       `json:"cores"`
+	Sizes      []Sample  `json:"sizes"`
+	Texts      []Sample  `json:"texts"` // few members, large configuration
 }
 
 // MeasureSizes replaces the samples with a small configuration. It calls save after each sample, since the
 // run may be interrupted.
 func (o Options) MeasureSizes(ctx context.Context, m *Measurement, save func() error) error {
-	m.When, m.Sizes = time.Now().UTC(), nil
+	m.MeasuredAt, m.Sizes = time.Now().UTC(), nil
 	return o.measure(ctx, &m.Sizes, o.Sizes, smallConfigCustomers, save)
 }
 
--- a/ctl/capacity/model.go
+++ b/ctl/capacity/model.go
@@ -45,9 +45,9 @@
 // Slopes are the costs of the control plane by cause.
 type Slopes struct {
 	LeaderBase, FollowerBase Cost // per second, without members
-	Attached                 Cost // per second and member that synchronizes with a follower
-	AttachedLeader           Cost // per second and member that synchronizes with the leader
-	Renewed                  Cost // per second and member whose renewals a follower forwards to the leader
+	AtFollower               Cost // per second and member that synchronizes with a follower
+	AtLeader                 Cost // per second and member that synchronizes with the leader
+	ForwardedRenewals        Cost // per second and member whose renewals a follower forwards to the leader
 	Member                   Cost // per second, in the member
 
 	Change         Change // at the leader of three voters
@@ -75,16 +75,16 @@
 		return fitOver(samples, func(s Sample) float64 { return phase(s).perEvent(s.Idle, use) })
 	}
 	slope := func(cpu, bytes Line, times float64) Cost { return Cost{cpu.Slope * times, bytes.Slope * times} }
-	base := func(cpu, bytes Line) Cost { return Cost{max(cpu.Base, 0), max(bytes.Base, 0)} }
+	base := func(cpu, bytes Line) Cost { return Cost{max(cpu.Intercept, 0), max(bytes.Intercept, 0)} }
 
 	s := Slopes{}
 	leaderC, leaderB := rate(followersOnlyPhase, leaderCPU), rate(followersOnlyPhase, leaderBytes)
 	followC, followB := rate(followersOnlyPhase, followerCPU), rate(followersOnlyPhase, followerBytes)
 	s.LeaderBase, s.FollowerBase = base(leaderC, leaderB), base(followC, followB)
-	s.Attached = slope(followC, followB, voters-1)
-	s.Renewed = slope(leaderC, leaderB, 1)
+	s.AtFollower = slope(followC, followB, voters-1)
+	s.ForwardedRenewals = slope(leaderC, leaderB, 1)
 	spread := slope(rate(idlePhase, leaderCPU), rate(idlePhase, leaderBytes), voters)
-	s.AttachedLeader = spread.plus(s.Renewed, -(voters - 1))
+	s.AtLeader = spread.plus(s.ForwardedRenewals, -(voters - 1))
 	s.Member = slope(rate(idlePhase, membersCPU), rate(idlePhase, membersBytes), 1)
 
 	change := func(samples []Sample, cpu, bytes func(Phase) float64) Cost {
@@ -104,7 +104,7 @@
 	s.RestartMember = Cost{perKnownMember.Slope, event(m.Sizes, restartsPhase, membersBytes).Slope}
 
 	view := fitOver(m.Sizes, func(s Sample) float64 { return s.Heap / float64(s.Members) })
-	s.ViewBase, s.ViewMember = max(view.Base, 0), view.Slope
+	s.ViewBase, s.ViewMember = max(view.Intercept, 0), view.Slope
 	s.TextMember = fitOver(m.Texts, func(s Sample) float64 { return s.Heap }).Slope
 	s.LeaderRSS = fitOver(m.Sizes, func(s Sample) float64 { return s.LeaderRSS })
 	s.TextControl = max(0, m.Texts[0].LeaderRSS-s.LeaderRSS.At(0))
@@ -156,13 +156,13 @@
 		return c.plus(perMember, p.Changes*n).plus(s.RestartAttached, p.Restarts*n)
 	}
 
-	leader := s.LeaderBase.plus(s.AttachedLeader, attached).plus(s.Renewed, renewed)
+	leader := s.LeaderBase.plus(s.AtLeader, attached).plus(s.ForwardedRenewals, renewed)
 	leader = events(leader, attached).plus(s.Change.atShare(text), p.Changes).plus(s.Restart, p.Restarts)
 	// The leader writes what each additional follower reads. Half of a follower's bytes are writes to its own
 	// log.
 	more := Cost{Bytes: s.ChangeFollower.atShare(text).Bytes / 2}
 	leader = leader.plus(more, p.Changes*(p.Voters-voters))
-	follower := events(s.FollowerBase.plus(s.Attached, attached), attached).plus(s.ChangeFollower.atShare(text), p.Changes)
+	follower := events(s.FollowerBase.plus(s.AtFollower, attached), attached).plus(s.ChangeFollower.atShare(text), p.Changes)
 	learned := Cost{CPU: s.RestartMember.CPU * p.Members, Bytes: s.RestartMember.Bytes}
 	member := s.Member.plus(s.ChangeMember.atShare(text), p.Changes).plus(learned, p.Restarts)
 
@@ -178,7 +178,7 @@
 	if p.Relays > 0 {
 		n := p.Members / p.Relays
 		// A relay receives changes as deltas, like a member.
-		relay := events(s.FollowerBase.plus(s.Attached, n), n).plus(s.ChangeMember.atShare(text), p.Changes).plus(learned, p.Restarts)
+		relay := events(s.FollowerBase.plus(s.AtFollower, n), n).plus(s.ChangeMember.atShare(text), p.Changes).plus(learned, p.Restarts)
 		rows = append(rows, Row{p.Name, "relay", n + followerCallsPerSecond, relay, control})
 	}
 	view := s.ViewBase + s.ViewMember*p.Members + s.TextMember*text
--- a/ctl/capacity/tables.go
+++ b/ctl/capacity/tables.go
@@ -15,7 +15,7 @@
 // Tables returns the measured part of the page in Markdown.
 func Tables(m *Measurement) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "Measured %s on %d cores.\n\n", m.When.Format("2006-01-02 15:04 MST"), m.Cores)
+	fmt.Fprintf(&b, "Measured %s on %d cores.\n\n", m.MeasuredAt.Format("2006-01-02 15:04 MST"), m.Cores)
 	samplesTable(&b, m)
 	s := SlopesOf(m)
 	slopesTable(&b, s)
@@ -48,8 +48,8 @@
 		Cost
 	}{
 		{"leader without members, a second", s.LeaderBase}, {"follower without members, a second", s.FollowerBase},
-		{"member that synchronizes at the leader, a second", s.AttachedLeader}, {"member that synchronizes at a follower, a second", s.Attached},
-		{"renewals passed on to the leader, a second and member", s.Renewed}, {"in the member, a second", s.Member},
+		{"member that synchronizes at the leader, a second", s.AtLeader}, {"member that synchronizes at a follower, a second", s.AtFollower},
+		{"renewals passed on to the leader, a second and member", s.ForwardedRenewals}, {"in the member, a second", s.Member},
 		{"change, 25,000 customers, at the leader of three", s.Change.Large}, {"the same at a follower", s.ChangeFollower.Large},
 		{"change, 100 customers, at the leader of three", s.Change.Small}, {"the same at a follower", s.ChangeFollower.Small},
 		{"change, 100 customers, at control for each member attached", s.ChangeAttached}, {"change, 25,000 customers, in the member", s.ChangeMember.Large}, {"change, 100 customers, in the member", s.ChangeMember.Small},
@@ -59,7 +59,7 @@
 		fmt.Fprintf(b, "| %s | %.1f | %.0f |\n", r.name, r.CPU, r.Bytes)
 	}
 	fmt.Fprintf(b, "\nMemory in use: a member's view %.0f kB and %.0f B for each member known; 25,000 customers %.1f MB in a member; leader %.1f MB and %.1f kB for each member, and %.0f MB with 25,000 customers.\n\n",
-		s.ViewBase/1000, s.ViewMember, s.TextMember/1e6, s.LeaderRSS.Base/1e6, s.LeaderRSS.Slope/1000, s.TextControl/1e6)
+		s.ViewBase/1000, s.ViewMember, s.TextMember/1e6, s.LeaderRSS.Intercept/1e6, s.LeaderRSS.Slope/1000, s.TextControl/1e6)
 }
 
 func rowsTable(b *strings.Builder, s Slopes) {
