--- a/ctl/bench/bench_test.go
+++ b/ctl/bench/bench_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestPreparedTextsAndVariantsAreValid(t *testing.T) {
+func TestPreparedConfigsAndVariantsAreValid(t *testing.T) {
 	policies, err := ParsePolicies("predicted,round-robin,random,least-in-flight,mine[hedge_percent=1;refuse_late=false]")
 	if err != nil {
 		t.Fatal(err)
@@ -167,15 +167,15 @@
 	quote := &Flow{Name: "quote", Deadline: time.Second, Services: []string{"encoder", engineService}}
 	keyedFlow := &Flow{Name: "confirm", Deadline: time.Second, Services: []string{"desk"}}
 	refused := Reply{Answered: true, Verdict: verdict.NotRun, Sends: 1}
-	whole := Reply{Answered: true, Complete: true, Text: "right", Sends: 1}
+	complete := Reply{Answered: true, Complete: true, Text: "right", Sends: 1}
 	outcomes := []Outcome{
 		{Request: &Request{ID: "never", Flow: quote}, Reply: refused},
 		{Request: &Request{ID: "encoded", Flow: quote}, Reply: refused},
 		{Request: &Request{ID: "generated", Flow: quote}, Reply: refused},
-		{Request: &Request{ID: "whole", Flow: quote, Expected: "right"}, Reply: whole},
-		{Request: &Request{ID: "crossed", Flow: quote, Expected: "other"}, Reply: whole},
-		{Request: &Request{ID: "twice", Key: "twice", Body: []byte("twice"), Flow: keyedFlow, Expected: "right"}, Reply: whole},
-		{Request: &Request{ID: "phantom", Key: "phantom", Body: []byte("phantom"), Flow: keyedFlow, Expected: "right"}, Reply: whole},
+		{Request: &Request{ID: "whole", Flow: quote, Expected: "right"}, Reply: complete},
+		{Request: &Request{ID: "crossed", Flow: quote, Expected: "other"}, Reply: complete},
+		{Request: &Request{ID: "twice", Key: "twice", Body: []byte("twice"), Flow: keyedFlow, Expected: "right"}, Reply: complete},
+		{Request: &Request{ID: "phantom", Key: "phantom", Body: []byte("phantom"), Flow: keyedFlow, Expected: "right"}, Reply: complete},
 	}
 	record := func(id string, runs, completed int, longest, held time.Duration) standin.RunRecord {
 		return standin.RunRecord{Request: id, Runs: runs, Completed: completed, Longest: longest, Held: held}
--- a/ctl/bench/scenario.go
+++ b/ctl/bench/scenario.go
@@ -78,31 +78,31 @@
 
 // Scenarios returns all scenarios; measure is the measured time of each.
 func Scenarios(measure time.Duration) []Scenario {
-	whole := warmupTime + measure
+	duration := warmupTime + measure
 	at := warmupTime + faultDelay
 	list := []Scenario{
-		{Name: "steady", Main: true, Profile: constantLoad(whole, 0.6), OnOff: time.Second,
+		{Name: "steady", Main: true, Profile: constantLoad(duration, 0.6), OnOff: time.Second,
 			Assumption: "load 0.6 of every service; one large customer on and off by the second"},
 		{Name: "burst", Main: true, Profile: []Segment{{warmupTime + measure/4, idleLoad}, {measure / 2, 3}, {measure / 4, 0.3}},
 			Assumption: "idle, then 3 times the capacity of every service at once; per second what fits counts as within"},
-		{Name: "overload", Profile: constantLoad(whole, 3), Assumption: "3 times the capacity of every service throughout"},
-		{Name: "straggler-one", Profile: constantLoad(whole, 0.6), Faults: []TimedFault{{At: at, Role: RoleEngine, Fault: standin.Fault{Slow: slowFactor}}},
+		{Name: "overload", Profile: constantLoad(duration, 3), Assumption: "3 times the capacity of every service throughout"},
+		{Name: "straggler-one", Profile: constantLoad(duration, 0.6), Faults: []TimedFault{{At: at, Role: RoleEngine, Fault: standin.Fault{Slow: slowFactor}}},
 			Assumption: "load 0.6; one engine counts a tenth"},
-		{Name: "straggler-third", Main: true, Profile: constantLoad(whole, 0.5), Faults: []TimedFault{{At: at, Role: RoleEngine, Thirds: 1, Fault: standin.Fault{Slow: slowFactor}}},
+		{Name: "straggler-third", Main: true, Profile: constantLoad(duration, 0.5), Faults: []TimedFault{{At: at, Role: RoleEngine, Thirds: 1, Fault: standin.Fault{Slow: slowFactor}}},
 			Assumption: "load 0.5; a third of the engines count a tenth, which leaves 0.7"},
-		{Name: "dead", Main: true, Profile: constantLoad(whole, 0.5), Faults: []TimedFault{{At: at, Role: RoleEngine, Fault: standin.Fault{Refuse: true}}, {At: at, Role: RoleKeyed, Fault: standin.Fault{Refuse: true}}},
+		{Name: "dead", Main: true, Profile: constantLoad(duration, 0.5), Faults: []TimedFault{{At: at, Role: RoleEngine, Fault: standin.Fault{Refuse: true}}, {At: at, Role: RoleKeyed, Fault: standin.Fault{Refuse: true}}},
 			Assumption: "load 0.5; an engine and a confirming upstream refuse connections and count nothing"},
-		{Name: "silent", Profile: constantLoad(whole, 0.5), Faults: []TimedFault{{At: at, Role: RoleEngine, Fault: standin.Fault{Silent: true}}, {At: at, Role: RolePlain, Fault: standin.Fault{Silent: true}}},
+		{Name: "silent", Profile: constantLoad(duration, 0.5), Faults: []TimedFault{{At: at, Role: RoleEngine, Fault: standin.Fault{Silent: true}}, {At: at, Role: RolePlain, Fault: standin.Fault{Silent: true}}},
 			Assumption: "load 0.5; an engine and a repeatable plain upstream accept and never answer, and count nothing"},
-		{Name: "refusing", Profile: constantLoad(whole, 0.5), Faults: []TimedFault{{At: at, Role: RoleEngine, Fault: standin.Fault{Error: 1}}, {At: at, Role: RolePlain, Fault: standin.Fault{Error: 1}}},
+		{Name: "refusing", Profile: constantLoad(duration, 0.5), Faults: []TimedFault{{At: at, Role: RoleEngine, Fault: standin.Fault{Error: 1}}, {At: at, Role: RolePlain, Fault: standin.Fault{Error: 1}}},
 			Assumption: "load 0.5; an engine and a repeatable plain upstream answer 500 at once with good health checks, and count nothing"},
-		{Name: "flood", Main: true, Profile: constantLoad(whole, 0.5), FloodLoad: 2.5,
+		{Name: "flood", Main: true, Profile: constantLoad(duration, 0.5), FloodLoad: 2.5,
 			Assumption: "four customers at their part of load 0.5; one large customer at 2.5 times the capacity, last in what counts as within"},
-		{Name: "chat-cache", Main: true, Profile: constantLoad(whole, 0.6), LongPrompts: true,
+		{Name: "chat-cache", Main: true, Profile: constantLoad(duration, 0.6), LongPrompts: true,
 			Assumption: "load 0.6 with system prompts of 1,000 tokens; capacity counts on 0.9 of the ideal cache hits"},
-		{Name: "late-reports", Profile: constantLoad(whole, 0.6), LoadLag: 2 * time.Second, Assumption: "load 0.6; engines report load 2 s late"},
-		{Name: "entry-killed", Profile: constantLoad(whole, 0.5), KillEntry: at, Assumption: "load 0.5; one of three entries is killed, which takes no upstream capacity"},
-		{Name: "quiet", Profile: constantLoad(whole, idleLoad), Assumption: "load 0.05"},
+		{Name: "late-reports", Profile: constantLoad(duration, 0.6), LoadLag: 2 * time.Second, Assumption: "load 0.6; engines report load 2 s late"},
+		{Name: "entry-killed", Profile: constantLoad(duration, 0.5), KillEntry: at, Assumption: "load 0.5; one of three entries is killed, which takes no upstream capacity"},
+		{Name: "quiet", Profile: constantLoad(duration, idleLoad), Assumption: "load 0.05"},
 	}
 	for i := range list {
 		list[i].Warmup = warmupTime
--- a/ctl/capacity/capacity_test.go
+++ b/ctl/capacity/capacity_test.go
@@ -34,9 +34,9 @@
 	x := float64(n)
 	large := float64(customers / 25_000)
 	const seconds = 5
-	spread := Phase{Seconds: seconds, Leader: Usage{CPU: seconds * (2000 + 150*x/3 + 10*x*2/3)}, Follower: Usage{CPU: seconds * (1000 + 100*x/3)}, Members: Usage{CPU: seconds * 30 * x, Bytes: seconds * 500 * x}}
+	distributed := Phase{Seconds: seconds, Leader: Usage{CPU: seconds * (2000 + 150*x/3 + 10*x*2/3)}, Follower: Usage{CPU: seconds * (1000 + 100*x/3)}, Members: Usage{CPU: seconds * 30 * x, Bytes: seconds * 500 * x}}
 	add := func(leader, follower, members, bytes float64) Phase {
-		p := spread
+		p := distributed
 		p.Events = 10
 		p.Leader.CPU += 10 * leader
 		p.Follower.CPU += 10 * follower
@@ -44,7 +44,7 @@
 		p.Members.Bytes += 10 * bytes
 		return p
 	}
-	return Sample{Members: n, Customers: customers, Idle: spread,
+	return Sample{Members: n, Customers: customers, Idle: distributed,
 		Aside:     Phase{Seconds: seconds, Leader: Usage{CPU: seconds * (2000 + 10*x)}, Follower: Usage{CPU: seconds * (1000 + 100*x/2)}},
 		Changes:   add(400e3*large, 90e3*large+60*x/3, 700*x, 800*x),
 		Restarts:  add(5000, 40*x/3, 20*x*x, 900*x),
--- a/ctl/capacity/model.go
+++ b/ctl/capacity/model.go
@@ -83,8 +83,8 @@
 	s.LeaderBase, s.FollowerBase = base(leaderC, leaderB), base(followC, followB)
 	s.AtFollower = slope(followC, followB, voters-1)
 	s.ForwardedRenewals = slope(leaderC, leaderB, 1)
-	spread := slope(rate(idlePhase, leaderCPU), rate(idlePhase, leaderBytes), voters)
-	s.AtLeader = spread.plus(s.ForwardedRenewals, -(voters - 1))
+	distributed := slope(rate(idlePhase, leaderCPU), rate(idlePhase, leaderBytes), voters)
+	s.AtLeader = distributed.plus(s.ForwardedRenewals, -(voters - 1))
 	s.Member = slope(rate(idlePhase, membersCPU), rate(idlePhase, membersBytes), 1)
 
 	change := func(samples []Sample, cpu, bytes func(Phase) float64) Cost {
--- a/ctl/capacity/tables.go
+++ b/ctl/capacity/tables.go
@@ -28,12 +28,12 @@
 	b.WriteString("| members, customers | load average, 1 and 5 min | idle: leader, follower, members together, ms/s | idle, all at the followers: leader, follower, ms/s | a change: leader, follower, ms | in force on all, p50 / p99, ms | a restart: leader, ms; members together, kB | heap a member, kB | leader resident, MB |\n")
 	b.WriteString("|---|---|---|---|---|---|---|---|---|\n")
 	for _, s := range append(append([]Sample{}, m.Sizes...), m.Texts...) {
-		aside := "not run"
+		followersOnly := "not run"
 		if s.Aside.Seconds > 0 {
-			aside = fmt.Sprintf("%.1f, %.1f", s.Aside.perSecond(leaderCPU)/1000, s.Aside.perSecond(followerCPU)/1000)
+			followersOnly = fmt.Sprintf("%.1f, %.1f", s.Aside.perSecond(leaderCPU)/1000, s.Aside.perSecond(followerCPU)/1000)
 		}
 		fmt.Fprintf(b, "| %d, %d | %s | %.1f, %.1f, %.1f | %s | %.1f, %.1f | %.1f / %.0f | %.1f; %.0f | %.0f | %.0f |\n",
-			s.Members, s.Customers, s.Load, s.Idle.perSecond(leaderCPU)/1000, s.Idle.perSecond(followerCPU)/1000, s.Idle.perSecond(membersCPU)/1000, aside,
+			s.Members, s.Customers, s.Load, s.Idle.perSecond(leaderCPU)/1000, s.Idle.perSecond(followerCPU)/1000, s.Idle.perSecond(membersCPU)/1000, followersOnly,
 			s.Changes.perEvent(s.Idle, leaderCPU)/1000, s.Changes.perEvent(s.Idle, followerCPU)/1000, s.InForce50, s.InForce99,
 			s.Restarts.perEvent(s.Idle, leaderCPU)/1000, s.Restarts.perEvent(s.Idle, membersBytes)/1000,
 			s.Heap/float64(s.Members)/1000, s.LeaderRSS/1e6)
--- a/ctl/orderstest/orders_test.go
+++ b/ctl/orderstest/orders_test.go
@@ -24,10 +24,10 @@
 
 // traffic sends chat requests one after the other and counts their outcomes.
 type traffic struct {
-	mu                   sync.Mutex
-	whole, refused, lost int
-	stop                 chan struct{}
-	done                 chan struct{}
+	mu                       sync.Mutex
+	completed, refused, lost int
+	stop                     chan struct{}
+	done                     chan struct{}
 }
 
 func (c *cluster) startTraffic() *traffic {
@@ -45,7 +45,7 @@
 			tr.mu.Lock()
 			switch {
 			case err == nil && a.Complete && isExpectedAnswer(a):
-				tr.whole++
+				tr.completed++
 			case err == nil && a.Verdict == verdict.NotRun:
 				tr.refused++
 			default:
@@ -122,9 +122,9 @@
 	c.version++
 	c.waitHolding("m@2", engines)
 	tr.end()
-	t.Logf("during both rollouts: %d complete, %d rejected as not run, %d lost", tr.whole, tr.refused, tr.lost)
-	if tr.lost > 0 || tr.whole == 0 {
-		t.Errorf("%d requests lost, %d complete", tr.lost, tr.whole)
+	t.Logf("during both rollouts: %d complete, %d rejected as not run, %d lost", tr.completed, tr.refused, tr.lost)
+	if tr.lost > 0 || tr.completed == 0 {
+		t.Errorf("%d requests lost, %d complete", tr.lost, tr.completed)
 	}
 
 	t.Log("the weight store stalls; when it recovers, the loads are retried")
--- a/node/controlclient/controlclient_test.go
+++ b/node/controlclient/controlclient_test.go
@@ -36,9 +36,9 @@
 	return &Service{control: c, view: func() *configsync.View { return &configsync.View{Config: &optext.Config{}} }}
 }
 
-// TestSignsOfLifeShareACall sends heartbeats of many upstreams at once. Each gets a response, and they share
+// TestHeartbeatsAreBatched sends heartbeats of many upstreams at once. Each gets a response, and they share
 // fewer calls.
-func TestSignsOfLifeShareACall(t *testing.T) {
+func TestHeartbeatsAreBatched(t *testing.T) {
 	var mu sync.Mutex
 	calls, seen := 0, map[wire.MemberID]bool{}
 	s := newService(t, func(r *wire.AnnounceRequest) error {
--- a/node/daemon/daemon_test.go
+++ b/node/daemon/daemon_test.go
@@ -8,8 +8,8 @@
 	"caperdrum.org/node/settings"
 )
 
-// TestCollectorKnowsTheMemory checks the memory limit that is derived from the settings.
-func TestCollectorKnowsTheMemory(t *testing.T) {
+// TestGCMemoryLimit checks the memory limit that is derived from the settings.
+func TestGCMemoryLimit(t *testing.T) {
 	t.Setenv("GOGC", "")
 	t.Setenv("GOMEMLIMIT", "")
 	defer runtimedebug.SetMemoryLimit(runtimedebug.SetMemoryLimit(-1))
--- a/node/security/security_test.go
+++ b/node/security/security_test.go
@@ -105,7 +105,7 @@
 
 func TestPeers(t *testing.T) {
 	RegisterTestingT(t)
-	ca, stranger := sign(nil, true), sign(nil, true)
+	ca, otherCA := sign(nil, true), sign(nil, true)
 	server := store(files(t.TempDir(), ca, ca))
 	l, err := server.Listen("127.0.0.1:0", security.Peers)
 	Expect(err).NotTo(HaveOccurred())
@@ -114,8 +114,8 @@
 	address := l.Addr().String()
 
 	Expect(exchange(store(files(t.TempDir(), ca, ca)), address)).To(Succeed())
-	Expect(exchange(store(files(t.TempDir(), stranger, ca)), address)).NotTo(Succeed(), "certificate of another CA")
-	Expect(exchange(store(files(t.TempDir(), ca, stranger)), address)).NotTo(Succeed(), "server certificate of an untrusted CA")
+	Expect(exchange(store(files(t.TempDir(), otherCA, ca)), address)).NotTo(Succeed(), "certificate of another CA")
+	Expect(exchange(store(files(t.TempDir(), ca, otherCA)), address)).NotTo(Succeed(), "server certificate of an untrusted CA")
 	var plain *security.Store
 	Expect(exchange(plain, address)).NotTo(Succeed(), "plain text")
 }
