--- a/ctl/commands/config.go
+++ b/ctl/commands/config.go
@@ -116,7 +116,7 @@
 		return subcommands.ExitFailure
 	}
 	fmt.Printf("accepted: version %d, change %s\n", res.Version, change.ChangeID)
-	return waitInForce(ctx, cl, res.Version)
+	return waitActive(ctx, cl, res.Version)
 }
 
 func (a *Apply) change(ctx context.Context, cl *adminclient.Client, text string) (wire.ChangeRequest, error) {
@@ -136,10 +136,10 @@
 
 const pollInterval = 50 * time.Millisecond
 
-// waitInForce waits until every member reports the version. On a timeout it lists the members that lag. When
+// waitActive waits until every member reports the version. On a timeout it lists the members that lag. When
 // all members that the leader hears from have the version it says so once, and waits for the others until
 // their leases expire, since they may still run.
-func waitInForce(ctx context.Context, cl *adminclient.Client, version uint64) subcommands.ExitStatus {
+func waitActive(ctx context.Context, cl *adminclient.Client, version uint64) subcommands.ExitStatus {
 	started := time.Now()
 	var members, behind []wire.MemberStatus
 	all := map[wire.MemberID]bool{}
--- a/ctl/commands/demo.go
+++ b/ctl/commands/demo.go
@@ -291,7 +291,7 @@
 	if err != nil || !first.Accepted {
 		return fmt.Errorf("not accepted: %+v %v", first, err)
 	}
-	if status := waitInForce(ctx, r.admin, first.Version); status != subcommands.ExitSuccess {
+	if status := waitActive(ctx, r.admin, first.Version); status != subcommands.ExitSuccess {
 		return fmt.Errorf("not active on every member")
 	}
 	again, err := r.admin.Apply(ctx, c)
--- a/ctl/commands/rollout.go
+++ b/ctl/commands/rollout.go
@@ -24,7 +24,7 @@
 func (*Rollout) Synopsis() string { return "shift the calls of a service to another version" }
 func (*Rollout) Usage() string {
 	return "rollout [-admin ADDRESSES] [-span DURATION] list | start SERVICE VERSION | status SERVICE | abort SERVICE\n" +
-		"  An increasing share of the calls goes to the version: all of them at the end of the span, or none if its\n  results are worse than those of the other versions.\n"
+		"  A limited share of the calls goes to the version at first. It gets all of them at the end of the span, or\n  none if its results are worse than those of the other versions.\n"
 }
 
 // SetFlags implements subcommands.Command.
