--- a/ctl/cmd/caperdrum/main.go
+++ b/ctl/cmd/caperdrum/main.go
@@ -25,7 +25,7 @@
 		subcommands.Register(c, "operate")
 	}
 	for _, c := range []subcommands.Command{&commands.Standin{}, &commands.WeightStore{}, &commands.Demo{}, &commands.Bench{}} {
-		subcommands.Register(c, "try and measure")
+		subcommands.Register(c, "testing and measurement")
 	}
 	flag.Parse()
 	if *showVersion {
--- a/ctl/commands/teams.go
+++ b/ctl/commands/teams.go
@@ -162,9 +162,9 @@
 		w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 		fmt.Fprintln(w, "TIME\tNUMBER\tCHANGE\tTEAM\tRESULT\tSECTIONS")
 		for _, c := range rows {
-			result := "in force"
+			result := "active"
 			if !c.Accepted {
-				result = "refused: " + c.Reason
+				result = "rejected: " + c.Reason
 			}
 			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", time.UnixMilli(c.At).Format(time.RFC3339), c.Number, c.ChangeID, c.Author, result, strings.Join(c.Sections, " "))
 		}
