--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -1,4 +1,4 @@
-// Package client sends callers' requests to entries and judges the answers.
+// Package client sends callers' requests to entries and evaluates the responses.
 package client
 
 import (
@@ -17,12 +17,12 @@
 	"caperdrum.org/api/wire"
 )
 
-// Client sends requests.
+// Client sends requests to entries. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
 const idleConnections = 1024
 
-// New returns a client without a timeout of its own.
+// New returns a client without a timeout; use the context of Send.
 func New() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections, DisableCompression: true}}}
 }
@@ -30,9 +30,9 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Request is one caller's request.
+// Request is a request of a caller.
 type Request struct {
-	Entry     string // address
+	Entry     string // address of the entry
 	Path      string
 	Customer  string
 	RequestID string
@@ -41,22 +41,22 @@
 	Body      []byte
 }
 
-// Answer is what came back.
-type Answer struct {
+// Response is the response to a request.
+type Response struct {
 	Status     int
 	Verdict    verdict.Verdict
-	Whole      bool // the answer came to its end
+	Complete   bool // status 200 and received to its end
 	Replayed   bool
 	RetryAfter string
 	RequestID  string
 	Body       []byte
 	FirstByte  time.Duration
-	Took       time.Duration
+	Duration   time.Duration
 }
 
-// Send sends r and reads the answer to its end. A cut answer is not an error;
-// it is not whole. The error says that no answer came.
-func (c *Client) Send(ctx context.Context, r Request) (*Answer, error) {
+// Send sends r and reads the response to its end. A truncated response is no error, but is not Complete. An
+// error means that there was no response.
+func (c *Client) Send(ctx context.Context, r Request) (*Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Entry+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -75,14 +75,14 @@
 		return nil, errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	a := &Answer{Status: resp.StatusCode, Verdict: verdict.Parse(resp.Header.Get(wire.HeaderVerdict)),
+	a := &Response{Status: resp.StatusCode, Verdict: verdict.Parse(resp.Header.Get(wire.HeaderVerdict)),
 		Replayed: resp.Header.Get(wire.HeaderReplayed) == "true", RetryAfter: resp.Header.Get(wire.HeaderRetryAfter),
 		RequestID: resp.Header.Get(wire.HeaderRequestID), FirstByte: time.Since(started)}
 	a.Body, err = io.ReadAll(resp.Body)
-	a.Took = time.Since(started)
-	a.Whole = err == nil && resp.StatusCode == http.StatusOK
+	a.Duration = time.Since(started)
+	a.Complete = err == nil && resp.StatusCode == http.StatusOK
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), wire.ContentEventStream) {
-		a.Whole = a.Whole && bytes.HasSuffix(bytes.TrimSpace(a.Body), []byte(wire.ChatStreamEnd))
+		a.Complete = a.Complete && bytes.HasSuffix(bytes.TrimSpace(a.Body), []byte(wire.ChatStreamEnd))
 	}
 	return a, nil
 }
@@ -93,7 +93,7 @@
 	}
 }
 
-// ChatText returns the generated text of a streamed or whole chat answer.
+// ChatText returns the generated text of a chat response, streamed or not.
 func ChatText(body []byte) (string, error) {
 	type part struct {
 		Content string `json:"content"`
--- a/node/control/formation.go
+++ b/node/control/formation.go
@@ -57,7 +57,7 @@
 // runFormation creates the cluster if this process is the founder. It returns once the process belongs to a
 // cluster.
 func (s *Service) runFormation(ctx context.Context) {
-	rule := formation.Rule{Self: s.set.Control.Advertise, Seeds: s.seeds}
+	rule := formation.FounderElection{Self: s.set.Control.Advertise, Seeds: s.seeds}
 	clients := map[string]*peer.Client{}
 	defer func() {
 		for _, c := range clients {
@@ -66,19 +66,19 @@
 	}()
 	for ctx.Err() == nil && !s.joined() {
 		step := rule.Next()
-		if step.Found {
+		if step.BecomeFounder {
 			s.initCluster(ctx)
 			return
 		}
-		if step.Ask != "" {
-			if clients[step.Ask] == nil {
-				clients[step.Ask] = peer.NewClient(step.Ask, s.transport.dial)
+		if step.Seed != "" {
+			if clients[step.Seed] == nil {
+				clients[step.Seed] = peer.NewClient(step.Seed, s.transport.dial)
 			}
-			answer := s.hello(ctx, clients[step.Ask], step.Hello)
+			answer := s.hello(ctx, clients[step.Seed], step.Hello)
 			if answer.Known {
-				s.log.Info("seed answered", "address", step.Ask, "has_disk", answer.HasDisk, "founder", answer.Founder, "asked_to_be_named", step.Hello.Address != "")
+				s.log.Info("seed answered", "address", step.Seed, "has_disk", answer.HasDisk, "founder", answer.Founder, "asked_to_be_named", step.Hello.Address != "")
 			}
-			rule.Heard(step.Ask, step.Hello, answer)
+			rule.RecordReply(step.Seed, step.Hello, answer)
 		}
 		select {
 		case <-ctx.Done():
@@ -93,13 +93,13 @@
 }
 
 // hello asks a seed whether it can be the founder. Without an answer, it returns an empty one.
-func (s *Service) hello(ctx context.Context, client *peer.Client, question formation.Hello) formation.Answer {
+func (s *Service) hello(ctx context.Context, client *peer.Client, question formation.Hello) formation.HelloReply {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	var answer formation.Answer
+	var answer formation.HelloReply
 	if err := client.Call(ctx, formation.MethodHello, question, &answer); err != nil {
 		s.log.V(logging.Detail).Info("seed did not answer", "address", client.Address(), "error", err.Error())
-		return formation.Answer{}
+		return formation.HelloReply{}
 	}
 	return answer
 }
@@ -113,6 +113,6 @@
 }
 
 // answerHello reports that this process has a disk.
-func (s *Service) answerHello(context.Context, *formation.Hello) (*formation.Answer, error) {
-	return &formation.Answer{Known: true, HasDisk: true}, nil
+func (s *Service) answerHello(context.Context, *formation.Hello) (*formation.HelloReply, error) {
+	return &formation.HelloReply{Known: true, HasDisk: true}, nil
 }
--- a/node/formation/formation_test.go
+++ b/node/formation/formation_test.go
@@ -7,26 +7,26 @@
 	"pgregory.net/rapid"
 )
 
-// process is one process of a first start.
+// process is one process of the cluster being formed.
 type process struct {
 	address string
 	disk    bool
-	rule    Rule
-	namer   Namer
+	rule    FounderElection
+	namer   Elector
 	founded bool
 }
 
-// TestNeverTwoFounders starts processes with the same seeds, lets them ask and
-// restart in any order and loses any answer. A restarted process without a disk
-// has forgotten whom it named and names nobody; one with a disk goes on by its
-// list of seeds. At most one process founds; and if all answers come, one does.
+// TestNeverTwoFounders starts processes with the same seeds in a random order, with random restarts and lost
+// replies. A restarted process without a disk has forgotten its vote and votes for nobody; one with a disk
+// starts over with its list of seeds. At most one process may become the founder, and exactly one must if
+// nothing restarts and all replies arrive in the end.
 func TestNeverTwoFounders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "processes")
 		procs := map[string]*process{}
 		var all []*process
 		for i := range n {
-			p := &process{address: fmt.Sprint("p", i), disk: rapid.Bool().Draw(t, "disk"), namer: Namer{FirstStart: true}}
+			p := &process{address: fmt.Sprint("p", i), disk: rapid.Bool().Draw(t, "disk"), namer: Elector{FirstStart: true}}
 			procs[p.address] = p
 			all = append(all, p)
 		}
@@ -35,7 +35,7 @@
 			seeds = append(seeds, all[i].address)
 		}
 		for _, p := range all {
-			p.rule = Rule{Self: p.address, Seeds: seeds}
+			p.rule = FounderElection{Self: p.address, Seeds: seeds}
 		}
 		lossy := true
 		step := func(p *process) {
@@ -43,27 +43,27 @@
 				return
 			}
 			s := p.rule.Next()
-			p.founded = s.Found
-			if s.Ask == "" {
+			p.founded = s.BecomeFounder
+			if s.Seed == "" {
 				return
 			}
-			seed := procs[s.Ask]
-			answer := Answer{Known: true, HasDisk: true}
+			seed := procs[s.Seed]
+			answer := HelloReply{Known: true, HasDisk: true}
 			if !seed.disk {
-				answer = seed.namer.Hello(s.Hello)
+				answer = seed.namer.HandleHello(s.Hello)
 			}
 			if lossy && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
-				answer = Answer{}
+				answer = HelloReply{}
 			}
-			p.rule.Heard(s.Ask, s.Hello, answer)
+			p.rule.RecordReply(s.Seed, s.Hello, answer)
 		}
 		restarts := 0
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			p := all[rapid.IntRange(0, n-1).Draw(t, "who")]
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				restarts++
-				p.rule = Rule{Self: p.address, Seeds: seeds}
-				p.namer = Namer{}
+				p.rule = FounderElection{Self: p.address, Seeds: seeds}
+				p.namer = Elector{}
 				continue
 			}
 			step(p)
@@ -84,10 +84,10 @@
 			}
 		}
 		if founders > 1 {
-			t.Fatalf("%d founders", founders)
+			t.Fatalf("%d founders, want at most 1", founders)
 		}
 		if restarts == 0 && disks > 0 && founders == 0 {
-			t.Fatal("no process founds although all answer")
+			t.Fatal("no founder although all seeds reply")
 		}
 	})
 }
--- a/node/pipeline/resume_test.go
+++ b/node/pipeline/resume_test.go
@@ -212,7 +212,7 @@
 // text of an uncut stream, under one id, with one role, one finish reason and one final event.
 func TestStreamIsWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(rapidtest.Bubbled{TB: t}, checkStream)
+		rapid.Check(rapidtest.NoDeadline{TB: t}, checkStream)
 	})
 }
 
--- a/node/wal/wal_test.go
+++ b/node/wal/wal_test.go
@@ -76,7 +76,7 @@
 	_, _, sizes := newLogWithEntries(t)
 	for at := range int(sizes[2]) {
 		fs, _, _ := newLogWithEntries(t)
-		fs.Damage(firstLog, at)
+		fs.FlipBit(firstLog, at)
 		_, _, err := wal.Open(fs)
 		if errors.Cause(err) != wal.ErrCorrupt {
 			t.Fatalf("byte %d: %v", at, err)
@@ -93,7 +93,7 @@
 	if err := l.SaveSnapshot(snap, *hard(1), nil); err != nil {
 		t.Fatal(err)
 	}
-	fs.Damage("snap-00000000000000000003", 20)
+	fs.FlipBit("snap-00000000000000000003", 20)
 	if _, _, err := wal.Open(fs); errors.Cause(err) != wal.ErrCorrupt {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 // reached the disk.
 func TestWriteErrorIsFinal(t *testing.T) {
 	for name, breakDisk := range map[string]func(*disktest.FS){
-		"full":        func(fs *disktest.FS) { fs.FillAfter(10) },
+		"full":        func(fs *disktest.FS) { fs.SetFreeBytes(10) },
 		"sync failed": func(fs *disktest.FS) { fs.FailSyncs() },
 	} {
 		fs, l, _ := newLogWithEntries(t)
@@ -140,7 +140,7 @@
 		if l.Save(nil, []consensus.Entry{entry(4, 1)}) == nil {
 			t.Fatalf("%s: saved", name)
 		}
-		fs.FillAfter(-1)
+		fs.SetFreeBytes(-1)
 		if err := l.Save(nil, []consensus.Entry{entry(4, 1)}); err == nil {
 			t.Fatalf("%s: accepted after the failure", name)
 		}
@@ -152,7 +152,7 @@
 
 func TestFullDiskIsNamed(t *testing.T) {
 	fs, l, _ := newLogWithEntries(t)
-	fs.FillAfter(0)
+	fs.SetFreeBytes(0)
 	if err := l.Save(hard(2), nil); errors.Cause(err) != syscall.ENOSPC {
 		t.Fatal(err)
 	}
