--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -10,8 +10,7 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// longCut returns the length of a long cut, which is over every lease, silence
-// and staleness limit that is set by default.
+// longCut returns a duration above every lease and every silence and staleness limit in the default settings.
 func longCut() time.Duration {
 	if *harness.Long {
 		return time.Minute
@@ -19,20 +18,19 @@
 	return 8 * time.Second
 }
 
-// answersNothing waits until a control process that is cut off refuses to
-// read, and checks that it takes no change.
+// answersNothing waits until an isolated control process refuses reads, and checks that it accepts no change.
 func answersNothing(t *testing.T, c *harness.Control) {
 	t.Helper()
 	harness.Eventually(t, func() string {
 		if readsConfig(c) {
-			return c.Name + " to stop answering"
+			return c.Name + " to refuse reads"
 		}
 		return ""
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if res, err := adminclient.New([]string{c.Admin}, "").Apply(ctx, harness.Change(2, harness.Text("cut off"))); err == nil && res.Accepted {
-		t.Errorf("%s took a change while it was cut off: %+v", c.Name, res)
+		t.Errorf("%s accepted a change while it was isolated: %+v", c.Name, res)
 	}
 }
 
@@ -46,7 +44,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// others returns the control processes but one.
+// others returns all control processes but one.
 func others(s *harness.System, c *harness.Control) []*harness.Control {
 	var out []*harness.Control
 	for _, x := range s.Controls {
@@ -57,8 +55,8 @@
 	return out
 }
 
-// cutLeader cuts the leader off as cut says, for long, applies a change at the
-// others meanwhile, heals, and expects the change on all.
+// cutLeader isolates the leader for longCut, applies a change at the others meanwhile, heals the network, and
+// checks that all processes have the change.
 func cutLeader(t *testing.T, cut func(s *harness.System, leader *harness.Control)) {
 	s := harness.New(t, harness.Options{})
 	load := s.StartLoad()
@@ -71,7 +69,7 @@
 	load.Await(phase)
 	time.Sleep(longCut())
 	if readsConfig(old) {
-		t.Errorf("%s answers again while it is cut off", old.Name)
+		t.Errorf("%s answers reads again while it is isolated", old.Name)
 	}
 	s.Network.Heal()
 	s.AwaitVersion(2)
@@ -103,14 +101,14 @@
 	cutLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Swallow) })
 }
 
-// TestLateDeliveryToLeader holds all bytes back and delivers them when the cut
-// ends, as TCP does.
+// TestLateDeliveryToLeader isolates the leader and delivers all bytes after the fault, as TCP does after a
+// short outage.
 func TestLateDeliveryToLeader(t *testing.T) {
 	t.Parallel()
 	cutLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Hold) })
 }
 
-// TestOneWayCutFromLeader lets the leader hear everybody and reach nobody.
+// TestOneWayCutFromLeader drops all bytes that the leader sends; it still receives.
 func TestOneWayCutFromLeader(t *testing.T) {
 	t.Parallel()
 	cutLeader(t, func(s *harness.System, leader *harness.Control) {
@@ -118,7 +116,7 @@
 	})
 }
 
-// TestOneWayCutToLeader lets the leader reach everybody and hear nobody.
+// TestOneWayCutToLeader drops all bytes that are sent to the leader; it can still send.
 func TestOneWayCutToLeader(t *testing.T) {
 	t.Parallel()
 	cutLeader(t, func(s *harness.System, leader *harness.Control) {
@@ -126,8 +124,8 @@
 	})
 }
 
-// TestFrozenLeader stops the leader's process for longer than any lease while
-// writes to it are under way, and lets it go on.
+// TestFrozenLeader suspends the leader's process for longer than any lease while a write to it is in
+// progress, and resumes it.
 func TestFrozenLeader(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -149,19 +147,19 @@
 	old.Thaw()
 	s.AwaitVersion(2)
 	if <-late {
-		t.Error("a write that reached the frozen leader was accepted over a newer one")
+		t.Error("a write sent to the suspended leader replaced a newer one")
 	}
 	s.AwaitVoters()
 	if got, err := s.Admin().Config(context.Background()); err != nil || got.Text != harness.Text("while frozen") {
-		t.Errorf("reverted: version %d, %v", got.Version, err)
+		t.Errorf("the change was reverted: version %d, %v", got.Version, err)
 	}
 	load.Await(phase)
 	load.Finish()
 	noneUnknown(t, load)
 }
 
-// TestCutBetweenEntryAndAgent cuts an agent off from one entry, silently, and
-// breaks connections in flight. Every confirmation is settled afterwards.
+// TestCutBetweenEntryAndAgent silently drops bytes between an entry and an agent, and then closes connections
+// with calls in flight. Every confirmation must get a final outcome.
 func TestCutBetweenEntryAndAgent(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{GateRelays: true})
--- a/e2e/disk_test.go
+++ b/e2e/disk_test.go
@@ -34,9 +34,8 @@
 	}
 }
 
-// TestTornTail leaves a part of a record at the end of a log, as a crash in the
-// middle of a write does; the process must come back with all it had synced and
-// vote under the identity that it had.
+// TestTornTail appends part of a record to a log, as a crash in the middle of a write does. The process must
+// recover all synced records and keep its identity as a voter.
 func TestTornTail(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -54,7 +53,7 @@
 		s.AwaitBack(victim)
 		s.AwaitVoters()
 		if now := s.Status(s.Leader()).Voters; !slices.Equal(now, voters) {
-			t.Fatalf("%s: voters %v, before the crash %v", tail.name, now, voters)
+			t.Fatalf("%s: voters %v, %v before the crash", tail.name, now, voters)
 		}
 		load.Await(phase / 4)
 	}
@@ -62,7 +61,7 @@
 	noneUnknown(t, load)
 }
 
-// tornTails are what a crash leaves of a record of which the whole has more bytes.
+// tornTails are the parts of a record that a crash may leave; whole is its size in bytes.
 var tornTails = []struct {
 	name string
 	size func(whole int) int
@@ -72,23 +71,22 @@
 	{"all but the last byte", func(whole int) int { return whole - 1 }},
 }
 
-// headerSize is what stands before a record's body, in bytes (package wal).
+// headerSize is the size of a record's header in the log, in bytes (package wal).
 const headerSize = 12
 
-// torn returns the beginning of a record: of a copy of the log's first one.
+// torn returns the beginning of a copy of the log's first record.
 func torn(log []byte, size func(whole int) int) []byte {
 	whole := headerSize + int(binary.LittleEndian.Uint32(log))
 	return slices.Clone(log[:size(whole)])
 }
 
-// TestCorruptMiddle damages the log of a stopped process before its end. The
-// process must refuse to start and say what to do; done so, it is repaired in
-// under a new identity.
+// TestCorruptMiddle corrupts the log of a stopped process before its end. The process must refuse to start
+// and tell the operator what to do; with an empty data folder it rejoins under a new identity.
 func TestCorruptMiddle(t *testing.T) {
 	t.Parallel()
 	for name, at := range map[string]func(size int) int{
 		"body":   func(size int) int { return size / 2 },
-		"length": func(int) int { return 3 }, // of the first record, which then reaches past the end
+		"length": func(int) int { return 3 }, // of the first record, which then extends past the end of the log
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -114,7 +112,7 @@
 			t.Fatal("started with a corrupt log")
 		}
 		if victim.PID() != 0 {
-			return "an end of " + victim.Name
+			return "the exit of " + victim.Name
 		}
 		return ""
 	})
@@ -140,8 +138,8 @@
 	}
 }
 
-// TestWipedFolder brings a voter back with an empty folder: it must not vote
-// under its old name, and repair takes it in as a new replica.
+// TestWipedFolder restarts a voter with an empty data folder. It must not vote under its old identity; repair
+// adds it as a new replica.
 func TestWipedFolder(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -155,11 +153,11 @@
 	harness.Eventually(t, func() string {
 		st := s.Status(s.Leader())
 		if st == nil || len(st.Voters) != 3 || st.Repair != "" || fmt.Sprint(st.Voters) == fmt.Sprint(old) {
-			return fmt.Sprintf("another voter in place of one of %v: %+v", old, st)
+			return fmt.Sprintf("a new voter in place of one of %v: %+v", old, st)
 		}
 		return ""
 	})
-	// The new replica holds the whole state: the other two may go.
+	// The new replica has the whole state: the cluster must survive the loss of another voter.
 	s.MustApply(2, harness.Text("second"))
 	other := s.Leader(victim)
 	other.Kill()
@@ -171,8 +169,8 @@
 	noneUnknown(t, load)
 }
 
-// TestSecondLossAfterRepair loses a voter's disk for good, waits until repair
-// is reported done, and loses a second one at once.
+// TestSecondLossAfterRepair loses the disk of one voter, waits until repair is complete, and then loses
+// another one.
 func TestSecondLossAfterRepair(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Controls: 4})
@@ -195,7 +193,7 @@
 	noneUnknown(t, load)
 }
 
-// voter returns a voter that is not lost; the leader first.
+// voter returns the leader, which must not be one of the lost voters.
 func voter(t *testing.T, s *harness.System, lost []*harness.Control) *harness.Control {
 	t.Helper()
 	return s.Leader(lost...)
@@ -206,15 +204,15 @@
 	harness.Eventually(t, func() string {
 		st := s.Status(s.Leader(victim))
 		if st == nil || len(st.Voters) != 3 || len(st.Learners) > 0 || st.Repair != "" || strings.Contains(fmt.Sprint(st.Voters), victim.Name) {
-			return fmt.Sprintf("%s replaced: %+v", victim.Name, st)
+			return fmt.Sprintf("%s to be replaced: %+v", victim.Name, st)
 		}
 		return ""
 	})
 }
 
-// TestFullDisk limits the size of the leader's files so that a write fails: it must
-// take no part until it can write again, with a clear message, go on by itself in a
-// new file, and lose nothing that it had acknowledged, also when it is killed later.
+// TestFullDisk limits the size of the leader's files so that a write fails. The replica must log a clear
+// message, suspend itself until writes succeed again, resume in a new log file, and lose nothing that it
+// acknowledged, even if it is killed later.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -224,7 +222,7 @@
 	leader.LimitFiles(fileSize(t, newestLog(t, leader)) + 16<<10)
 	harness.Eventually(t, func() string {
 		if !strings.Contains(string(leader.Log()), "replica goes on") {
-			return leader.Name + " goes on after a failed write"
+			return leader.Name + " to resume after a failed write"
 		}
 		return ""
 	})
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e proves caperdrum's promises over separate operating-system
-// processes on loopback addresses. It has tests only.
+// Package e2e tests caperdrum's guarantees with separate processes on loopback addresses. It contains only
+// tests.
 package e2e
--- a/e2e/fence_test.go
+++ b/e2e/fence_test.go
@@ -13,15 +13,14 @@
 	"caperdrum.org/fake/standin"
 )
 
-// ordersText returns a text whose engines are kept warm with a version.
+// ordersText returns a configuration text whose engines keep the given model version loaded.
 func ordersText(version string) string {
 	return strings.Replace(harness.Text(version), "concurrency = 16\n", "concurrency = 16\nmodels = m@"+version+"\nload_timeout = 30s\n", 1)
 }
 
-// TestFrozenLeaderWithOrder cuts the leader off and freezes it while its order
-// is under way at an engine that ignores fencing tokens, lets a new leader roll
-// another version out, and lets the old one go on before and after the cut is
-// healed. No engine may then see an old order, one twice, or two at a time.
+// TestFrozenLeaderWithOrder isolates and suspends the leader while an engine that ignores fencing tokens
+// executes its order. A new leader rolls out another version. The old leader resumes, first isolated and then
+// with the network healed. No engine may execute an outdated order, an order twice, or two orders at once.
 func TestFrozenLeaderWithOrder(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{LoadTime: 3 * time.Second})
@@ -32,7 +31,7 @@
 				return ""
 			}
 		}
-		return "an order under way"
+		return "an order to be executed"
 	})
 	old := s.Leader()
 	s.Network.Isolate(old.Name, harness.Hold)
@@ -47,9 +46,9 @@
 	s.AwaitVersion(3)
 	s.AwaitVoters()
 	awaitHolds(t, s, "2")
-	time.Sleep(longCut()) // for what an agent or a leader might still send
+	time.Sleep(longCut()) // time for late orders of an agent or a leader
 	if later := orders(t, s); later != issued {
-		t.Errorf("%d orders after the old leader came back, %d before", later, issued)
+		t.Errorf("%d orders after the old leader resumed, %d before", later, issued)
 	}
 	awaitHolds(t, s, "2")
 }
@@ -70,7 +69,7 @@
 	harness.Eventually(t, func() string {
 		for _, e := range engines(s) {
 			if st := engineState(t, e); st.Busy || len(st.Holds) != 1 || st.Holds[0] != want {
-				return e.Name + " to hold just " + want.String()
+				return e.Name + " to hold only " + want.String()
 			}
 		}
 		return ""
@@ -83,7 +82,7 @@
 	return st
 }
 
-// orders checks what the engines saw and returns how many orders there were.
+// orders checks the order logs of the engines and returns the number of orders.
 func orders(t *testing.T, s *harness.System) int {
 	t.Helper()
 	n := 0
@@ -92,7 +91,7 @@
 		get(t, e, "/v1/engine/log", &log)
 		n += len(log.Orders)
 		if log.Overlap {
-			t.Errorf("%s was told two things at once", e.Name)
+			t.Errorf("%s executed two orders at once", e.Name)
 		}
 		last := uint64(0)
 		for _, p := range log.Orders {
--- a/e2e/freeze_test.go
+++ b/e2e/freeze_test.go
@@ -7,15 +7,15 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// TestFrozenEntry stops an entry's process under load while the other one
-// answers the resends, and lets it go on: what it does late must not count.
+// TestFrozenEntry suspends an entry under load while the other one answers the resent requests, and resumes
+// it. What the suspended entry does late must have no effect.
 func TestFrozenEntry(t *testing.T) {
 	t.Parallel()
 	freeze(t, func(s *harness.System) *harness.Process { return s.Entries[0].Process })
 }
 
-// TestFrozenAgent stops an agent's process until its lease has ended and its
-// confirmations were given up, and lets it go on.
+// TestFrozenAgent suspends an agent until its lease has expired and its confirmations were given up, and
+// resumes it.
 func TestFrozenAgent(t *testing.T) {
 	t.Parallel()
 	freeze(t, func(s *harness.System) *harness.Process { return s.Agents[0].Process })
--- a/e2e/harness/build.go
+++ b/e2e/harness/build.go
@@ -1,6 +1,5 @@
-// Package harness starts caperdrum as separate processes on loopback
-// addresses for tests, breaks them and their links, and checks callers'
-// answers against an oracle. Only tests use it.
+// Package harness starts caperdrum as separate processes on loopback addresses, injects process and network
+// faults, and checks callers' answers against an oracle. It is used by tests only.
 package harness
 
 import (
@@ -15,19 +14,19 @@
 	"go.uber.org/goleak"
 )
 
-// Long asks for the long runs, with binaries built with the race detector.
-var Long = flag.Bool("long", false, "run the long versions, with binaries that have the race detector")
+// Long selects the long versions of the tests, with binaries built with the race detector.
+var Long = flag.Bool("long", false, "run the long versions, with binaries built with the race detector")
 
-// bin is the folder of the built binaries.
+// bin is the directory of the built binaries.
 var bin string
 
-// Daemon returns the path of caperdrumd.
+// Daemon returns the path of the caperdrumd binary.
 func Daemon() string { return filepath.Join(bin, "caperdrumd") }
 
-// Command returns the path of caperdrum.
+// Command returns the path of the caperdrum binary.
 func Command() string { return filepath.Join(bin, "caperdrum") }
 
-// Main builds both binaries, runs the tests and fails when goroutines leak.
+// Main builds both binaries, runs the tests and fails if goroutines leak.
 func Main(m *testing.M) {
 	flag.Parse()
 	status, err := run(m)
@@ -70,7 +69,7 @@
 	return nil
 }
 
-// Root returns the root of the repository.
+// Root returns the root directory of the repository.
 func Root() string {
 	_, file, _, _ := runtime.Caller(0)
 	return filepath.Join(filepath.Dir(file), "..", "..")
--- a/e2e/harness/config.go
+++ b/e2e/harness/config.go
@@ -9,7 +9,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// Desk is the service that is not idempotent.
+// Desk is the name of the non-idempotent service.
 const Desk = "order-desk"
 
 // Customer is the customer of all requests.
@@ -59,15 +59,15 @@
 share = 3
 `
 
-// Text returns a valid operators' text that the mark tells from others.
+// Text returns a valid configuration text that is unique to the mark.
 func Text(mark string) string { return "# " + mark + "\n" + textBody }
 
-// Change returns a change with a fresh change id.
+// Change returns a change request with a new change id.
 func Change(number uint64, text string) wire.ChangeRequest {
 	return wire.ChangeRequest{Number: number, Text: text, ChangeID: uuid.NewString()}
 }
 
-// MustApply applies a text that must be accepted under the given number.
+// MustApply applies a text as the given version and fails the test if it isn't accepted.
 func (s *System) MustApply(number uint64, text string) wire.ChangeRequest {
 	s.T.Helper()
 	c := Change(number, text)
--- a/e2e/harness/load.go
+++ b/e2e/harness/load.go
@@ -16,11 +16,11 @@
 	"caperdrum.org/fake/standin"
 )
 
-// Load sends confirmations and pipeline requests from several goroutines and
-// holds every answer against an oracle.
+// Load sends confirmations and pipeline requests from several goroutines and checks every answer against an
+// oracle.
 type Load struct {
-	// Confirmed and Answered count whole answers to confirmations and to other
-	// requests, Refused errors with a verdict, Lost broken connections.
+	// Confirmed and Answered count complete answers to confirmations and to other requests, Refused counts
+	// errors with a verdict, and Lost counts broken connections.
 	Confirmed, Answered, Refused, Lost atomic.Int64
 
 	s      *System
@@ -28,39 +28,39 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 	next   atomic.Int64
-	strict bool // nothing may be lost or refused
+	strict bool // fail the test on any lost or refused request
 
 	mu   sync.Mutex
 	keys []*confirmation
 }
 
-// confirmation is what the oracle knows of one key.
+// confirmation is the oracle's record of one idempotency key.
 type confirmation struct {
 	key, body string
-	whole     []byte // the answer that was given whole
-	unknown   bool   // answered: may have run, never runs again
-	left      bool   // its only answer was a refusal as not run, and it is not sent again
+	whole     []byte // the complete answer, if one was received
+	unknown   bool   // answered "may have run": it must never run again
+	left      bool   // abandoned after a "not run" answer and not sent again
 }
 
-// ConfirmWorkers is how many confirmations a load has under way at a time.
+// ConfirmWorkers is the number of concurrent confirmations of a load.
 const ConfirmWorkers = 6
 
 const (
 	requestTimeout = 5 * time.Second
-	giveUp         = requestTimeout + time.Second // a caller hangs up on an entry that says nothing
+	giveUp         = requestTimeout + time.Second // client timeout for an entry that does not answer
 	requestWorkers = 4
-	maxSends       = 6 // of one key during a fault; the rest is sent when it is over
+	maxSends       = 6 // of one key during a fault; Finish sends the remaining ones
 	resendPause    = 100 * time.Millisecond
-	thinkTime      = 10 * time.Millisecond // of a worker between two requests
+	thinkTime      = 10 * time.Millisecond // between two requests of a worker
 	readyPoll      = 25 * time.Millisecond
 	notRun         = "not-run"
 )
 
-// StartLoad starts the load. It ends with Finish, or with the test.
+// StartLoad starts a load, which runs until Finish or the end of the test.
 func (s *System) StartLoad() *Load { return s.startLoad(false) }
 
-// StartStrictLoad starts a load like a balancer's: it sends to entries that
-// say they are ready, and no request may fail.
+// StartStrictLoad starts a load that, like a load balancer, only sends to entries that report ready. Any
+// failed request fails the test.
 func (s *System) StartStrictLoad() *Load { return s.startLoad(true) }
 
 func (s *System) startLoad(strict bool) *Load {
@@ -92,21 +92,20 @@
 	l.client.Close()
 }
 
-// Await waits until n more confirmations and n more requests were answered
-// whole.
+// Await waits for n more complete answers to confirmations and n more to other requests.
 func (l *Load) Await(n int64) {
 	l.s.T.Helper()
 	confirmed, answered := l.Confirmed.Load()+n, l.Answered.Load()+n
 	Eventually(l.s.T, func() string {
 		if c, a := l.Confirmed.Load(), l.Answered.Load(); c < confirmed || a < answered {
-			return fmt.Sprintf("%d confirmations and %d answers; %d and %d so far", confirmed, answered, c, a)
+			return fmt.Sprintf("%d confirmations and %d other answers; have %d and %d", confirmed, answered, c, a)
 		}
 		return ""
 	})
 }
 
-// entry picks the entry of the i-th send. A strict load asks for readiness
-// first, as the balancer does.
+// entry returns the entry for the i-th request. A strict load checks readiness first, as a load balancer
+// does.
 func (l *Load) entry(i int64) *Entry {
 	for k := i; ; k++ {
 		e := l.s.Entries[int(k)%len(l.s.Entries)]
@@ -117,7 +116,7 @@
 	}
 }
 
-// send returns nil when no whole answer came back over the connection.
+// send returns nil if the connection broke before a complete answer.
 func (l *Load) send(i int64, r client.Request) *client.Answer {
 	e := l.entry(i)
 	r.Entry, r.Customer, r.Timeout = e.Address, Customer, requestTimeout
@@ -128,7 +127,7 @@
 	case err != nil, a.Status == 200 && !a.Whole:
 		l.Lost.Add(1)
 		if l.strict {
-			l.s.T.Errorf("lost through %s: %v %+v", e.Name, err, a)
+			l.s.T.Errorf("request through %s lost: %v %+v", e.Name, err, a)
 		}
 		time.Sleep(resendPause)
 		return nil
@@ -139,7 +138,7 @@
 	default:
 		l.Refused.Add(1)
 		if l.strict {
-			l.s.T.Errorf("refused through %s: %d %s %s", e.Name, a.Status, a.Verdict, a.Body)
+			l.s.T.Errorf("request through %s refused: %d %s %s", e.Name, a.Status, a.Verdict, a.Body)
 		}
 		time.Sleep(resendPause)
 	}
@@ -164,8 +163,7 @@
 	}
 }
 
-// leftOut is the share of refused confirmations that are never sent again, so
-// that "not run" can be checked.
+// leftOut: one in leftOut refused confirmations is never sent again, to check that "not run" is true.
 const leftOut = 2
 
 func (l *Load) sendKey(i int64, c *confirmation) *client.Answer {
@@ -177,7 +175,7 @@
 	case a.Whole:
 		l.check(c, a)
 	case a.Verdict == verdict.MayHaveRun && a.RetryAfter == "":
-		c.unknown = true // final: the outcome is lost with its gate
+		c.unknown = true // final: the record of the outcome was lost with its gate
 	}
 	return a
 }
@@ -194,7 +192,7 @@
 		l.s.T.Errorf("%s: answered %s, then %s", c.key, c.whole, a.Body)
 	}
 	if c.unknown {
-		l.s.T.Errorf("%s: answered as lost, then whole", c.key)
+		l.s.T.Errorf("%s: complete answer after \"may have run\"", c.key)
 	}
 	c.whole = a.Body
 }
@@ -217,8 +215,8 @@
 	}
 }
 
-// Finish ends the load. Faults must be over: every confirmation is sent again
-// until it is settled, and its answer must be the one given before.
+// Finish ends the load. All faults must have ended: every confirmation is sent again until its outcome is
+// known, and a repeated answer must equal the first one.
 func (l *Load) Finish() {
 	l.s.T.Helper()
 	l.cancel()
@@ -251,10 +249,10 @@
 			return
 		}
 	}
-	l.s.T.Errorf("%s is never settled", c.key)
+	l.s.T.Errorf("%s: no final outcome", c.key)
 }
 
-// judge compares the oracle with what ran.
+// judge compares the recorded answers with the runs at the upstreams.
 func (l *Load) judge() {
 	whole, unknown, left := 0, 0, 0
 	for _, c := range l.keys {
@@ -263,15 +261,15 @@
 		case runs > 1:
 			l.s.T.Errorf("%s ran %d times", c.key, runs)
 		case c.left && runs != 0:
-			l.s.T.Errorf("%s was refused as not run, but ran", c.key)
+			l.s.T.Errorf("%s was answered \"not run\", but ran", c.key)
 		case c.whole != nil && runs != 1:
-			l.s.T.Errorf("%s was answered whole, but ran %d times", c.key, runs)
+			l.s.T.Errorf("%s was answered completely, but ran %d times", c.key, runs)
 		}
 		whole += count(c.whole != nil)
 		unknown += count(c.unknown)
 		left += count(c.left)
 	}
-	l.s.T.Logf("%d keys: %d whole, %d may have run, %d refused for good; other requests: %d whole; sends: %d refused, %d lost",
+	l.s.T.Logf("%d keys: %d answered, %d may have run, %d refused and not sent again; other requests: %d answered; attempts: %d refused, %d lost",
 		len(l.keys), whole, unknown, left, l.Answered.Load(), l.Refused.Load(), l.Lost.Load())
 }
 
@@ -282,7 +280,7 @@
 	return 0
 }
 
-// Unknown returns how many confirmations ended as perhaps run.
+// Unknown returns how many confirmations were answered "may have run".
 func (l *Load) Unknown() int {
 	n := 0
 	for _, c := range l.keys {
@@ -291,12 +289,12 @@
 	return n
 }
 
-// MustHold fails the test when any of the texts is missing from the log.
+// MustHold fails the test if any of the texts is missing from the log.
 func MustHold(t testing.TB, log []byte, texts ...string) {
 	t.Helper()
 	for _, x := range texts {
 		if !strings.Contains(string(log), x) {
-			t.Errorf("%q is missing from:\n%s", x, tail(log))
+			t.Errorf("%q is missing from the log:\n%s", x, tail(log))
 		}
 	}
 }
--- a/e2e/harness/opener.go
+++ b/e2e/harness/opener.go
@@ -10,11 +10,11 @@
 	"strings"
 )
 
-// outside names an opener that is not a process of the system.
+// outside is returned for connections from outside the system, such as the test itself.
 const outside = "test"
 
-// opener returns the name of the process that opened the connection: its
-// socket's inode stands among the process's open files.
+// opener returns the name of the process that opened the connection. It looks for the inode of the socket
+// among the open files of the processes.
 func (n *Network) opener(c net.Conn) string {
 	inode := inodeOf(c.RemoteAddr().(*net.TCPAddr), c.LocalAddr().(*net.TCPAddr))
 	if inode == "" {
@@ -51,9 +51,9 @@
 	columnInode  = 9
 )
 
-// inodeOf returns the inode of the socket with these ends, empty where there is none. The kernel is asked for this
-// one socket: its table has those of all processes of the machine, and to read it for each connection takes longer
-// than the processes wait for one once there are tens of thousands.
+// inodeOf returns the inode of the socket with these addresses, or "" if there is none. It asks the kernel
+// for this one socket: /proc/net/tcp lists those of the whole machine, and with tens of thousands of them
+// reading it takes longer than the connection timeouts of the processes.
 func inodeOf(local, remote *net.TCPAddr) string {
 	if inode, err := askKernel(local, remote); err == nil {
 		return inode
@@ -78,7 +78,7 @@
 	return ""
 }
 
-// procAddress is the spelling of /proc/net/tcp on a little-endian machine.
+// procAddress formats an address as /proc/net/tcp does on a little-endian machine.
 func procAddress(a *net.TCPAddr) string {
 	return fmt.Sprintf("%08X:%04X", binary.LittleEndian.Uint32(a.IP.To4()), a.Port)
 }
--- a/e2e/harness/opener_test.go
+++ b/e2e/harness/opener_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestOpenerOfAConnection finds the socket at the other end of a connection among all of the machine, by the kernel's
-// answer as by its table, and the process that holds it.
+// TestOpenerOfAConnection finds the remote socket of a connection, both through sock_diag and in
+// /proc/net/tcp, and checks that this process holds it.
 func TestOpenerOfAConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -22,19 +22,19 @@
 	local, remote := opened.LocalAddr().(*net.TCPAddr), opened.RemoteAddr().(*net.TCPAddr)
 	table := inodeInTable(local, remote)
 	if table == "" || !holdsSocket(os.Getpid(), table) {
-		t.Fatalf("inode %q by the table", table)
+		t.Fatalf("inode %q in /proc/net/tcp", table)
 	}
 	switch asked, err := askKernel(local, remote); {
 	case err != nil:
-		t.Logf("the kernel cannot be asked here: %v", err)
+		t.Logf("sock_diag is not available: %v", err)
 	case asked != table:
-		t.Errorf("inode %q by the kernel, %q by its table", asked, table)
+		t.Errorf("inode %q from sock_diag, %q in /proc/net/tcp", asked, table)
 	}
 	if got := inodeOf(local, remote); got != table {
 		t.Errorf("inode %q", got)
 	}
 	nowhere := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9), Port: 9}
 	if got := inodeOf(nowhere, remote); got != "" {
-		t.Errorf("inode %q of a socket that is not there", got)
+		t.Errorf("inode %q for a socket that does not exist", got)
 	}
 }
--- a/e2e/harness/process.go
+++ b/e2e/harness/process.go
@@ -13,27 +13,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// hungAfter ends a test that waits for something that never happens. No
-// promise is measured with it.
+// hungAfter is the timeout of waits that should always succeed. No guaranteed time is measured with it.
 const hungAfter = 90 * time.Second
 
-// forking keeps starts of processes and probes for free ports apart: between
-// fork and exec a child holds the probe's socket, and the port stays taken
-// after the probe has closed it.
+// forking serializes process starts with probes for free ports. Between fork and exec a child process holds a
+// copy of the probe's socket, so that the port stays taken after the probe closed it.
 var forking sync.RWMutex
 
-// Output runs a command to its end and returns what it wrote.
+// Output runs a command and returns its combined output.
 func Output(cmd *exec.Cmd) []byte {
 	forking.Lock()
 	defer forking.Unlock()
-	out, _ := cmd.CombinedOutput() // the caller looks at the exit status
+	out, _ := cmd.CombinedOutput() // the caller checks the exit status
 	return out
 }
 
 // Process is one operating-system process under test.
 type Process struct {
 	Name string
-	Env  []string // beside the test's own environment
+	Env  []string // in addition to the environment of the test
 	t    testing.TB
 	argv []string
 	log  string
@@ -44,7 +42,7 @@
 	status int
 }
 
-// NewProcess returns a process that ends with the test.
+// NewProcess returns a process that is killed at the end of the test.
 func NewProcess(t testing.TB, name, dir string, argv ...string) *Process {
 	p := &Process{Name: name, t: t, argv: argv, log: filepath.Join(dir, name+".log")}
 	t.Cleanup(p.cleanup)
@@ -65,12 +63,12 @@
 	}
 }
 
-// tailBytes of a process's log are shown where a test fails: some minutes of its last lines.
+// tailBytes is how much of a log is shown if a test fails: some minutes.
 const tailBytes = 200_000
 
 func tail(log []byte) []byte { return log[max(0, len(log)-tailBytes):] }
 
-// Log returns what the process wrote on both outputs over all its starts.
+// Log returns the stdout and stderr of all starts of the process.
 func (p *Process) Log() []byte {
 	data, err := os.ReadFile(p.log)
 	if err != nil && !os.IsNotExist(err) {
@@ -110,7 +108,7 @@
 	}()
 }
 
-// PID returns the process id, or zero when it is not running.
+// PID returns the process id, or zero if the process isn't running.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,14 +123,14 @@
 	}
 }
 
-// Signal sends a signal to the process, if it runs.
+// Signal sends a signal to the process if it is running.
 func (p *Process) Signal(s syscall.Signal) {
 	if pid := p.PID(); pid > 0 {
 		syscall.Kill(pid, s)
 	}
 }
 
-// Kill sends SIGKILL and waits for the end.
+// Kill sends SIGKILL and waits for the process to exit.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.Wait()
@@ -150,7 +148,7 @@
 // Thaw sends SIGCONT.
 func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
 
-// Wait returns the exit status; -1 when a signal ended the process.
+// Wait waits for the process to exit and returns its exit status, or -1 if a signal killed it.
 func (p *Process) Wait() int {
 	p.mu.Lock()
 	exited := p.exited
@@ -161,7 +159,7 @@
 	select {
 	case <-exited:
 	case <-time.After(hungAfter):
-		p.t.Errorf("%s does not end", p.Name)
+		p.t.Errorf("%s does not exit", p.Name)
 		p.Signal(syscall.SIGKILL)
 		<-exited
 	}
@@ -172,8 +170,8 @@
 
 const pollInterval = 20 * time.Millisecond
 
-// Eventually polls until done returns an empty string. The string says what
-// is still missing.
+// Eventually polls until done returns "" and fails the test after a timeout. done returns what it is still
+// waiting for.
 func Eventually(t testing.TB, done func() string) {
 	t.Helper()
 	end := time.Now().Add(hungAfter)
@@ -183,14 +181,14 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("never happened: %s", missing)
+			t.Fatalf("timed out waiting for: %s", missing)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// LimitFiles sets the largest size that a file of the running process may
-// grow to, in bytes. It lasts until the process ends.
+// LimitFiles sets the maximum file size (RLIMIT_FSIZE) of the running process, in bytes. The limit lasts
+// until the process exits.
 func (p *Process) LimitFiles(size int64) {
 	limit := unix.Rlimit{Cur: uint64(size), Max: uint64(size)}
 	if err := unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, &limit, nil); err != nil {
--- a/e2e/harness/relay.go
+++ b/e2e/harness/relay.go
@@ -7,30 +7,29 @@
 	"time"
 )
 
-// Fault is what happens to the bytes between two processes.
+// Fault is a fault of the link between two processes.
 type Fault int
 
-// Faults of a direction.
+// Faults of one direction of a link.
 const (
 	Pass    Fault = iota
-	Swallow       // bytes vanish silently; the connection breaks when the fault ends
-	Hold          // bytes arrive, late, when the fault ends
+	Swallow       // bytes are silently dropped; the connection is closed when the fault ends
+	Hold          // bytes are held back until the fault ends
 )
 
 type direction struct{ from, to string }
 
-// Any stands for every process in a direction.
+// Any matches every process.
 const Any = "*"
 
-// Network is the set of relays between the processes of a system. A relay
-// knows which process opened a connection, so that faults are set by the names
-// of both ends.
+// Network is the set of TCP relays between the processes of a system. A relay finds out which process opened
+// a connection, so that faults can be set by the names of both ends.
 type Network struct {
 	t  testing.TB
 	mu sync.Mutex
 
 	processes map[string]*Process
-	targets   map[string]string // of the relays, by the process behind them
+	targets   map[string]string // target addresses of the relays, by process
 	faults    map[direction]Fault
 	delay     time.Duration
 	changed   chan struct{}
@@ -40,26 +39,26 @@
 
 type link struct {
 	network  *Network
-	from, to string // who opened it, and whose relay it came through
+	from, to string // the process that opened it, and the one behind the relay
 	ends     [2]net.Conn
-	lossy    bool // bytes are missing
+	lossy    bool // bytes were dropped
 }
 
-// NewNetwork returns a network without relays, which ends with the test.
+// NewNetwork returns a network without relays. The end of the test waits for its goroutines.
 func NewNetwork(t testing.TB) *Network {
 	n := &Network{t: t, processes: map[string]*Process{}, targets: map[string]string{}, faults: map[direction]Fault{}, changed: make(chan struct{}), links: map[*link]struct{}{}}
 	t.Cleanup(n.wg.Wait)
 	return n
 }
 
-// Add lets the network tell the connections that the process opens.
+// Add registers a process, so that the connections it opens are recognized.
 func (n *Network) Add(p *Process) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.processes[p.Name] = p
 }
 
-// Set puts a fault on the bytes that go from one process to another.
+// Set sets the fault of the bytes sent from one process to another.
 func (n *Network) Set(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,20 +66,20 @@
 	n.signal()
 }
 
-// Isolate puts a fault on all bytes from and to a process.
+// Isolate sets the fault of all bytes from and to a process.
 func (n *Network) Isolate(name string, f Fault) {
 	n.Set(name, Any, f)
 	n.Set(Any, name, f)
 }
 
-// Delay makes every chunk of bytes wait.
+// Delay sets the delay of every chunk of bytes.
 func (n *Network) Delay(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = d
 }
 
-// Heal ends all faults and breaks the connections that lost bytes.
+// Heal ends all faults and closes the connections that dropped bytes.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -104,13 +103,13 @@
 	}
 }
 
-// signal is called with the lock held.
+// signal wakes up the links that wait for a change. The caller holds n.mu.
 func (n *Network) signal() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// fault is called with the lock held.
+// fault returns the fault of a direction and the delay. The caller holds n.mu.
 func (n *Network) fault(from, to string) (Fault, time.Duration, chan struct{}) {
 	for _, d := range []direction{{from, to}, {from, Any}, {Any, to}} {
 		if f := n.faults[d]; f != Pass {
@@ -120,15 +119,14 @@
 	return Pass, n.delay, n.changed
 }
 
-// Target returns where the relay of a process passes connections on to.
+// Target returns the address to which the relay of a process forwards.
 func (n *Network) Target(name string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.targets[name]
 }
 
-// Relay listens on address and passes connections on to target, which belongs
-// to the named process.
+// Relay listens on address and forwards connections to target, the address of the named process.
 func (n *Network) Relay(name, address, target string) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -157,8 +155,8 @@
 	from := n.opener(c)
 	s, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
-		// The caller must see a connection that was never made rather than a
-		// broken one, so the relay resets it at once.
+		// Reset the connection at once, so that the caller sees a failed connection attempt rather than a
+		// connection that broke later.
 		c.(*net.TCPConn).SetLinger(0)
 		return
 	}
@@ -198,7 +196,7 @@
 	}
 }
 
-// forward treats one chunk as the fault in force says; false ends the link.
+// forward applies the current fault to one chunk. It returns false if the link must be closed.
 func (l *link) forward(dst net.Conn, p []byte, from, to string) bool {
 	for {
 		f, delay, changed := l.judge(from, to)
@@ -219,8 +217,7 @@
 	}
 }
 
-// judge returns the fault in force. A direction that once lost bytes goes on
-// losing them until the connection is broken.
+// judge returns the current fault. A link that dropped bytes is closed as soon as its fault ends.
 func (l *link) judge(from, to string) (Fault, time.Duration, chan struct{}) {
 	n := l.network
 	n.mu.Lock()
@@ -235,8 +232,8 @@
 	return f, delay, changed
 }
 
-// awaitEnd keeps the end of a connection from being seen while it is cut: a
-// silent cut swallows that as well.
+// awaitEnd delays the end of a connection until its fault ends: while a link is cut, the other side must not
+// see that the connection was closed.
 func (l *link) awaitEnd(from, to string) {
 	for {
 		f, _, changed := l.judge(from, to)
--- a/e2e/harness/sockdiag.go
+++ b/e2e/harness/sockdiag.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sizes and places of what linux/inet_diag.h and linux/netlink.h describe, in bytes.
+// Sizes and offsets of structures in linux/inet_diag.h and linux/netlink.h, in bytes.
 const (
 	diagRequestSize = unix.SizeofNlMsghdr + 56 // struct inet_diag_req_v2
 	diagAnswerSize  = unix.SizeofNlMsghdr + 72 // struct inet_diag_msg
@@ -18,8 +18,8 @@
 	sockDiagFamily  = 20 // SOCK_DIAG_BY_FAMILY
 )
 
-// askKernel returns the inode of the TCP socket with these ends (sock_diag(7)), empty where there is none. An error
-// says that the kernel cannot be asked.
+// askKernel returns the inode of the TCP socket with these addresses (sock_diag(7)), or "" if there is none.
+// It returns an error if the kernel can't be queried.
 func askKernel(local, remote *net.TCPAddr) (string, error) {
 	fd, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, unix.NETLINK_SOCK_DIAG)
 	if err != nil {
@@ -44,7 +44,7 @@
 	binary.NativeEndian.PutUint16(r[6:], unix.NLM_F_REQUEST)
 	body := r[unix.SizeofNlMsghdr:]
 	body[0], body[1] = unix.AF_INET, unix.IPPROTO_TCP
-	binary.NativeEndian.PutUint32(body[4:], 0xffffffff) // any state
+	binary.NativeEndian.PutUint32(body[4:], 0xffffffff) // any TCP state
 	id := body[8:]
 	binary.BigEndian.PutUint16(id, uint16(local.Port))
 	binary.BigEndian.PutUint16(id[2:], uint16(remote.Port))
@@ -57,7 +57,7 @@
 
 func inodeOfAnswer(a []byte) (string, error) {
 	if len(a) < unix.SizeofNlMsghdr+4 {
-		return "", fmt.Errorf("answer of %d bytes", len(a))
+		return "", fmt.Errorf("sock_diag: response of %d bytes is too short", len(a))
 	}
 	if kind := binary.NativeEndian.Uint16(a[4:]); kind == unix.NLMSG_ERROR {
 		errno := unix.Errno(-int32(binary.NativeEndian.Uint32(a[unix.SizeofNlMsghdr:])))
@@ -67,7 +67,7 @@
 		return "", errno
 	}
 	if len(a) < diagAnswerSize {
-		return "", fmt.Errorf("answer of %d bytes", len(a))
+		return "", fmt.Errorf("sock_diag: response of %d bytes is too short", len(a))
 	}
 	return fmt.Sprint(binary.NativeEndian.Uint32(a[diagInode:])), nil
 }
--- a/e2e/harness/system.go
+++ b/e2e/harness/system.go
@@ -22,11 +22,11 @@
 type Options struct {
 	Controls   int // default 3
 	Voters     int // default 3
-	Desks      int // upstreams of the service that is not idempotent; default 2
+	Desks      int // upstreams of the non-idempotent service; default 2
 	Engines    int // default 2
 	Staged     bool
-	GateRelays bool          // put relays between entries and agents too
-	LoadTime   time.Duration // when set, engines take orders, ignore fencing tokens and load this long
+	GateRelays bool          // use relays between entries and agents too
+	LoadTime   time.Duration // if set, engines accept orders, ignore fencing tokens and take this long to load
 }
 
 // Control is a control process.
@@ -45,11 +45,11 @@
 // Agent is an agent process with its stand-in upstream.
 type Agent struct {
 	*Process
-	Gate     string // the gate's own address, without a relay
+	Gate     string // address of the gate itself, not of its relay
 	Upstream *Upstream
 }
 
-// System is a set of separate processes.
+// System is a set of separate processes that form one cluster.
 type System struct {
 	T        testing.TB
 	Dir      string
@@ -67,15 +67,15 @@
 
 var systems atomic.Int64
 
-// Loopback folders 127.64.0.0 to 127.127.255.0, one for each system, so that
-// ports of different systems do not clash.
+// Loopback networks 127.64.0.0 to 127.127.255.0, one per system, so that the ports of different systems do
+// not conflict.
 const (
 	firstNet = 64
 	nets     = 64
 	subnets  = 250
 )
 
-// New starts a whole system and puts Text in force.
+// New starts a system and applies Text("") as version 1.
 func New(t testing.TB, o Options) *System {
 	t.Helper()
 	s := Prepare(t, o)
@@ -88,7 +88,7 @@
 	return s
 }
 
-// Prepare writes all settings and starts nothing.
+// Prepare writes all settings files without starting a process.
 func Prepare(t testing.TB, o Options) *System {
 	o = withDefaults(o)
 	n := int(systems.Add(1))
@@ -141,8 +141,8 @@
 	return out
 }
 
-// address returns a fresh address of the system's host number. Its port lies
-// below those that the kernel gives to others, on any address, and was free.
+// address returns a free address on the system's given host number. Its port is below the kernel's range of
+// ephemeral ports.
 func (s *System) address(host int) string {
 	forking.RLock()
 	defer forking.RUnlock()
@@ -249,7 +249,7 @@
 	return out
 }
 
-// Admin returns a client of all control processes.
+// Admin returns an administration client for all control processes.
 func (s *System) Admin() *adminclient.Client {
 	var all []string
 	for _, c := range s.Controls {
@@ -258,8 +258,7 @@
 	return adminclient.New(all, "")
 }
 
-// Init forms the cluster at the first control process and waits until repair
-// has made the wanted number of voters.
+// Init initializes the cluster and waits until repair has added the configured number of voters.
 func (s *System) Init() {
 	s.T.Helper()
 	Eventually(s.T, func() string {
@@ -271,7 +270,7 @@
 	s.AwaitVoters()
 }
 
-// Status returns a control process's report, or nil when it gives none soon.
+// Status returns the status of a control process, or nil if it doesn't answer in time.
 func (s *System) Status(c *Control) *wire.ControlStatus {
 	if c.PID() == 0 {
 		return nil
@@ -287,7 +286,7 @@
 
 const statusTimeout = time.Second
 
-// Leader waits for a leader other than those given and returns it.
+// Leader waits for a leader other than the given ones and returns it.
 func (s *System) Leader(but ...*Control) *Control {
 	s.T.Helper()
 	var found *Control
@@ -315,39 +314,38 @@
 	return false
 }
 
-// AwaitVoters waits until the leader reports a whole set of voters.
+// AwaitVoters waits until the leader reports a complete set of voters and no repair.
 func (s *System) AwaitVoters() {
 	s.T.Helper()
 	Eventually(s.T, func() string {
 		st := s.Status(s.Leader())
 		if st == nil || len(st.Voters) != s.opts.Voters || len(st.Learners) != 0 || st.Repair != "" {
-			return fmt.Sprintf("a whole voter set: %+v", st)
+			return fmt.Sprintf("a complete set of voters: %+v", st)
 		}
 		return ""
 	})
 }
 
-// AwaitBack waits until a control process that was started again has applied
-// what the leader had when it was asked.
+// AwaitBack waits until a restarted control process has applied all that the leader had applied when the wait
+// began.
 func (s *System) AwaitBack(c *Control) {
 	s.T.Helper()
 	var want uint64
 	Eventually(s.T, func() string {
 		if c.PID() == 0 {
-			s.T.Fatalf("%s ended after its start:\n%s", c.Name, c.Log())
+			s.T.Fatalf("%s exited after its start:\n%s", c.Name, c.Log())
 		}
 		if st := s.Status(s.Leader()); st != nil && want == 0 {
 			want = st.Applied
 		}
 		if st := s.Status(c); st == nil || want == 0 || st.Applied < want {
-			return fmt.Sprintf("%s at entry %d again: %+v", c.Name, want, st)
+			return fmt.Sprintf("%s to catch up with entry %d: %+v", c.Name, want, st)
 		}
 		return ""
 	})
 }
 
-// AwaitReady waits until every running entry is ready and knows every running
-// agent that is not leaving.
+// AwaitReady waits until every running entry is ready, and then AwaitMembers.
 func (s *System) AwaitReady() {
 	s.T.Helper()
 	for _, e := range s.Entries {
@@ -355,14 +353,13 @@
 			if e.PID() == 0 || Ready(e) {
 				return ""
 			}
-			return e.Name + " ready"
+			return e.Name + " to be ready"
 		})
 	}
 	s.AwaitMembers()
 }
 
-// AwaitMembers waits until the members are exactly the running processes that
-// join.
+// AwaitMembers waits until the members that aren't leaving are exactly the running entries and agents.
 func (s *System) AwaitMembers() {
 	s.T.Helper()
 	Eventually(s.T, func() string {
@@ -376,7 +373,7 @@
 		}
 		for _, p := range s.members() {
 			if (p.PID() > 0) != known[p.Name] {
-				return "member " + p.Name
+				return "membership of " + p.Name
 			}
 		}
 		return ""
@@ -389,7 +386,7 @@
 
 var probe = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Ready asks an entry as the balancer does.
+// Ready queries the readiness of an entry, as a load balancer does.
 func Ready(e *Entry) bool {
 	resp, err := probe.Get("http://" + e.Address + "/readyz")
 	if err != nil {
@@ -399,7 +396,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Together runs f for every element at the same time.
+// Together calls f for all elements concurrently and waits.
 func Together[E any](list []E, f func(E)) {
 	var wg sync.WaitGroup
 	for _, e := range list {
--- a/e2e/harness/upstream.go
+++ b/e2e/harness/upstream.go
@@ -11,7 +11,7 @@
 	"caperdrum.org/fake/standin"
 )
 
-// Runs counts how often each confirmation ran, over all desks.
+// Runs counts how often each confirmation ran, over all upstreams of the desk.
 type Runs struct {
 	mu     sync.Mutex
 	bodies map[string]int
@@ -25,21 +25,21 @@
 	r.total++
 }
 
-// Of returns how often a body ran.
+// Of returns how often a request body ran.
 func (r *Runs) Of(body string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.bodies[body]
 }
 
-// Total returns the number of runs.
+// Total returns the number of all runs.
 func (r *Runs) Total() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.total
 }
 
-// Upstream is a stand-in upstream inside the test's process.
+// Upstream is a stand-in upstream in the test's process.
 type Upstream struct {
 	Address string
 
@@ -49,8 +49,7 @@
 	work  int
 }
 
-// Slow makes every answer wait, and returns a channel that gets the body of
-// each call when it begins.
+// Slow delays every answer by d and returns a channel that receives the body of each call when it begins.
 func (u *Upstream) Slow(d time.Duration) <-chan string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -58,7 +57,7 @@
 	return u.began
 }
 
-// Work returns the number of calls so far, health checks aside.
+// Work returns the number of calls so far, without health checks.
 func (u *Upstream) Work() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -75,7 +74,7 @@
 	return u.delay
 }
 
-// Tokens is the length of an engine's answers.
+// Tokens is the number of tokens in an engine's answers.
 const Tokens = 8
 
 const standinDelay = 2 * time.Millisecond
@@ -108,7 +107,7 @@
 	return u
 }
 
-// count counts a call, which runs from here on, and waits as Slow says.
+// count records a call that begins to run, and delays it as set by Slow.
 func (u *Upstream) count(s *System, service string, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/e2e/kill_test.go
+++ b/e2e/kill_test.go
@@ -7,15 +7,15 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// phase is the number of whole answers of each kind between two steps.
+// phase is the number of complete answers of each kind to await between two steps.
 const phase = 100
 
-// noneUnknown fails the test when a confirmation ended as perhaps run: only
-// the death of its agent may lead to that.
+// noneUnknown fails the test if a confirmation was answered "may have run". Only the death of its agent may
+// cause that.
 func noneUnknown(t *testing.T, load *harness.Load) {
 	t.Helper()
 	if n := load.Unknown(); n > 0 {
-		t.Errorf("%d confirmations ended as perhaps run, though no agent died", n)
+		t.Errorf("%d confirmations were answered \"may have run\" though no agent died", n)
 	}
 }
 
@@ -49,8 +49,8 @@
 	noneUnknown(t, load)
 }
 
-// TestKillAgentBeforeAnswer kills an agent whose upstream is working on
-// confirmations: they may have run, so none of them may run again.
+// TestKillAgentBeforeAnswer kills an agent whose upstream is running confirmations. They may have run, so
+// that none of them may run again.
 func TestKillAgentBeforeAnswer(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -67,7 +67,7 @@
 	load.Await(phase)
 	load.Finish()
 	if n := load.Unknown(); n == 0 || n > harness.ConfirmWorkers {
-		t.Errorf("%d confirmations ended as perhaps run, want 1 to %d: those under way at the killed agent", n, harness.ConfirmWorkers)
+		t.Errorf("%d confirmations were answered \"may have run\", want 1 to %d: those in progress at the killed agent", n, harness.ConfirmWorkers)
 	}
 }
 
@@ -89,8 +89,8 @@
 	noneUnknown(t, load)
 }
 
-// TestRestartStorm kills a third of the members at once, one agent of the desk
-// among them: what was under way there may end as perhaps run.
+// TestRestartStorm kills a third of the members at once, including one agent of the desk, whose confirmations
+// in progress may be answered "may have run".
 func TestRestartStorm(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Desks: 3, Engines: 3})
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -8,11 +8,11 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// leaveLimit is the promise: no new work later than this after leaving.
+// leaveLimit is the guaranteed time after which a leaving upstream gets no new calls.
 const leaveLimit = 2 * time.Second
 
-// TestLeaveWhileControlIsCut takes an upstream out of service while no control
-// process is reached: its gate alone must keep the promise.
+// TestLeaveWhileControlIsCut takes an upstream out of service while the control processes are unreachable.
+// Its gate alone must keep the guarantee.
 func TestLeaveWhileControlIsCut(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{GateRelays: true})
@@ -28,12 +28,12 @@
 	other := s.Agents[3].Upstream.Work()
 	harness.Eventually(t, func() string {
 		if s.Agents[3].Upstream.Work() < other+phase {
-			return "work at the engine that stays"
+			return "calls at the remaining engine"
 		}
 		return ""
 	})
 	if after := engine.Upstream.Work(); after != before {
-		t.Errorf("%d calls began at an upstream that had left", after-before)
+		t.Errorf("%d calls began at an upstream after it left", after-before)
 	}
 	s.Network.Heal()
 	leave(t, engine, "?cancel=true")
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -21,8 +21,8 @@
 	return res
 }
 
-// TestOperatorsRace lets two operators hand over the same number at once while
-// the leader is killed, and both resend much later.
+// TestOperatorsRace lets two operators submit the same version number at once while the leader is killed.
+// Both resend their changes much later.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -43,7 +43,7 @@
 	s.AwaitVersion(6)
 }
 
-// race hands over both changes at once and checks that exactly one wins.
+// race submits both changes at once and checks that exactly one is accepted.
 func race(t *testing.T, s *harness.System, pair [2]wire.ChangeRequest, kill bool) [2]wire.ChangeResult {
 	t.Helper()
 	var out [2]wire.ChangeResult
@@ -66,13 +66,13 @@
 		won = 1
 	}
 	if out[1-won].Winner != pair[won].ChangeID {
-		t.Errorf("the loser of number %d was told winner %q, not %q", pair[0].Number, out[1-won].Winner, pair[won].ChangeID)
+		t.Errorf("the rejected change for number %d names the accepted change %q, not %q", pair[0].Number, out[1-won].Winner, pair[won].ChangeID)
 	}
 	return out
 }
 
-// TestLostAnswer kills the leader right after a change was handed over; the
-// same change id again gets the answer, and the change is applied once.
+// TestLostAnswer kills the leader right after a change was submitted. Resending the change with the same id
+// gets the answer, and the change is applied only once.
 func TestLostAnswer(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -83,7 +83,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			s.Admin().Apply(ctx, c) // its answer counts as lost
+			s.Admin().Apply(ctx, c) // its answer is treated as lost
 		}()
 		time.Sleep(time.Duration(number) * time.Millisecond)
 		leader.Kill()
@@ -97,8 +97,8 @@
 	s.AwaitVersion(6)
 }
 
-// TestFarBehind stops an entry, an agent and a control process while 500
-// changes are accepted, and brings them back.
+// TestFarBehind stops an entry, an agent and a control process while 500 changes are accepted, and restarts
+// them.
 func TestFarBehind(t *testing.T) {
 	t.Parallel()
 	const changes = 500
--- a/e2e/quorum_test.go
+++ b/e2e/quorum_test.go
@@ -10,9 +10,9 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// TestNoQuorum kills a majority of the control processes. Keyed calls that
-// have long to wait are refused as not run, with a time to come back, far
-// before their deadline. Once there is a quorum again a resend runs once.
+// TestNoQuorum kills a majority of the control processes. Calls with an idempotency key and a long deadline
+// are refused as not run, with a Retry-After, long before their deadline. Once there is a quorum again, a
+// resent call runs exactly once.
 func TestNoQuorum(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -33,7 +33,7 @@
 	harness.Together(s.Controls[1:], func(c *harness.Control) { c.Kill() })
 	for range 3 {
 		a, took := send()
-		t.Logf("%d %s, come back after %s s: %s", a.Status, a.Verdict, a.RetryAfter, took)
+		t.Logf("%d %s, Retry-After %s s: %s", a.Status, a.Verdict, a.RetryAfter, took)
 		if a.Whole || a.Verdict != verdict.NotRun || a.RetryAfter == "" || took > patience/2 {
 			t.Fatalf("without a quorum: %+v after %s", a, took)
 		}
@@ -42,7 +42,7 @@
 	s.Leader()
 	harness.Eventually(t, func() string {
 		if a, _ := send(); !a.Whole {
-			return "a whole answer"
+			return "a complete answer"
 		}
 		return ""
 	})
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/fake/standin"
 )
 
-// TestRollingRestart stops every process, one by one, under load: none may
-// lose, refuse, double or cut a request, and each exits with status 0.
+// TestRollingRestart stops and restarts all processes one by one under load. No request may be lost, refused,
+// repeated or truncated, and each process must exit with status 0.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Staged: true})
@@ -33,8 +33,8 @@
 	noneUnknown(t, load)
 }
 
-// TestStopWithWorkInFlight stops each role while a confirmation and a stream
-// are in the middle of long work: both must come whole.
+// TestStopWithWorkInFlight stops a process of each role while a confirmation and a stream are in progress.
+// Both must complete.
 func TestStopWithWorkInFlight(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Desks: 1, Engines: 1})
@@ -71,13 +71,13 @@
 
 const (
 	longWork  = 3 * time.Second
-	hungAfter = 90 * time.Second // ends a hung test
+	hungAfter = 90 * time.Second // timeout of waits that should always succeed
 	sendPause = 100 * time.Millisecond
 )
 
-// inFlight sends the request until the upstream has begun with it, and returns
-// where its answer comes. An entry that has not heard yet of an agent that just
-// joined refuses it as not run; any other answer before the beginning fails.
+// inFlight sends the request until the upstream has begun to run it, and returns the channel of its answer.
+// An entry that doesn't know a new agent yet answers "not run"; any other answer before the upstream began
+// fails the test.
 func inFlight(t *testing.T, began <-chan string, r client.Request) <-chan *client.Answer {
 	t.Helper()
 	hung := time.After(hungAfter)
@@ -112,8 +112,8 @@
 	return out
 }
 
-// TestSecondStart starts a control process a second time while the first
-// runs: the second must end without touching the data folder.
+// TestSecondStart starts a control process a second time while the first one is running. The second one must
+// exit without touching the data folder.
 func TestSecondStart(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
--- a/fake/pathbench/path_test.go
+++ b/fake/pathbench/path_test.go
@@ -18,26 +18,26 @@
 )
 
 var (
-	entry  = flag.String("entry", "", "address of an entry; without it nothing is measured")
+	entry  = flag.String("entry", "", "address of an entry; without it the test is skipped")
 	plain  = flag.String("plain", "", "address of a plain stand-in")
 	engine = flag.String("engine", "", "address of an engine stand-in")
-	length = flag.Duration("length", 5*time.Second, "time of one measurement")
-	pids   = flag.String("pids", "", "NAME=PID,... of processes whose processor time is told")
-	caFile = flag.String("ca", "", "PEM file of the authority, when the entry encrypts")
-	fixed  = flag.Float64("rate", 0, "calls a second of the latency measurement; 0 means half of the full load")
-	agents = flag.Int("workers", 64, "callers at full load")
+	length = flag.Duration("length", 5*time.Second, "duration of one measurement")
+	pids   = flag.String("pids", "", "NAME=PID,... of processes whose CPU time is reported")
+	caFile = flag.String("ca", "", "PEM file of the certificate authority, if the entry uses TLS")
+	fixed  = flag.Float64("rate", 0, "calls per second of the latency measurement; 0 means half of the full load")
+	agents = flag.Int("workers", 64, "concurrent callers at full load")
 )
 
 const chat = `{"model":"desk-chat","stream":true,"max_tokens":200,"messages":[{"role":"user","content":"hello"}]}`
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 
-// load is what one measurement found.
+// load collects the results of one measurement.
 type load struct {
 	calls, tokens, failed atomic.Int64
 	mu                    sync.Mutex
 	whole, first, between []time.Duration
-	failure               string // the first one
+	failure               string // the first failure
 }
 
 func (l *load) fail(why string) {
@@ -103,7 +103,7 @@
 	l.add(time.Since(started), first, between)
 }
 
-// closedLoop calls with a number of callers that each wait for their answer.
+// closedLoop sends calls from concurrent callers that each wait for their answer.
 func closedLoop(workers int, url, body string) *load {
 	l := &load{}
 	end := time.Now().Add(*length)
@@ -119,7 +119,7 @@
 	return l
 }
 
-// openLoop calls at a steady rate, whatever the answers do.
+// openLoop sends calls at a constant rate, without waiting for answers.
 func openLoop(rate float64, url, body string) *load {
 	l := &load{}
 	var done sync.WaitGroup
@@ -155,7 +155,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(ca) {
-		t.Fatalf("%s holds no certificate", file)
+		t.Fatalf("%s contains no certificate", file)
 	}
 	client.Transport.(*http.Transport).TLSClientConfig = &tls.Config{RootCAs: pool}
 }
@@ -183,7 +183,7 @@
 	path := closedLoop(*agents, pathURL, body)
 	for name, used := range processorTimes(t) {
 		used -= before[name]
-		t.Logf("%s: %v of processor a call, so two cores bear %.0f calls/s", name, used/time.Duration(max(path.calls.Load(), 1)),
+		t.Logf("%s: %v of CPU time per call, so two cores handle %.0f calls/s", name, used/time.Duration(max(path.calls.Load(), 1)),
 			2*float64(path.calls.Load())/max(used.Seconds(), tick.Seconds()))
 	}
 	seconds := length.Seconds()
@@ -198,7 +198,7 @@
 	half := openLoop(partial, pathURL, body)
 	base := openLoop(partial, directURL, body)
 	t.Logf("%s, partial load: %.0f calls/s, %d failed %s", name, partial, half.failed.Load(), half.failure)
-	report(t, name+" whole", half.whole, base.whole)
+	report(t, name+" total time", half.whole, base.whole)
 	report(t, name+" first byte", half.first, base.first)
 	report(t, name+" between tokens", half.between, base.between)
 }
--- a/fake/pathbench/processor_test.go
+++ b/fake/pathbench/processor_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// tick is the unit of processor time in /proc/PID/stat (proc(5)).
+// tick is the unit of CPU time in /proc/PID/stat (proc(5)).
 const tick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat after the command's name.
+// Indexes of fields in /proc/PID/stat, counted after the command name.
 const (
 	userField   = 11
 	systemField = 12
 )
 
-// processorTimes returns the processor time used so far by each process that
-// the flag names. Unlike rates it hardly depends on the machine's other load.
+// processorTimes returns the CPU time used so far by each process in the flag -pids. Unlike throughput, it
+// hardly depends on other load on the machine.
 func processorTimes(t *testing.T) map[string]time.Duration {
 	t.Helper()
 	out := map[string]time.Duration{}
--- a/fake/standin/batch.go
+++ b/fake/standin/batch.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// sequence is one chat request in an engine.
+// sequence is one chat request in an engine's queue or batch.
 type sequence struct {
 	ctx      context.Context
 	priority int    // lower runs first
-	prompt   string // with the part of the answer that is there already
+	prompt   string // includes the part of the answer that the request continues
 	chain    []Block
-	tokens   int // to generate
+	tokens   int // tokens to generate
 	answer   string
 
 	arrival   uint64
 	cached    int // prompt tokens found in the prefix cache
 	prefill   int // prompt tokens still to compute
 	generated int
-	reserved  int    // blocks
+	reserved  int    // blocks reserved for the sequence
 	started   func() // called when the sequence enters the batch
 	out       chan int
 }
@@ -43,15 +43,15 @@
 	return s
 }
 
-// batch is the state of an engine with continuous batching (Yu et al., "Orca",
-// OSDI 2022): sequences enter and leave between steps, and a step gives every
-// sequence whose prompt is computed one token. It knows no clock.
+// batch is the state of an engine with continuous batching (Yu et al., "Orca", OSDI 2022): sequences enter
+// and leave between steps, and a step generates one token for every sequence whose prompt has been computed.
+// It is independent of time.
 type batch struct {
 	opts     Options
 	cache    *PrefixCache
 	waiting  sequenceHeap
 	running  []*sequence
-	reserved int // blocks of the running sequences
+	reserved int // blocks reserved by the running sequences
 	arrivals uint64
 }
 
@@ -69,11 +69,10 @@
 
 func (b *batch) idle() bool { return len(b.running)+len(b.waiting) == 0 }
 
-// used returns the blocks taken by running sequences and kept prefixes.
+// used returns the blocks taken by running sequences and cached prefixes.
 func (b *batch) used() int { return min(b.opts.CacheBlocks, b.reserved+b.cache.Len()) }
 
-// step drops cancelled sequences, admits waiting ones and returns how long the
-// step that follows takes.
+// step drops cancelled sequences, admits waiting ones and returns the duration of the next step.
 func (b *batch) step() time.Duration {
 	b.dropCancelled()
 	for len(b.waiting) > 0 && len(b.running) < b.opts.MaxBatch {
@@ -94,8 +93,8 @@
 	return b.opts.TokenDelay + time.Duration(len(b.running))*b.opts.SequenceDelay + time.Duration(computed)*b.opts.PrefillDelay
 }
 
-// admit moves a sequence into the batch if its blocks fit. A sequence that
-// fits nowhere still runs alone.
+// admit moves a sequence into the batch if its blocks fit. A sequence that exceeds the whole memory runs
+// alone.
 func (b *batch) admit(s *sequence) bool {
 	if s.ctx.Err() != nil {
 		close(s.out)
@@ -106,7 +105,7 @@
 		return false
 	}
 	hit := b.cache.Match(s.chain)
-	b.cache.Store(s.chain[:hit]) // used now
+	b.cache.Store(s.chain[:hit]) // mark as recently used
 	s.cached = hit * BlockTokens
 	s.prefill = max(PromptTokens(s.prompt)-s.cached, 0)
 	b.reserved += s.reserved
@@ -118,11 +117,10 @@
 	return true
 }
 
-// makeRoom drops kept prefixes that running sequences need the memory of.
+// makeRoom evicts cached prefixes to free memory for running sequences.
 func (b *batch) makeRoom() { b.cache.Shrink(b.opts.CacheBlocks - b.reserved) }
 
-// finish ends the step: every sequence whose prompt is computed has one more
-// token.
+// finish completes a step: every sequence whose prompt has been computed gets one more token.
 func (b *batch) finish() {
 	kept := b.running[:0]
 	for _, s := range b.running {
@@ -157,7 +155,7 @@
 	b.running = kept
 }
 
-// release ends a sequence and keeps its prefix, with the answer if whole.
+// release removes a sequence from the batch and caches its prefix, including the answer if it is complete.
 func (b *batch) release(s *sequence) {
 	b.reserved -= s.reserved
 	close(s.out)
--- a/fake/standin/batch_test.go
+++ b/fake/standin/batch_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// drive runs the batch to its end and returns the simulated time and, for each
-// sequence, the time of its first and its last token.
+// drive runs the batch until it is idle. It returns the simulated time of each sequence's first and last
+// token.
 func drive(b *batch, sequences ...*sequence) (first, last []time.Duration) {
 	first, last = make([]time.Duration, len(sequences)), make([]time.Duration, len(sequences))
 	var now time.Duration
@@ -51,7 +51,7 @@
 	b = testBatch(4, 1000)
 	two := []*sequence{testSequence(b, text("a", 10), 2, 0), testSequence(b, text("b", 10), 2, 0)}
 	_, last = drive(b, two...)
-	if last[0] != 26*time.Millisecond || last[1] != last[0] { // (12 + 20×0.1) + 12: together, not one after the other
+	if last[0] != 26*time.Millisecond || last[1] != last[0] { // (12 + 20×0.1) + 12: in parallel, not one after the other
 		t.Fatalf("two together: %s and %s", last[0], last[1])
 	}
 }
@@ -83,7 +83,7 @@
 	s := []*sequence{testSequence(b, text("a", 64), 1, 0), testSequence(b, text("b", 64), 1, 0), testSequence(b, text("c", 64), 1, 0)}
 	_, last := drive(b, s...) // each takes 4 blocks for its prompt and 1 for its answer
 	if last[0] != last[1] || last[2] <= last[1] || b.reserved != 0 || b.cache.Len() > 10 {
-		t.Fatalf("ended at %v, %d blocks reserved, %d kept", last, b.reserved, b.cache.Len())
+		t.Fatalf("ended at %v, %d blocks reserved, %d cached", last, b.reserved, b.cache.Len())
 	}
 }
 
@@ -98,12 +98,11 @@
 	next := testSequence(b, text("b", 10), 1, 0)
 	_, last := drive(b, next)
 	if gone.generated != 1 || last[0] != 12*time.Millisecond {
-		t.Fatalf("the cancelled one made %d tokens, the next ended after %s", gone.generated, last[0])
+		t.Fatalf("the cancelled sequence generated %d tokens, the next one ended after %s", gone.generated, last[0])
 	}
 }
 
-// TestPrefixCacheAgainstList compares the cache with a plain list of blocks in
-// the order of their last use.
+// TestPrefixCacheAgainstList compares the cache with a plain list of blocks ordered by last use.
 func TestPrefixCacheAgainstList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 12).Draw(t, "capacity")
@@ -116,7 +115,7 @@
 				events[b]--
 			}
 		}
-		var oracle []Block // oldest use first
+		var oracle []Block // least recently used first
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			chain := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Block { return Block(rapid.IntRange(1, 20).Draw(t, "block")) }), 1, 8, rapid.ID[Block]).Draw(t, "chain")
 			hits := 0
@@ -134,7 +133,7 @@
 		}
 		for b, n := range events {
 			if held := position(oracle, b) >= 0; n != 0 != held || n > 1 {
-				t.Fatalf("events of block %d sum to %d, held: %v", b, n, held)
+				t.Fatalf("events of block %d sum to %d, cached: %v", b, n, held)
 			}
 		}
 	})
--- a/fake/standin/cache.go
+++ b/fake/standin/cache.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Block names one block of a prompt together with everything before it.
+// Block identifies a block of a prompt by a hash of the block and everything before it.
 type Block uint64
 
-// Blocks returns the chain of whole blocks of a text. Equal prefixes have
-// equal chains.
+// Blocks returns the chain of complete blocks of a text. Texts with a common prefix have chains with a common
+// prefix.
 func Blocks(text string) []Block {
 	const size = BlockTokens * BytesPerToken
 	out := make([]Block, 0, len(text)/size)
@@ -27,27 +27,26 @@
 	return out
 }
 
-// PromptTokens returns how many tokens a text counts.
+// PromptTokens returns the number of tokens in a text, rounded up.
 func PromptTokens(text string) int { return (len(text) + BytesPerToken - 1) / BytesPerToken }
 
-// PrefixCache holds a limited number of blocks and drops the least recently
-// used. It is not safe for concurrent use.
+// PrefixCache is an LRU cache of blocks. It is not safe for concurrent use.
 type PrefixCache struct {
 	capacity int
 	order    *list.List // of Block, most recently used first
 	blocks   map[Block]*list.Element
-	changed  func(b Block, stored bool) // optional
+	changed  func(b Block, stored bool) // called when a block is stored or evicted; may be nil
 }
 
-// NewPrefixCache returns an empty cache of the given number of blocks.
+// NewPrefixCache returns an empty cache; capacity is in blocks.
 func NewPrefixCache(capacity int) *PrefixCache {
 	return &PrefixCache{capacity: capacity, order: list.New(), blocks: map[Block]*list.Element{}}
 }
 
-// Len returns the number of blocks held.
+// Len returns the number of cached blocks.
 func (c *PrefixCache) Len() int { return c.order.Len() }
 
-// Match returns how many leading blocks are held.
+// Match returns the number of leading blocks of the chain that are cached.
 func (c *PrefixCache) Match(chain []Block) int {
 	for i, b := range chain {
 		if c.blocks[b] == nil {
@@ -57,9 +56,8 @@
 	return len(chain)
 }
 
-// Store holds the chain and marks it as used, its first block last, so that a
-// chain is dropped from its end. Of a chain over the capacity the start is
-// held.
+// Store caches the chain and marks it as used. The first block is marked last, so that a chain is evicted
+// from its end. Only the start of a chain that exceeds the capacity is cached.
 func (c *PrefixCache) Store(chain []Block) {
 	chain = chain[:min(len(chain), max(c.capacity, 0))]
 	for i := len(chain) - 1; i >= 0; i-- {
@@ -74,7 +72,7 @@
 	c.Shrink(c.capacity)
 }
 
-// Shrink drops the least recently used blocks until at most n are left.
+// Shrink evicts the least recently used blocks until at most n are left.
 func (c *PrefixCache) Shrink(n int) {
 	for c.order.Len() > max(n, 0) {
 		b := c.order.Remove(c.order.Back()).(Block)
--- a/fake/standin/chat.go
+++ b/fake/standin/chat.go
@@ -11,8 +11,8 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// headerPriority orders an engine's waiting requests; lower runs first. The
-// body's field of the same name goes before it.
+// headerPriority is the priority of a request in an engine's queue; lower runs first. The field "priority" of
+// the body takes precedence.
 const headerPriority = "X-Priority"
 
 func (s *Server) engineRoutes(r chi.Router) {
@@ -30,16 +30,16 @@
 	Stream    bool          `json:"stream,omitempty"`
 	MaxTokens int           `json:"max_tokens,omitempty"`
 	Priority  *int          `json:"priority,omitempty"`
-	Continue  bool          `json:"continue_final_message,omitempty"` // go on after the final assistant message
+	Continue  bool          `json:"continue_final_message,omitempty"` // continue the final assistant message
 }
 
-// ChatMessage is one turn of a chat.
+// ChatMessage is one message of a chat.
 type ChatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// partial returns the text of the answer that the request holds already.
+// partial returns the partial answer that the request asks to continue.
 func (c ChatRequest) partial() string {
 	if !c.Continue || len(c.Messages) == 0 {
 		return ""
@@ -47,7 +47,7 @@
 	return c.Messages[len(c.Messages)-1].Content
 }
 
-// Prompt returns what the engine generates from.
+// Prompt returns the prompt without a partial answer.
 func (c ChatRequest) Prompt() string {
 	var b strings.Builder
 	messages := c.Messages
@@ -60,10 +60,10 @@
 	return b.String()
 }
 
-// answerRole stands before an answer in a later turn's prompt.
+// answerRole precedes an answer in the prompt of a later turn.
 const answerRole = "assistant:"
 
-// computed returns the text that the engine prefills.
+// computed returns the text to prefill: the prompt and a partial answer.
 func (c ChatRequest) computed() string {
 	if p := c.partial(); p != "" {
 		return c.Prompt() + answerRole + p
@@ -97,14 +97,14 @@
 	Usage   *chatUsage   `json:"usage,omitempty"`
 }
 
-// chatRun is one chat request under way.
+// chatRun is one chat request in progress.
 type chatRun struct {
 	s      *Server
 	req    ChatRequest
 	id     string
 	prompt string
 	first  int // index of the first token to generate
-	tokens int // of the whole answer
+	tokens int // length of the whole answer
 	seq    *sequence
 }
 
@@ -129,8 +129,8 @@
 	}
 	whole := false
 	defer func() {
-		// The sequence's channel is closed by now, or its tokens are all read:
-		// started was called, if ever, before the first of them.
+		// No data race on ran and began: started is called, if at all, before the first token, and by now the
+		// sequence's channel is closed or all its tokens have been read.
 		if ran {
 			s.log.end(run.id, s.clock.Since(began), whole)
 		}
@@ -141,7 +141,7 @@
 	} else {
 		whole = run.whole(w)
 	}
-	for range run.seq.out { // until the engine let go of it
+	for range run.seq.out { // until the engine releases the sequence
 	}
 }
 
@@ -149,7 +149,7 @@
 	run := &chatRun{s: s, req: req, id: r.Header.Get(headerRequestID), prompt: req.Prompt(), tokens: s.opts.Tokens}
 	run.first = len(strings.Fields(req.partial()))
 	if req.MaxTokens > 0 {
-		run.tokens = run.first + req.MaxTokens // the limit counts new tokens
+		run.tokens = run.first + req.MaxTokens // max_tokens counts new tokens only
 	}
 	run.first = min(run.first, run.tokens)
 	rest := strings.Builder{}
@@ -167,7 +167,7 @@
 	if req.Priority != nil {
 		return *req.Priority
 	}
-	n, _ := strconv.Atoi(r.Header.Get(headerPriority)) // absent counts as zero
+	n, _ := strconv.Atoi(r.Header.Get(headerPriority)) // zero if absent
 	return n
 }
 
@@ -177,7 +177,7 @@
 	return &chatUsage{PromptTokens: prompt, CompletionTokens: c.tokens - c.first, PromptTokensDetails: promptDetails{c.seq.cached}}
 }
 
-// whole writes the answer in one piece and reports whether it did.
+// whole writes the answer as one JSON document and reports whether it was complete.
 func (c *chatRun) whole(w http.ResponseWriter) bool {
 	n := 0
 	for range c.seq.out {
@@ -190,8 +190,7 @@
 	return true
 }
 
-// stream writes the answer token by token and reports whether it came to the
-// end.
+// stream writes the answer as server-sent events, one per token, and reports whether it was complete.
 func (c *chatRun) stream(w http.ResponseWriter) bool {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
--- a/fake/standin/engine.go
+++ b/fake/standin/engine.go
@@ -8,14 +8,14 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// engine runs a batch in real time.
+// engine runs a batch on a clock.
 type engine struct {
 	clock  clockwork.Clock
 	faults *faults
 
 	mu     sync.Mutex
 	batch  *batch
-	awake  bool // a goroutine runs steps
+	awake  bool // whether the loop is running
 	events *eventLog
 	load   *loadHistory
 }
@@ -26,8 +26,8 @@
 	return e
 }
 
-// submit queues a sequence; its tokens come on s.out, which is closed at the
-// end or after the sequence was cancelled.
+// submit queues a sequence. Its tokens are sent on s.out, which is closed when the sequence ends or is
+// cancelled.
 func (e *engine) submit(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,15 +63,14 @@
 	e.load.add(Load{Queued: len(e.batch.waiting), Running: len(e.batch.running), KVUsed: e.batch.used(), KVCapacity: e.batch.opts.CacheBlocks})
 }
 
-// reset forgets all kept prefixes.
+// reset evicts all cached prefixes.
 func (e *engine) reset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.cache.Shrink(0)
 }
 
-// export returns the leading blocks of a chain that are held, after the time
-// that their transfer takes.
+// export returns the leading blocks of a chain that are cached, after the transfer time.
 func (e *engine) export(ctx context.Context, chain []Block) []Block {
 	e.mu.Lock()
 	held := chain[:e.batch.cache.Match(chain)]
@@ -93,7 +92,7 @@
 	sleep(ctx, e.clock, e.faults.slowed(time.Duration(blocks)*e.batch.opts.TransferDelay))
 }
 
-// sleep waits for d and reports whether ctx lasted that long.
+// sleep waits for d and reports false if ctx ended first.
 func sleep(ctx context.Context, clock clockwork.Clock, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/fake/standin/events.go
+++ b/fake/standin/events.go
@@ -8,7 +8,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// CacheEvent says that a block came into or left an engine's prefix cache.
+// CacheEvent records that a block was stored in or evicted from an engine's prefix cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Kind     string `json:"kind"` // stored or evicted
@@ -28,7 +28,7 @@
 	event CacheEvent
 }
 
-// eventLog publishes cache events late and with gaps.
+// eventLog publishes cache events with a delay and drops a share of them.
 type eventLog struct {
 	lag   time.Duration
 	loss  float64
@@ -44,7 +44,7 @@
 	return &eventLog{lag: o.EventLag, loss: o.EventLoss, clock: clock, random: rand.New(rand.NewPCG(uint64(o.Seed), eventStream))}
 }
 
-// Streams of the seeded random numbers.
+// Streams of the seeded random number generators.
 const (
 	eventStream = iota + 1
 	faultStream
--- a/fake/standin/expect.go
+++ b/fake/standin/expect.go
@@ -8,12 +8,12 @@
 // DefaultDocuments is how many documents a retriever stage asks for.
 const DefaultDocuments = 8
 
-// Token returns the i-th token that the engine answers to a prompt.
+// Token returns the i-th token of the engine's answer to a prompt.
 func Token(prompt string, i int) string { return token(hash(prompt), i) }
 
 func token(h uint64, i int) string { return fmt.Sprintf("w%x-%d ", h&0xffffffff, i) }
 
-// Text returns the whole answer to a prompt.
+// Text returns the engine's whole answer to a prompt.
 func Text(prompt string, tokens int) string {
 	var b strings.Builder
 	h := hash(prompt)
@@ -23,14 +23,13 @@
 	return b.String()
 }
 
-// PipelineText returns the text that an encode, retrieve, rerank, generate
-// pipeline over stand-ins answers to a query.
+// PipelineText returns the answer of an encode, retrieve, rerank, generate pipeline of stand-ins to a query.
 func PipelineText(query string, tokens int) string {
 	return Text(GroundedPrompt(query, DefaultDocuments, true), tokens)
 }
 
-// GroundedPrompt returns the prompt of a pipeline's generate stage over the
-// given number of retrieved documents, which a reranker turns round.
+// GroundedPrompt returns the prompt of a pipeline's generate stage for the given number of retrieved
+// documents. The reranker reverses their order.
 func GroundedPrompt(query string, documents int, reranked bool) string {
 	var prompt strings.Builder
 	prompt.WriteString("system:Answer from these documents:\n")
--- a/fake/standin/fault.go
+++ b/fake/standin/fault.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Fault is what is wrong with a stand-in on command.
+// Fault is the set of faults injected into a stand-in.
 type Fault struct {
-	Slow   float64 `json:"slow,omitempty"`   // factor on all times; zero and one change nothing
-	Silent bool    `json:"silent,omitempty"` // accepts requests, health checks too, and never answers
-	Refuse bool    `json:"refuse,omitempty"` // accepts no connection; takes effect in a Host
-	Error  float64 `json:"error,omitempty"`  // share of requests answered with status 500, not run
-	Cut    float64 `json:"cut,omitempty"`    // share of answers cut in the middle
+	Slow   float64 `json:"slow,omitempty"`   // factor for all delays; 0 and 1 have no effect
+	Silent bool    `json:"silent,omitempty"` // accepts requests, including health checks, and never answers
+	Refuse bool    `json:"refuse,omitempty"` // refuses connections; only supported by Host
+	Error  float64 `json:"error,omitempty"`  // share of requests that are answered with status 500 and not run
+	Cut    float64 `json:"cut,omitempty"`    // share of answers that are truncated
 }
 
-// faults holds the fault in force.
+// faults holds the injected faults.
 type faults struct {
 	mu     sync.Mutex
 	now    Fault
 	random *rand.Rand
-	ended  chan struct{} // closed when the fault changes
+	ended  chan struct{} // closed when the faults change
 }
 
 func newFaults(o Options) *faults {
@@ -50,7 +50,7 @@
 	return time.Duration(float64(d) * f.now.Slow)
 }
 
-// hits draws whether something of the given share happens.
+// hits draws whether an event of the given probability occurs.
 func (f *faults) hits(share func(Fault) float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fake/standin/host.go
+++ b/fake/standin/host.go
@@ -11,22 +11,21 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Host runs many stand-ins in one process, each on its own address, and
-// controls them.
+// Host runs several stand-ins in one process, each on its own address, and provides an HTTP interface to
+// control them.
 type Host struct {
 	mu    sync.Mutex
 	items map[string]*hosted
 }
 
-// hosted is a stand-in with its listener. While it refuses connections there
-// is no listener.
+// hosted is a stand-in with its HTTP server, which is nil while connections are refused.
 type hosted struct {
 	address string
 	server  *Server
 	http    *http.Server
 }
 
-// NewHost returns a host without stand-ins.
+// NewHost returns a host without any stand-in.
 func NewHost() *Host { return &Host{items: map[string]*hosted{}} }
 
 // Add starts a stand-in on the address.
@@ -52,7 +51,7 @@
 	return nil
 }
 
-// set puts a fault in force, closing or opening the listener.
+// set injects a fault and closes or opens the listener accordingly.
 func (i *hosted) set(f Fault) error {
 	i.server.SetFault(f)
 	if f.Refuse && i.http != nil {
@@ -66,14 +65,14 @@
 	return nil
 }
 
-// Address returns where the named stand-in listens.
+// Address returns the listen address of the named stand-in.
 func (h *Host) Address(name string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.items[name].address
 }
 
-// Close ends all stand-ins, cutting what they are at.
+// Close stops all stand-ins at once, without waiting for requests in progress.
 func (h *Host) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -84,8 +83,8 @@
 	}
 }
 
-// Control returns the HTTP interface to all stand-ins: GET /account and /runs,
-// POST /reset, /fault/NAME and /load-lag/DURATION.
+// Control returns the HTTP interface for all stand-ins: GET /account and /runs, POST /reset, /fault/NAME and
+// /load-lag/DURATION.
 func (h *Host) Control() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/account", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, h.Accounts()) })
@@ -96,7 +95,7 @@
 	return r
 }
 
-// Accounts returns every stand-in's account, ordered by name.
+// Accounts returns the account of every stand-in, ordered by name.
 func (h *Host) Accounts() []Account {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -110,7 +109,7 @@
 	return out
 }
 
-// runs returns how often each body was run over all plain services.
+// runs returns how often each request body was run by all plain services together.
 func (h *Host) runs() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,7 +171,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Serve answers the control interface until ctx ends.
+// Serve serves the control interface until ctx ends.
 func (h *Host) Serve(ctx context.Context, l net.Listener) error {
 	s := &http.Server{Handler: h.Control()}
 	go func() {
--- a/fake/standin/host_test.go
+++ b/fake/standin/host_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// hostTest is a host with one plain service and its control.
+// hostTest is a host with one plain service, and the URL of its control interface.
 type hostTest struct {
 	*testing.T
 	host    *Host
@@ -28,7 +28,7 @@
 	return &hostTest{t, h, control.URL}
 }
 
-// confirm sends a call and returns its error.
+// confirm sends a request and returns its error.
 func (h *hostTest) confirm(patience time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -80,7 +80,7 @@
 		}
 	}
 	if n := h.runs(); n != 3 {
-		t.Fatalf("ran %d times, want 3: no run while it refused or was silent", n)
+		t.Fatalf("ran %d times, want 3: no run while connections were refused or the service was silent", n)
 	}
 	h.order("/fault/desk-1", Fault{Refuse: true})
 	h.order("/reset", nil)
--- a/fake/standin/kv.go
+++ b/fake/standin/kv.go
@@ -5,15 +5,14 @@
 	"strconv"
 )
 
-// KV is an exported part of an engine's cache: the leading blocks of a
-// prompt. Export and import each take time by its size.
+// KV is an exported part of an engine's KV cache: the leading blocks of a prompt. Export and import take time
+// in proportion to its size.
 type KV struct {
 	Blocks []Block `json:"blocks"`
 	Tokens int     `json:"tokens"`
 }
 
-// exportKV answers a chat request with the blocks of its prompt, and of the
-// part of the answer in it, that this engine holds.
+// exportKV returns the cached blocks of a chat request's prompt, including its partial answer.
 func (s *Server) exportKV(w http.ResponseWriter, r *http.Request) {
 	req, ok := read[ChatRequest](w, r)
 	if !ok {
@@ -34,9 +33,9 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// cacheEvents answers with the published events after the sequence number
-// that the query names. Lost events leave gaps in the numbers.
+// cacheEvents returns the published events after the sequence number in the query parameter "after". Lost
+// events leave gaps in the numbers.
 func (s *Server) cacheEvents(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // absent is zero
+	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // zero if absent
 	writeJSON(w, eventPage{s.engine.events.after(after)})
 }
--- a/fake/standin/load.go
+++ b/fake/standin/load.go
@@ -7,7 +7,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Load is an engine's report of itself.
+// Load is an engine's report of its load.
 type Load struct {
 	Queued     int           `json:"queued"`
 	Running    int           `json:"running"`
@@ -21,7 +21,7 @@
 	load Load
 }
 
-// loadHistory reports load as it was a while ago.
+// loadHistory reports the load with a delay.
 type loadHistory struct {
 	lag   time.Duration
 	clock clockwork.Clock
@@ -48,7 +48,7 @@
 	h.lag = lag
 }
 
-// prune drops the samples that a newer one, old enough to report, replaces.
+// prune drops all samples older than the newest one that may be reported.
 func (h *loadHistory) prune(now time.Time) {
 	due := now.Add(-h.lag)
 	n := 0
@@ -58,7 +58,7 @@
 	h.samples = append(h.samples[:0], h.samples[n:]...)
 }
 
-// report returns the newest load that is at least the lag old, or an empty one.
+// report returns the newest load that is at least as old as the lag, or an empty one.
 func (h *loadHistory) report() Load {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/fake/standin/models.go
+++ b/fake/standin/models.go
@@ -17,22 +17,22 @@
 	"caperdrum.org/api/wire"
 )
 
-// ModelOptions set how an engine takes orders.
+// ModelOptions set how an engine handles orders to load and unload models.
 type ModelOptions struct {
-	Enabled      bool          // take orders; otherwise the engine always serves
-	IgnoreTokens bool          // carry out any order, whatever its fencing token
-	LoadTime     time.Duration // of a load, besides the transfer
-	Store        string        // address of a weight store; empty: none is asked
-	FailLoads    string        // version whose loads fail
+	Enabled      bool          // accept orders; otherwise the engine serves without a loaded model
+	IgnoreTokens bool          // execute all orders, regardless of their fencing tokens
+	LoadTime     time.Duration // duration of a load, in addition to the transfer
+	Store        string        // address of the weight store; no transfer if empty
+	FailLoads    string        // model version that fails to load
 }
 
-// Passed is an order as the engine saw it begin.
+// Passed is an order that the engine accepted, and when it began to execute it.
 type Passed struct {
 	Order wire.Order `json:"order"`
 	Begun time.Time  `json:"begun"`
 }
 
-// models is what an engine holds.
+// models is the state of an engine's models and orders.
 type models struct {
 	opts ModelOptions
 
@@ -42,7 +42,7 @@
 	role    string
 	token   uint64
 	busy    int
-	overlap bool // two orders were under way at once
+	overlap bool // two orders were executed at the same time
 	log     []Passed
 }
 
@@ -53,7 +53,7 @@
 	r.Post("/v1/engine/forget", s.models.forget)
 }
 
-// ModelLog is what an engine remembers of its orders.
+// ModelLog is the log of an engine's orders.
 type ModelLog struct {
 	Orders  []Passed `json:"orders"`
 	Overlap bool     `json:"overlap"`
@@ -71,7 +71,7 @@
 	writeJSON(w, ModelLog{Orders: m.log, Overlap: m.overlap})
 }
 
-// forget empties the engine, as its restart does.
+// forget clears the engine's state, as a restart does.
 func (m *models) forget(w http.ResponseWriter, _ *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,7 +152,7 @@
 	f()
 }
 
-// load transfers the weights, unless they are at hand, and waits LoadTime.
+// load transfers the weights from the store, if there is one, and waits LoadTime.
 func (m *models) load(ctx context.Context, o wire.Order) error {
 	if m.opts.FailLoads != "" && o.Artifact.Version == m.opts.FailLoads {
 		return fmt.Errorf("version %s cannot be loaded", o.Artifact.Version)
--- a/fake/standin/pool.go
+++ b/fake/standin/pool.go
@@ -10,8 +10,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// pool serves a limited number of calls at a time, in the order of arrival,
-// with random service times.
+// pool serves a limited number of concurrent calls in order of arrival, with random service times.
 type pool struct {
 	opts   Options
 	clock  clockwork.Clock
@@ -30,7 +29,7 @@
 	return p
 }
 
-// serviceTime draws the time of a call of the given size, in bytes.
+// serviceTime draws the service time of a call; size is in bytes.
 func (p *pool) serviceTime(size int) time.Duration {
 	p.mu.Lock()
 	factor := math.Exp(p.random.NormFloat64() * p.opts.Sigma)
@@ -39,8 +38,8 @@
 	return time.Duration(median * factor)
 }
 
-// serve waits for a slot, calls started and works. It returns the time in
-// work and whether the caller stayed to the end.
+// serve waits for a slot, calls started and waits for the service time. It returns the time spent after
+// started, and false if the caller disconnected before the end.
 func (p *pool) serve(ctx context.Context, size int, started func()) (time.Duration, bool) {
 	if p.slots != nil {
 		select {
--- a/fake/standin/runlog.go
+++ b/fake/standin/runlog.go
@@ -5,28 +5,27 @@
 	"time"
 )
 
-// RunRecord is what a stand-in did for one request id.
+// RunRecord is the work of a stand-in for one request id.
 type RunRecord struct {
 	Request   string        `json:"request"`
-	Runs      int           `json:"runs"`      // times that work began
-	Completed int           `json:"completed"` // runs whose answer was written whole
-	Longest   time.Duration `json:"longest"`   // of the completed runs, nanoseconds
-	Held      time.Duration `json:"held"`      // time in work over all runs, nanoseconds
+	Runs      int           `json:"runs"`      // number of times that the request began to run
+	Completed int           `json:"completed"` // number of runs with a complete answer
+	Longest   time.Duration `json:"longest"`   // longest completed run, nanoseconds
+	Held      time.Duration `json:"held"`      // running time over all runs, nanoseconds
 }
 
-// Account sums up a stand-in's work since the last reset.
+// Account is the work of a stand-in since the last reset.
 type Account struct {
 	Name         string        `json:"name"`
 	Kind         string        `json:"kind"`
-	Held         time.Duration `json:"held"` // slot time in work, nanoseconds
+	Held         time.Duration `json:"held"` // running time over all requests, nanoseconds
 	PromptTokens int           `json:"prompt_tokens"`
 	CachedTokens int           `json:"cached_tokens"`
 	Answered     int           `json:"answered"`
 	Records      []RunRecord   `json:"records"`
 }
 
-// runLog remembers which requests ran. Without a request id only the sums
-// count.
+// runLog records which requests ran. Requests without an id only count in the sums.
 type runLog struct {
 	mu      sync.Mutex
 	sum     Account
@@ -54,7 +53,7 @@
 	l.sum.Held += held
 	r := l.records[request]
 	if r == nil {
-		return // reset meanwhile
+		return // the log was reset meanwhile
 	}
 	r.Held += held
 	if whole {
--- a/fake/standin/services.go
+++ b/fake/standin/services.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// work runs a call of a pool. When it returns true the caller is still there
-// and the answer must be written.
+// work runs a call in the pool. It returns true if the caller is still connected; the answer must then be
+// written.
 func (s *Server) work(r *http.Request, size int, started func()) bool {
 	id := r.Header.Get(headerRequestID)
 	ran := false
@@ -46,7 +46,7 @@
 	}{[]row{{vector}}})
 }
 
-// Document is a retrieved text.
+// Document is a retrieved document.
 type Document struct {
 	ID   string `json:"id"`
 	Text string `json:"text"`
@@ -98,13 +98,13 @@
 	}{results, docs})
 }
 
-// PlainAnswer is what a plain service answers.
+// PlainAnswer is the answer of a plain service.
 type PlainAnswer struct {
 	Confirmation string `json:"confirmation"`
 	Run          int    `json:"run"`
 }
 
-// plain runs a call that counts: every run of a body is remembered.
+// plain runs a call and counts the runs of its body.
 func (s *Server) plain(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/fake/standin/standin.go
+++ b/fake/standin/standin.go
@@ -1,8 +1,7 @@
-// Package standin has small upstreams for demonstrations, tests and the load
-// tool: an engine with continuous batching and a prefix cache, an encoder, a
-// retriever, a reranker and a plain service. Simulated work is sleep. Answers
-// depend only on the request, so a caller can tell a wrong one, and every
-// stand-in accounts for what it ran.
+// Package standin provides fake upstreams for demonstrations, tests and the load tool: an engine with
+// continuous batching and a prefix cache, an encoder, a retriever, a reranker and a plain service. They sleep
+// instead of working. Answers depend only on the request, so that callers can verify them, and every stand-in
+// records which requests it ran.
 package standin
 
 import (
@@ -18,7 +17,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// headerRequestID carries the id that a stand-in accounts its work to.
+// headerRequestID is the id under which a request is recorded.
 const headerRequestID = "X-Request-Id"
 
 // Server is one stand-in.
@@ -27,12 +26,12 @@
 	clock  clockwork.Clock
 	faults *faults
 	log    *runLog
-	pool   *pool   // all but engines
+	pool   *pool   // all kinds but engine
 	engine *engine // engines only
 	models *models // engines only
 
 	mu   sync.Mutex
-	runs map[string]int // plain: how often each body was run
+	runs map[string]int // plain services: how often each body was run
 }
 
 // New returns a stand-in.
@@ -82,10 +81,10 @@
 	}
 }
 
-// Account returns the sums and the run log since the last reset.
+// Account returns the work since the last reset.
 func (s *Server) Account() Account { return s.log.account() }
 
-// Runs returns how often each body was run by a plain service.
+// Runs returns how often a plain service ran each request body.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +95,7 @@
 	return out
 }
 
-// Reset forgets the accounts, the runs and the kept prefixes, and ends faults.
+// Reset clears the account, the run counts and the cached prefixes, and ends all faults.
 func (s *Server) Reset() {
 	s.faults.set(Fault{})
 	s.log.reset()
@@ -109,7 +108,7 @@
 	}
 }
 
-// SetFault puts a fault in force.
+// SetFault replaces the injected faults.
 func (s *Server) SetFault(f Fault) { s.faults.set(f) }
 
 func (s *Server) setFault(w http.ResponseWriter, r *http.Request) {
@@ -119,12 +118,12 @@
 	}
 }
 
-// failing applies the faults that keep a request from running.
+// failing is the middleware that injects faults before a request runs.
 func (s *Server) failing(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f, ended := s.faults.get()
 		if f.Silent {
-			io.Copy(io.Discard, r.Body) // the server sees a disconnect only after the body
+			io.Copy(io.Discard, r.Body) // the server detects a disconnect only after reading the body
 			select {
 			case <-r.Context().Done():
 			case <-ended:
@@ -146,8 +145,7 @@
 	w.Write(data)
 }
 
-// answer writes a whole JSON answer, or half of it while answers are cut on
-// command.
+// answer writes a JSON answer, or only its first half if the fault Cut occurs.
 func (s *Server) answer(w http.ResponseWriter, v any) {
 	if !s.cut() {
 		writeJSON(w, v)
@@ -182,5 +180,5 @@
 	return h.Sum64()
 }
 
-// Confirmation returns what a plain service confirms a body with.
+// Confirmation returns the confirmation that a plain service answers to a body.
 func Confirmation(body string) string { return fmt.Sprintf("c%x", hash(body)) }
--- a/fake/standin/standin_test.go
+++ b/fake/standin/standin_test.go
@@ -59,16 +59,16 @@
 			t.Errorf("%s: status %d, want %s in %s", step.name, status, step.want, answer)
 		}
 		if step.req.Continue && strings.Contains(answer, Token(question.Prompt(), 1)) {
-			t.Errorf("%s: a token came twice: %s", step.name, answer)
+			t.Errorf("%s: a token was repeated: %s", step.name, answer)
 		}
 	}
 	s.SetFault(Fault{Cut: 1})
 	if _, answer := post(t, chat, "cut", question); !strings.HasPrefix(answer, "cut: ") {
-		t.Errorf("the answer was not cut: %s", answer)
+		t.Errorf("the answer was not truncated: %s", answer)
 	}
 	s.SetFault(Fault{Error: 1})
 	if status, _ := post(t, chat, "failed", question); status != http.StatusInternalServerError {
-		t.Errorf("status %d while failing on command", status)
+		t.Errorf("status %d with an injected error", status)
 	}
 	checkLog(t, s.Account(), map[string]int{"first": 1, "same prompt again": 1, "resumed after two tokens": 1, "cut": 0})
 }
@@ -79,8 +79,7 @@
 	return c
 }
 
-// checkLog compares the run log with the completed runs of each request that
-// ran.
+// checkLog checks that exactly the given requests ran, once each, and the number of completed runs.
 func checkLog(t *testing.T, a Account, completed map[string]int) {
 	t.Helper()
 	if len(a.Records) != len(completed) {
@@ -122,17 +121,17 @@
 	clock.Advance(time.Second)
 	h.add(Load{Running: 2})
 	if got := h.report().Running; got != 0 || len(l.after(0)) != 0 {
-		t.Fatalf("after 1 s: load of %d running and %d events are out", got, len(l.after(0)))
+		t.Fatalf("after 1 s: %d running and %d events published", got, len(l.after(0)))
 	}
 	clock.Advance(time.Second)
 	got, events := h.report().Running, l.after(0)
 	if got != 1 || len(events) < 30 || len(events) > 70 {
-		t.Fatalf("after 2 s: load of %d running, %d of 100 events at a loss of a half", got, len(events))
+		t.Fatalf("after 2 s: %d running, %d of 100 events published with a loss of one half", got, len(events))
 	}
 }
 
-// TestContinuationLimitsNewTokens continues an answer under a limit: as in the
-// chat API, it counts the tokens still to come, not those in the request.
+// TestContinuationLimitsNewTokens continues an answer with max_tokens set. As in the chat API, the limit
+// applies to new tokens, not to those in the request.
 func TestContinuationLimitsNewTokens(t *testing.T) {
 	engine := httptest.NewServer(New(Options{Kind: KindEngine, Tokens: 9}).Handler())
 	defer engine.Close()
--- a/fake/weightstore/weightstore.go
+++ b/fake/weightstore/weightstore.go
@@ -1,6 +1,5 @@
-// Package weightstore is a stand-in for the store that engines load weights
-// from. It sends at a limited rate over all its readers, can be made to stall,
-// and counts what it sent per second.
+// Package weightstore is a fake store of model weights. It limits the total rate over all readers, can be
+// stalled, and counts the bytes sent per second.
 package weightstore
 
 import (
@@ -14,15 +13,15 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Server is one store.
+// Server is a weight store.
 type Server struct {
 	rate int64 // bytes per second
 
 	mu      sync.Mutex
-	next    time.Time // when the link is free again
+	next    time.Time // when the link is next free
 	stalled bool
-	sent    map[int64]int64 // by Unix second
-	asked   map[int64]int64 // bytes of reads begun, by Unix second
+	sent    map[int64]int64 // bytes sent, by Unix second
+	asked   map[int64]int64 // bytes requested, by Unix second
 }
 
 const (
@@ -30,25 +29,25 @@
 	stallCheck = 20 * time.Millisecond
 )
 
-// New returns a store that sends rate bytes per second.
+// New returns a store that sends at most rate bytes per second.
 func New(rate int64) *Server {
 	return &Server{rate: rate, sent: map[int64]int64{}, asked: map[int64]int64{}}
 }
 
-// Stall stops all transfers, or lets them go on.
+// Stall stops or resumes all transfers.
 func (s *Server) Stall(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stalled = on
 }
 
-// Stats is what the store counted.
+// Stats are the transfer counts of a store.
 type Stats struct {
-	Sent  map[int64]int64 `json:"sent"`  // bytes by Unix second
-	Asked map[int64]int64 `json:"asked"` // bytes of reads begun, by Unix second
+	Sent  map[int64]int64 `json:"sent"`  // bytes sent, by Unix second
+	Asked map[int64]int64 `json:"asked"` // bytes requested, by Unix second
 }
 
-// Stats returns a copy of the counts.
+// Stats returns a copy of the transfer counts.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +97,7 @@
 	}
 }
 
-// pace waits until the link may send n more bytes.
+// pace waits until n more bytes may be sent; it returns false if ctx ends first.
 func (s *Server) pace(ctx context.Context, n int64) bool {
 	for ctx.Err() == nil {
 		s.mu.Lock()
