--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -10,16 +10,16 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// longCut returns a duration above every lease and every silence and staleness limit in the default settings.
-func longCut() time.Duration {
+// longOutage returns a duration above every lease and every silence and staleness limit in the default settings.
+func longOutage() time.Duration {
 	if *harness.Long {
 		return time.Minute
 	}
 	return 8 * time.Second
 }
 
-// answersNothing waits until an isolated control process refuses reads, and checks that it accepts no change.
-func answersNothing(t *testing.T, c *harness.Control) {
+// awaitReadRefusal waits until an isolated control process refuses reads, and checks that it accepts no change.
+func awaitReadRefusal(t *testing.T, c *harness.Control) {
 	t.Helper()
 	harness.Eventually(t, func() string {
 		if readsConfig(c) {
@@ -55,19 +55,19 @@
 	return out
 }
 
-// cutLeader isolates the leader for longCut, applies a change at the others meanwhile, heals the network, and
+// isolateLeader isolates the leader for longOutage, applies a change at the others meanwhile, heals the network, and
 // checks that all processes have the change.
-func cutLeader(t *testing.T, cut func(s *harness.System, leader *harness.Control)) {
+func isolateLeader(t *testing.T, cut func(s *harness.System, leader *harness.Control)) {
 	s := harness.New(t, harness.Options{})
 	load := s.StartLoad()
 	load.Await(phase)
 	old := s.Leader()
 	cut(s, old)
 	s.Leader(old)
-	answersNothing(t, old)
+	awaitReadRefusal(t, old)
 	applyAt(t, s, others(s, old), 2, harness.Text("while cut"))
 	load.Await(phase)
-	time.Sleep(longCut())
+	time.Sleep(longOutage())
 	if readsConfig(old) {
 		t.Errorf("%s answers reads again while it is isolated", old.Name)
 	}
@@ -79,7 +79,7 @@
 	}
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 func applyAt(t *testing.T, s *harness.System, at []*harness.Control, number uint64, text string) {
@@ -98,20 +98,20 @@
 
 func TestSilentCutOfLeader(t *testing.T) {
 	t.Parallel()
-	cutLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Swallow) })
+	isolateLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Swallow) })
 }
 
 // TestLateDeliveryToLeader isolates the leader and delivers all bytes after the fault, as TCP does after a
 // short outage.
 func TestLateDeliveryToLeader(t *testing.T) {
 	t.Parallel()
-	cutLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Hold) })
+	isolateLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Hold) })
 }
 
 // TestOneWayCutFromLeader drops all bytes that the leader sends; it still receives.
 func TestOneWayCutFromLeader(t *testing.T) {
 	t.Parallel()
-	cutLeader(t, func(s *harness.System, leader *harness.Control) {
+	isolateLeader(t, func(s *harness.System, leader *harness.Control) {
 		s.Network.Set(leader.Name, harness.Any, harness.Swallow)
 	})
 }
@@ -119,7 +119,7 @@
 // TestOneWayCutToLeader drops all bytes that are sent to the leader; it can still send.
 func TestOneWayCutToLeader(t *testing.T) {
 	t.Parallel()
-	cutLeader(t, func(s *harness.System, leader *harness.Control) {
+	isolateLeader(t, func(s *harness.System, leader *harness.Control) {
 		s.Network.Set(harness.Any, leader.Name, harness.Swallow)
 	})
 }
@@ -135,7 +135,7 @@
 	old.Freeze()
 	late := make(chan bool, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), longCut())
+		ctx, cancel := context.WithTimeout(context.Background(), longOutage())
 		defer cancel()
 		res, err := adminclient.New([]string{old.Admin}, "").Apply(ctx, harness.Change(2, harness.Text("late")))
 		late <- err == nil && res.Accepted
@@ -143,7 +143,7 @@
 	s.Leader(old)
 	applyAt(t, s, others(s, old), 2, harness.Text("while frozen"))
 	load.Await(phase)
-	time.Sleep(longCut() / 2)
+	time.Sleep(longOutage() / 2)
 	old.Thaw()
 	s.AwaitVersion(2)
 	if <-late {
@@ -155,7 +155,7 @@
 	}
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 // TestCutBetweenEntryAndAgent silently drops bytes between an entry and an agent, and then closes connections
@@ -177,5 +177,5 @@
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
--- a/e2e/disk_test.go
+++ b/e2e/disk_test.go
@@ -46,7 +46,7 @@
 		voters := s.Status(victim).Voters
 		victim.Kill()
 		rewrite(t, newestLog(t, victim), func(data []byte) []byte {
-			return append(data, torn(data, tail.size)...)
+			return append(data, partialRecord(data, tail.size)...)
 		})
 		s.Leader(victim)
 		victim.Start()
@@ -58,7 +58,7 @@
 		load.Await(phase / 4)
 	}
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 // tornTails are the parts of a record that a crash may leave; whole is its size in bytes.
@@ -74,8 +74,8 @@
 // headerSize is the size of a record's header in the log, in bytes (package wal).
 const headerSize = 12
 
-// torn returns the beginning of a copy of the log's first record.
-func torn(log []byte, size func(whole int) int) []byte {
+// partialRecord returns the beginning of a copy of the log's first record.
+func partialRecord(log []byte, size func(whole int) int) []byte {
 	whole := headerSize + int(binary.LittleEndian.Uint32(log))
 	return slices.Clone(log[:size(whole)])
 }
@@ -125,7 +125,7 @@
 	s.AwaitVoters()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 func wipe(t *testing.T, c *harness.Control) {
@@ -166,7 +166,7 @@
 	s.AwaitVersion(3)
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 // TestSecondLossAfterRepair loses the disk of one voter, waits until repair is complete, and then loses
@@ -190,7 +190,7 @@
 	s.AwaitVersion(3)
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 // voter returns the leader, which must not be one of the lost voters.
@@ -239,7 +239,7 @@
 	}
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 func fileSize(t *testing.T, path string) int64 {
--- a/e2e/fence_test.go
+++ b/e2e/fence_test.go
@@ -38,19 +38,19 @@
 	old.Freeze()
 	s.Leader(old)
 	applyAt(t, s, others(s, old), 3, ordersText("2"))
-	awaitHolds(t, s, "2")
+	awaitLoaded(t, s, "2")
 	issued := orders(t, s)
 	old.Thaw()
-	answersNothing(t, old)
+	awaitReadRefusal(t, old)
 	s.Network.Heal()
 	s.AwaitVersion(3)
 	s.AwaitVoters()
-	awaitHolds(t, s, "2")
-	time.Sleep(longCut()) // time for late orders of an agent or a leader
+	awaitLoaded(t, s, "2")
+	time.Sleep(longOutage()) // time for late orders of an agent or a leader
 	if later := orders(t, s); later != issued {
 		t.Errorf("%d orders after the old leader resumed, %d before", later, issued)
 	}
-	awaitHolds(t, s, "2")
+	awaitLoaded(t, s, "2")
 }
 
 func engines(s *harness.System) []*harness.Agent {
@@ -63,7 +63,7 @@
 	return out
 }
 
-func awaitHolds(t *testing.T, s *harness.System, version string) {
+func awaitLoaded(t *testing.T, s *harness.System, version string) {
 	t.Helper()
 	want := wire.Artifact{Model: "m", Version: version}
 	harness.Eventually(t, func() string {
--- a/e2e/freeze_test.go
+++ b/e2e/freeze_test.go
@@ -28,10 +28,10 @@
 	victim := pick(s)
 	victim.Freeze()
 	load.Await(phase / 10)
-	time.Sleep(longCut())
+	time.Sleep(longOutage())
 	victim.Thaw()
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
--- a/e2e/harness/config.go
+++ b/e2e/harness/config.go
@@ -71,7 +71,7 @@
 func (s *System) MustApply(number uint64, text string) wire.ChangeRequest {
 	s.T.Helper()
 	c := Change(number, text)
-	ctx, cancel := context.WithTimeout(context.Background(), hungAfter)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	res, err := s.Admin().Apply(ctx, c)
 	if err != nil || !res.Accepted || res.Version != number {
--- a/e2e/harness/load.go
+++ b/e2e/harness/load.go
@@ -39,7 +39,7 @@
 	key, body string
 	whole     []byte // the complete answer, if one was received
 	unknown   bool   // answered "may have run": it must never run again
-	left      bool   // abandoned after a "not run" answer and not sent again
+	abandoned bool   // answered "not run" and deliberately not sent again
 }
 
 // ConfirmWorkers is the number of concurrent confirmations of a load.
@@ -47,7 +47,7 @@
 
 const (
 	requestTimeout = 5 * time.Second
-	giveUp         = requestTimeout + time.Second // client timeout for an entry that does not answer
+	clientTimeout  = requestTimeout + time.Second // client timeout for an entry that does not answer
 	requestWorkers = 4
 	maxSends       = 6 // of one key during a fault; Finish sends the remaining ones
 	resendPause    = 100 * time.Millisecond
@@ -120,7 +120,7 @@
 func (l *Load) send(i int64, r client.Request) *client.Answer {
 	e := l.entry(i)
 	r.Entry, r.Customer, r.Timeout = e.Address, Customer, requestTimeout
-	ctx, cancel := context.WithTimeout(context.Background(), giveUp)
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	a, err := l.client.Send(ctx, r)
 	switch {
@@ -156,15 +156,15 @@
 		if c.whole != nil || c.unknown {
 			return
 		}
-		if n == 0 && i%leftOut == 0 && a != nil && a.Verdict.String() == notRun {
-			c.left = true
+		if n == 0 && i%abandonOneIn == 0 && a != nil && a.Verdict.String() == notRun {
+			c.abandoned = true
 			return
 		}
 	}
 }
 
-// leftOut: one in leftOut refused confirmations is never sent again, to check that "not run" is true.
-const leftOut = 2
+// One in abandonOneIn refused confirmations is never sent again, to check that "not run" is true.
+const abandonOneIn = 2
 
 func (l *Load) sendKey(i int64, c *confirmation) *client.Answer {
 	a := l.send(i, client.Request{Path: "/v1/services/" + Desk + "/confirm", Key: c.key, Body: []byte(c.body)})
@@ -236,14 +236,14 @@
 	}
 	close(jobs)
 	wg.Wait()
-	l.judge()
+	l.verify()
 }
 
 func (l *Load) settle(c *confirmation) {
-	if c.left {
+	if c.abandoned {
 		return
 	}
-	end := time.Now().Add(hungAfter)
+	end := time.Now().Add(waitTimeout)
 	for i := int64(0); time.Now().Before(end); i++ {
 		if a := l.sendKey(i, c); a != nil && (a.Whole || c.unknown) {
 			return
@@ -252,28 +252,28 @@
 	l.s.T.Errorf("%s: no final outcome", c.key)
 }
 
-// judge compares the recorded answers with the runs at the upstreams.
-func (l *Load) judge() {
+// verify compares the recorded answers with the runs at the upstreams.
+func (l *Load) verify() {
 	whole, unknown, left := 0, 0, 0
 	for _, c := range l.keys {
 		runs := l.s.Runs.Of(c.body)
 		switch {
 		case runs > 1:
 			l.s.T.Errorf("%s ran %d times", c.key, runs)
-		case c.left && runs != 0:
+		case c.abandoned && runs != 0:
 			l.s.T.Errorf("%s was answered \"not run\", but ran", c.key)
 		case c.whole != nil && runs != 1:
 			l.s.T.Errorf("%s was answered completely, but ran %d times", c.key, runs)
 		}
-		whole += count(c.whole != nil)
-		unknown += count(c.unknown)
-		left += count(c.left)
+		whole += toInt(c.whole != nil)
+		unknown += toInt(c.unknown)
+		left += toInt(c.abandoned)
 	}
 	l.s.T.Logf("%d keys: %d answered, %d may have run, %d refused and not sent again; other requests: %d answered; attempts: %d refused, %d lost",
 		len(l.keys), whole, unknown, left, l.Answered.Load(), l.Refused.Load(), l.Lost.Load())
 }
 
-func count(b bool) int {
+func toInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -284,7 +284,7 @@
 func (l *Load) Unknown() int {
 	n := 0
 	for _, c := range l.keys {
-		n += count(c.unknown)
+		n += toInt(c.unknown)
 	}
 	return n
 }
--- a/e2e/harness/opener.go
+++ b/e2e/harness/opener.go
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-// outside is returned for connections from outside the system, such as the test itself.
-const outside = "test"
+// external is returned for connections from outside the system, such as the test itself.
+const external = "test"
 
 // opener returns the name of the process that opened the connection. It looks for the inode of the socket
 // among the open files of the processes.
 func (n *Network) opener(c net.Conn) string {
 	inode := inodeOf(c.RemoteAddr().(*net.TCPAddr), c.LocalAddr().(*net.TCPAddr))
 	if inode == "" {
-		return outside
+		return external
 	}
 	n.mu.Lock()
 	processes := maps.Clone(n.processes)
@@ -28,7 +28,7 @@
 			return name
 		}
 	}
-	return outside
+	return external
 }
 
 func holdsSocket(pid int, inode string) bool {
@@ -55,7 +55,7 @@
 // for this one socket: /proc/net/tcp lists those of the whole machine, and with tens of thousands of them
 // reading it takes longer than the connection timeouts of the processes.
 func inodeOf(local, remote *net.TCPAddr) string {
-	if inode, err := askKernel(local, remote); err == nil {
+	if inode, err := inodeFromKernel(local, remote); err == nil {
 		return inode
 	}
 	return inodeInTable(local, remote)
--- a/e2e/harness/opener_test.go
+++ b/e2e/harness/opener_test.go
@@ -24,7 +24,7 @@
 	if table == "" || !holdsSocket(os.Getpid(), table) {
 		t.Fatalf("inode %q in /proc/net/tcp", table)
 	}
-	switch asked, err := askKernel(local, remote); {
+	switch asked, err := inodeFromKernel(local, remote); {
 	case err != nil:
 		t.Logf("sock_diag is not available: %v", err)
 	case asked != table:
--- a/e2e/harness/process.go
+++ b/e2e/harness/process.go
@@ -13,17 +13,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// hungAfter is the timeout of waits that should always succeed. No guaranteed time is measured with it.
-const hungAfter = 90 * time.Second
+// waitTimeout is the timeout of waits that should always succeed. No guaranteed time is measured with it.
+const waitTimeout = 90 * time.Second
 
-// forking serializes process starts with probes for free ports. Between fork and exec a child process holds a
+// forkMu serializes process starts with probes for free ports. Between fork and exec a child process holds a
 // copy of the probe's socket, so that the port stays taken after the probe closed it.
-var forking sync.RWMutex
+var forkMu sync.RWMutex
 
 // Output runs a command and returns its combined output.
 func Output(cmd *exec.Cmd) []byte {
-	forking.Lock()
-	defer forking.Unlock()
+	forkMu.Lock()
+	defer forkMu.Unlock()
 	out, _ := cmd.CombinedOutput() // the caller checks the exit status
 	return out
 }
@@ -63,10 +63,10 @@
 	}
 }
 
-// tailBytes is how much of a log is shown if a test fails: some minutes.
-const tailBytes = 200_000
+// maxLogTail is how much of a log is shown if a test fails: some minutes.
+const maxLogTail = 200_000
 
-func tail(log []byte) []byte { return log[max(0, len(log)-tailBytes):] }
+func tail(log []byte) []byte { return log[max(0, len(log)-maxLogTail):] }
 
 // Log returns the stdout and stderr of all starts of the process.
 func (p *Process) Log() []byte {
@@ -89,9 +89,9 @@
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.Env = append(os.Environ(), p.Env...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	forking.Lock()
+	forkMu.Lock()
 	err = cmd.Start()
-	forking.Unlock()
+	forkMu.Unlock()
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 	}
 	select {
 	case <-exited:
-	case <-time.After(hungAfter):
+	case <-time.After(waitTimeout):
 		p.t.Errorf("%s does not exit", p.Name)
 		p.Signal(syscall.SIGKILL)
 		<-exited
@@ -174,7 +174,7 @@
 // waiting for.
 func Eventually(t testing.TB, done func() string) {
 	t.Helper()
-	end := time.Now().Add(hungAfter)
+	end := time.Now().Add(waitTimeout)
 	for {
 		missing := done()
 		if missing == "" {
--- a/e2e/harness/relay.go
+++ b/e2e/harness/relay.go
@@ -190,7 +190,7 @@
 			return
 		}
 		if err != nil {
-			l.awaitEnd(from, to)
+			l.awaitHeal(from, to)
 			return
 		}
 	}
@@ -199,14 +199,14 @@
 // forward applies the current fault to one chunk. It returns false if the link must be closed.
 func (l *link) forward(dst net.Conn, p []byte, from, to string) bool {
 	for {
-		f, delay, changed := l.judge(from, to)
+		f, delay, changed := l.currentFault(from, to)
 		switch f {
 		case Swallow:
 			return true
 		case Hold:
 			select {
 			case <-changed:
-			case <-time.After(hungAfter):
+			case <-time.After(waitTimeout):
 				return false
 			}
 		default:
@@ -217,8 +217,8 @@
 	}
 }
 
-// judge returns the current fault. A link that dropped bytes is closed as soon as its fault ends.
-func (l *link) judge(from, to string) (Fault, time.Duration, chan struct{}) {
+// currentFault returns the fault of a direction and its delay. A link that dropped bytes is closed as soon as its fault ends.
+func (l *link) currentFault(from, to string) (Fault, time.Duration, chan struct{}) {
 	n := l.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -232,17 +232,17 @@
 	return f, delay, changed
 }
 
-// awaitEnd delays the end of a connection until its fault ends: while a link is cut, the other side must not
+// awaitHeal delays the end of a connection until its fault ends: while a link is cut, the other side must not
 // see that the connection was closed.
-func (l *link) awaitEnd(from, to string) {
+func (l *link) awaitHeal(from, to string) {
 	for {
-		f, _, changed := l.judge(from, to)
+		f, _, changed := l.currentFault(from, to)
 		if f == Pass {
 			return
 		}
 		select {
 		case <-changed:
-		case <-time.After(hungAfter):
+		case <-time.After(waitTimeout):
 			return
 		}
 	}
--- a/e2e/harness/sockdiag.go
+++ b/e2e/harness/sockdiag.go
@@ -11,16 +11,16 @@
 
 // Sizes and offsets of structures in linux/inet_diag.h and linux/netlink.h, in bytes.
 const (
-	diagRequestSize = unix.SizeofNlMsghdr + 56 // struct inet_diag_req_v2
-	diagAnswerSize  = unix.SizeofNlMsghdr + 72 // struct inet_diag_msg
-	diagInode       = unix.SizeofNlMsghdr + 68
-	diagNoCookie    = 0xffffffff
-	sockDiagFamily  = 20 // SOCK_DIAG_BY_FAMILY
+	diagRequestSize  = unix.SizeofNlMsghdr + 56 // struct inet_diag_req_v2
+	diagResponseSize = unix.SizeofNlMsghdr + 72 // struct inet_diag_msg
+	diagInode        = unix.SizeofNlMsghdr + 68
+	diagNoCookie     = 0xffffffff
+	sockDiagFamily   = 20 // SOCK_DIAG_BY_FAMILY
 )
 
-// askKernel returns the inode of the TCP socket with these addresses (sock_diag(7)), or "" if there is none.
+// inodeFromKernel returns the inode of the TCP socket with these addresses (sock_diag(7)), or "" if there is none.
 // It returns an error if the kernel can't be queried.
-func askKernel(local, remote *net.TCPAddr) (string, error) {
+func inodeFromKernel(local, remote *net.TCPAddr) (string, error) {
 	fd, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, unix.NETLINK_SOCK_DIAG)
 	if err != nil {
 		return "", os.NewSyscallError("socket", err)
@@ -34,7 +34,7 @@
 	if err != nil {
 		return "", os.NewSyscallError("recvfrom", err)
 	}
-	return inodeOfAnswer(answer[:n])
+	return parseDiagResponse(answer[:n])
 }
 
 func diagRequest(local, remote *net.TCPAddr) []byte {
@@ -55,7 +55,7 @@
 	return r
 }
 
-func inodeOfAnswer(a []byte) (string, error) {
+func parseDiagResponse(a []byte) (string, error) {
 	if len(a) < unix.SizeofNlMsghdr+4 {
 		return "", fmt.Errorf("sock_diag: response of %d bytes is too short", len(a))
 	}
@@ -66,7 +66,7 @@
 		}
 		return "", errno
 	}
-	if len(a) < diagAnswerSize {
+	if len(a) < diagResponseSize {
 		return "", fmt.Errorf("sock_diag: response of %d bytes is too short", len(a))
 	}
 	return fmt.Sprint(binary.NativeEndian.Uint32(a[diagInode:])), nil
--- a/e2e/harness/system.go
+++ b/e2e/harness/system.go
@@ -70,9 +70,9 @@
 // Loopback networks 127.64.0.0 to 127.127.255.0, one per system, so that the ports of different systems do
 // not conflict.
 const (
-	firstNet = 64
-	nets     = 64
-	subnets  = 250
+	firstNet    = 64
+	netCount    = 64
+	subnetCount = 250
 )
 
 // New starts a system and applies Text("") as version 1.
@@ -93,7 +93,7 @@
 	o = withDefaults(o)
 	n := int(systems.Add(1))
 	s := &System{T: t, Dir: t.TempDir(), Network: NewNetwork(t), Runs: &Runs{bodies: map[string]int{}}, opts: o, used: map[string]bool{},
-		ip: fmt.Sprintf("127.%d.%d.", firstNet+os.Getpid()%nets, 1+(os.Getpid()/nets+n*16)%subnets)}
+		ip: fmt.Sprintf("127.%d.%d.", firstNet+os.Getpid()%netCount, 1+(os.Getpid()/netCount+n*16)%subnetCount)}
 	for i := range o.Controls {
 		s.peers = append(s.peers, s.address(i+1))
 	}
@@ -103,13 +103,13 @@
 	for i, service := range services(o) {
 		s.addAgent(i, service)
 	}
-	for i := range entries {
+	for i := range entryCount {
 		s.addEntry(i)
 	}
 	return s
 }
 
-const entries = 2
+const entryCount = 2
 
 func withDefaults(o Options) Options {
 	set := func(v *int, d int) {
@@ -144,10 +144,10 @@
 // address returns a free address on the system's given host number. Its port is below the kernel's range of
 // ephemeral ports.
 func (s *System) address(host int) string {
-	forking.RLock()
-	defer forking.RUnlock()
+	forkMu.RLock()
+	defer forkMu.RUnlock()
 	for {
-		port := firstPort + rand.IntN(ports)
+		port := firstPort + rand.IntN(portCount)
 		a := fmt.Sprintf("%s%d:%d", s.ip, host, port)
 		l, err := net.Listen("tcp", a)
 		if err != nil || s.used[a] {
@@ -164,7 +164,7 @@
 
 const (
 	firstPort = 12000
-	ports     = 20000
+	portCount = 20000
 )
 
 func (s *System) daemon(name, ini string) *Process {
@@ -384,11 +384,11 @@
 	return s.Processes()[len(s.Controls):]
 }
 
-var probe = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var readyClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // Ready queries the readiness of an entry, as a load balancer does.
 func Ready(e *Entry) bool {
-	resp, err := probe.Get("http://" + e.Address + "/readyz")
+	resp, err := readyClient.Get("http://" + e.Address + "/readyz")
 	if err != nil {
 		return false
 	}
--- a/e2e/harness/upstream.go
+++ b/e2e/harness/upstream.go
@@ -91,7 +91,7 @@
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/health" {
-			u.count(s, service, r)
+			u.recordCall(s, service, r)
 		}
 		inner.ServeHTTP(w, r)
 	})}
@@ -107,8 +107,8 @@
 	return u
 }
 
-// count records a call that begins to run, and delays it as set by Slow.
-func (u *Upstream) count(s *System, service string, r *http.Request) {
+// recordCall records a call that begins to run, and delays it as set by Slow.
+func (u *Upstream) recordCall(s *System, service string, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
--- a/e2e/kill_test.go
+++ b/e2e/kill_test.go
@@ -10,9 +10,9 @@
 // phase is the number of complete answers of each kind to await between two steps.
 const phase = 100
 
-// noneUnknown fails the test if a confirmation was answered "may have run". Only the death of its agent may
+// noUnknownOutcomes fails the test if a confirmation was answered "may have run". Only the death of its agent may
 // cause that.
-func noneUnknown(t *testing.T, load *harness.Load) {
+func noUnknownOutcomes(t *testing.T, load *harness.Load) {
 	t.Helper()
 	if n := load.Unknown(); n > 0 {
 		t.Errorf("%d confirmations were answered \"may have run\" though no agent died", n)
@@ -32,7 +32,7 @@
 	s.AwaitVoters()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 func TestKillEntry(t *testing.T) {
@@ -46,7 +46,7 @@
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 // TestKillAgentBeforeAnswer kills an agent whose upstream is running confirmations. They may have run, so
@@ -86,7 +86,7 @@
 	s.AwaitVersion(3)
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 // TestRestartStorm kills a third of the members at once, including one agent of the desk, whose confirmations
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -121,5 +121,5 @@
 	load := s.StartLoad()
 	load.Await(phase / 4)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -30,7 +30,7 @@
 		load.Await(phase / 4)
 	}
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 // TestStopWithWorkInFlight stops a process of each role while a confirmation and a stream are in progress.
@@ -70,9 +70,9 @@
 }
 
 const (
-	longWork  = 3 * time.Second
-	hungAfter = 90 * time.Second // timeout of waits that should always succeed
-	sendPause = 100 * time.Millisecond
+	longWork    = 3 * time.Second
+	waitTimeout = 90 * time.Second // timeout of waits that should always succeed
+	sendPause   = 100 * time.Millisecond
 )
 
 // inFlight sends the request until the upstream has begun to run it, and returns the channel of its answer.
@@ -80,9 +80,9 @@
 // fails the test.
 func inFlight(t *testing.T, began <-chan string, r client.Request) <-chan *client.Answer {
 	t.Helper()
-	hung := time.After(hungAfter)
+	hung := time.After(waitTimeout)
 	for {
-		answered := sendAside(t, r)
+		answered := sendAsync(t, r)
 		select {
 		case <-began:
 			return answered
@@ -97,7 +97,7 @@
 	}
 }
 
-func sendAside(t *testing.T, r client.Request) <-chan *client.Answer {
+func sendAsync(t *testing.T, r client.Request) <-chan *client.Answer {
 	out := make(chan *client.Answer, 1)
 	r.Customer, r.Timeout = harness.Customer, 10*longWork
 	go func() {
@@ -134,5 +134,5 @@
 	s.AwaitVoters()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
--- a/fake/pathbench/path_test.go
+++ b/fake/pathbench/path_test.go
@@ -18,14 +18,14 @@
 )
 
 var (
-	entry  = flag.String("entry", "", "address of an entry; without it the test is skipped")
-	plain  = flag.String("plain", "", "address of a plain stand-in")
-	engine = flag.String("engine", "", "address of an engine stand-in")
-	length = flag.Duration("length", 5*time.Second, "duration of one measurement")
-	pids   = flag.String("pids", "", "NAME=PID,... of processes whose CPU time is reported")
-	caFile = flag.String("ca", "", "PEM file of the certificate authority, if the entry uses TLS")
-	fixed  = flag.Float64("rate", 0, "calls per second of the latency measurement; 0 means half of the full load")
-	agents = flag.Int("workers", 64, "concurrent callers at full load")
+	entry     = flag.String("entry", "", "address of an entry; without it the test is skipped")
+	plain     = flag.String("plain", "", "address of a plain stand-in")
+	engine    = flag.String("engine", "", "address of an engine stand-in")
+	length    = flag.Duration("length", 5*time.Second, "duration of one measurement")
+	pids      = flag.String("pids", "", "NAME=PID,... of processes whose CPU time is reported")
+	caFile    = flag.String("ca", "", "PEM file of the certificate authority, if the entry uses TLS")
+	fixedRate = flag.Float64("rate", 0, "calls per second of the latency measurement; 0 means half of the full load")
+	workers   = flag.Int("workers", 64, "concurrent callers at full load")
 )
 
 const chat = `{"model":"desk-chat","stream":true,"max_tokens":200,"messages":[{"role":"user","content":"hello"}]}`
@@ -148,7 +148,7 @@
 	}
 }
 
-func trust(t *testing.T, file string) {
+func trustCA(t *testing.T, file string) {
 	ca, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	base := "http://" + *entry
 	if *caFile != "" {
 		base = "https://" + *entry
-		trust(t, *caFile)
+		trustCA(t, *caFile)
 	}
 	for _, c := range []struct{ name, path, direct, body string }{
 		{"small call", base + "/v1/services/order-desk/call", "http://" + *plain + "/call", `{"lot":1}`},
@@ -178,9 +178,9 @@
 }
 
 func measure(t *testing.T, name, pathURL, directURL, body string) {
-	direct := closedLoop(*agents, directURL, body)
+	direct := closedLoop(*workers, directURL, body)
 	before := processorTimes(t)
-	path := closedLoop(*agents, pathURL, body)
+	path := closedLoop(*workers, pathURL, body)
 	for name, used := range processorTimes(t) {
 		used -= before[name]
 		t.Logf("%s: %v of CPU time per call, so two cores handle %.0f calls/s", name, used/time.Duration(max(path.calls.Load(), 1)),
@@ -192,8 +192,8 @@
 		float64(path.tokens.Load())/seconds, path.failed.Load(), path.failure, float64(direct.calls.Load())/seconds, float64(direct.tokens.Load())/seconds,
 		float64(path.calls.Load())/float64(max(direct.calls.Load(), 1)))
 	partial := rate / 2
-	if *fixed > 0 {
-		partial = *fixed
+	if *fixedRate > 0 {
+		partial = *fixedRate
 	}
 	half := openLoop(partial, pathURL, body)
 	base := openLoop(partial, directURL, body)
--- a/fake/standin/batch_test.go
+++ b/fake/standin/batch_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// drive runs the batch until it is idle. It returns the simulated time of each sequence's first and last
+// runUntilIdle runs the batch until it is idle. It returns the simulated time of each sequence's first and last
 // token.
-func drive(b *batch, sequences ...*sequence) (first, last []time.Duration) {
+func runUntilIdle(b *batch, sequences ...*sequence) (first, last []time.Duration) {
 	first, last = make([]time.Duration, len(sequences)), make([]time.Duration, len(sequences))
 	var now time.Duration
 	for !b.idle() {
@@ -44,13 +44,13 @@
 func TestStepTimeGrowsWithTheBatchAndThePrompt(t *testing.T) {
 	b := testBatch(4, 1000)
 	one := testSequence(b, text("a", 100), 3, 0)
-	first, last := drive(b, one)
+	first, last := runUntilIdle(b, one)
 	if first[0] != 21*time.Millisecond || last[0] != 43*time.Millisecond { // 10 + 1 + 100×0.1, then twice 11
 		t.Fatalf("alone: first token after %s, last after %s", first[0], last[0])
 	}
 	b = testBatch(4, 1000)
 	two := []*sequence{testSequence(b, text("a", 10), 2, 0), testSequence(b, text("b", 10), 2, 0)}
-	_, last = drive(b, two...)
+	_, last = runUntilIdle(b, two...)
 	if last[0] != 26*time.Millisecond || last[1] != last[0] { // (12 + 20×0.1) + 12: in parallel, not one after the other
 		t.Fatalf("two together: %s and %s", last[0], last[1])
 	}
@@ -62,7 +62,7 @@
 	b.step()
 	b.finish()
 	later, urgent := testSequence(b, text("b", 10), 1, 1), testSequence(b, text("c", 10), 1, 0)
-	_, last := drive(b, running, later, urgent)
+	_, last := runUntilIdle(b, running, later, urgent)
 	if !(last[0] < last[2] && last[2] < last[1]) {
 		t.Fatalf("ended at %v; want running, urgent, later", last)
 	}
@@ -70,9 +70,9 @@
 
 func TestCachedPrefixIsNotComputedAgain(t *testing.T) {
 	b := testBatch(1, 1000)
-	drive(b, testSequence(b, text("a", 64), 1, 0))
+	runUntilIdle(b, testSequence(b, text("a", 64), 1, 0))
 	again := testSequence(b, text("a", 64)+text("b", 10), 1, 0)
-	first, _ := drive(b, again)
+	first, _ := runUntilIdle(b, again)
 	if again.cached != 64 || first[0] != 12*time.Millisecond { // 11 + 10×0.1
 		t.Fatalf("cached %d tokens, first token after %s", again.cached, first[0])
 	}
@@ -81,7 +81,7 @@
 func TestMemoryLimitsTheBatch(t *testing.T) {
 	b := testBatch(8, 10)
 	s := []*sequence{testSequence(b, text("a", 64), 1, 0), testSequence(b, text("b", 64), 1, 0), testSequence(b, text("c", 64), 1, 0)}
-	_, last := drive(b, s...) // each takes 4 blocks for its prompt and 1 for its answer
+	_, last := runUntilIdle(b, s...) // each takes 4 blocks for its prompt and 1 for its answer
 	if last[0] != last[1] || last[2] <= last[1] || b.reserved != 0 || b.cache.Len() > 10 {
 		t.Fatalf("ended at %v, %d blocks reserved, %d cached", last, b.reserved, b.cache.Len())
 	}
@@ -96,7 +96,7 @@
 	b.finish()
 	cancel()
 	next := testSequence(b, text("b", 10), 1, 0)
-	_, last := drive(b, next)
+	_, last := runUntilIdle(b, next)
 	if gone.generated != 1 || last[0] != 12*time.Millisecond {
 		t.Fatalf("the cancelled sequence generated %d tokens, the next one ended after %s", gone.generated, last[0])
 	}
@@ -126,7 +126,7 @@
 				t.Fatalf("match %v is %d, want %d in %v", chain, got, hits, oracle)
 			}
 			cache.Store(chain)
-			oracle = use(oracle, chain[:min(len(chain), capacity)], capacity)
+			oracle = touch(oracle, chain[:min(len(chain), capacity)], capacity)
 			if cache.Len() != len(oracle) {
 				t.Fatalf("%d blocks, want %d", cache.Len(), len(oracle))
 			}
@@ -139,7 +139,7 @@
 	})
 }
 
-func use(list, chain []Block, capacity int) []Block {
+func touch(list, chain []Block, capacity int) []Block {
 	for i := len(chain) - 1; i >= 0; i-- {
 		if p := position(list, chain[i]); p >= 0 {
 			list = append(list[:p:p], list[p+1:]...)
--- a/fake/standin/cache.go
+++ b/fake/standin/cache.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		c.blocks[b] = c.order.PushFront(b)
-		c.note(b, true)
+		c.notify(b, true)
 	}
 	c.Shrink(c.capacity)
 }
@@ -77,11 +77,11 @@
 	for c.order.Len() > max(n, 0) {
 		b := c.order.Remove(c.order.Back()).(Block)
 		delete(c.blocks, b)
-		c.note(b, false)
+		c.notify(b, false)
 	}
 }
 
-func (c *PrefixCache) note(b Block, stored bool) {
+func (c *PrefixCache) notify(b Block, stored bool) {
 	if c.changed != nil {
 		c.changed(b, stored)
 	}
--- a/fake/standin/chat.go
+++ b/fake/standin/chat.go
@@ -63,8 +63,8 @@
 // answerRole precedes an answer in the prompt of a later turn.
 const answerRole = "assistant:"
 
-// computed returns the text to prefill: the prompt and a partial answer.
-func (c ChatRequest) computed() string {
+// prefillText returns the text to prefill: the prompt and a partial answer.
+func (c ChatRequest) prefillText() string {
 	if p := c.partial(); p != "" {
 		return c.Prompt() + answerRole + p
 	}
@@ -117,7 +117,7 @@
 	if !ok {
 		return
 	}
-	if !sleep(r.Context(), s.clock, s.faults.slowed(s.opts.Delay)) {
+	if !sleep(r.Context(), s.clock, s.faults.scaled(s.opts.Delay)) {
 		return
 	}
 	run := s.newRun(r, req)
@@ -159,7 +159,7 @@
 	for i := run.first; i < run.tokens; i++ {
 		rest.WriteString(Token(run.prompt, i))
 	}
-	run.seq = &sequence{ctx: r.Context(), priority: priorityOf(r, req), prompt: req.computed(), tokens: run.tokens - run.first, answer: rest.String()}
+	run.seq = &sequence{ctx: r.Context(), priority: priorityOf(r, req), prompt: req.prefillText(), tokens: run.tokens - run.first, answer: rest.String()}
 	return run
 }
 
@@ -195,7 +195,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
 	cutAfter := -1
-	if c.s.cut() {
+	if c.s.truncates() {
 		cutAfter = c.seq.tokens / 2
 	}
 	n := 0
--- a/fake/standin/engine.go
+++ b/fake/standin/engine.go
@@ -13,11 +13,11 @@
 	clock  clockwork.Clock
 	faults *faults
 
-	mu     sync.Mutex
-	batch  *batch
-	awake  bool // whether the loop is running
-	events *eventLog
-	load   *loadHistory
+	mu          sync.Mutex
+	batch       *batch
+	loopRunning bool // a goroutine runs loop
+	events      *eventLog
+	load        *loadHistory
 }
 
 func newEngine(o Options, clock clockwork.Clock, f *faults) *engine {
@@ -32,9 +32,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.add(s)
-	e.note()
-	if !e.awake {
-		e.awake = true
+	e.recordLoad()
+	if !e.loopRunning {
+		e.loopRunning = true
 		go e.loop()
 	}
 }
@@ -44,22 +44,22 @@
 	for {
 		e.mu.Lock()
 		took := e.batch.step()
-		e.note()
+		e.recordLoad()
 		if e.batch.idle() {
-			e.awake = false
+			e.loopRunning = false
 			e.mu.Unlock()
 			return
 		}
 		e.mu.Unlock()
-		e.clock.Sleep(e.faults.slowed(took))
+		e.clock.Sleep(e.faults.scaled(took))
 		e.mu.Lock()
 		e.batch.finish()
-		e.note()
+		e.recordLoad()
 		e.mu.Unlock()
 	}
 }
 
-func (e *engine) note() {
+func (e *engine) recordLoad() {
 	e.load.add(Load{Queued: len(e.batch.waiting), Running: len(e.batch.running), KVUsed: e.batch.used(), KVCapacity: e.batch.opts.CacheBlocks})
 }
 
@@ -79,8 +79,8 @@
 	return held
 }
 
-// takeIn stores blocks that another engine exported.
-func (e *engine) takeIn(ctx context.Context, chain []Block) {
+// importBlocks stores blocks that another engine exported.
+func (e *engine) importBlocks(ctx context.Context, chain []Block) {
 	e.transfer(ctx, len(chain))
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +89,7 @@
 }
 
 func (e *engine) transfer(ctx context.Context, blocks int) {
-	sleep(ctx, e.clock, e.faults.slowed(time.Duration(blocks)*e.batch.opts.TransferDelay))
+	sleep(ctx, e.clock, e.faults.scaled(time.Duration(blocks)*e.batch.opts.TransferDelay))
 }
 
 // sleep waits for d and reports false if ctx ended first.
--- a/fake/standin/fault.go
+++ b/fake/standin/fault.go
@@ -41,7 +41,7 @@
 	return f.now, f.ended
 }
 
-func (f *faults) slowed(d time.Duration) time.Duration {
+func (f *faults) scaled(d time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.now.Slow <= 0 {
@@ -50,8 +50,8 @@
 	return time.Duration(float64(d) * f.now.Slow)
 }
 
-// hits draws whether an event of the given probability occurs.
-func (f *faults) hits(share func(Fault) float64) bool {
+// occurs draws whether an event of the given probability occurs.
+func (f *faults) occurs(share func(Fault) float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := share(f.now)
--- a/fake/standin/kv.go
+++ b/fake/standin/kv.go
@@ -18,13 +18,13 @@
 	if !ok {
 		return
 	}
-	held := s.engine.export(r.Context(), Blocks(req.computed()))
+	held := s.engine.export(r.Context(), Blocks(req.prefillText()))
 	s.answer(w, KV{Blocks: held, Tokens: len(held) * BlockTokens})
 }
 
 func (s *Server) importKV(w http.ResponseWriter, r *http.Request) {
 	if kv, ok := read[KV](w, r); ok {
-		s.engine.takeIn(r.Context(), kv.Blocks)
+		s.engine.importBlocks(r.Context(), kv.Blocks)
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
--- a/fake/standin/models.go
+++ b/fake/standin/models.go
@@ -46,7 +46,7 @@
 	log     []Passed
 }
 
-func (s *Server) routeModels(r chi.Router) {
+func (s *Server) modelRoutes(r chi.Router) {
 	r.Get("/v1/engine", s.models.showState)
 	r.Post("/v1/engine/orders", s.models.order)
 	r.Get("/v1/engine/log", s.models.showLog)
@@ -92,11 +92,11 @@
 		return
 	}
 	token, _ := strconv.ParseUint(r.Header.Get("Fencing-Token"), 10, 64)
-	if !m.begin(o, token) {
+	if !m.accept(o, token) {
 		http.Error(w, "an order with a higher fencing token was accepted", http.StatusConflict)
 		return
 	}
-	err := m.carryOut(r.Context(), o)
+	err := m.execute(r.Context(), o)
 	m.mu.Lock()
 	m.busy--
 	m.mu.Unlock()
@@ -107,7 +107,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (m *models) begin(o wire.Order, token uint64) bool {
+func (m *models) accept(o wire.Order, token uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.opts.IgnoreTokens && token <= m.token {
@@ -120,7 +120,7 @@
 	return true
 }
 
-func (m *models) carryOut(ctx context.Context, o wire.Order) error {
+func (m *models) execute(ctx context.Context, o wire.Order) error {
 	switch o.Kind {
 	case wire.OrderLoad:
 		if err := m.load(ctx, o); err != nil {
--- a/fake/standin/pool.go
+++ b/fake/standin/pool.go
@@ -51,6 +51,6 @@
 	}
 	started()
 	began := p.clock.Now()
-	stayed := sleep(ctx, p.clock, p.faults.slowed(p.serviceTime(size)))
+	stayed := sleep(ctx, p.clock, p.faults.scaled(p.serviceTime(size)))
 	return p.clock.Since(began), stayed
 }
--- a/fake/standin/standin.go
+++ b/fake/standin/standin.go
@@ -55,7 +55,7 @@
 	r.Post("/fault", s.setFault)
 	r.Get("/account", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.log.account()) })
 	r.Group(func(r chi.Router) {
-		r.Use(s.failing)
+		r.Use(s.injectFaults)
 		r.Get("/health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 		s.workRoutes(r)
 	})
@@ -67,7 +67,7 @@
 	case KindEngine:
 		s.engineRoutes(r)
 		if s.opts.Models.Enabled {
-			s.routeModels(r)
+			s.modelRoutes(r)
 		}
 	case KindEncoder:
 		r.Post("/v1/embeddings", s.embed)
@@ -118,8 +118,8 @@
 	}
 }
 
-// failing is the middleware that injects faults before a request runs.
-func (s *Server) failing(next http.Handler) http.Handler {
+// injectFaults is the middleware that injects faults before a request runs.
+func (s *Server) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f, ended := s.faults.get()
 		if f.Silent {
@@ -130,7 +130,7 @@
 			}
 			panic(http.ErrAbortHandler)
 		}
-		if r.URL.Path != "/health" && s.faults.hits(func(f Fault) float64 { return f.Error }) {
+		if r.URL.Path != "/health" && s.faults.occurs(func(f Fault) float64 { return f.Error }) {
 			http.Error(w, "failing on command", http.StatusInternalServerError)
 			return
 		}
@@ -147,7 +147,7 @@
 
 // answer writes a JSON answer, or only its first half if the fault Cut occurs.
 func (s *Server) answer(w http.ResponseWriter, v any) {
-	if !s.cut() {
+	if !s.truncates() {
 		writeJSON(w, v)
 		return
 	}
@@ -159,7 +159,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (s *Server) cut() bool { return s.faults.hits(func(f Fault) float64 { return f.Cut }) }
+func (s *Server) truncates() bool { return s.faults.occurs(func(f Fault) float64 { return f.Cut }) }
 
 func read[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
 	var v T
--- a/fake/weightstore/weightstore.go
+++ b/fake/weightstore/weightstore.go
@@ -17,11 +17,11 @@
 type Server struct {
 	rate int64 // bytes per second
 
-	mu      sync.Mutex
-	next    time.Time // when the link is next free
-	stalled bool
-	sent    map[int64]int64 // bytes sent, by Unix second
-	asked   map[int64]int64 // bytes requested, by Unix second
+	mu        sync.Mutex
+	next      time.Time // when the link is next free
+	stalled   bool
+	sent      map[int64]int64 // bytes sent, by Unix second
+	requested map[int64]int64 // bytes requested, by Unix second
 }
 
 const (
@@ -31,7 +31,7 @@
 
 // New returns a store that sends at most rate bytes per second.
 func New(rate int64) *Server {
-	return &Server{rate: rate, sent: map[int64]int64{}, asked: map[int64]int64{}}
+	return &Server{rate: rate, sent: map[int64]int64{}, requested: map[int64]int64{}}
 }
 
 // Stall stops or resumes all transfers.
@@ -55,7 +55,7 @@
 	for k, v := range s.sent {
 		out.Sent[k] = v
 	}
-	for k, v := range s.asked {
+	for k, v := range s.requested {
 		out.Asked[k] = v
 	}
 	return out
@@ -81,7 +81,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.asked[time.Now().Unix()] += left
+	s.requested[time.Now().Unix()] += left
 	s.mu.Unlock()
 	w.Header().Set("Content-Length", strconv.FormatInt(left, 10))
 	chunk := make([]byte, chunkBytes)
