--- a/e2e/harness/load.go
+++ b/e2e/harness/load.go
@@ -37,7 +37,7 @@
 // confirmation is the oracle's record of one idempotency key.
 type confirmation struct {
 	key, body string
-	whole     []byte // the complete answer, if one was received
+	answer    []byte // the complete answer, if one was received
 	unknown   bool   // answered "may have run": it must never run again
 	abandoned bool   // answered "not run" and deliberately not sent again
 }
@@ -153,7 +153,7 @@
 	l.mu.Unlock()
 	for n := range int64(maxSends) {
 		a := l.sendKey(i+n, c)
-		if c.whole != nil || c.unknown {
+		if c.answer != nil || c.unknown {
 			return
 		}
 		if n == 0 && i%abandonOneIn == 0 && a != nil && a.Verdict.String() == notRun {
@@ -173,14 +173,14 @@
 	}
 	switch {
 	case a.Whole:
-		l.check(c, a)
+		l.checkAnswer(c, a)
 	case a.Verdict == verdict.MayHaveRun && a.RetryAfter == "":
 		c.unknown = true // final: the record of the outcome was lost with its gate
 	}
 	return a
 }
 
-func (l *Load) check(c *confirmation, a *client.Answer) {
+func (l *Load) checkAnswer(c *confirmation, a *client.Answer) {
 	var got struct {
 		Confirmation string `json:"confirmation"`
 		Run          int    `json:"run"`
@@ -188,13 +188,13 @@
 	if err := json.Unmarshal(a.Body, &got); err != nil || got.Run != 1 || got.Confirmation == "" {
 		l.s.T.Errorf("%s: wrong answer %s", c.key, a.Body)
 	}
-	if c.whole != nil && !bytes.Equal(c.whole, a.Body) {
-		l.s.T.Errorf("%s: answered %s, then %s", c.key, c.whole, a.Body)
+	if c.answer != nil && !bytes.Equal(c.answer, a.Body) {
+		l.s.T.Errorf("%s: answered %s, then %s", c.key, c.answer, a.Body)
 	}
 	if c.unknown {
 		l.s.T.Errorf("%s: complete answer after \"may have run\"", c.key)
 	}
-	c.whole = a.Body
+	c.answer = a.Body
 }
 
 func (l *Load) request() {
@@ -227,7 +227,7 @@
 	for range ConfirmWorkers {
 		wg.Go(func() {
 			for c := range jobs {
-				l.settle(c)
+				l.awaitOutcome(c)
 			}
 		})
 	}
@@ -239,7 +239,7 @@
 	l.verify()
 }
 
-func (l *Load) settle(c *confirmation) {
+func (l *Load) awaitOutcome(c *confirmation) {
 	if c.abandoned {
 		return
 	}
@@ -262,10 +262,10 @@
 			l.s.T.Errorf("%s ran %d times", c.key, runs)
 		case c.abandoned && runs != 0:
 			l.s.T.Errorf("%s was answered \"not run\", but ran", c.key)
-		case c.whole != nil && runs != 1:
+		case c.answer != nil && runs != 1:
 			l.s.T.Errorf("%s was answered completely, but ran %d times", c.key, runs)
 		}
-		whole += toInt(c.whole != nil)
+		whole += toInt(c.answer != nil)
 		unknown += toInt(c.unknown)
 		left += toInt(c.abandoned)
 	}
--- a/e2e/harness/relay.go
+++ b/e2e/harness/relay.go
@@ -63,7 +63,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults[direction{from, to}] = f
-	n.signal()
+	n.notifyChange()
 }
 
 // Isolate sets the fault of all bytes from and to a process.
@@ -84,7 +84,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.faults)
-	n.signal()
+	n.notifyChange()
 	for l := range n.links {
 		if l.lossy {
 			l.close()
@@ -103,8 +103,8 @@
 	}
 }
 
-// signal wakes up the links that wait for a change. The caller holds n.mu.
-func (n *Network) signal() {
+// notifyChange wakes up the links that wait for a change. The caller holds n.mu.
+func (n *Network) notifyChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
--- a/fake/standin/chat.go
+++ b/fake/standin/chat.go
@@ -137,9 +137,9 @@
 	}()
 	s.engine.submit(run.seq)
 	if req.Stream {
-		whole = run.stream(w)
+		whole = run.writeStream(w)
 	} else {
-		whole = run.whole(w)
+		whole = run.writeComplete(w)
 	}
 	for range run.seq.out { // until the engine releases the sequence
 	}
@@ -177,8 +177,8 @@
 	return &chatUsage{PromptTokens: prompt, CompletionTokens: c.tokens - c.first, PromptTokensDetails: promptDetails{c.seq.cached}}
 }
 
-// whole writes the answer as one JSON document and reports whether it was complete.
-func (c *chatRun) whole(w http.ResponseWriter) bool {
+// writeComplete writes the answer as one JSON document and reports whether it was complete.
+func (c *chatRun) writeComplete(w http.ResponseWriter) bool {
 	n := 0
 	for range c.seq.out {
 		n++
@@ -190,8 +190,8 @@
 	return true
 }
 
-// stream writes the answer as server-sent events, one per token, and reports whether it was complete.
-func (c *chatRun) stream(w http.ResponseWriter) bool {
+// writeStream writes the answer as server-sent events, one per token, and reports whether it was complete.
+func (c *chatRun) writeStream(w http.ResponseWriter) bool {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
 	cutAfter := -1
--- a/fake/standin/fault.go
+++ b/fake/standin/fault.go
@@ -35,7 +35,7 @@
 	f.ended = make(chan struct{})
 }
 
-func (f *faults) get() (Fault, <-chan struct{}) {
+func (f *faults) current() (Fault, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now, f.ended
--- a/fake/standin/models.go
+++ b/fake/standin/models.go
@@ -126,7 +126,7 @@
 		if err := m.load(ctx, o); err != nil {
 			return err
 		}
-		m.change(func() {
+		m.update(func() {
 			if !slices.Contains(m.holds, o.Artifact) {
 				m.holds = append(m.holds, o.Artifact)
 			}
@@ -135,18 +135,18 @@
 			}
 		})
 	case wire.OrderUnload:
-		m.change(func() {
+		m.update(func() {
 			m.holds = slices.DeleteFunc(slices.Clone(m.holds), func(a wire.Artifact) bool { return a == o.Artifact })
 		})
 	case wire.OrderSetRole:
-		m.change(func() { m.role = o.Role })
+		m.update(func() { m.role = o.Role })
 	default:
 		return fmt.Errorf("unknown order %q", o.Kind)
 	}
 	return nil
 }
 
-func (m *models) change(f func()) {
+func (m *models) update(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
--- a/fake/standin/standin.go
+++ b/fake/standin/standin.go
@@ -51,7 +51,7 @@
 // Handler returns the stand-in's HTTP interface.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/fault", func(w http.ResponseWriter, _ *http.Request) { f, _ := s.faults.get(); writeJSON(w, f) })
+	r.Get("/fault", func(w http.ResponseWriter, _ *http.Request) { f, _ := s.faults.current(); writeJSON(w, f) })
 	r.Post("/fault", s.setFault)
 	r.Get("/account", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.log.account()) })
 	r.Group(func(r chi.Router) {
@@ -121,7 +121,7 @@
 // injectFaults is the middleware that injects faults before a request runs.
 func (s *Server) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f, ended := s.faults.get()
+		f, ended := s.faults.current()
 		if f.Silent {
 			io.Copy(io.Discard, r.Body) // the server detects a disconnect only after reading the body
 			select {
