--- a/ctl/orderstest/cluster_test.go
+++ b/ctl/orderstest/cluster_test.go
@@ -245,7 +245,7 @@
 func (c *cluster) checkLogs() (orders int) {
 	c.t.Helper()
 	for i, e := range c.engines {
-		log, err := get[standin.ModelLog](e, "/v1/engine/log")
+		log, err := get[standin.OrderLog](e, "/v1/engine/log")
 		if err != nil {
 			c.t.Fatal(err)
 		}
--- a/e2e/fence_test.go
+++ b/e2e/fence_test.go
@@ -87,7 +87,7 @@
 	t.Helper()
 	n := 0
 	for _, e := range engines(s) {
-		var log standin.ModelLog
+		var log standin.OrderLog
 		get(t, e, "/v1/engine/log", &log)
 		n += len(log.Orders)
 		if log.Overlap {
--- a/fake/standin/models.go
+++ b/fake/standin/models.go
@@ -26,8 +26,8 @@
 	FailLoads    string        // model version that fails to load
 }
 
-// Passed is an order that the engine accepted, and when it began to execute it.
-type Passed struct {
+// AcceptedOrder is an order that the engine accepted, and when it began to execute it.
+type AcceptedOrder struct {
 	Order wire.Order `json:"order"`
 	Begun time.Time  `json:"begun"`
 }
@@ -43,7 +43,7 @@
 	token   uint64
 	busy    int
 	overlap bool // two orders were executed at the same time
-	log     []Passed
+	log     []AcceptedOrder
 }
 
 func (s *Server) modelRoutes(r chi.Router) {
@@ -53,10 +53,10 @@
 	r.Post("/v1/engine/forget", s.models.forget)
 }
 
-// ModelLog is the log of an engine's orders.
-type ModelLog struct {
-	Orders  []Passed `json:"orders"`
-	Overlap bool     `json:"overlap"`
+// OrderLog is the log of an engine's orders.
+type OrderLog struct {
+	Orders  []AcceptedOrder `json:"orders"`
+	Overlap bool            `json:"overlap"`
 }
 
 func (m *models) showState(w http.ResponseWriter, _ *http.Request) {
@@ -68,7 +68,7 @@
 func (m *models) showLog(w http.ResponseWriter, _ *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	writeJSON(w, ModelLog{Orders: m.log, Overlap: m.overlap})
+	writeJSON(w, OrderLog{Orders: m.log, Overlap: m.overlap})
 }
 
 // forget clears the engine's state, as a restart does.
@@ -116,7 +116,7 @@
 	m.token = max(m.token, token)
 	m.overlap = m.overlap || m.busy > 0
 	m.busy++
-	m.log = append(m.log, Passed{Order: o, Begun: time.Now()})
+	m.log = append(m.log, AcceptedOrder{Order: o, Begun: time.Now()})
 	return true
 }
 
