--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -98,7 +98,7 @@
 
 func TestSilentCutOfLeader(t *testing.T) {
 	t.Parallel()
-	isolateLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Swallow) })
+	isolateLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Drop) })
 }
 
 // TestLateDeliveryToLeader isolates the leader and delivers all bytes after the fault, as TCP does after a
@@ -112,7 +112,7 @@
 func TestOneWayCutFromLeader(t *testing.T) {
 	t.Parallel()
 	isolateLeader(t, func(s *harness.System, leader *harness.Control) {
-		s.Network.Set(leader.Name, harness.Any, harness.Swallow)
+		s.Network.Set(leader.Name, harness.Any, harness.Drop)
 	})
 }
 
@@ -120,7 +120,7 @@
 func TestOneWayCutToLeader(t *testing.T) {
 	t.Parallel()
 	isolateLeader(t, func(s *harness.System, leader *harness.Control) {
-		s.Network.Set(harness.Any, leader.Name, harness.Swallow)
+		s.Network.Set(harness.Any, leader.Name, harness.Drop)
 	})
 }
 
@@ -132,7 +132,7 @@
 	load := s.StartLoad()
 	load.Await(phase)
 	old := s.Leader()
-	old.Freeze()
+	old.Suspend()
 	late := make(chan bool, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), longOutage())
@@ -144,7 +144,7 @@
 	applyAt(t, s, others(s, old), 2, harness.Text("while frozen"))
 	load.Await(phase)
 	time.Sleep(longOutage() / 2)
-	old.Thaw()
+	old.Resume()
 	s.AwaitVersion(2)
 	if <-late {
 		t.Error("a write sent to the suspended leader replaced a newer one")
@@ -166,12 +166,12 @@
 	load := s.StartLoad()
 	load.Await(phase)
 	desk, engine := s.Agents[0].Name, s.Agents[2].Name
-	s.Network.Set(s.Entries[0].Name, desk, harness.Swallow)
-	s.Network.Set(engine, s.Entries[1].Name, harness.Swallow)
+	s.Network.Set(s.Entries[0].Name, desk, harness.Drop)
+	s.Network.Set(engine, s.Entries[1].Name, harness.Drop)
 	load.Await(phase / 4)
 	s.Network.Heal()
 	for range 20 {
-		s.Network.CutConnections(harness.Any, desk)
+		s.Network.CloseConnections(harness.Any, desk)
 		load.Await(2)
 	}
 	s.AwaitReady()
--- a/e2e/disk_test.go
+++ b/e2e/disk_test.go
@@ -50,7 +50,7 @@
 		})
 		s.Leader(victim)
 		victim.Start()
-		s.AwaitBack(victim)
+		s.AwaitCaughtUp(victim)
 		s.AwaitVoters()
 		if now := s.Status(s.Leader()).Voters; !slices.Equal(now, voters) {
 			t.Fatalf("%s: voters %v, %v before the crash", tail.name, now, voters)
@@ -119,7 +119,7 @@
 	if status := victim.Wait(); status != 1 {
 		t.Errorf("exit status %d with a corrupt log", status)
 	}
-	harness.MustHold(t, victim.Log(), "corrupt", filepath.Base(path), "move the data folder away")
+	harness.MustContain(t, victim.Log(), "corrupt", filepath.Base(path), "move the data folder away")
 	wipe(t, victim)
 	victim.Start()
 	s.AwaitVoters()
@@ -219,14 +219,14 @@
 	load := s.StartLoad()
 	load.Await(phase)
 	leader := s.Leader()
-	leader.LimitFiles(fileSize(t, newestLog(t, leader)) + 16<<10)
+	leader.LimitFileSize(fileSize(t, newestLog(t, leader)) + 16<<10)
 	harness.Eventually(t, func() string {
 		if !strings.Contains(string(leader.Log()), "replica goes on") {
 			return leader.Name + " to resume after a failed write"
 		}
 		return ""
 	})
-	harness.MustHold(t, leader.Log(), "replica suspended", "disk=full", "write failed", "free space")
+	harness.MustContain(t, leader.Log(), "replica suspended", "disk=full", "write failed", "free space")
 	s.Leader()
 	load.Await(phase)
 	leader.Kill()
--- a/e2e/harness/load.go
+++ b/e2e/harness/load.go
@@ -256,7 +256,7 @@
 func (l *Load) verify() {
 	whole, unknown, left := 0, 0, 0
 	for _, c := range l.keys {
-		runs := l.s.Runs.Of(c.body)
+		runs := l.s.Runs.Count(c.body)
 		switch {
 		case runs > 1:
 			l.s.T.Errorf("%s ran %d times", c.key, runs)
@@ -280,8 +280,8 @@
 	return 0
 }
 
-// Unknown returns how many confirmations were answered "may have run".
-func (l *Load) Unknown() int {
+// UnknownOutcomes returns how many confirmations were answered "may have run".
+func (l *Load) UnknownOutcomes() int {
 	n := 0
 	for _, c := range l.keys {
 		n += toInt(c.unknown)
@@ -289,8 +289,8 @@
 	return n
 }
 
-// MustHold fails the test if any of the texts is missing from the log.
-func MustHold(t testing.TB, log []byte, texts ...string) {
+// MustContain fails the test if any of the texts is missing from the log.
+func MustContain(t testing.TB, log []byte, texts ...string) {
 	t.Helper()
 	for _, x := range texts {
 		if !strings.Contains(string(log), x) {
--- a/e2e/harness/process.go
+++ b/e2e/harness/process.go
@@ -142,11 +142,11 @@
 	return p.Wait()
 }
 
-// Freeze sends SIGSTOP.
-func (p *Process) Freeze() { p.Signal(syscall.SIGSTOP) }
+// Suspend sends SIGSTOP.
+func (p *Process) Suspend() { p.Signal(syscall.SIGSTOP) }
 
-// Thaw sends SIGCONT.
-func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
+// Resume sends SIGCONT.
+func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
 // Wait waits for the process to exit and returns its exit status, or -1 if a signal killed it.
 func (p *Process) Wait() int {
@@ -187,9 +187,9 @@
 	}
 }
 
-// LimitFiles sets the maximum file size (RLIMIT_FSIZE) of the running process, in bytes. The limit lasts
+// LimitFileSize sets the maximum file size (RLIMIT_FSIZE) of the running process, in bytes. The limit lasts
 // until the process exits.
-func (p *Process) LimitFiles(size int64) {
+func (p *Process) LimitFileSize(size int64) {
 	limit := unix.Rlimit{Cur: uint64(size), Max: uint64(size)}
 	if err := unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, &limit, nil); err != nil {
 		p.t.Fatal(err)
--- a/e2e/harness/relay.go
+++ b/e2e/harness/relay.go
@@ -12,9 +12,9 @@
 
 // Faults of one direction of a link.
 const (
-	Pass    Fault = iota
-	Swallow       // bytes are silently dropped; the connection is closed when the fault ends
-	Hold          // bytes are held back until the fault ends
+	Pass Fault = iota
+	Drop       // bytes are silently dropped; the connection is closed when the fault ends
+	Hold       // bytes are held back until the fault ends
 )
 
 type direction struct{ from, to string }
@@ -92,8 +92,8 @@
 	}
 }
 
-// CutConnections closes all connections between two processes.
-func (n *Network) CutConnections(from, to string) {
+// CloseConnections closes all connections between two processes.
+func (n *Network) CloseConnections(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.links {
@@ -134,7 +134,7 @@
 	}
 	n.t.Cleanup(func() {
 		l.Close()
-		n.CutConnections(Any, name)
+		n.CloseConnections(Any, name)
 	})
 	n.mu.Lock()
 	n.targets[name] = target
@@ -201,7 +201,7 @@
 	for {
 		f, delay, changed := l.currentFault(from, to)
 		switch f {
-		case Swallow:
+		case Drop:
 			return true
 		case Hold:
 			select {
@@ -223,7 +223,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f, delay, changed := n.fault(from, to)
-	if f == Swallow {
+	if f == Drop {
 		l.lossy = true
 	}
 	if l.lossy && f == Pass {
--- a/e2e/harness/system.go
+++ b/e2e/harness/system.go
@@ -326,9 +326,9 @@
 	})
 }
 
-// AwaitBack waits until a restarted control process has applied all that the leader had applied when the wait
+// AwaitCaughtUp waits until a restarted control process has applied all that the leader had applied when the wait
 // began.
-func (s *System) AwaitBack(c *Control) {
+func (s *System) AwaitCaughtUp(c *Control) {
 	s.T.Helper()
 	var want uint64
 	Eventually(s.T, func() string {
@@ -396,8 +396,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Together calls f for all elements concurrently and waits.
-func Together[E any](list []E, f func(E)) {
+// Concurrently calls f for all elements at the same time and waits.
+func Concurrently[E any](list []E, f func(E)) {
 	var wg sync.WaitGroup
 	for _, e := range list {
 		wg.Go(func() { f(e) })
--- a/e2e/harness/upstream.go
+++ b/e2e/harness/upstream.go
@@ -25,8 +25,8 @@
 	r.total++
 }
 
-// Of returns how often a request body ran.
-func (r *Runs) Of(body string) int {
+// Count returns how often a request body ran.
+func (r *Runs) Count(body string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.bodies[body]
@@ -49,16 +49,16 @@
 	work  int
 }
 
-// Slow delays every answer by d and returns a channel that receives the body of each call when it begins.
-func (u *Upstream) Slow(d time.Duration) <-chan string {
+// SetDelay delays every answer by d and returns a channel that receives the body of each call when it begins.
+func (u *Upstream) SetDelay(d time.Duration) <-chan string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.delay, u.began = d, make(chan string, 4096)
 	return u.began
 }
 
-// Work returns the number of calls so far, without health checks.
-func (u *Upstream) Work() int {
+// Calls returns the number of calls so far, without health checks.
+func (u *Upstream) Calls() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.work
@@ -107,7 +107,7 @@
 	return u
 }
 
-// recordCall records a call that begins to run, and delays it as set by Slow.
+// recordCall records a call that begins to run, and delays it as set by SetDelay.
 func (u *Upstream) recordCall(s *System, service string, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/e2e/kill_test.go
+++ b/e2e/kill_test.go
@@ -14,7 +14,7 @@
 // cause that.
 func noUnknownOutcomes(t *testing.T, load *harness.Load) {
 	t.Helper()
-	if n := load.Unknown(); n > 0 {
+	if n := load.UnknownOutcomes(); n > 0 {
 		t.Errorf("%d confirmations were answered \"may have run\" though no agent died", n)
 	}
 }
@@ -57,16 +57,16 @@
 	load := s.StartLoad()
 	load.Await(phase)
 	desk := s.Agents[0]
-	began := desk.Upstream.Slow(time.Minute)
+	began := desk.Upstream.SetDelay(time.Minute)
 	<-began
 	desk.Kill()
-	desk.Upstream.Slow(0)
+	desk.Upstream.SetDelay(0)
 	load.Await(phase)
 	desk.Start()
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	if n := load.Unknown(); n == 0 || n > harness.ConfirmWorkers {
+	if n := load.UnknownOutcomes(); n == 0 || n > harness.ConfirmWorkers {
 		t.Errorf("%d confirmations were answered \"may have run\", want 1 to %d: those in progress at the killed agent", n, harness.ConfirmWorkers)
 	}
 }
@@ -77,7 +77,7 @@
 	load := s.StartLoad()
 	load.Await(phase)
 	s.MustApply(2, harness.Text("second"))
-	harness.Together(s.Controls, func(c *harness.Control) { c.Kill() })
+	harness.Concurrently(s.Controls, func(c *harness.Control) { c.Kill() })
 	for _, c := range s.Controls {
 		c.Start()
 	}
@@ -98,7 +98,7 @@
 	load.Await(phase)
 	storm := []*harness.Process{s.Entries[0].Process, s.Agents[0].Process, s.Agents[3].Process, s.Controls[0].Process}
 	for range 2 {
-		harness.Together(storm, (*harness.Process).Kill)
+		harness.Concurrently(storm, (*harness.Process).Kill)
 		for _, p := range storm {
 			p.Start()
 		}
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -19,20 +19,20 @@
 	load := s.StartLoad()
 	load.Await(phase)
 	for _, c := range s.Controls {
-		s.Network.Isolate(c.Name, harness.Swallow)
+		s.Network.Isolate(c.Name, harness.Drop)
 	}
 	engine := s.Agents[2]
 	leave(t, engine, "")
 	time.Sleep(leaveLimit)
-	before := engine.Upstream.Work()
-	other := s.Agents[3].Upstream.Work()
+	before := engine.Upstream.Calls()
+	other := s.Agents[3].Upstream.Calls()
 	harness.Eventually(t, func() string {
-		if s.Agents[3].Upstream.Work() < other+phase {
+		if s.Agents[3].Upstream.Calls() < other+phase {
 			return "calls at the remaining engine"
 		}
 		return ""
 	})
-	if after := engine.Upstream.Work(); after != before {
+	if after := engine.Upstream.Calls(); after != before {
 		t.Errorf("%d calls began at an upstream after it left", after-before)
 	}
 	s.Network.Heal()
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -105,7 +105,7 @@
 	s := harness.New(t, harness.Options{})
 	first := s.MustApply(2, harness.Text("2"))
 	away := []*harness.Process{s.Entries[0].Process, s.Agents[0].Process, s.Controls[2].Process}
-	harness.Together(away, (*harness.Process).Kill)
+	harness.Concurrently(away, (*harness.Process).Kill)
 	for number := uint64(3); number < 3+changes; number++ {
 		s.MustApply(number, harness.Text(fmt.Sprint(number)))
 	}
--- a/e2e/quorum_test.go
+++ b/e2e/quorum_test.go
@@ -30,7 +30,7 @@
 		}
 		return a, time.Since(started)
 	}
-	harness.Together(s.Controls[1:], func(c *harness.Control) { c.Kill() })
+	harness.Concurrently(s.Controls[1:], func(c *harness.Control) { c.Kill() })
 	for range 3 {
 		a, took := send()
 		t.Logf("%d %s, Retry-After %s s: %s", a.Status, a.Verdict, a.RetryAfter, took)
@@ -38,7 +38,7 @@
 			t.Fatalf("without a quorum: %+v after %s", a, took)
 		}
 	}
-	harness.Together(s.Controls[1:], func(c *harness.Control) { c.Start() })
+	harness.Concurrently(s.Controls[1:], func(c *harness.Control) { c.Start() })
 	s.Leader()
 	harness.Eventually(t, func() string {
 		if a, _ := send(); !a.Whole {
@@ -46,7 +46,7 @@
 		}
 		return ""
 	})
-	if n := s.Runs.Of(body); n != 1 {
+	if n := s.Runs.Count(body); n != 1 {
 		t.Errorf("ran %d times", n)
 	}
 }
--- a/e2e/settings_test.go
+++ b/e2e/settings_test.go
@@ -56,7 +56,7 @@
 			if got := cmd.ProcessState.ExitCode(); got != c.status {
 				t.Errorf("exit status %d, want %d: %s", got, c.status, out)
 			}
-			harness.MustHold(t, out, c.says...)
+			harness.MustContain(t, out, c.says...)
 		})
 	}
 }
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -46,7 +46,7 @@
 		"leader": func() *harness.Process { return s.Leader().Process },
 	}
 	for role, pick := range stops {
-		confirming, streaming := desk.Upstream.Slow(longWork), engine.Upstream.Slow(longWork)
+		confirming, streaming := desk.Upstream.SetDelay(longWork), engine.Upstream.SetDelay(longWork)
 		confirmed := inFlight(t, confirming, client.Request{Entry: s.Entries[0].Address, Path: "/v1/services/" + harness.Desk + "/confirm", Key: "key-" + role, Body: []byte(role)})
 		streamed := inFlight(t, streaming, client.Request{Entry: s.Entries[0].Address, Path: "/v1/chat/completions",
 			Body: fmt.Appendf(nil, `{"model":"desk-chat","stream":true,"messages":[{"role":"user","content":%q}]}`, role)})
@@ -54,8 +54,8 @@
 		if status := p.Stop(); status != 0 {
 			t.Errorf("%s: exit status %d", p.Name, status)
 		}
-		if a := <-confirmed; a == nil || !a.Whole || s.Runs.Of(role) != 1 {
-			t.Errorf("confirmation while %s stopped: %+v, %d runs", p.Name, a, s.Runs.Of(role))
+		if a := <-confirmed; a == nil || !a.Whole || s.Runs.Count(role) != 1 {
+			t.Errorf("confirmation while %s stopped: %+v, %d runs", p.Name, a, s.Runs.Count(role))
 		}
 		a := <-streamed
 		if a == nil || !a.Whole {
@@ -126,7 +126,7 @@
 		if status := second.Wait(); status != 1 {
 			t.Errorf("exit status %d of a second start", status)
 		}
-		harness.MustHold(t, second.Log(), "data folder", "in use")
+		harness.MustContain(t, second.Log(), "data folder", "in use")
 		load.Await(phase / 10)
 	}
 	first.Kill()
