--- a/e2e/freeze_test.go
+++ b/e2e/freeze_test.go
@@ -11,17 +11,17 @@
 // it. What the suspended entry does late must have no effect.
 func TestFrozenEntry(t *testing.T) {
 	t.Parallel()
-	freeze(t, func(s *harness.System) *harness.Process { return s.Entries[0].Process })
+	suspendUnderLoad(t, func(s *harness.System) *harness.Process { return s.Entries[0].Process })
 }
 
 // TestFrozenAgent suspends an agent until its lease has expired and its confirmations were given up, and
 // resumes it.
 func TestFrozenAgent(t *testing.T) {
 	t.Parallel()
-	freeze(t, func(s *harness.System) *harness.Process { return s.Agents[0].Process })
+	suspendUnderLoad(t, func(s *harness.System) *harness.Process { return s.Agents[0].Process })
 }
 
-func freeze(t *testing.T, pick func(*harness.System) *harness.Process) {
+func suspendUnderLoad(t *testing.T, pick func(*harness.System) *harness.Process) {
 	s := harness.New(t, harness.Options{})
 	load := s.StartLoad()
 	load.Await(phase)
