--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -10,29 +10,27 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// longCut returns the length of a long cut, which is over every lease, silence
-// and staleness limit that is set by default.
-func longCut() time.Duration {
+// longOutage returns a duration above every lease and every silence and staleness limit in the default settings.
+func longOutage() time.Duration {
 	if *harness.Long {
 		return time.Minute
 	}
 	return 8 * time.Second
 }
 
-// answersNothing waits until a control process that is cut off refuses to
-// read, and checks that it takes no change.
-func answersNothing(t *testing.T, c *harness.Control) {
+// awaitReadRefusal waits until an isolated control process refuses reads, and checks that it accepts no change.
+func awaitReadRefusal(t *testing.T, c *harness.Control) {
 	t.Helper()
 	harness.Eventually(t, func() string {
 		if readsConfig(c) {
-			return c.Name + " to stop answering"
+			return c.Name + " to refuse reads"
 		}
 		return ""
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if res, err := adminclient.New([]string{c.Admin}, "").Apply(ctx, harness.Change(2, harness.Text("cut off"))); err == nil && res.Accepted {
-		t.Errorf("%s took a change while it was cut off: %+v", c.Name, res)
+		t.Errorf("%s accepted a change while it was isolated: %+v", c.Name, res)
 	}
 }
 
@@ -46,7 +44,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// others returns the control processes but one.
+// others returns all control processes but one.
 func others(s *harness.System, c *harness.Control) []*harness.Control {
 	var out []*harness.Control
 	for _, x := range s.Controls {
@@ -57,21 +55,21 @@
 	return out
 }
 
-// cutLeader cuts the leader off as cut says, for long, applies a change at the
-// others meanwhile, heals, and expects the change on all.
-func cutLeader(t *testing.T, cut func(s *harness.System, leader *harness.Control)) {
+// isolateLeader isolates the leader for longOutage, applies a change at the others meanwhile, heals the network, and
+// checks that all processes have the change.
+func isolateLeader(t *testing.T, cut func(s *harness.System, leader *harness.Control)) {
 	s := harness.New(t, harness.Options{})
 	load := s.StartLoad()
 	load.Await(phase)
 	old := s.Leader()
 	cut(s, old)
 	s.Leader(old)
-	answersNothing(t, old)
+	awaitReadRefusal(t, old)
 	applyAt(t, s, others(s, old), 2, harness.Text("while cut"))
 	load.Await(phase)
-	time.Sleep(longCut())
+	time.Sleep(longOutage())
 	if readsConfig(old) {
-		t.Errorf("%s answers again while it is cut off", old.Name)
+		t.Errorf("%s answers reads again while it is isolated", old.Name)
 	}
 	s.Network.Heal()
 	s.AwaitVersion(2)
@@ -81,7 +79,7 @@
 	}
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 func applyAt(t *testing.T, s *harness.System, at []*harness.Control, number uint64, text string) {
@@ -100,44 +98,44 @@
 
 func TestSilentCutOfLeader(t *testing.T) {
 	t.Parallel()
-	cutLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Swallow) })
+	isolateLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Drop) })
 }
 
-// TestLateDeliveryToLeader holds all bytes back and delivers them when the cut
-// ends, as TCP does.
+// TestLateDeliveryToLeader isolates the leader and delivers all bytes after the fault, as TCP does after a
+// short outage.
 func TestLateDeliveryToLeader(t *testing.T) {
 	t.Parallel()
-	cutLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Hold) })
+	isolateLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Hold) })
 }
 
-// TestOneWayCutFromLeader lets the leader hear everybody and reach nobody.
+// TestOneWayCutFromLeader drops all bytes that the leader sends; it still receives.
 func TestOneWayCutFromLeader(t *testing.T) {
 	t.Parallel()
-	cutLeader(t, func(s *harness.System, leader *harness.Control) {
-		s.Network.Set(leader.Name, harness.Any, harness.Swallow)
+	isolateLeader(t, func(s *harness.System, leader *harness.Control) {
+		s.Network.Set(leader.Name, harness.Any, harness.Drop)
 	})
 }
 
-// TestOneWayCutToLeader lets the leader reach everybody and hear nobody.
+// TestOneWayCutToLeader drops all bytes that are sent to the leader; it can still send.
 func TestOneWayCutToLeader(t *testing.T) {
 	t.Parallel()
-	cutLeader(t, func(s *harness.System, leader *harness.Control) {
-		s.Network.Set(harness.Any, leader.Name, harness.Swallow)
+	isolateLeader(t, func(s *harness.System, leader *harness.Control) {
+		s.Network.Set(harness.Any, leader.Name, harness.Drop)
 	})
 }
 
-// TestFrozenLeader stops the leader's process for longer than any lease while
-// writes to it are under way, and lets it go on.
+// TestFrozenLeader suspends the leader's process for longer than any lease while a write to it is in
+// progress, and resumes it.
 func TestFrozenLeader(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
 	load := s.StartLoad()
 	load.Await(phase)
 	old := s.Leader()
-	old.Freeze()
+	old.Suspend()
 	late := make(chan bool, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), longCut())
+		ctx, cancel := context.WithTimeout(context.Background(), longOutage())
 		defer cancel()
 		res, err := adminclient.New([]string{old.Admin}, "").Apply(ctx, harness.Change(2, harness.Text("late")))
 		late <- err == nil && res.Accepted
@@ -145,39 +143,39 @@
 	s.Leader(old)
 	applyAt(t, s, others(s, old), 2, harness.Text("while frozen"))
 	load.Await(phase)
-	time.Sleep(longCut() / 2)
-	old.Thaw()
+	time.Sleep(longOutage() / 2)
+	old.Resume()
 	s.AwaitVersion(2)
 	if <-late {
-		t.Error("a write that reached the frozen leader was accepted over a newer one")
+		t.Error("a write sent to the suspended leader replaced a newer one")
 	}
 	s.AwaitVoters()
 	if got, err := s.Admin().Config(context.Background()); err != nil || got.Text != harness.Text("while frozen") {
-		t.Errorf("reverted: version %d, %v", got.Version, err)
+		t.Errorf("the change was reverted: version %d, %v", got.Version, err)
 	}
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
-// TestCutBetweenEntryAndAgent cuts an agent off from one entry, silently, and
-// breaks connections in flight. Every confirmation is settled afterwards.
+// TestCutBetweenEntryAndAgent silently drops bytes between an entry and an agent, and then closes connections
+// with calls in flight. Every confirmation must get a final outcome.
 func TestCutBetweenEntryAndAgent(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{GateRelays: true})
 	load := s.StartLoad()
 	load.Await(phase)
 	desk, engine := s.Agents[0].Name, s.Agents[2].Name
-	s.Network.Set(s.Entries[0].Name, desk, harness.Swallow)
-	s.Network.Set(engine, s.Entries[1].Name, harness.Swallow)
+	s.Network.Set(s.Entries[0].Name, desk, harness.Drop)
+	s.Network.Set(engine, s.Entries[1].Name, harness.Drop)
 	load.Await(phase / 4)
 	s.Network.Heal()
 	for range 20 {
-		s.Network.CutConnections(harness.Any, desk)
+		s.Network.CloseConnections(harness.Any, desk)
 		load.Await(2)
 	}
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
--- a/e2e/fence_test.go
+++ b/e2e/fence_test.go
@@ -13,15 +13,14 @@
 	"caperdrum.org/fake/standin"
 )
 
-// ordersText returns a text whose engines are kept warm with a version.
+// ordersText returns a configuration text whose engines keep the given model version loaded.
 func ordersText(version string) string {
 	return strings.Replace(harness.Text(version), "concurrency = 16\n", "concurrency = 16\nmodels = m@"+version+"\nload_timeout = 30s\n", 1)
 }
 
-// TestFrozenLeaderWithOrder cuts the leader off and freezes it while its order
-// is under way at an engine that ignores fencing tokens, lets a new leader roll
-// another version out, and lets the old one go on before and after the cut is
-// healed. No engine may then see an old order, one twice, or two at a time.
+// TestFrozenLeaderWithOrder isolates and suspends the leader while an engine that ignores fencing tokens
+// executes its order. A new leader rolls out another version. The old leader resumes, first isolated and then
+// with the network healed. No engine may execute an outdated order, an order twice, or two orders at once.
 func TestFrozenLeaderWithOrder(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{LoadTime: 3 * time.Second})
@@ -32,26 +31,26 @@
 				return ""
 			}
 		}
-		return "an order under way"
+		return "an order to be executed"
 	})
 	old := s.Leader()
 	s.Network.Isolate(old.Name, harness.Hold)
-	old.Freeze()
+	old.Suspend()
 	s.Leader(old)
 	applyAt(t, s, others(s, old), 3, ordersText("2"))
-	awaitHolds(t, s, "2")
+	awaitLoaded(t, s, "2")
 	issued := orders(t, s)
-	old.Thaw()
-	answersNothing(t, old)
+	old.Resume()
+	awaitReadRefusal(t, old)
 	s.Network.Heal()
 	s.AwaitVersion(3)
 	s.AwaitVoters()
-	awaitHolds(t, s, "2")
-	time.Sleep(longCut()) // for what an agent or a leader might still send
+	awaitLoaded(t, s, "2")
+	time.Sleep(longOutage()) // time for late orders of an agent or a leader
 	if later := orders(t, s); later != issued {
-		t.Errorf("%d orders after the old leader came back, %d before", later, issued)
+		t.Errorf("%d orders after the old leader resumed, %d before", later, issued)
 	}
-	awaitHolds(t, s, "2")
+	awaitLoaded(t, s, "2")
 }
 
 func engines(s *harness.System) []*harness.Agent {
@@ -64,13 +63,13 @@
 	return out
 }
 
-func awaitHolds(t *testing.T, s *harness.System, version string) {
+func awaitLoaded(t *testing.T, s *harness.System, version string) {
 	t.Helper()
 	want := wire.Artifact{Model: "m", Version: version}
 	harness.Eventually(t, func() string {
 		for _, e := range engines(s) {
 			if st := engineState(t, e); st.Busy || len(st.Holds) != 1 || st.Holds[0] != want {
-				return e.Name + " to hold just " + want.String()
+				return e.Name + " to hold only " + want.String()
 			}
 		}
 		return ""
@@ -83,16 +82,16 @@
 	return st
 }
 
-// orders checks what the engines saw and returns how many orders there were.
+// orders checks the order logs of the engines and returns the number of orders.
 func orders(t *testing.T, s *harness.System) int {
 	t.Helper()
 	n := 0
 	for _, e := range engines(s) {
-		var log standin.ModelLog
+		var log standin.OrderLog
 		get(t, e, "/v1/engine/log", &log)
 		n += len(log.Orders)
 		if log.Overlap {
-			t.Errorf("%s was told two things at once", e.Name)
+			t.Errorf("%s executed two orders at once", e.Name)
 		}
 		last := uint64(0)
 		for _, p := range log.Orders {
--- a/e2e/freeze_test.go
+++ b/e2e/freeze_test.go
@@ -7,31 +7,31 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// TestFrozenEntry stops an entry's process under load while the other one
-// answers the resends, and lets it go on: what it does late must not count.
+// TestFrozenEntry suspends an entry under load while the other one answers the resent requests, and resumes
+// it. What the suspended entry does late must have no effect.
 func TestFrozenEntry(t *testing.T) {
 	t.Parallel()
-	freeze(t, func(s *harness.System) *harness.Process { return s.Entries[0].Process })
+	suspendUnderLoad(t, func(s *harness.System) *harness.Process { return s.Entries[0].Process })
 }
 
-// TestFrozenAgent stops an agent's process until its lease has ended and its
-// confirmations were given up, and lets it go on.
+// TestFrozenAgent suspends an agent until its lease has expired and its confirmations were given up, and
+// resumes it.
 func TestFrozenAgent(t *testing.T) {
 	t.Parallel()
-	freeze(t, func(s *harness.System) *harness.Process { return s.Agents[0].Process })
+	suspendUnderLoad(t, func(s *harness.System) *harness.Process { return s.Agents[0].Process })
 }
 
-func freeze(t *testing.T, pick func(*harness.System) *harness.Process) {
+func suspendUnderLoad(t *testing.T, pick func(*harness.System) *harness.Process) {
 	s := harness.New(t, harness.Options{})
 	load := s.StartLoad()
 	load.Await(phase)
 	victim := pick(s)
-	victim.Freeze()
+	victim.Suspend()
 	load.Await(phase / 10)
-	time.Sleep(longCut())
-	victim.Thaw()
+	time.Sleep(longOutage())
+	victim.Resume()
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
--- a/e2e/harness/load.go
+++ b/e2e/harness/load.go
@@ -16,11 +16,11 @@
 	"caperdrum.org/fake/standin"
 )
 
-// Load sends confirmations and pipeline requests from several goroutines and
-// holds every answer against an oracle.
+// Load sends confirmations and pipeline requests from several goroutines and checks every answer against an
+// oracle.
 type Load struct {
-	// Confirmed and Answered count whole answers to confirmations and to other
-	// requests, Refused errors with a verdict, Lost broken connections.
+	// Confirmed and Answered count complete answers to confirmations and to other requests, Refused counts
+	// errors with a verdict, and Lost counts broken connections.
 	Confirmed, Answered, Refused, Lost atomic.Int64
 
 	s      *System
@@ -28,39 +28,39 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 	next   atomic.Int64
-	strict bool // nothing may be lost or refused
+	strict bool // fail the test on any lost or refused request
 
 	mu   sync.Mutex
 	keys []*confirmation
 }
 
-// confirmation is what the oracle knows of one key.
+// confirmation is the oracle's record of one idempotency key.
 type confirmation struct {
 	key, body string
-	whole     []byte // the answer that was given whole
-	unknown   bool   // answered: may have run, never runs again
-	left      bool   // its only answer was a refusal as not run, and it is not sent again
+	answer    []byte // the complete answer, if one was received
+	unknown   bool   // answered "may have run": it must never run again
+	abandoned bool   // answered "not run" and deliberately not sent again
 }
 
-// ConfirmWorkers is how many confirmations a load has under way at a time.
+// ConfirmWorkers is the number of concurrent confirmations of a load.
 const ConfirmWorkers = 6
 
 const (
 	requestTimeout = 5 * time.Second
-	giveUp         = requestTimeout + time.Second // a caller hangs up on an entry that says nothing
+	clientTimeout  = requestTimeout + time.Second // client timeout for an entry that does not answer
 	requestWorkers = 4
-	maxSends       = 6 // of one key during a fault; the rest is sent when it is over
+	maxSends       = 6 // of one key during a fault; Finish sends the remaining ones
 	resendPause    = 100 * time.Millisecond
-	thinkTime      = 10 * time.Millisecond // of a worker between two requests
+	thinkTime      = 10 * time.Millisecond // between two requests of a worker
 	readyPoll      = 25 * time.Millisecond
 	notRun         = "not-run"
 )
 
-// StartLoad starts the load. It ends with Finish, or with the test.
+// StartLoad starts a load, which runs until Finish or the end of the test.
 func (s *System) StartLoad() *Load { return s.startLoad(false) }
 
-// StartStrictLoad starts a load like a balancer's: it sends to entries that
-// say they are ready, and no request may fail.
+// StartStrictLoad starts a load that, like a load balancer, only sends to entries that report ready. Any
+// failed request fails the test.
 func (s *System) StartStrictLoad() *Load { return s.startLoad(true) }
 
 func (s *System) startLoad(strict bool) *Load {
@@ -92,21 +92,20 @@
 	l.client.Close()
 }
 
-// Await waits until n more confirmations and n more requests were answered
-// whole.
+// Await waits for n more complete answers to confirmations and n more to other requests.
 func (l *Load) Await(n int64) {
 	l.s.T.Helper()
 	confirmed, answered := l.Confirmed.Load()+n, l.Answered.Load()+n
 	Eventually(l.s.T, func() string {
 		if c, a := l.Confirmed.Load(), l.Answered.Load(); c < confirmed || a < answered {
-			return fmt.Sprintf("%d confirmations and %d answers; %d and %d so far", confirmed, answered, c, a)
+			return fmt.Sprintf("%d confirmations and %d other answers; have %d and %d", confirmed, answered, c, a)
 		}
 		return ""
 	})
 }
 
-// entry picks the entry of the i-th send. A strict load asks for readiness
-// first, as the balancer does.
+// entry returns the entry for the i-th request. A strict load checks readiness first, as a load balancer
+// does.
 func (l *Load) entry(i int64) *Entry {
 	for k := i; ; k++ {
 		e := l.s.Entries[int(k)%len(l.s.Entries)]
@@ -117,18 +116,18 @@
 	}
 }
 
-// send returns nil when no whole answer came back over the connection.
+// send returns nil if the connection broke before a complete answer.
 func (l *Load) send(i int64, r client.Request) *client.Response {
 	e := l.entry(i)
 	r.Entry, r.Customer, r.Timeout = e.Address, Customer, requestTimeout
-	ctx, cancel := context.WithTimeout(context.Background(), giveUp)
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	a, err := l.client.Send(ctx, r)
 	switch {
 	case err != nil, a.Status == 200 && !a.Complete:
 		l.Lost.Add(1)
 		if l.strict {
-			l.s.T.Errorf("lost through %s: %v %+v", e.Name, err, a)
+			l.s.T.Errorf("request through %s lost: %v %+v", e.Name, err, a)
 		}
 		time.Sleep(resendPause)
 		return nil
@@ -139,7 +138,7 @@
 	default:
 		l.Refused.Add(1)
 		if l.strict {
-			l.s.T.Errorf("refused through %s: %d %s %s", e.Name, a.Status, a.Verdict, a.Body)
+			l.s.T.Errorf("request through %s refused: %d %s %s", e.Name, a.Status, a.Verdict, a.Body)
 		}
 		time.Sleep(resendPause)
 	}
@@ -154,19 +153,18 @@
 	l.mu.Unlock()
 	for n := range int64(maxSends) {
 		a := l.sendKey(i+n, c)
-		if c.whole != nil || c.unknown {
+		if c.answer != nil || c.unknown {
 			return
 		}
-		if n == 0 && i%leftOut == 0 && a != nil && a.Verdict.String() == notRun {
-			c.left = true
+		if n == 0 && i%abandonOneIn == 0 && a != nil && a.Verdict.String() == notRun {
+			c.abandoned = true
 			return
 		}
 	}
 }
 
-// leftOut is the share of refused confirmations that are never sent again, so
-// that "not run" can be checked.
-const leftOut = 2
+// One in abandonOneIn refused confirmations is never sent again, to check that "not run" is true.
+const abandonOneIn = 2
 
 func (l *Load) sendKey(i int64, c *confirmation) *client.Response {
 	a := l.send(i, client.Request{Path: "/v1/services/" + Desk + "/confirm", Key: c.key, Body: []byte(c.body)})
@@ -175,14 +173,14 @@
 	}
 	switch {
 	case a.Complete:
-		l.check(c, a)
+		l.checkAnswer(c, a)
 	case a.Verdict == verdict.MayHaveRun && a.RetryAfter == "":
-		c.unknown = true // final: the outcome is lost with its gate
+		c.unknown = true // final: the record of the outcome was lost with its gate
 	}
 	return a
 }
 
-func (l *Load) check(c *confirmation, a *client.Response) {
+func (l *Load) checkAnswer(c *confirmation, a *client.Response) {
 	var got struct {
 		Confirmation string `json:"confirmation"`
 		Run          int    `json:"run"`
@@ -190,13 +188,13 @@
 	if err := json.Unmarshal(a.Body, &got); err != nil || got.Run != 1 || got.Confirmation == "" {
 		l.s.T.Errorf("%s: wrong answer %s", c.key, a.Body)
 	}
-	if c.whole != nil && !bytes.Equal(c.whole, a.Body) {
-		l.s.T.Errorf("%s: answered %s, then %s", c.key, c.whole, a.Body)
+	if c.answer != nil && !bytes.Equal(c.answer, a.Body) {
+		l.s.T.Errorf("%s: answered %s, then %s", c.key, c.answer, a.Body)
 	}
 	if c.unknown {
-		l.s.T.Errorf("%s: answered as lost, then whole", c.key)
+		l.s.T.Errorf("%s: complete answer after \"may have run\"", c.key)
 	}
-	c.whole = a.Body
+	c.answer = a.Body
 }
 
 func (l *Load) request() {
@@ -217,8 +215,8 @@
 	}
 }
 
-// Finish ends the load. Faults must be over: every confirmation is sent again
-// until it is settled, and its answer must be the one given before.
+// Finish ends the load. All faults must have ended: every confirmation is sent again until its outcome is
+// known, and a repeated answer must equal the first one.
 func (l *Load) Finish() {
 	l.s.T.Helper()
 	l.cancel()
@@ -229,7 +227,7 @@
 	for range ConfirmWorkers {
 		wg.Go(func() {
 			for c := range jobs {
-				l.settle(c)
+				l.awaitOutcome(c)
 			}
 		})
 	}
@@ -238,65 +236,65 @@
 	}
 	close(jobs)
 	wg.Wait()
-	l.judge()
+	l.verify()
 }
 
-func (l *Load) settle(c *confirmation) {
-	if c.left {
+func (l *Load) awaitOutcome(c *confirmation) {
+	if c.abandoned {
 		return
 	}
-	end := time.Now().Add(hungAfter)
+	end := time.Now().Add(waitTimeout)
 	for i := int64(0); time.Now().Before(end); i++ {
 		if a := l.sendKey(i, c); a != nil && (a.Complete || c.unknown) {
 			return
 		}
 	}
-	l.s.T.Errorf("%s is never settled", c.key)
+	l.s.T.Errorf("%s: no final outcome", c.key)
 }
 
-// judge compares the oracle with what ran.
-func (l *Load) judge() {
+// verify compares the recorded answers with the runs at the upstreams.
+func (l *Load) verify() {
 	whole, unknown, left := 0, 0, 0
 	for _, c := range l.keys {
-		runs := l.s.Runs.Of(c.body)
+		runs := l.s.Runs.Count(c.body)
 		switch {
 		case runs > 1:
 			l.s.T.Errorf("%s ran %d times", c.key, runs)
-		case c.left && runs != 0:
-			l.s.T.Errorf("%s was refused as not run, but ran", c.key)
-		case c.whole != nil && runs != 1:
-			l.s.T.Errorf("%s was answered whole, but ran %d times", c.key, runs)
+		case c.abandoned && runs != 0:
+			l.s.T.Errorf("%s was answered \"not run\", but ran", c.key)
+		case c.answer != nil && runs != 1:
+			l.s.T.Errorf("%s was answered completely, but ran %d times", c.key, runs)
 		}
-		whole += count(c.whole != nil)
-		unknown += count(c.unknown)
-		left += count(c.left)
+		whole += toInt(c.answer != nil)
+		unknown += toInt(c.unknown)
+		left += toInt(c.abandoned)
 	}
-	l.s.T.Logf("%d keys: %d whole, %d may have run, %d refused for good; other requests: %d whole; sends: %d refused, %d lost",
+	l.s.T.Logf("%d keys: %d answered, %d may have run, %d refused and not sent again; other requests: %d answered; attempts: %d refused, %d lost",
 		len(l.keys), whole, unknown, left, l.Answered.Load(), l.Refused.Load(), l.Lost.Load())
 }
 
-func count(b bool) int {
+func toInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// Unknown returns how many confirmations ended as perhaps run.
-func (l *Load) Unknown() int {
+// UnknownOutcomes returns how many confirmations were answered "may have run".
+func (l *Load) UnknownOutcomes() int {
 	n := 0
 	for _, c := range l.keys {
-		n += count(c.unknown)
+		n += toInt(c.unknown)
 	}
 	return n
 }
 
-// MustHold fails the test when any of the texts is missing from the log.
-func MustHold(t testing.TB, log []byte, texts ...string) {
+// MustContain fails the test if any of the texts is missing from the log.
+func MustContain(t testing.TB, log []byte, texts ...string) {
 	t.Helper()
 	for _, x := range texts {
 		if !strings.Contains(string(log), x) {
-			t.Errorf("%q is missing from:\n%s", x, tail(log))
+			t.Errorf("%q is missing from the log:\n%s", x, tail(log))
 		}
 	}
 }
--- a/e2e/harness/sockdiag.go
+++ b/e2e/harness/sockdiag.go
@@ -9,18 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sizes and places of what linux/inet_diag.h and linux/netlink.h describe, in bytes.
+// Sizes and offsets of structures in linux/inet_diag.h and linux/netlink.h, in bytes.
 const (
-	diagRequestSize = unix.SizeofNlMsghdr + 56 // struct inet_diag_req_v2
-	diagAnswerSize  = unix.SizeofNlMsghdr + 72 // struct inet_diag_msg
-	diagInode       = unix.SizeofNlMsghdr + 68
-	diagNoCookie    = 0xffffffff
-	sockDiagFamily  = 20 // SOCK_DIAG_BY_FAMILY
+	diagRequestSize  = unix.SizeofNlMsghdr + 56 // struct inet_diag_req_v2
+	diagResponseSize = unix.SizeofNlMsghdr + 72 // struct inet_diag_msg
+	diagInode        = unix.SizeofNlMsghdr + 68
+	diagNoCookie     = 0xffffffff
+	sockDiagFamily   = 20 // SOCK_DIAG_BY_FAMILY
 )
 
-// askKernel returns the inode of the TCP socket with these ends (sock_diag(7)), empty where there is none. An error
-// says that the kernel cannot be asked.
-func askKernel(local, remote *net.TCPAddr) (string, error) {
+// inodeFromKernel returns the inode of the TCP socket with these addresses (sock_diag(7)), or "" if there is none.
+// It returns an error if the kernel can't be queried.
+func inodeFromKernel(local, remote *net.TCPAddr) (string, error) {
 	fd, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, unix.NETLINK_SOCK_DIAG)
 	if err != nil {
 		return "", os.NewSyscallError("socket", err)
@@ -34,7 +34,7 @@
 	if err != nil {
 		return "", os.NewSyscallError("recvfrom", err)
 	}
-	return inodeOfAnswer(answer[:n])
+	return parseDiagResponse(answer[:n])
 }
 
 func diagRequest(local, remote *net.TCPAddr) []byte {
@@ -44,7 +44,7 @@
 	binary.NativeEndian.PutUint16(r[6:], unix.NLM_F_REQUEST)
 	body := r[unix.SizeofNlMsghdr:]
 	body[0], body[1] = unix.AF_INET, unix.IPPROTO_TCP
-	binary.NativeEndian.PutUint32(body[4:], 0xffffffff) // any state
+	binary.NativeEndian.PutUint32(body[4:], 0xffffffff) // any TCP state
 	id := body[8:]
 	binary.BigEndian.PutUint16(id, uint16(local.Port))
 	binary.BigEndian.PutUint16(id[2:], uint16(remote.Port))
@@ -55,9 +55,9 @@
 	return r
 }
 
-func inodeOfAnswer(a []byte) (string, error) {
+func parseDiagResponse(a []byte) (string, error) {
 	if len(a) < unix.SizeofNlMsghdr+4 {
-		return "", fmt.Errorf("answer of %d bytes", len(a))
+		return "", fmt.Errorf("sock_diag: response of %d bytes is too short", len(a))
 	}
 	if kind := binary.NativeEndian.Uint16(a[4:]); kind == unix.NLMSG_ERROR {
 		errno := unix.Errno(-int32(binary.NativeEndian.Uint32(a[unix.SizeofNlMsghdr:])))
@@ -66,8 +66,8 @@
 		}
 		return "", errno
 	}
-	if len(a) < diagAnswerSize {
-		return "", fmt.Errorf("answer of %d bytes", len(a))
+	if len(a) < diagResponseSize {
+		return "", fmt.Errorf("sock_diag: response of %d bytes is too short", len(a))
 	}
 	return fmt.Sprint(binary.NativeEndian.Uint32(a[diagInode:])), nil
 }
--- a/e2e/kill_test.go
+++ b/e2e/kill_test.go
@@ -7,15 +7,15 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// phase is the number of whole answers of each kind between two steps.
+// phase is the number of complete answers of each kind to await between two steps.
 const phase = 100
 
-// noneUnknown fails the test when a confirmation ended as perhaps run: only
-// the death of its agent may lead to that.
-func noneUnknown(t *testing.T, load *harness.Load) {
+// noUnknownOutcomes fails the test if a confirmation was answered "may have run". Only the death of its agent may
+// cause that.
+func noUnknownOutcomes(t *testing.T, load *harness.Load) {
 	t.Helper()
-	if n := load.Unknown(); n > 0 {
-		t.Errorf("%d confirmations ended as perhaps run, though no agent died", n)
+	if n := load.UnknownOutcomes(); n > 0 {
+		t.Errorf("%d confirmations were answered \"may have run\" though no agent died", n)
 	}
 }
 
@@ -32,7 +32,7 @@
 	s.AwaitVoters()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
 func TestKillEntry(t *testing.T) {
@@ -46,28 +46,28 @@
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
-// TestKillAgentBeforeAnswer kills an agent whose upstream is working on
-// confirmations: they may have run, so none of them may run again.
+// TestKillAgentBeforeAnswer kills an agent whose upstream is running confirmations. They may have run, so
+// that none of them may run again.
 func TestKillAgentBeforeAnswer(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
 	load := s.StartLoad()
 	load.Await(phase)
 	desk := s.Agents[0]
-	began := desk.Upstream.Slow(time.Minute)
+	began := desk.Upstream.SetDelay(time.Minute)
 	<-began
 	desk.Kill()
-	desk.Upstream.Slow(0)
+	desk.Upstream.SetDelay(0)
 	load.Await(phase)
 	desk.Start()
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	if n := load.Unknown(); n == 0 || n > harness.ConfirmWorkers {
-		t.Errorf("%d confirmations ended as perhaps run, want 1 to %d: those under way at the killed agent", n, harness.ConfirmWorkers)
+	if n := load.UnknownOutcomes(); n == 0 || n > harness.ConfirmWorkers {
+		t.Errorf("%d confirmations were answered \"may have run\", want 1 to %d: those in progress at the killed agent", n, harness.ConfirmWorkers)
 	}
 }
 
@@ -77,7 +77,7 @@
 	load := s.StartLoad()
 	load.Await(phase)
 	s.MustApply(2, harness.Text("second"))
-	harness.Together(s.Controls, func(c *harness.Control) { c.Kill() })
+	harness.Concurrently(s.Controls, func(c *harness.Control) { c.Kill() })
 	for _, c := range s.Controls {
 		c.Start()
 	}
@@ -86,11 +86,11 @@
 	s.AwaitVersion(3)
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
-// TestRestartStorm kills a third of the members at once, one agent of the desk
-// among them: what was under way there may end as perhaps run.
+// TestRestartStorm kills a third of the members at once, including one agent of the desk, whose confirmations
+// in progress may be answered "may have run".
 func TestRestartStorm(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Desks: 3, Engines: 3})
@@ -98,7 +98,7 @@
 	load.Await(phase)
 	storm := []*harness.Process{s.Entries[0].Process, s.Agents[0].Process, s.Agents[3].Process, s.Controls[0].Process}
 	for range 2 {
-		harness.Together(storm, (*harness.Process).Kill)
+		harness.Concurrently(storm, (*harness.Process).Kill)
 		for _, p := range storm {
 			p.Start()
 		}
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/fake/standin"
 )
 
-// TestRollingRestart stops every process, one by one, under load: none may
-// lose, refuse, double or cut a request, and each exits with status 0.
+// TestRollingRestart stops and restarts all processes one by one under load. No request may be lost, refused,
+// repeated or truncated, and each process must exit with status 0.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Staged: true})
@@ -30,11 +30,11 @@
 		load.Await(phase / 4)
 	}
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
 
-// TestStopWithWorkInFlight stops each role while a confirmation and a stream
-// are in the middle of long work: both must come whole.
+// TestStopWithWorkInFlight stops a process of each role while a confirmation and a stream are in progress.
+// Both must complete.
 func TestStopWithWorkInFlight(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Desks: 1, Engines: 1})
@@ -46,7 +46,7 @@
 		"leader": func() *harness.Process { return s.Leader().Process },
 	}
 	for role, pick := range stops {
-		confirming, streaming := desk.Upstream.Slow(longWork), engine.Upstream.Slow(longWork)
+		confirming, streaming := desk.Upstream.SetDelay(longWork), engine.Upstream.SetDelay(longWork)
 		confirmed := inFlight(t, confirming, client.Request{Entry: s.Entries[0].Address, Path: "/v1/services/" + harness.Desk + "/confirm", Key: "key-" + role, Body: []byte(role)})
 		streamed := inFlight(t, streaming, client.Request{Entry: s.Entries[0].Address, Path: "/v1/chat/completions",
 			Body: fmt.Appendf(nil, `{"model":"desk-chat","stream":true,"messages":[{"role":"user","content":%q}]}`, role)})
@@ -54,8 +54,8 @@
 		if status := p.Stop(); status != 0 {
 			t.Errorf("%s: exit status %d", p.Name, status)
 		}
-		if a := <-confirmed; a == nil || !a.Complete || s.Runs.Of(role) != 1 {
-			t.Errorf("confirmation while %s stopped: %+v, %d runs", p.Name, a, s.Runs.Of(role))
+		if a := <-confirmed; a == nil || !a.Complete || s.Runs.Count(role) != 1 {
+			t.Errorf("confirmation while %s stopped: %+v, %d runs", p.Name, a, s.Runs.Count(role))
 		}
 		a := <-streamed
 		if a == nil || !a.Complete {
@@ -70,19 +70,19 @@
 }
 
 const (
-	longWork  = 3 * time.Second
-	hungAfter = 90 * time.Second // ends a hung test
-	sendPause = 100 * time.Millisecond
+	longWork    = 3 * time.Second
+	waitTimeout = 90 * time.Second // timeout of waits that should always succeed
+	sendPause   = 100 * time.Millisecond
 )
 
-// inFlight sends the request until the upstream has begun with it, and returns
-// where its answer comes. An entry that has not heard yet of an agent that just
-// joined refuses it as not run; any other answer before the beginning fails.
+// inFlight sends the request until the upstream has begun to run it, and returns the channel of its answer.
+// An entry that doesn't know a new agent yet answers "not run"; any other answer before the upstream began
+// fails the test.
 func inFlight(t *testing.T, began <-chan string, r client.Request) <-chan *client.Response {
 	t.Helper()
-	hung := time.After(hungAfter)
+	hung := time.After(waitTimeout)
 	for {
-		answered := sendAside(t, r)
+		answered := sendAsync(t, r)
 		select {
 		case <-began:
 			return answered
@@ -97,7 +97,7 @@
 	}
 }
 
-func sendAside(t *testing.T, r client.Request) <-chan *client.Response {
+func sendAsync(t *testing.T, r client.Request) <-chan *client.Response {
 	out := make(chan *client.Response, 1)
 	r.Customer, r.Timeout = harness.Customer, 10*longWork
 	go func() {
@@ -112,8 +112,8 @@
 	return out
 }
 
-// TestSecondStart starts a control process a second time while the first
-// runs: the second must end without touching the data folder.
+// TestSecondStart starts a control process a second time while the first one is running. The second one must
+// exit without touching the data folder.
 func TestSecondStart(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -126,7 +126,7 @@
 		if status := second.Wait(); status != 1 {
 			t.Errorf("exit status %d of a second start", status)
 		}
-		harness.MustHold(t, second.Log(), "data folder", "in use")
+		harness.MustContain(t, second.Log(), "data folder", "in use")
 		load.Await(phase / 10)
 	}
 	first.Kill()
@@ -134,5 +134,5 @@
 	s.AwaitVoters()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	noUnknownOutcomes(t, load)
 }
--- a/fake/standin/engine.go
+++ b/fake/standin/engine.go
@@ -8,16 +8,16 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// engine runs a batch in real time.
+// engine runs a batch on a clock.
 type engine struct {
 	clock  clockwork.Clock
 	faults *faults
 
-	mu     sync.Mutex
-	batch  *batch
-	awake  bool // a goroutine runs steps
-	events *eventLog
-	load   *loadHistory
+	mu          sync.Mutex
+	batch       *batch
+	loopRunning bool // a goroutine runs loop
+	events      *eventLog
+	load        *loadHistory
 }
 
 func newEngine(o Options, clock clockwork.Clock, f *faults) *engine {
@@ -26,15 +26,15 @@
 	return e
 }
 
-// submit queues a sequence; its tokens come on s.out, which is closed at the
-// end or after the sequence was cancelled.
+// submit queues a sequence. Its tokens are sent on s.out, which is closed when the sequence ends or is
+// cancelled.
 func (e *engine) submit(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.add(s)
-	e.note()
-	if !e.awake {
-		e.awake = true
+	e.recordLoad()
+	if !e.loopRunning {
+		e.loopRunning = true
 		go e.loop()
 	}
 }
@@ -44,34 +44,33 @@
 	for {
 		e.mu.Lock()
 		took := e.batch.step()
-		e.note()
+		e.recordLoad()
 		if e.batch.idle() {
-			e.awake = false
+			e.loopRunning = false
 			e.mu.Unlock()
 			return
 		}
 		e.mu.Unlock()
-		e.clock.Sleep(e.faults.slowed(took))
+		e.clock.Sleep(e.faults.scaled(took))
 		e.mu.Lock()
 		e.batch.finish()
-		e.note()
+		e.recordLoad()
 		e.mu.Unlock()
 	}
 }
 
-func (e *engine) note() {
+func (e *engine) recordLoad() {
 	e.load.add(Load{Queued: len(e.batch.waiting), Running: len(e.batch.running), KVUsed: e.batch.used(), KVCapacity: e.batch.opts.CacheBlocks})
 }
 
-// reset forgets all kept prefixes.
+// reset evicts all cached prefixes.
 func (e *engine) reset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.cache.Shrink(0)
 }
 
-// export returns the leading blocks of a chain that are held, after the time
-// that their transfer takes.
+// export returns the leading blocks of a chain that are cached, after the transfer time.
 func (e *engine) export(ctx context.Context, chain []Block) []Block {
 	e.mu.Lock()
 	held := chain[:e.batch.cache.Match(chain)]
@@ -80,8 +79,8 @@
 	return held
 }
 
-// takeIn stores blocks that another engine exported.
-func (e *engine) takeIn(ctx context.Context, chain []Block) {
+// importBlocks stores blocks that another engine exported.
+func (e *engine) importBlocks(ctx context.Context, chain []Block) {
 	e.transfer(ctx, len(chain))
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,10 +89,10 @@
 }
 
 func (e *engine) transfer(ctx context.Context, blocks int) {
-	sleep(ctx, e.clock, e.faults.slowed(time.Duration(blocks)*e.batch.opts.TransferDelay))
+	sleep(ctx, e.clock, e.faults.scaled(time.Duration(blocks)*e.batch.opts.TransferDelay))
 }
 
-// sleep waits for d and reports whether ctx lasted that long.
+// sleep waits for d and reports false if ctx ended first.
 func sleep(ctx context.Context, clock clockwork.Clock, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/fake/standin/models.go
+++ b/fake/standin/models.go
@@ -17,22 +17,22 @@
 	"caperdrum.org/api/wire"
 )
 
-// ModelOptions set how an engine takes orders.
+// ModelOptions set how an engine handles orders to load and unload models.
 type ModelOptions struct {
-	Enabled      bool          // take orders; otherwise the engine always serves
-	IgnoreTokens bool          // carry out any order, whatever its fencing token
-	LoadTime     time.Duration // of a load, besides the transfer
-	Store        string        // address of a weight store; empty: none is asked
-	FailLoads    string        // version whose loads fail
+	Enabled      bool          // accept orders; otherwise the engine serves without a loaded model
+	IgnoreTokens bool          // execute all orders, regardless of their fencing tokens
+	LoadTime     time.Duration // duration of a load, in addition to the transfer
+	Store        string        // address of the weight store; no transfer if empty
+	FailLoads    string        // model version that fails to load
 }
 
-// Passed is an order as the engine saw it begin.
-type Passed struct {
+// AcceptedOrder is an order that the engine accepted, and when it began to execute it.
+type AcceptedOrder struct {
 	Order wire.Order `json:"order"`
 	Begun time.Time  `json:"begun"`
 }
 
-// models is what an engine holds.
+// models is the state of an engine's models and orders.
 type models struct {
 	opts ModelOptions
 
@@ -42,21 +42,21 @@
 	role    string
 	token   uint64
 	busy    int
-	overlap bool // two orders were under way at once
-	log     []Passed
+	overlap bool // two orders were executed at the same time
+	log     []AcceptedOrder
 }
 
-func (s *Server) routeModels(r chi.Router) {
+func (s *Server) modelRoutes(r chi.Router) {
 	r.Get("/v1/engine", s.models.showState)
 	r.Post("/v1/engine/orders", s.models.order)
 	r.Get("/v1/engine/log", s.models.showLog)
 	r.Post("/v1/engine/forget", s.models.forget)
 }
 
-// ModelLog is what an engine remembers of its orders.
-type ModelLog struct {
-	Orders  []Passed `json:"orders"`
-	Overlap bool     `json:"overlap"`
+// OrderLog is the log of an engine's orders.
+type OrderLog struct {
+	Orders  []AcceptedOrder `json:"orders"`
+	Overlap bool            `json:"overlap"`
 }
 
 func (m *models) showState(w http.ResponseWriter, _ *http.Request) {
@@ -68,10 +68,10 @@
 func (m *models) showLog(w http.ResponseWriter, _ *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	writeJSON(w, ModelLog{Orders: m.log, Overlap: m.overlap})
+	writeJSON(w, OrderLog{Orders: m.log, Overlap: m.overlap})
 }
 
-// forget empties the engine, as its restart does.
+// forget clears the engine's state, as a restart does.
 func (m *models) forget(w http.ResponseWriter, _ *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,11 +92,11 @@
 		return
 	}
 	token, _ := strconv.ParseUint(r.Header.Get("Fencing-Token"), 10, 64)
-	if !m.begin(o, token) {
+	if !m.accept(o, token) {
 		http.Error(w, "an order with a higher fencing token was accepted", http.StatusConflict)
 		return
 	}
-	err := m.carryOut(r.Context(), o)
+	err := m.execute(r.Context(), o)
 	m.mu.Lock()
 	m.busy--
 	m.mu.Unlock()
@@ -107,7 +107,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (m *models) begin(o wire.Order, token uint64) bool {
+func (m *models) accept(o wire.Order, token uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.opts.IgnoreTokens && token <= m.token {
@@ -116,17 +116,17 @@
 	m.token = max(m.token, token)
 	m.overlap = m.overlap || m.busy > 0
 	m.busy++
-	m.log = append(m.log, Passed{Order: o, Begun: time.Now()})
+	m.log = append(m.log, AcceptedOrder{Order: o, Begun: time.Now()})
 	return true
 }
 
-func (m *models) carryOut(ctx context.Context, o wire.Order) error {
+func (m *models) execute(ctx context.Context, o wire.Order) error {
 	switch o.Kind {
 	case wire.OrderLoad:
 		if err := m.load(ctx, o); err != nil {
 			return err
 		}
-		m.change(func() {
+		m.update(func() {
 			if !slices.Contains(m.holds, o.Artifact) {
 				m.holds = append(m.holds, o.Artifact)
 			}
@@ -135,24 +135,24 @@
 			}
 		})
 	case wire.OrderUnload:
-		m.change(func() {
+		m.update(func() {
 			m.holds = slices.DeleteFunc(slices.Clone(m.holds), func(a wire.Artifact) bool { return a == o.Artifact })
 		})
 	case wire.OrderSetRole:
-		m.change(func() { m.role = o.Role })
+		m.update(func() { m.role = o.Role })
 	default:
 		return fmt.Errorf("unknown order %q", o.Kind)
 	}
 	return nil
 }
 
-func (m *models) change(f func()) {
+func (m *models) update(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
-// load transfers the weights, unless they are at hand, and waits LoadTime.
+// load transfers the weights from the store, if there is one, and waits LoadTime.
 func (m *models) load(ctx context.Context, o wire.Order) error {
 	if m.opts.FailLoads != "" && o.Artifact.Version == m.opts.FailLoads {
 		return fmt.Errorf("version %s cannot be loaded", o.Artifact.Version)
--- a/fake/standin/standin.go
+++ b/fake/standin/standin.go
@@ -1,8 +1,7 @@
-// Package standin has small upstreams for demonstrations, tests and the load
-// tool: an engine with continuous batching and a prefix cache, an encoder, a
-// retriever, a reranker and a plain service. Simulated work is sleep. Answers
-// depend only on the request, so a caller can tell a wrong one, and every
-// stand-in accounts for what it ran.
+// Package standin provides fake upstreams for demonstrations, tests and the load tool: an engine with
+// continuous batching and a prefix cache, an encoder, a retriever, a reranker and a plain service. They sleep
+// instead of working. Answers depend only on the request, so that callers can verify them, and every stand-in
+// records which requests it ran.
 package standin
 
 import (
@@ -18,7 +17,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// headerRequestID carries the id that a stand-in accounts its work to.
+// headerRequestID is the id under which a request is recorded.
 const headerRequestID = "X-Request-Id"
 
 // Server is one stand-in.
@@ -27,12 +26,12 @@
 	clock  clockwork.Clock
 	faults *faults
 	log    *runLog
-	pool   *pool   // all but engines
+	pool   *pool   // all kinds but engine
 	engine *engine // engines only
 	models *models // engines only
 
 	mu   sync.Mutex
-	runs map[string]int // plain: how often each body was run
+	runs map[string]int // plain services: how often each body was run
 }
 
 // New returns a stand-in.
@@ -52,11 +51,11 @@
 // Handler returns the stand-in's HTTP interface.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/fault", func(w http.ResponseWriter, _ *http.Request) { f, _ := s.faults.get(); writeJSON(w, f) })
+	r.Get("/fault", func(w http.ResponseWriter, _ *http.Request) { f, _ := s.faults.current(); writeJSON(w, f) })
 	r.Post("/fault", s.setFault)
 	r.Get("/account", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.log.account()) })
 	r.Group(func(r chi.Router) {
-		r.Use(s.failing)
+		r.Use(s.injectFaults)
 		r.Get("/health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 		s.workRoutes(r)
 	})
@@ -68,7 +67,7 @@
 	case KindEngine:
 		s.engineRoutes(r)
 		if s.opts.Models.Enabled {
-			s.routeModels(r)
+			s.modelRoutes(r)
 		}
 	case KindEncoder:
 		r.Post("/v1/embeddings", s.embed)
@@ -82,10 +81,10 @@
 	}
 }
 
-// Account returns the sums and the run log since the last reset.
+// Account returns the work since the last reset.
 func (s *Server) Account() Account { return s.log.account() }
 
-// Runs returns how often each body was run by a plain service.
+// Runs returns how often a plain service ran each request body.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +95,7 @@
 	return out
 }
 
-// Reset forgets the accounts, the runs and the kept prefixes, and ends faults.
+// Reset clears the account, the run counts and the cached prefixes, and ends all faults.
 func (s *Server) Reset() {
 	s.faults.set(Fault{})
 	s.log.reset()
@@ -109,7 +108,7 @@
 	}
 }
 
-// SetFault puts a fault in force.
+// SetFault replaces the injected faults.
 func (s *Server) SetFault(f Fault) { s.faults.set(f) }
 
 func (s *Server) setFault(w http.ResponseWriter, r *http.Request) {
@@ -119,19 +118,19 @@
 	}
 }
 
-// failing applies the faults that keep a request from running.
-func (s *Server) failing(next http.Handler) http.Handler {
+// injectFaults is the middleware that injects faults before a request runs.
+func (s *Server) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f, ended := s.faults.get()
+		f, ended := s.faults.current()
 		if f.Silent {
-			io.Copy(io.Discard, r.Body) // the server sees a disconnect only after the body
+			io.Copy(io.Discard, r.Body) // the server detects a disconnect only after reading the body
 			select {
 			case <-r.Context().Done():
 			case <-ended:
 			}
 			panic(http.ErrAbortHandler)
 		}
-		if r.URL.Path != "/health" && s.faults.hits(func(f Fault) float64 { return f.Error }) {
+		if r.URL.Path != "/health" && s.faults.occurs(func(f Fault) float64 { return f.Error }) {
 			http.Error(w, "failing on command", http.StatusInternalServerError)
 			return
 		}
@@ -146,10 +145,9 @@
 	w.Write(data)
 }
 
-// answer writes a whole JSON answer, or half of it while answers are cut on
-// command.
+// answer writes a JSON answer, or only its first half if the fault Cut occurs.
 func (s *Server) answer(w http.ResponseWriter, v any) {
-	if !s.cut() {
+	if !s.truncates() {
 		writeJSON(w, v)
 		return
 	}
@@ -161,7 +159,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (s *Server) cut() bool { return s.faults.hits(func(f Fault) float64 { return f.Cut }) }
+func (s *Server) truncates() bool { return s.faults.occurs(func(f Fault) float64 { return f.Cut }) }
 
 func read[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
 	var v T
@@ -182,5 +180,5 @@
 	return h.Sum64()
 }
 
-// Confirmation returns what a plain service confirms a body with.
+// Confirmation returns the confirmation that a plain service answers to a body.
 func Confirmation(body string) string { return fmt.Sprintf("c%x", hash(body)) }
