--- a/api/optext/optext_test.go
+++ b/api/optext/optext_test.go
@@ -55,7 +55,7 @@
 		Entry("key twice", "[service:a]\nkind = plain\nkind = plain\n", 3, "twice"),
 		Entry("bad duration", "[service:a]\nkind = plain\n[pipeline:p]\ndeadline = soon\n[stage:p/s]\nservice = a\n", 4, "deadline"),
 		Entry("unknown service", "[pipeline:p]\ndeadline = 1s\n[stage:p/s]\nservice = a\n", 4, "does not exist"),
-		Entry("cycle", "[service:a]\nkind = plain\n[pipeline:p]\ndeadline = 1s\n[stage:p/x]\nservice = a\nafter = y\n[stage:p/y]\nservice = a\nafter = x\n", 3, "depend on each other in a cycle"),
+		Entry("cycle", "[service:a]\nkind = plain\n[pipeline:p]\ndeadline = 1s\n[stage:p/x]\nservice = a\nafter = y\n[stage:p/y]\nservice = a\nafter = x\n", 3, "wait for each other"),
 		Entry("scale without models", "[service:a]\nkind = engine\nscale = forecast\n", 3, "needs models"),
 		Entry("model without a version", "[service:a]\nkind = engine\nmodels = m@1, m\n", 3, "names no version"),
 		Entry("unknown scale", "[service:a]\nkind = engine\nscale = sometimes\n", 3, "not known"),
--- a/api/optext/parser.go
+++ b/api/optext/parser.go
@@ -229,7 +229,7 @@
 			}
 		}
 		if len(sorted) == previous {
-			p.f.Fail(section, "", "stages of pipeline "+pl.Name+" depend on each other in a cycle", "remove a cycle or an unknown name in after = ...")
+			p.f.Fail(section, "", "stages of pipeline "+pl.Name+" wait for each other", "remove a cycle or an unknown name in after = ...")
 			return
 		}
 	}
--- a/api/optext/route.go
+++ b/api/optext/route.go
@@ -108,7 +108,7 @@
 	r := &Route{Name: name, Attempts: 1}
 	p.f.Decode(section, r)
 	if r.Prefix != "" && (!strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/")) {
-		p.f.Fail(section, "path_prefix", "path_prefix "+r.Prefix+" does not begin and end with a slash", "write a path such as /orders/")
+		p.f.Fail(section, "path_prefix", "path_prefix "+r.Prefix+" is not a whole path", "begin and end it with a slash")
 	}
 	if r.Timeout <= 0 {
 		p.f.Fail(section, "timeout", "timeout is zero", "write a duration such as 5s")
@@ -131,7 +131,7 @@
 		service, number, _ := strings.Cut(part, ":")
 		weight, err := strconv.ParseFloat(number, 64)
 		if err != nil || !(weight >= 0) {
-			p.f.Fail(section, "split", "split element "+part+" has no weight", "write SERVICE:WEIGHT with a weight of zero or more")
+			p.f.Fail(section, "split", "split part "+part+" has no weight", "write SERVICE:WEIGHT with a weight of zero or more")
 			return
 		}
 		sum += weight
@@ -176,7 +176,7 @@
 		byName[r.Name] = i
 		key := RouteKey{r.Host, r.Prefix}
 		if other, taken := routeByKey[key]; taken {
-			p.f.Fail(section, "path_prefix", "route "+r.Name+" has the same host and path_prefix as route "+other, "change the host or path_prefix of one of them")
+			p.f.Fail(section, "path_prefix", "route "+r.Name+" has the host and path of route "+other, "change host or path_prefix of one")
 		}
 		routeByKey[key] = r.Name
 		for _, w := range r.Weights {
@@ -210,7 +210,7 @@
 	case s == nil:
 		p.f.Fail(section, key, "service "+name+" does not exist", "add [service:"+name+"]")
 	case s.Upstreams != Announced:
-		p.f.Fail(section, key, "service "+name+" has upstreams with agents", "use it in a pipeline, or write upstreams = announced in [service:"+name+"]")
+		p.f.Fail(section, key, "service "+name+" has agents beside its upstreams", "use it in a pipeline, or write upstreams = announced in [service:"+name+"]")
 	}
 }
 
--- a/api/optext/sections.go
+++ b/api/optext/sections.go
@@ -103,8 +103,8 @@
 	var problems strictini.Problems
 	for _, section := range changed {
 		if !r.Owns(section) {
-			problems = append(problems, strictini.Problem{File: "text", Fault: "section [" + section + "] is changed but does not belong to your team",
-				Remedy: "keep the version in force, or ask an administrator"})
+			problems = append(problems, strictini.Problem{File: "text", Fault: "section [" + section + "] is changed, which does not belong to your team",
+				Remedy: "leave it as it is in force, or ask an administrator"})
 		}
 	}
 	if len(problems) == 0 {
--- a/api/strictini/strictini.go
+++ b/api/strictini/strictini.go
@@ -97,9 +97,9 @@
 // duplicateFault describes a second occurrence of a section or key.
 func (p position) duplicateFault() string {
 	if p.key == "" {
-		return "section [" + p.section + "] appears twice"
+		return "section [" + p.section + "] stands twice"
 	}
-	return fmt.Sprintf("key %q appears twice in [%s]", p.key, p.section)
+	return fmt.Sprintf("key %q stands twice in [%s]", p.key, p.section)
 }
 
 // Sections returns the names of all sections in the order of the file.
--- a/api/wire/compress.go
+++ b/api/wire/compress.go
@@ -20,7 +20,7 @@
 )
 
 // ErrDecompress means that compressed data is damaged or decompresses to too much.
-const ErrDecompress = errors.ConstError("wire: cannot decompress")
+const ErrDecompress = errors.ConstError("wire: a packed text cannot be read")
 
 // flateWriters are pooled because a writer holds some 600 kB of tables.
 var flateWriters = sync.Pool{New: func() any {
@@ -51,7 +51,7 @@
 		return nil, errors.WithType(errors.Trace(err), ErrDecompress)
 	}
 	if len(data) > maxDecompressedBytes {
-		return nil, errors.Annotatef(ErrDecompress, "decompressed size is above %d bytes", maxDecompressedBytes)
+		return nil, errors.Annotatef(ErrDecompress, "more than %d bytes", maxDecompressedBytes)
 	}
 	return data, nil
 }
--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -98,7 +98,7 @@
 func (s *Service) Admit(c *optext.Customer, w Work, size int) (release func(), refusal *verdict.Error) {
 	now := time.Now()
 	if overloaded := s.shed.admit(c, w, now); overloaded != "" {
-		return nil, refuse("brownout", verdict.CodeOverloaded, retryAfter, "service %s is overloaded and customer %s exceeds its share", overloaded, c.Name)
+		return nil, refuse("brownout", verdict.CodeOverloaded, retryAfter, "service %s is overloaded and customer %s exceeds its part", overloaded, c.Name)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 	}
 	if cu.rate > 0 {
 		if ok, wait := cu.limiter.take(now); !ok {
-			return nil, refuse("rate", verdict.CodeCustomerLimit, wait, "customer %s exceeds its rate of %g requests per second", c.Name, c.Rate)
+			return nil, refuse("rate", verdict.CodeCustomerLimit, wait, "customer %s exceeds its %g requests a second", c.Name, c.Rate)
 		}
 	}
 	s.inFlight++
@@ -154,13 +154,13 @@
 func (s *Service) checkLimits(c *optext.Customer, cu *customerState, size int, now time.Time) *verdict.Error {
 	switch {
 	case s.inFlight >= s.limits.InFlight:
-		return refuse("entry-full", verdict.CodeOverloaded, retryAfter, "this entry already has %d requests in flight", s.inFlight)
+		return refuse("entry-full", verdict.CodeOverloaded, retryAfter, "this entry serves %d requests already", s.inFlight)
 	case s.limits.Bytes > 0 && s.bytes+int64(size) > s.limits.Bytes:
-		return refuse("entry-bytes", verdict.CodeOverloaded, retryAfter, "this entry already holds %d bytes of requests", s.bytes)
+		return refuse("entry-bytes", verdict.CodeOverloaded, retryAfter, "this entry holds %d bytes of requests already", s.bytes)
 	case float64(s.inFlight) < fairShareThreshold*float64(s.limits.InFlight):
 		return nil
 	case float64(cu.inFlight) >= s.fairShare(cu, now)*float64(s.limits.InFlight):
-		return refuse("share", verdict.CodeCustomerLimit, retryAfter, "this entry is busy and customer %s already holds its share of it", c.Name)
+		return refuse("share", verdict.CodeCustomerLimit, retryAfter, "customer %s holds its share of this entry, which is busy", c.Name)
 	}
 	return nil
 }
--- a/node/configsync/text.go
+++ b/node/configsync/text.go
@@ -36,7 +36,7 @@
 		return nil
 	}
 	if d.Base != v.Version {
-		return errors.Annotatef(errTextMismatch, "a delta from version %d does not apply to version %d", d.Base, v.Version)
+		return errors.Annotatef(errTextMismatch, "a delta from version %d on top of %d", d.Base, v.Version)
 	}
 	text, ends, err := textdelta.Apply(v.Text, v.ends, d)
 	if err != nil {
--- a/node/control/evacuate.go
+++ b/node/control/evacuate.go
@@ -40,7 +40,7 @@
 }
 
 func errOvertaken(e wire.Evacuation) error {
-	return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "conflicting order for data centre %s: its current revision is %d", e.DataCenter, e.Revision)
+	return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "another order for data centre %s came first: it has revision %d now", e.DataCenter, e.Revision)
 }
 
 // checkEvacuation returns why an order for the data centre must be rejected, or nil. If the settings list no
@@ -51,7 +51,7 @@
 		return err
 	}
 	if !s.knowsDataCenter(v, dataCenter) {
-		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "unknown data centre %q", dataCenter)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no data centre %q is known", dataCenter)
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 	case v.Config.Version == 0:
 		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no configuration yet")
 	case !s.enoughVoters():
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined the cluster")
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined yet")
 	}
 	return nil
 }
--- a/node/control/placement.go
+++ b/node/control/placement.go
@@ -104,5 +104,5 @@
 	if !vp.lossBreaksQuorum(voters) {
 		return ""
 	}
-	return fmt.Sprintf("the failure of %d data centres would take %d of %d voters, and no process in another data centre is available", vp.losses, vp.maxLoss(voters), len(voters))
+	return fmt.Sprintf("the loss of %d data centres would take %d of %d voters, and no process elsewhere offers itself", vp.losses, vp.maxLoss(voters), len(voters))
 }
--- a/node/control/puts.go
+++ b/node/control/puts.go
@@ -139,7 +139,7 @@
 	parsed := s.clock.Since(began)
 	if !s.enoughVoters() {
 		s.log.Info("change refused", "reason", "too few voters", "voters", len(s.cluster.Status().Membership.Voters), "want", s.minVoters(), "version", req.Version)
-		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined the cluster")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too few control processes have joined yet")
 	}
 	result, err := s.proposePut(ctx, req)
 	if err != nil {
--- a/node/control/quarantine.go
+++ b/node/control/quarantine.go
@@ -51,7 +51,7 @@
 		return s.leaderError(err)
 	}
 	if len(res.Quarantine.Lifted) == 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no call with fingerprint %q is quarantined", f)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no call with fingerprint %q is in quarantine", f)
 	}
 	s.logQuarantine(res.Quarantine)
 	return nil
--- a/node/control/repair.go
+++ b/node/control/repair.go
@@ -78,7 +78,7 @@
 	r.trackActivity(status)
 	need := r.requiredIndex(status)
 	if status.MembershipPending {
-		r.setStatus("a membership change is in progress")
+		r.setStatus("a change of the voters is under way")
 		return nil
 	}
 	if err := r.commitNoop(ctx, status); err != nil {
@@ -219,7 +219,7 @@
 	m := st.Membership
 	for _, l := range m.Learners {
 		if silent[l.ID] {
-			return dropLearner(m, l.ID), fmt.Sprintf("learner %s does not answer: removing it", l.ID)
+			return dropLearner(m, l.ID), fmt.Sprintf("learner %s is silent: removing it", l.ID)
 		}
 	}
 	if len(m.Voters) > want {
@@ -230,7 +230,7 @@
 	}
 	if len(m.Learners) > 0 {
 		id := m.Learners[0].ID
-		return dropLearner(m, id), fmt.Sprintf("%d voters are live: removing surplus learner %s", want, id)
+		return dropLearner(m, id), fmt.Sprintf("%d voters work: removing learner %s, which is not needed", want, id)
 	}
 	return nil, laggingVoter(st, silent, need)
 }
@@ -251,7 +251,7 @@
 	for _, v := range st.Membership.Voters {
 		match := st.Progress[v.ID].Match
 		if v.ID != st.ID && !silent[v.ID] && match < need {
-			return fmt.Sprintf("voter %s holds entries up to %d of %d", v.ID, match, need)
+			return fmt.Sprintf("voter %s holds entries up to %d, not yet %d", v.ID, match, need)
 		}
 	}
 	return ""
@@ -271,7 +271,7 @@
 			continue
 		}
 		if silent[v.ID] {
-			return dropVoter(m, v.ID), fmt.Sprintf("voter %s does not answer and has been replaced: removing it", v.ID)
+			return dropVoter(m, v.ID), fmt.Sprintf("voter %s is silent and replaced: removing it", v.ID)
 		}
 		if !st.Progress[v.ID].RecentActive {
 			idle = string(v.ID)
@@ -281,9 +281,9 @@
 		}
 	}
 	if idle != "" || last == nil {
-		return nil, fmt.Sprintf("%d voters instead of %d: waiting for an answer from %s", len(m.Voters), want, idle)
+		return nil, fmt.Sprintf("%d voters for %d: waiting to hear from %s", len(m.Voters), want, idle)
 	}
-	return dropVoter(m, last.ID), fmt.Sprintf("%d voters instead of %d: removing %s", len(m.Voters), want, last.ID)
+	return dropVoter(m, last.ID), fmt.Sprintf("%d voters for %d: removing %s", len(m.Voters), want, last.ID)
 }
 
 // addVoter promotes a learner that has caught up and was recently active, or adds a spare as a learner.
@@ -292,17 +292,17 @@
 	for _, l := range m.Learners {
 		pr := st.Progress[l.ID]
 		if pr.RecentActive && pr.Match+maxPromoteLag >= st.LastIndex && pr.Match >= st.SnapshotIndex {
-			return promote(m, l), fmt.Sprintf("learner %s has caught up: promoting it", l.ID)
+			return promote(m, l), fmt.Sprintf("learner %s caught up: promoting it", l.ID)
 		}
 	}
 	if len(m.Learners) > 0 {
-		return nil, fmt.Sprintf("%d of %d voters are live: a learner is catching up", working, want)
+		return nil, fmt.Sprintf("%d of %d voters work: a learner is catching up", working, want)
 	}
 	if len(spares) == 0 {
-		return nil, fmt.Sprintf("%d of %d voters are live: no spare control process answers", working, want)
+		return nil, fmt.Sprintf("%d of %d voters work: no spare control process answers", working, want)
 	}
 	next := consensus.Membership{Voters: m.Voters, Learners: append(append([]consensus.Peer(nil), m.Learners...), spares[0])}
-	return &next, fmt.Sprintf("%d of %d voters are live: adding %s as a learner", working, want, spares[0].ID)
+	return &next, fmt.Sprintf("%d of %d voters work: adding %s as a learner", working, want, spares[0].ID)
 }
 
 func promote(m consensus.Membership, l consensus.Peer) *consensus.Membership {
--- a/node/control/rollout.go
+++ b/node/control/rollout.go
@@ -60,7 +60,7 @@
 	s.log.Info("roll-out order committed", "service", o.Service, "target", o.Target, "span", o.Span, "author", o.Author, "base", o.Base,
 		"revision", r.Rollout.Revision, "changed", r.Changed, "refusal", r.Refusal, "replaced", r.Rollout.Replaced)
 	if r.Refusal != wire.RolloutAccepted {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "service %s: conflicting roll-out to version %s is %s at revision %d", o.Service, r.Rollout.Target, r.Rollout.State, r.Rollout.Revision)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "service %s: the roll-out to version %s is %s, revision %d", o.Service, r.Rollout.Target, r.Rollout.State, r.Rollout.Revision)
 	}
 	if r.Changed {
 		s.ring.Record(timeline.Event{Kind: "rollout-started", Detail: o.Service + " to " + o.Target})
@@ -87,11 +87,11 @@
 	case service == nil:
 		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no service %q is configured", o.Service)
 	case service.Upstreams != optext.Announced:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the upstreams of service %s are not announced, so their versions are unknown", o.Service)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the upstreams of service %s do not announce themselves, so their versions are not known", o.Service)
 	case o.Target == "":
-		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the order lacks a target version")
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the order names no target version")
 	case o.Span <= 0 || o.Span > MaxRolloutSpan:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "invalid span %s: it must be above zero and at most %s", o.Span, MaxRolloutSpan)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "a span of %s is not above zero and at most %s", o.Span, MaxRolloutSpan)
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 	}
 	r := s.cluster.View().Rollouts.Of(q.Service)
 	if r.Order == 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeNotFound, "service %q has had no roll-out", q.Service)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeNotFound, "there was no roll-out of service %q", q.Service)
 	}
 	return &r, nil
 }
@@ -238,7 +238,7 @@
 	}
 	r := res.Rollout
 	if r.Refusal != wire.RolloutAccepted {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "the roll-out of service %s has changed: it is at revision %d", step.Service, r.Rollout.Revision)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "the roll-out of service %s has moved on to revision %d", step.Service, r.Rollout.Revision)
 	}
 	s.log.Info("roll-out step committed", "service", step.Service, "target", r.Rollout.Target, "state", r.Rollout.State, "share", r.Rollout.Share, "revision", r.Rollout.Revision, "reason", step.Reason)
 	s.ring.Record(timeline.Event{Kind: timeline.Kind("rollout-" + r.Rollout.State), Detail: step.Service + " to " + r.Rollout.Target + ": " + step.Reason})
--- a/node/control/selfforming.go
+++ b/node/control/selfforming.go
@@ -113,25 +113,25 @@
 	failed := failedMembers(st, offers, silent)
 	for _, l := range m.Learners {
 		if failed[l.ID] {
-			return dropLearner(m, l.ID), fmt.Sprintf("learner %s has failed: removing it", l.ID)
+			return dropLearner(m, l.ID), fmt.Sprintf("learner %s is gone: removing it", l.ID)
 		}
 	}
 	if len(m.Voters) > least {
 		for _, v := range m.Voters {
 			if failed[v.ID] {
-				return dropVoter(m, v.ID), fmt.Sprintf("voter %s has failed: removing it", v.ID)
+				return dropVoter(m, v.ID), fmt.Sprintf("voter %s is gone: removing it", v.ID)
 			}
 		}
 	}
 	for _, l := range m.Learners {
 		pr := st.Progress[l.ID]
 		if pr.RecentActive && pr.Match+maxPromoteLag >= st.LastIndex && pr.Match >= st.SnapshotIndex {
-			return promote(m, l), fmt.Sprintf("learner %s has caught up: promoting it", l.ID)
+			return promote(m, l), fmt.Sprintf("learner %s caught up: promoting it", l.ID)
 		}
 	}
 	if len(m.Voters) > most && len(failed) == 0 {
 		if v, ok := vp.removalCandidate(m.Voters, st.ID); ok {
-			return dropVoter(m, v.ID), fmt.Sprintf("%s contains too many voters: removing %s", vp.dataCenterOf(v.Address), v.ID)
+			return dropVoter(m, v.ID), fmt.Sprintf("%s holds more voters than may be lost: removing %s", vp.dataCenterOf(v.Address), v.ID)
 		}
 	}
 	p, ok := vp.bestCandidate(m, offers)
--- a/node/control/sync.go
+++ b/node/control/sync.go
@@ -16,7 +16,7 @@
 // errSuspended redirects the caller to another control process. While the replica is suspended, this one
 // learns of no changes.
 func errSuspended(cause error) error {
-	return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "this control process is suspended: %v", cause)
+	return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "this control process takes no part: %v", cause)
 }
 
 // sync renews the caller's lease. It answers as soon as there are changes (long poll).
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -165,7 +165,7 @@
 }
 
 // errNotOurResponse is returned for a response that says nothing about the attempt.
-const errNotOurResponse = errors.ConstError("the response does not belong to the attempt")
+const errNotOurResponse = errors.ConstError("the response tells nothing about the attempt")
 
 // openResponse checks a gate's response and wraps its body. The error is a verdict.Error from the gate, or
 // errNotOurResponse.
@@ -207,7 +207,7 @@
 func (s *Service) recoverAttempt(ctx context.Context, e *routing.Endpoint, c Call, cause error) (*Response, error) {
 	var op *net.OpError
 	if errors.As(cause, &op) && op.Op == "dial" {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "the gate of %s is unreachable", e.Member.ID)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "the gate of %s is not reached", e.Member.ID)
 	}
 	if ctx.Err() != nil || !time.Now().Before(c.Deadline) {
 		return nil, s.cancelAbandoned(e, c)
@@ -222,7 +222,7 @@
 	if a, err := s.Attach(ctx, e, c, 0); err == nil || !errors.Is(err, errNotOurResponse) {
 		return a, err
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "the response of %s was lost", e.Member.ID)
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "the answer of %s was lost", e.Member.ID)
 }
 
 // cancelAbandoned makes sure that an attempt does not start after its caller has disconnected or its deadline
@@ -236,7 +236,7 @@
 	} else if v := s.verdictAfterCancel(e, st); v != nil {
 		return v
 	}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the deadline passed before the response arrived")
+	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the deadline passed before an answer came")
 }
 
 // verdictAfterCancel returns the verdict that follows from the status after a cancellation, or nil if the
@@ -246,7 +246,7 @@
 	case st.Incarnation != e.Member.Incarnation:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeIncarnationChanged, "the gate of %s was restarted", e.Member.ID)
 	case st.State == wire.AttemptTombstoned:
-		return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "the attempt at %s was cancelled", e.Member.ID).WithRetryAfter(statusTimeout)
+		return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "the attempt at %s is cancelled", e.Member.ID).WithRetryAfter(statusTimeout)
 	case st.State != wire.AttemptRunning && st.State != wire.AttemptDone:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "the gate of %s does not know the attempt", e.Member.ID)
 	}
@@ -298,7 +298,7 @@
 	defer resp.Body.Close()
 	s.observeHeaders(e, resp.Header)
 	if resp.StatusCode != http.StatusOK {
-		return st, errors.Errorf("the gate returned status %d", resp.StatusCode)
+		return st, errors.Errorf("the gate answers with status %d", resp.StatusCode)
 	}
 	return st, errors.Trace(json.NewDecoder(resp.Body).Decode(&st))
 }
--- a/node/dispatch/reader.go
+++ b/node/dispatch/reader.go
@@ -55,9 +55,9 @@
 	case end == "":
 		return b.reattach(io.ErrUnexpectedEOF)
 	case end != wire.EndWhole:
-		return verdict.New(verdict.Ran, verdict.Code(end), "the upstream's response is incomplete")
+		return verdict.New(verdict.Ran, verdict.Code(end), "the upstream's answer was not whole")
 	case t.Get(wire.TrailerLength) != strconv.FormatInt(b.offset, 10), t.Get(wire.TrailerSum) != strconv.FormatUint(b.sum.Sum64(), 16):
-		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the response's length or checksum does not match")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the answer's length or checksum is wrong")
 	}
 	return io.EOF
 }
@@ -66,19 +66,19 @@
 func (b *bodyReader) reattach(cause error) error {
 	if b.ctx.Err() != nil {
 		go b.s.cancelAbandoned(b.endpoint, b.call)
-		return verdict.New(verdict.Ran, verdict.CodeDeadlineExceeded, "the deadline passed before the complete response arrived")
+		return verdict.New(verdict.Ran, verdict.CodeDeadlineExceeded, "the deadline passed before the whole answer came")
 	}
 	if b.reattachCount >= maxReattach {
-		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the response was truncated: %v", cause)
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the answer was cut: %v", cause)
 	}
 	b.reattachCount++
 	resp, err := b.s.attach(b.ctx, b.endpoint, b.call, b.offset)
 	if err != nil {
-		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the response was truncated: %v", err)
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the answer was cut: %v", err)
 	}
 	if resp.Header.Get(wire.HeaderError) != "" || !matchesAttempt(resp, b.endpoint, b.call) {
 		resp.Body.Close()
-		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the response was truncated: %v", errors.Cause(cause))
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the answer was cut: %v", errors.Cause(cause))
 	}
 	b.resp.Body.Close()
 	b.resp = resp
--- a/node/gate/http.go
+++ b/node/gate/http.go
@@ -71,7 +71,7 @@
 	}
 	body, err := readBody(w, r)
 	if err != nil {
-		return nil, invalid("the request body was truncated: %v", err)
+		return nil, invalid("the request body was cut: %v", err)
 	}
 	a := &attempt{
 		id: attemptID(r), incarnation: incarnation, request: wire.RequestID(h.Get(wire.HeaderRequestID)),
@@ -201,7 +201,7 @@
 func (s *Service) handleAttach(w http.ResponseWriter, r *http.Request) {
 	a := s.table.addReader(attemptID(r))
 	if a == nil {
-		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeNotFound, "attempt is unknown to incarnation %d", s.incarnation))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeNotFound, "attempt unknown to incarnation %d", s.incarnation))
 		return
 	}
 	defer s.table.removeReader(a)
@@ -209,9 +209,9 @@
 	length, _, dropped := a.response.size()
 	switch {
 	case dropped:
-		s.writeRefusal(w, verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the attempt ran; its response is no longer kept"))
+		s.writeRefusal(w, verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the attempt ran; its answer is no longer kept"))
 	case err != nil || offset < 0 || offset > length:
-		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalidRequest, "offset is out of range"))
+		s.writeRefusal(w, verdict.New(verdict.MayHaveRun, verdict.CodeInvalidRequest, "offset out of range"))
 	default:
 		s.writeResponse(w, r, a, offset)
 	}
--- a/node/gate/records.go
+++ b/node/gate/records.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		if t.queue.remove(a) {
-			t.tombstone(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "abandoned: no entry reads the response").WithRetryAfter(retryAfterMin))
+			t.tombstone(a, verdict.New(verdict.NotRun, verdict.CodeTombstoned, "nobody waits for the answer").WithRetryAfter(retryAfterMin))
 			continue
 		}
 		a.cancel()
--- a/node/gate/run.go
+++ b/node/gate/run.go
@@ -50,7 +50,7 @@
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { written.Store(true) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), a.method, "http://"+s.set.Upstream+a.path, bytes.NewReader(a.body))
 	if err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "invalid request %s %s", a.method, a.path)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "no request can be made of %s %s", a.method, a.path)
 	}
 	req.Header = a.header
 	req.Header.Set(wire.HeaderRequestID, string(a.request))
@@ -74,7 +74,7 @@
 		v = verdict.NotRun
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return verdict.New(v, verdict.CodeDeadlineExceeded, "the deadline passed before the upstream finished")
+		return verdict.New(v, verdict.CodeDeadlineExceeded, "the deadline passed while the upstream worked")
 	}
 	return verdict.New(v, verdict.CodeUpstreamFailed, "upstream: %v", err).WithRetryAfter(time.Second)
 }
@@ -89,7 +89,7 @@
 	for {
 		n, err := resp.Body.Read(buf[:])
 		if length+int64(n) > s.set.MaxAnswerBytes {
-			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the response exceeds %d bytes", s.set.MaxAnswerBytes)
+			return verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", s.set.MaxAnswerBytes)
 		}
 		if n > 0 {
 			length = a.response.append(buf[:n])
@@ -99,7 +99,7 @@
 			return checkComplete(resp, tail)
 		}
 		if err != nil {
-			return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the upstream's response was truncated: %v", err)
+			return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the upstream's answer was cut: %v", err)
 		}
 	}
 }
--- a/node/gate/table.go
+++ b/node/gate/table.go
@@ -157,16 +157,16 @@
 func (t *table) checkID(id wire.AttemptID) *verdict.Error {
 	if known := t.attempts[id]; known != nil {
 		if known.state == wire.AttemptTombstoned {
-			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it arrived", id).WithRetryAfter(retryAfterMin)
+			return verdict.New(verdict.NotRun, verdict.CodeTombstoned, "attempt %s was refused or cancelled before it came", id).WithRetryAfter(retryAfterMin)
 		}
-		return verdict.New(verdict.MayHaveRun, verdict.CodeKeyInProgress, "attempt %s is already known; attach to it", id)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeKeyInProgress, "attempt %s is known already; attach to it", id)
 	}
 	issued, ok := id.Issued()
 	switch {
 	case !ok:
-		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "attempt id %q contains no issue time", id)
+		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "attempt id %q carries no time of issue", id)
 	case t.records.mayHaveExpired(issued):
-		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "attempt %s is older than the retention time of this gate", id)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeTombstoned, "attempt %s is older than what this gate remembers", id)
 	case t.issuedTooFarAhead(issued):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeInvalidRequest, "attempt %s was issued in the future: compare the clocks of entry and agent", id)
 	}
@@ -192,7 +192,7 @@
 	left := a.deadline.Sub(t.clock.Now())
 	switch {
 	case a.incarnation != t.incarnation:
-		return verdict.New(verdict.NotRun, verdict.CodeIncarnationChanged, "this gate was restarted; choose an endpoint again").WithRetryAfter(retryAfterMin)
+		return verdict.New(verdict.NotRun, verdict.CodeIncarnationChanged, "this gate was restarted; choose again").WithRetryAfter(retryAfterMin)
 	case t.leaving:
 		return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "the upstream is leaving").WithRetryAfter(time.Second)
 	case left <= 0 || t.usesEstimates() && t.waitMargin(a)*wait+t.expectedRun() > left:
--- a/node/gateway/call.go
+++ b/node/gateway/call.go
@@ -76,10 +76,10 @@
 	name := r.Header.Get(wire.HeaderCustomer)
 	c.customer = c.view.Config.Customers[name]
 	if c.customer == nil {
-		return c, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "customer %q is unknown: set the header %s to a customer of the operators' configuration", name, wire.HeaderCustomer)
+		return c, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "customer %q is not known: set the header %s to a customer of the operators' text", name, wire.HeaderCustomer)
 	}
 	if len(c.customer.Regions) > 0 {
-		return c, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "customer %q may be served in regions %s only, which pipelines do not enforce: use a route", name, strings.Join(c.customer.Regions, ", "))
+		return c, verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "customer %q may be served in regions %s only, and pipelines keep to no region: use a route", name, strings.Join(c.customer.Regions, ", "))
 	}
 	if err := c.readTimeout(r); err != nil {
 		return c, err
@@ -123,7 +123,7 @@
 	if errors.As(err, &tooLarge) {
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body exceeds %d bytes: send less or raise max_body_bytes", limit)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body was truncated: %v", err)
+	return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body was cut: %v", err)
 }
 
 // setDeadline sets and returns the deadline: the caller's timeout after the request arrived, or the given
@@ -143,7 +143,7 @@
 	}
 	p := c.view.Config.ByModel(in.Model)
 	if p == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no pipeline serves model %q: use one that the operators' configuration lists", in.Model)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no pipeline serves model %q: name one that the operators' text lists", in.Model)
 	}
 	if len(in.Messages) == 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "the body has no messages")
@@ -155,7 +155,7 @@
 	name := chi.URLParam(r, "pipeline")
 	p := c.view.Config.Pipelines[name]
 	if p == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "pipeline %q is not in the operators' configuration", name)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "pipeline %q is not in the operators' text", name)
 	}
 	in, err := readInput(c.body)
 	if err != nil {
@@ -221,7 +221,7 @@
 	name := chi.URLParam(r, "service")
 	sv := c.view.Config.Services[name]
 	if sv == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "service %q is not in the operators' configuration", name)
+		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "service %q is not in the operators' text", name)
 	}
 	c.service = name
 	if err := s.admitCall(c); err != nil {
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -138,7 +138,7 @@
 	case s.set.RefuseStale && s.p.Sync.StampAge() > s.set.StaleAfter:
 		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "this entry's configuration is not confirmed").WithRetryAfter(time.Second)
 	case s.receiving.Load() > receivingFactor*int64(s.set.MaxInFlight):
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this entry has too many requests in flight").WithRetryAfter(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this entry receives too many requests").WithRetryAfter(time.Second)
 	}
 	return nil
 }
--- a/node/ledger/holder.go
+++ b/node/ledger/holder.go
@@ -83,7 +83,7 @@
 // releaseKey frees the key of an attempt that will never run, and returns cause.
 func (r *runner) releaseKey(holder wire.ClaimRequest, cause error) error {
 	if _, err := r.settle(holder, wire.Outcome{Verdict: verdict.NotRun}); err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "the release of the key could not be recorded: %v", err)
+		return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "the key's release could not be recorded: %v", err)
 	}
 	return cause
 }
@@ -94,7 +94,7 @@
 	if r.gateRestarted(holder) {
 		return r.settleOutcomeUnknown(holder)
 	}
-	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeKeyInProgress, "the gate that holds the call is unreachable")
+	return nil, verdict.New(verdict.MayHaveRun, verdict.CodeKeyInProgress, "the gate that holds the call is not reached")
 }
 
 // gateRestarted reports whether a later incarnation of the gate has joined.
@@ -119,7 +119,7 @@
 	case st.State == wire.AttemptUnseen:
 		return r.settleOutcomeUnknown(holder) // it was known to the gate earlier, so the gate has forgotten it
 	case st.State != wire.AttemptDone, st.End == wire.EndWhole:
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the call did not answer in time; retry with the same key")
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the call's answer did not come in time; ask again with the same key")
 	case verdict.Of(cause) == verdict.NotRun:
 		return nil, r.releaseKey(holder, cause)
 	}
--- a/node/ledger/run.go
+++ b/node/ledger/run.go
@@ -52,7 +52,7 @@
 // carry a verdict, and RetryAfter unless a resend is pointless.
 func (r *runner) Run(ctx context.Context, key string, c dispatch.Call, policy string) (*Result, error) {
 	if len(key) > maxKeyBytes || !utf8.ValidString(key) {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "header %s must be valid UTF-8 of at most %d bytes", wire.HeaderIdempotencyKey, maxKeyBytes)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "header %s must be UTF-8 of at most %d bytes", wire.HeaderIdempotencyKey, maxKeyBytes)
 	}
 	res, err := r.runRounds(ctx, key, c, policy)
 	if err == nil {
@@ -94,7 +94,7 @@
 			refused = err
 		}
 	}
-	return nil, verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "no upstream of %s accepted the call in time", c.Service)
+	return nil, verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "no upstream of %s took the call in time", c.Service)
 }
 
 // shouldRetry reports whether another attempt is safe and may succeed.
@@ -201,9 +201,9 @@
 func resultOf(o wire.Outcome, replayed bool) (*Result, error) {
 	switch {
 	case o.Verdict == verdict.MayHaveRun:
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeLost, "the call with this key may have run; its answer is lost and it will not run again")
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeLost, "the call of this key may have run; its answer is lost and it is not run again")
 	case o.Status == 0:
-		return nil, verdict.New(verdict.Ran, verdict.CodeOutcomeLost, "the call ran, but its answer exceeds the limit of %d bytes", maxAnswerBytes)
+		return nil, verdict.New(verdict.Ran, verdict.CodeOutcomeLost, "the call ran; its answer was larger than the %d bytes that are kept", maxAnswerBytes)
 	}
 	return &Result{Outcome: o, Replayed: replayed}, nil
 }
--- a/node/order/service.go
+++ b/node/order/service.go
@@ -267,7 +267,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("%d attempts did not end before the order's timeout", t.Queued+t.InFlight)
+			return errors.Errorf("%d attempts did not end in time", t.Queued+t.InFlight)
 		}
 		select {
 		case <-ctx.Done():
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -65,7 +65,7 @@
 		return nil, errors.WithType(errors.Trace(err), ErrUnreachable)
 	}
 	refuse := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this end does not accept calls"}
+		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this end only calls"}
 	})
 	conn := jsonrpc2.NewConn(context.Background(), newStream(countingConn{raw, &c.received}), refuse, jsonrpc2.SetLogger(discardLogger{}))
 	c.mu.Lock()
--- a/node/pipeline/attempt.go
+++ b/node/pipeline/attempt.go
@@ -98,9 +98,9 @@
 func (a *response) statusError() error {
 	switch {
 	case a.status >= http.StatusInternalServerError || a.status == http.StatusTooManyRequests:
-		return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "the upstream returned status %d", a.status).WithRetryAfter(defaultRetryAfter)
+		return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "the upstream answered with status %d", a.status).WithRetryAfter(defaultRetryAfter)
 	case a.status >= http.StatusMultipleChoices:
-		return verdict.New(verdict.Ran, verdict.CodeInvalidRequest, "the upstream rejected the request with status %d", a.status)
+		return verdict.New(verdict.Ran, verdict.CodeInvalidRequest, "the upstream refused the request with status %d", a.status)
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 		return nil, err
 	}
 	if n > maxResponse {
-		return nil, verdict.New(verdict.Ran, verdict.CodeTooLarge, "the response exceeds %d bytes", maxResponse)
+		return nil, verdict.New(verdict.Ran, verdict.CodeTooLarge, "the answer exceeds %d bytes", maxResponse)
 	}
 	return b.Bytes(), nil
 }
@@ -225,7 +225,7 @@
 	return m.ReadCloser.Close()
 }
 
-var errAbandoned = verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the attempt was abandoned")
+var errAbandoned = verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the attempt was given up")
 
 func (m *trackedBody) finish(err error) {
 	m.once.Do(func() {
--- a/node/pipeline/body.go
+++ b/node/pipeline/body.go
@@ -127,7 +127,7 @@
 				continue
 			}
 			if err := f(responses[name]); err != nil {
-				return errors.Annotatef(err, "response of stage %s", name)
+				return errors.Annotatef(err, "answer of stage %s", name)
 			}
 		}
 	}
--- a/node/pipeline/deadline.go
+++ b/node/pipeline/deadline.go
@@ -64,7 +64,7 @@
 	if need <= left || p.s.probes.allow(p.r.Pipeline.Name) {
 		return nil
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline cannot be met: pipeline %s takes about %s, %s left",
+	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline cannot be met: pipeline %s takes about %s, %s are left",
 		p.r.Pipeline.Name, need.Round(time.Millisecond), left.Round(time.Millisecond)).WithRetryAfter(max(need-left, defaultRetryAfter))
 }
 
@@ -76,7 +76,7 @@
 	}
 	ahead := p.remainingTimes(remainingQuantile)[st.Name]
 	if len(st.After) > 0 && time.Now().Add(ahead).After(p.r.Deadline) {
-		return time.Time{}, verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline can no longer be met").WithRetryAfter(defaultRetryAfter)
+		return time.Time{}, verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline cannot be met any more").WithRetryAfter(defaultRetryAfter)
 	}
 	own, _ := p.estimate(st).quantile(p.size, remainingQuantile)
 	return p.r.Deadline.Add(own - ahead), nil
--- a/node/pipeline/race.go
+++ b/node/pipeline/race.go
@@ -339,7 +339,7 @@
 }
 
 func (r *race) timeout() error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the deadline passed before the response arrived").WithRetryAfter(defaultRetryAfter)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the deadline passed before an answer came").WithRetryAfter(defaultRetryAfter)
 }
 
 // failure returns the outcome if all attempts failed: the last response with an error status, or else the
--- a/node/pipeline/resume.go
+++ b/node/pipeline/resume.go
@@ -126,7 +126,7 @@
 	case !r.event.isObject() && !r.event.isDone():
 		// Neither a chunk nor the final event: callers could not parse it.
 	case r.event.isObject() && !json.Valid(r.event.data):
-		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "an event of the stream was truncated")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "an event of the stream was cut")
 	case r.event.isError():
 		return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "the engine reported an error in its stream")
 	case r.event.isDone():
@@ -178,20 +178,20 @@
 		r.complete()
 		return nil
 	case r.ctx.Err() != nil || !time.Now().Before(r.w.Deadline):
-		return verdict.New(verdict.Ran, verdict.CodeDeadlineExceeded, "the deadline passed before the complete response arrived")
+		return verdict.New(verdict.Ran, verdict.CodeDeadlineExceeded, "the deadline passed before the whole answer came")
 	case !p.resumable:
-		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream broke off and cannot be resumed: it is not a single choice of plain text")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream was cut and holds more than one choice of plain text")
 	case r.noProgress(&p):
-		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream broke off repeatedly without new text")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream was cut again and again without any new text")
 	case !r.s.retryBudget(r.w.service).Take():
-		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream broke off and the retry budget is used up")
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream was cut and the retry budget is used up")
 	}
 	body, err := continuation(r.w.Body, &p)
 	if errors.Is(err, errTokenLimitReached) {
 		return r.completeAtLimit(&p)
 	}
 	if err != nil {
-		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream broke off and cannot be resumed: %v", err)
+		return verdict.New(verdict.Ran, verdict.CodeAnswerCut, "the stream was cut and cannot go on: %v", err)
 	}
 	return r.continueWith(body, &p)
 }
@@ -215,7 +215,7 @@
 		return &e
 	}
 	if a.stream == nil {
-		return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "the engine that was to resume the stream returned status %d", a.status)
+		return verdict.New(verdict.Ran, verdict.CodeUpstreamFailed, "the engine that was to go on answered with status %d", a.status)
 	}
 	resumesVar.Add(1)
 	recomputed.Add(int64(p.tokens))
--- a/node/pipeline/stages.go
+++ b/node/pipeline/stages.go
@@ -121,7 +121,7 @@
 		select {
 		case <-p.completed[name]:
 		case <-ctx.Done():
-			return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "stage %s: an earlier stage did not finish in time", st.Name)
+			return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "stage %s: an earlier stage did not end in time", st.Name)
 		}
 	}
 	return nil
--- a/node/planner/reconcile.go
+++ b/node/planner/reconcile.go
@@ -204,9 +204,9 @@
 		report := wire.OrderReport{Upstream: e.ID, Token: token}
 		switch {
 		case e.Synced && e.Seen >= token && e.Running != token:
-			report.State, report.Detail = wire.OrderInterrupted, "the agent is not executing it"
+			report.State, report.Detail = wire.OrderInterrupted, "the agent does not run it"
 		case in.Now.Sub(first.since) > e.Last.Order.Timeout+reportGrace:
-			report.State, report.Detail = wire.OrderFailed, "no report within the timeout"
+			report.State, report.Detail = wire.OrderFailed, "no report in time"
 		default:
 			continue
 		}
--- a/node/proxy/admit.go
+++ b/node/proxy/admit.go
@@ -23,7 +23,7 @@
 	}
 	if x.route = x.table.route(x.r.Host, x.r.URL.EscapedPath()); x.route == nil {
 		if s.stale() {
-			return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no such route in the configuration of this process, which may be outdated").WithRetryAfter(outageRetryAfter())
+			return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no such route as far as is known here").WithRetryAfter(outageRetryAfter())
 		}
 		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no such route")
 	}
@@ -70,13 +70,13 @@
 		return nil
 	}
 	if x.s.views.StampAge() > x.s.set.Proxy.KeyAge {
-		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "keys cannot be checked: the configuration was not confirmed recently").WithRetryAfter(outageRetryAfter())
+		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "keys cannot be checked here now").WithRetryAfter(outageRetryAfter())
 	}
 	if x.customer = x.table.customer(x.call.BearerKey); x.customer != nil {
 		return nil
 	}
 	if x.s.stale() {
-		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no such key in the configuration of this process, which may be outdated").WithRetryAfter(outageRetryAfter())
+		return verdict.New(verdict.NotRun, verdict.CodeConfigStale, "no such key as far as is known here").WithRetryAfter(outageRetryAfter())
 	}
 	e := verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "unknown key")
 	e.Status = http.StatusUnauthorized
@@ -94,7 +94,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body exceeds %d bytes", limit)
+		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body is above %d bytes", limit)
 	case errors.Is(err, errNoMemory):
 		bodiesRefusedVar.Add(1)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s", err).WithRetryAfter(defaultRetryAfter)
--- a/node/proxy/memory.go
+++ b/node/proxy/memory.go
@@ -140,7 +140,7 @@
 }
 
 // errNoMemory says that a body does not fit into the memory budget.
-const errNoMemory = errors.ConstError("proxy: no memory left to buffer the body: other calls use all of it")
+const errNoMemory = errors.ConstError("proxy: the calls that are under way take all memory that bodies may use")
 
 // Read implements io.Reader.
 func (b *bodyReader) Read(p []byte) (int, error) {
--- a/node/proxy/plain.go
+++ b/node/proxy/plain.go
@@ -60,11 +60,11 @@
 	case err != nil:
 		x.investigateBreak(a.member)
 	case len(body) > maxPlainAnswerBytes:
-		err = errors.Errorf("the answer exceeds %d bytes", maxPlainAnswerBytes)
+		err = errors.Errorf("the answer is above %d bytes", maxPlainAnswerBytes)
 	}
 	if err != nil {
 		x.discard(a, outcome)
-		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "the answer of %s is incomplete: %v", a.member.ID, err)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "the answer of %s was cut: %v", a.member.ID, err)
 	}
 	x.discard(a, callAnswered)
 	return body, nil
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -69,7 +69,7 @@
 		return nil
 	}
 	barredVar.Add(x.route.Name, 1)
-	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams crashed while they ran this call; it is in quarantine as %s", fingerprint).WithRetryAfter(barredRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "several upstreams have ended while they ran this call; it is in quarantine as %s", fingerprint).WithRetryAfter(barredRetryAfter)
 }
 
 // isSuspect reports whether several upstreams crashed during the call. It is then sent to at most one upstream each
--- a/node/proxy/ready.go
+++ b/node/proxy/ready.go
@@ -20,9 +20,9 @@
 	case !t.configured():
 		return "no configuration yet"
 	case s.views.StampAge() > s.set.Proxy.KeyAge:
-		return "no recent confirmation by a quorum"
+		return "no confirmation by a quorum"
 	case s.stages.Silent() > maxOwnerSilence:
-		return "the stage owner does not answer"
+		return "the owner of the stages does not answer"
 	}
 	return ""
 }
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -57,7 +57,7 @@
 			x.discard(a, callMoved)
 			x.s.inquiries.MarkCrashed(m.Start())
 			x.setEngineOutcome(m, stagework.EngineFailed)
-			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "another upstream answered at the address of %s", m.ID).WithRetryAfter(defaultRetryAfter)}
+			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "another upstream has the address of %s", m.ID).WithRetryAfter(defaultRetryAfter)}
 			if unsent < maxUnsentAttempts && ctx.Err() == nil && x.allowRepeat(addressMoved) {
 				continue
 			}
@@ -171,7 +171,7 @@
 	}
 	for _, service := range services {
 		if len(x.eligibleUpstreams(service)) == 0 {
-			return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, to which the call is restricted", service, x.allowed.DataCenters).WithRetryAfter(defaultRetryAfter)
+			return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, where the call may be served", service, x.allowed.DataCenters).WithRetryAfter(defaultRetryAfter)
 		}
 	}
 	return nil
@@ -180,9 +180,9 @@
 // noUpstreamError returns the error for a call that has no upstream to try.
 func (x *exchange) noUpstreamError() *verdict.Error {
 	if pause := x.upstreamPause(); pause > 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "all upstreams of service %s asked for a pause", x.service.Name).WithRetryAfter(pause)
+		return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "all upstreams of service %s have asked for a pause", x.service.Name).WithRetryAfter(pause)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no available upstream", x.service.Name).WithRetryAfter(defaultRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream to try", x.service.Name).WithRetryAfter(defaultRetryAfter)
 }
 
 // maxConnections returns this process's share of the connections to one upstream; zero means no limit. The limit is
--- a/node/proxy/stream.go
+++ b/node/proxy/stream.go
@@ -59,7 +59,7 @@
 }
 
 func errInputsLost(engine wire.MemberID) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "results of the stages were lost before %s fetched them", engine).WithRetryAfter(defaultRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "results of the stages were lost before %s had them", engine).WithRetryAfter(defaultRetryAfter)
 }
 
 // relay passes an upstream's stream on to the caller. It reports whether the call is done.
@@ -74,7 +74,7 @@
 	if a.response.Status != http.StatusOK {
 		if out.started {
 			x.discard(a, callFailed)
-			return false, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "%s answered %d to a resumed stream", a.member.ID, a.response.Status)
+			return false, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "%s answered %d to a stream that goes on", a.member.ID, a.response.Status)
 		}
 		body, err := x.readAnswer(ctx, a)
 		if err != nil {
@@ -102,7 +102,7 @@
 		x.investigateBreak(a.member)
 		x.discard(a, callFailed)
 	}
-	return false, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "the stream of %s broke: %v", a.member.ID, err)
+	return false, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "the stream of %s broke off: %v", a.member.ID, err)
 }
 
 // streamWriter writes the caller's stream, which may come from several upstreams in turn.
--- a/node/replica/outage.go
+++ b/node/replica/outage.go
@@ -32,7 +32,7 @@
 }
 
 // errOutage is returned while the replica is suspended by a disk fault.
-var errOutage = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "the disk of this control process accepts no writes")
+var errOutage = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "the disk of this control process takes no writes")
 
 // diskFault classifies a disk error for logs and metrics.
 func diskFault(err error) string {
--- a/node/replica/replica.go
+++ b/node/replica/replica.go
@@ -118,7 +118,7 @@
 
 // Errors of a Replica. Each carries the verdict for the command.
 var (
-	errOverloaded = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many commands are waiting for a quorum")
+	errOverloaded = verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many commands wait for a quorum")
 
 	errStopped        = verdict.New(verdict.MayHaveRun, verdict.CodeShuttingDown, "the control process is stopping")
 	errLeadershipLost = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "leadership was lost before the command was committed")
--- a/node/residency/residency.go
+++ b/node/residency/residency.go
@@ -54,7 +54,7 @@
 func (r Regions) check(who string, regions []string) error {
 	for _, region := range regions {
 		if !r.known(region) {
-			return errors.Annotatef(ErrUnknownRegion, "%s is restricted to region %q, to which no known data centre belongs; known regions: %s", who, region, strings.Join(r.names(), ", "))
+			return errors.Annotatef(ErrUnknownRegion, "%s may be served in %q only, where no data centre is known; known are %s", who, region, strings.Join(r.names(), ", "))
 		}
 	}
 	return nil
--- a/node/rollout/analyzer.go
+++ b/node/rollout/analyzer.go
@@ -283,7 +283,7 @@
 		if worst.route != allRoutes {
 			where = "route " + worst.route
 		}
-		v.Reason = fmt.Sprintf("%s %s more often than the other versions on %s (%d of %d answers bad, log-likelihood ratio %.1f)", a.target, what, where, a.Target.Bad, a.Target.Answers, most)
+		v.Reason = fmt.Sprintf("%s %s more often than the others on %s (%d of %d answers bad, likelihood %.1f)", a.target, what, where, a.Target.Bad, a.Target.Answers, most)
 	}
 	return v
 }
--- a/node/rollout/decision.go
+++ b/node/rollout/decision.go
@@ -76,18 +76,18 @@
 	case e.Verdict.Bad, deciding && e.Verdict.Suspected:
 		return step(wire.RolloutRolledBack, 0, "%s", e.Verdict.Reason)
 	case deciding && up.Target == 0:
-		return step(wire.RolloutRolledBack, 0, "no upstream of version %s is in service", r.Target)
+		return step(wire.RolloutRolledBack, 0, "no upstream of version %s serves", r.Target)
 	case deciding && 2*up.Target < up.Baseline:
-		return step(wire.RolloutRolledBack, 0, "%d upstreams of version %s cannot replace %d upstreams of other versions", up.Target, r.Target, up.Baseline)
+		return step(wire.RolloutRolledBack, 0, "%d upstreams of version %s cannot take the calls of %d", up.Target, r.Target, up.Baseline)
 	case deciding && e.needsAnswers(left):
 		if share := usableShare(r.Span, l); share > r.Share {
-			return step(wire.RolloutRunning, share, "catching up on missed steps: %d answers of version %s are known, %d of other versions", e.Target, r.Target, e.Baseline)
+			return step(wire.RolloutRunning, share, "steps were missed: %d answers of version %s are known, %d of the others", e.Target, r.Target, e.Baseline)
 		}
 		return nil
 	case deciding && e.Target == 0 && e.Baseline >= minBaselineCalls:
-		return step(wire.RolloutRolledBack, 0, "version %s has answered no calls, other versions have answered %d", r.Target, e.Baseline)
+		return step(wire.RolloutRolledBack, 0, "version %s has answered no call, the others %d", r.Target, e.Baseline)
 	case deciding:
-		return step(wire.RolloutCompleted, 1, "%d answers of version %s were as good as %d of other versions", e.Target, r.Target, e.Baseline)
+		return step(wire.RolloutCompleted, 1, "%d answers of version %s were as good as %d of the others", e.Target, r.Target, e.Baseline)
 	}
 	if share := shareAt(r.Span, left, l); share > r.Share && !e.Verdict.Suspected {
 		return step(wire.RolloutRunning, share, "step")
--- a/node/stagework/isolation.go
+++ b/node/stagework/isolation.go
@@ -16,7 +16,7 @@
 
 // errIsolated refuses a call that other processes can most likely serve.
 func errIsolated() error {
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "this process reaches neither control nor the owner of the stage queues").WithRetryAfter(isolatedRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "this process reaches neither control nor the owner of the stages").WithRetryAfter(isolatedRetryAfter)
 }
 
 // controlSilence is how long no control process that reaches the leader has answered this process.
--- a/node/stagework/job.go
+++ b/node/stagework/job.go
@@ -111,7 +111,7 @@
 	for i, s := range j.Stages {
 		for _, k := range s.DependsOn {
 			if k < 0 || k >= i {
-				return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "stage %d depends on stage %d, which is not before it", i, k)
+				return verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "stage %d follows stage %d", i, k)
 			}
 		}
 	}
@@ -121,21 +121,21 @@
 // errNoAllowedUpstream refuses a job when a service has no upstream in the data centres in which
 // the job may run.
 func errNoAllowedUpstream(service string, w residency.AllowedDataCenters) error {
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, where the stages may run", service, w.DataCenters)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "service %s has no upstream in the data centres %v, where the stages may be made", service, w.DataCenters)
 }
 
 func errDeadlineExceeded() error {
-	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the deadline passed before the stages were completed")
+	return verdict.New(verdict.NotRun, verdict.CodeDeadlineUnreachable, "the stages were not done in time")
 }
 
 // errOverloaded refuses a job that would miss its goal.
 func errOverloaded(comeBack time.Duration) error {
-	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the stages are overloaded").WithRetryAfter(comeBack)
+	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "the stages are busy").WithRetryAfter(comeBack)
 }
 
 // errNotOwner says that another process owns the queues.
 func errNotOwner() error {
-	return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "another process owns the stage queues")
+	return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "another process owns the stages")
 }
 
 func errStageFailed(reason string) error {
--- a/node/stagework/ownerlink.go
+++ b/node/stagework/ownerlink.go
@@ -235,7 +235,7 @@
 }
 
 func errNoOwner() error {
-	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no owner of the stage queues can be reached").WithRetryAfter(noOwnerRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "no process that owns the stages can be reached").WithRetryAfter(noOwnerRetryAfter)
 }
 
 // Release frees what the owner holds for a call, once the call's engine has started to answer or
--- a/node/stagework/scheduler.go
+++ b/node/stagework/scheduler.go
@@ -86,7 +86,7 @@
 	n := &job{Job: j, firstEvent: now.Add(j.FirstEvent), serial: s.serial, arrived: now, deadline: now.Add(j.TimeLeft), goal: now.Add(j.Goal), answer: answer}
 	for _, st := range j.Stages {
 		if st.Pieces > 0 && s.services[st.Service] == nil {
-			answer(Result{}, errStageFailed("service "+st.Service+" does not process pieces"))
+			answer(Result{}, errStageFailed("service "+st.Service+" makes no pieces"))
 			return nil
 		}
 		if st.Pieces > 0 && !s.services[st.Service].hasWorkerWithin(j.Within) {
@@ -255,7 +255,7 @@
 	if j == nil {
 		return nil
 	}
-	s.endJob(j, Result{}, errStageFailed("the caller ended the call"))
+	s.endJob(j, Result{}, errStageFailed("the call was given up"))
 	s.releaseEngine(now, j, d.Engine)
 	if d.Moved {
 		return s.abandonJob(j)
--- a/node/stagework/service.go
+++ b/node/stagework/service.go
@@ -247,7 +247,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-s.ctx.Done():
-		return nil, errStageFailed("the owner of the stage queues is stopping")
+		return nil, errStageFailed("the owner of the stages stops")
 	}
 }
 
--- a/node/state/encode.go
+++ b/node/state/encode.go
@@ -28,8 +28,8 @@
 func decodeCommand(data []byte) (c Command, err error) {
 	if len(data) > 0 && data[0] == packedCommandTag {
 		if data, err = wire.Decompress(data[1:]); err != nil {
-			return c, errors.Annotate(err, "state: decode command")
+			return c, errors.Annotate(err, "state: command")
 		}
 	}
-	return c, errors.Annotate(decMode.Unmarshal(data, &c), "state: decode command")
+	return c, errors.Annotate(decMode.Unmarshal(data, &c), "state: command")
 }
--- a/node/state/snapshot.go
+++ b/node/state/snapshot.go
@@ -117,13 +117,13 @@
 		parts, data = append(parts, part), rest
 	}
 	if len(parts) != n {
-		return nil, errors.Errorf("snapshot has %d ledger parts, want %d", len(parts), n)
+		return nil, errors.Errorf("%d parts of the ledger, want %d", len(parts), n)
 	}
 	chunks := make([][]*ledgerEntry, n)
 	err := parallel(n, func(k int) error { return decMode.Unmarshal(parts[k], &chunks[k]) })
 	list := slices.Concat(chunks...)
 	if err == nil && slices.Contains(list, nil) {
-		err = errors.New("snapshot has an empty ledger entry")
+		err = errors.New("empty entry in the ledger")
 	}
 	return list, err
 }
--- a/node/state/state.go
+++ b/node/state/state.go
@@ -331,16 +331,16 @@
 	if len(data) > 0 {
 		rest, err := decMode.UnmarshalFirst(data, &s)
 		if err != nil {
-			return errors.Annotate(err, "state: decode snapshot")
+			return errors.Annotate(err, "state: snapshot")
 		}
 		data = rest
 	}
 	if err := s.unpackText(); err != nil {
-		return errors.Annotate(err, "state: decode snapshot")
+		return errors.Annotate(err, "state: snapshot")
 	}
 	list, err := decodeLedger(data, s.Ledger)
 	if err != nil {
-		return errors.Annotate(err, "state: decode snapshot")
+		return errors.Annotate(err, "state: snapshot")
 	}
 	m.reset(s, list)
 	return nil
--- a/node/textdelta/textdelta.go
+++ b/node/textdelta/textdelta.go
@@ -97,7 +97,7 @@
 }
 
 // ErrMismatch means that a delta cannot be applied to the given text.
-var ErrMismatch = errors.New("textdelta: the delta does not match the base text")
+var ErrMismatch = errors.New("textdelta: the delta does not fit the text held")
 
 // Apply applies d to base, whose sections end at ends. It returns the new text and its
 // section ends, or ErrMismatch.
--- a/node/upstream/call.go
+++ b/node/upstream/call.go
@@ -72,7 +72,7 @@
 		detach()
 		c.Close()
 		if ctx.Err() != nil {
-			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "no response from %s in time", req.Address)
+			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "no answer of %s in time", req.Address)
 		}
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "%s: %v", req.Address, err)
 	}
@@ -118,7 +118,7 @@
 }
 
 // errStrayResponses is returned if only responses to other calls arrived.
-var errStrayResponses = errors.New("upstream: the response belongs to another call")
+var errStrayResponses = errors.New("upstream: the answer belongs to another call")
 
 // readHead reads until the response to this call begins. It skips informational responses and those to
 // earlier calls.
--- a/node/upstream/native.go
+++ b/node/upstream/native.go
@@ -43,14 +43,14 @@
 	if raw := h.Get(wire.HeaderTimeout); raw != "" {
 		wait, err := time.ParseDuration(raw)
 		if err != nil || wait <= 0 {
-			return c, fmt.Errorf("%s: %q is not a duration; write it like 2s", wire.HeaderTimeout, raw)
+			return c, fmt.Errorf("%s: %q is no duration; write one such as 2s", wire.HeaderTimeout, raw)
 		}
 		c.Timeout = wait
 	}
 	for _, part := range splitList(h.Get(headerPieces)) {
 		n, err := strconv.Atoi(part)
 		if err != nil || n < 0 {
-			return c, fmt.Errorf("%s: %q is not a number; write one number for each stage", headerPieces, part)
+			return c, fmt.Errorf("%s: %q is no number; write one a stage", headerPieces, part)
 		}
 		c.Pieces = append(c.Pieces, n)
 	}
@@ -58,7 +58,7 @@
 		id, number, _ := strings.Cut(part, ":")
 		tokens, err := strconv.ParseInt(number, 10, 64)
 		if err != nil {
-			return c, fmt.Errorf("%s: %q is not a prompt part; write ID:TOKENS", headerPromptParts, part)
+			return c, fmt.Errorf("%s: %q is no part; write ID:TOKENS", headerPromptParts, part)
 		}
 		c.Prefix = append(c.Prefix, PromptPart{ID: id, Tokens: tokens})
 	}
--- a/node/upstream/notices.go
+++ b/node/upstream/notices.go
@@ -88,7 +88,7 @@
 	switch {
 	case leaving:
 		withheldVar.Add(1)
-		return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "upstream %s is leaving", start.ID)
+		return verdict.New(verdict.NotRun, verdict.CodeUpstreamLeaving, "upstream %s leaves", start.ID)
 	case pause > 0:
 		withheldVar.Add(1)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "upstream %s has asked for a pause", start.ID).WithRetryAfter(pause)
--- a/node/wal/record.go
+++ b/node/wal/record.go
@@ -18,7 +18,7 @@
 var (
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 	errTorn     = errors.New("wal: torn record")
-	errTooLarge = errors.New("wal: record exceeds 1 GiB")
+	errTooLarge = errors.New("wal: record over 1 GiB")
 )
 
 // record is the body of a log record.
