--- a/e2e/harness/opener_test.go
+++ b/e2e/harness/opener_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestOpenerOfAConnection finds the socket at the other end of a connection among all of the machine, by the kernel's
+// TestFindConnectionOpener finds the socket at the other end of a connection among all of the machine, by the kernel's
 // answer as by its table, and the process that holds it.
-func TestOpenerOfAConnection(t *testing.T) {
+func TestFindConnectionOpener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -97,9 +97,9 @@
 	s.AwaitVersion(6)
 }
 
-// TestFarBehind stops an entry, an agent and a control process while 500
+// TestProcessesCatchUpWithManyChanges stops an entry, an agent and a control process while 500
 // changes are accepted, and brings them back.
-func TestFarBehind(t *testing.T) {
+func TestProcessesCatchUpWithManyChanges(t *testing.T) {
 	t.Parallel()
 	const changes = 500
 	s := harness.New(t, harness.Options{})
--- a/node/coldstart/coldstart_test.go
+++ b/node/coldstart/coldstart_test.go
@@ -21,10 +21,10 @@
 	return most
 }
 
-// TestNoSecondIsAboveTheBound has the current chooser, a replaced chooser that does not know it
+// TestColdStartLimitHoldsInEverySecond has the current chooser, a replaced chooser that does not know it
 // yet, and the processes of a data centre all send to one cold upstream as fast as they are
 // allowed, with calls in transit for up to a second. The shares must add up to the limit.
-func TestNoSecondIsAboveTheBound(t *testing.T) {
+func TestColdStartLimitHoldsInEverySecond(t *testing.T) {
 	for _, c := range []struct {
 		rate      float64
 		limit     Limit
--- a/node/configsync/clock_test.go
+++ b/node/configsync/clock_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestOwnersEpochBringsAView applies a newer owner, and then an older one from a control process that lags.
-func TestOwnersEpochBringsAView(t *testing.T) {
+// TestViewFollowsTheOwnerEpoch applies a newer owner, and then an older one from a control process that lags.
+func TestViewFollowsTheOwnerEpoch(t *testing.T) {
 	h := NewHolder(wire.Member{ID: "m"})
 	now := time.Now()
 	for _, epoch := range []uint64{1, 3, 2} {
--- a/node/configsync/confirmation_test.go
+++ b/node/configsync/confirmation_test.go
@@ -7,9 +7,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestSteady checks, for lists of confirmation times, for how long the view then counts as continuously
+// TestContinuousConfirmation checks, for lists of confirmation times, for how long the view then counts as continuously
 // confirmed.
-func TestSteady(t *testing.T) {
+func TestContinuousConfirmation(t *testing.T) {
 	const moment = 100 * time.Millisecond
 	cases := map[string]struct {
 		at   []time.Duration // after the start
--- a/node/configsync/holder_test.go
+++ b/node/configsync/holder_test.go
@@ -10,9 +10,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestAnswersThatAreRefused checks replies after which the process must ask another control process, or for a
+// TestRejectedReplies checks replies after which the process must ask another control process, or for a
 // complete list or text, and must not count as confirmed.
-func TestAnswersThatAreRefused(t *testing.T) {
+func TestRejectedReplies(t *testing.T) {
 	text := "[data_center:a]\n"
 	whole := func(version uint64) *wire.ConfigText {
 		return &wire.ConfigText{Version: version, Text: text, Hash: xxhash.Sum64String(text)}
--- a/node/configsync/listeners_test.go
+++ b/node/configsync/listeners_test.go
@@ -12,9 +12,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestTakenOver checks that a view that a listener is still processing does not count as taken over, although
+// TestViewIsAppliedOnlyAfterListeners checks that a view that a listener is still processing does not count as taken over, although
 // View already returns it.
-func TestTakenOver(t *testing.T) {
+func TestViewIsAppliedOnlyAfterListeners(t *testing.T) {
 	s := &Service{clock: clockwork.NewFakeClock(), holder: NewHolder(wire.Member{ID: "a"}), log: logr.Discard(), ring: timeline.NewRing("a", "v", 16)}
 	calls := 0
 	s.OnChange(func(*View) {
--- a/node/configsync/loop_test.go
+++ b/node/configsync/loop_test.go
@@ -13,9 +13,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestHangingControlsArePassedOverWithinTheLease lets the current control process and the one after it accept
+// TestUnresponsiveControlsAreSkippedWithinTheLease lets the current control process and the one after it accept
 // calls and never answer. The lease must be renewed in time.
-func TestHangingControlsArePassedOverWithinTheLease(t *testing.T) {
+func TestUnresponsiveControlsAreSkippedWithinTheLease(t *testing.T) {
 	const lease, controls = 3 * time.Second, 3
 	hang := errors.New("no answer")
 	p, _ := initialPlan().after(nil, controls)
@@ -128,10 +128,10 @@
 func (h *hangingSource) BytesReceived() uint64 { return 0 }
 func (h *hangingSource) Close()                {}
 
-// TestSuspectedVMIsLeft starts a long poll at a VM on which another process does not answer. The poll must
+// TestLongPollLeavesASuspectedVM starts a long poll at a VM on which another process does not answer. The poll must
 // end without advancing the clock, and the control process there must be asked last. Reports about other VMs
 // must have no effect.
-func TestSuspectedVMIsLeft(t *testing.T) {
+func TestLongPollLeavesASuspectedVM(t *testing.T) {
 	src := &hangingSource{address: "10.0.0.1:7101", asked: make(chan struct{}, 1)}
 	s := &Service{holder: NewHolder(wire.Member{}), clock: clockwork.NewFakeClock(), wake: make(chan struct{}, 1), unresponsive: make(chan string), unanswered: map[string]time.Time{}, sources: []source{src, &scriptedSource{address: "10.0.0.2:7101"}}}
 	ended := make(chan error, 1)
--- a/node/configsync/outage_test.go
+++ b/node/configsync/outage_test.go
@@ -12,9 +12,9 @@
 	"caperdrum.org/node/peer"
 )
 
-// TestSilenceOfControl ends synchronizations in each way. Control must count as silent from the time at which
+// TestDurationOfControlSilence ends synchronizations in each way. Control must count as silent from the time at which
 // the first missing answer was due, until a control process that reaches the leader answers.
-func TestSilenceOfControl(t *testing.T) {
+func TestDurationOfControlSilence(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	s := &Service{holder: NewHolder(wire.Member{ID: "m"}), log: logr.Discard(), clock: clock, directory: peer.NewDirectory([]string{"c1"})}
 	want := func(when string, silent time.Duration) {
--- a/node/configsync/slow_answer_test.go
+++ b/node/configsync/slow_answer_test.go
@@ -18,10 +18,10 @@
 	"caperdrum.org/node/peer"
 )
 
-// TestAnswerThatComesSlowly sends a large reply over a slow link, in parts that each arrive within the grace
+// TestSlowReplyIsNotAbandoned sends a large reply over a slow link, in parts that each arrive within the grace
 // period. The reply must not be abandoned: it would take as long at the next control process, and meanwhile
 // this process would learn neither of leaving members nor of confirmations.
-func TestAnswerThatComesSlowly(t *testing.T) {
+func TestSlowReplyIsNotAbandoned(t *testing.T) {
 	const parts, between = 8, answerGrace * 3 / 4
 	clock := clockwork.NewFakeClock()
 	near, far := net.Pipe()
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestAnswerThatStopsIsGivenUp sends only the first part of a reply.
-func TestAnswerThatStopsIsGivenUp(t *testing.T) {
+// TestStalledReplyIsAbandoned sends only the first part of a reply.
+func TestStalledReplyIsAbandoned(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	near, far := net.Pipe()
 	src := peer.NewClient("c1", func(context.Context, string) (net.Conn, error) { return near, nil })
--- a/node/configsync/source_test.go
+++ b/node/configsync/source_test.go
@@ -12,10 +12,10 @@
 	"caperdrum.org/node/peer"
 )
 
-// TestFirstViewsComeFromAllVoters starts deployments with three seeds and seven voters without a
+// TestInitialViewsAreSpreadOverVoters starts deployments with three seeds and seven voters without a
 // confirmation. Once processes know the voters, they must request their initial views from all of them, in
 // about equal numbers.
-func TestFirstViewsComeFromAllVoters(t *testing.T) {
+func TestInitialViewsAreSpreadOverVoters(t *testing.T) {
 	seeds := []string{"10.1.0.1:7740", "10.2.0.1:7740", "10.3.0.1:7740"}
 	voters := append([]string{"10.4.0.1:7740", "10.5.0.1:7740", "10.6.0.1:7740", "10.1.0.2:7740"}, seeds...)
 	for _, processes := range []int{90, 360, 720} {
@@ -40,10 +40,10 @@
 	}
 }
 
-// TestAllControlProcessesAreAskedInTheEnd lets control processes without a confirmation each return a
+// TestAllControlProcessesAreAskedEventually lets control processes without a confirmation each return a
 // different list of voters. A process without a view must still ask each of them eventually, and so find one
 // with a confirmation.
-func TestAllControlProcessesAreAskedInTheEnd(t *testing.T) {
+func TestAllControlProcessesAreAskedEventually(t *testing.T) {
 	seeds := []string{"10.1.0.1:7740", "10.2.0.1:7740", "10.3.0.1:7740", "10.4.0.1:7740", "10.5.0.1:7740"}
 	for i := range 200 {
 		s := newUnsynced(wire.Member{ID: wire.MemberID(fmt.Sprintf("edge-%d", i))}, seeds)
@@ -70,9 +70,9 @@
 	return s
 }
 
-// TestControlProcessBeginsWithItself starts a voter, and a process that has a voter's address but not its
+// TestControlProcessAsksItselfFirst starts a voter, and a process that has a voter's address but not its
 // role.
-func TestControlProcessBeginsWithItself(t *testing.T) {
+func TestControlProcessAsksItselfFirst(t *testing.T) {
 	seeds := []string{"10.1.0.1:7740", "10.2.0.1:7740", "10.3.0.1:7740"}
 	for _, address := range seeds {
 		s := newUnsynced(wire.Member{ID: "voter", Peer: address, Role: "proxy+control"}, seeds)
--- a/node/configsync/suspects_test.go
+++ b/node/configsync/suspects_test.go
@@ -9,9 +9,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestSuspectsComeWithViews receives quarantined calls with the initial view, and in updates without other
+// TestViewsContainSuspects receives quarantined calls with the initial view, and in updates without other
 // changes. A control process with an older state must not lift a bar.
-func TestSuspectsComeWithViews(t *testing.T) {
+func TestViewsContainSuspects(t *testing.T) {
 	h := NewHolder(wire.Member{ID: "m"})
 	news := func(revision uint64, barred bool) *wire.Suspects {
 		return &wire.Suspects{Revision: revision, List: []wire.Suspect{{Fingerprint: "f", Barred: barred}}}
--- a/node/consensus/start_test.go
+++ b/node/consensus/start_test.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestReplicasThatStartAgainLeaveALeader restarts most followers while their leader is running: they must
+// TestRestartedReplicasKeepTheLeader restarts most followers while their leader is running: they must
 // hear from it before they campaign.
-func TestReplicasThatStartAgainLeaveALeader(t *testing.T) {
+func TestRestartedReplicasKeepTheLeader(t *testing.T) {
 	for seed := range uint64(50) {
 		g := newStartedGroup(seed*100, 5)
 		for _, led := g.leader(); !led; _, led = g.leader() {
--- a/node/control/follower_test.go
+++ b/node/control/follower_test.go
@@ -41,10 +41,10 @@
 	return time.Since(f.stamped)
 }
 
-// TestConfirmationIsAskedForUntilThereIsOne starts all processes at the same time. A follower must get a
+// TestConfirmationIsRequestedUntilReceived starts all processes at the same time. A follower must get a
 // confirmation soon after its leader has one, since all other processes wait for it, and must then return to
 // its normal call rate.
-func TestConfirmationIsAskedForUntilThereIsOne(t *testing.T) {
+func TestConfirmationIsRequestedUntilReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			confirmed = 1230 * time.Millisecond // when the leader has a confirmation, after the start
--- a/node/control/leases_test.go
+++ b/node/control/leases_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestClockThatWentBack restarts a member with a lower incarnation. It must become a member again once the
+// TestLeasesAfterClockStepBack restarts a member with a lower incarnation. It must become a member again once the
 // lease of its earlier start has expired.
-func TestClockThatWentBack(t *testing.T) {
+func TestLeasesAfterClockStepBack(t *testing.T) {
 	w := newSimulation(nil)
 	w.commit(state.Command{Join: []wire.Member{{ID: "m0", Incarnation: 9}}})
 	w.nodes[0].catchUp(1)
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestUpstreamThatLeavesIsFoundWhereverItIs lets upstreams leave that are in the member list, or whose join
+// TestDeregistrationOfListedAndPendingUpstreams lets upstreams leave that are in the member list, or whose join
 // is pending. No record may be created for an unknown upstream, or for one of our own processes.
-func TestUpstreamThatLeavesIsFoundWhereverItIs(t *testing.T) {
+func TestDeregistrationOfListedAndPendingUpstreams(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	held := wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", false)
@@ -170,10 +170,10 @@
 	}
 }
 
-// TestUpstreamThatStartsAgainReplacesItself lets an upstream leave, or crash, and start again with the same
+// TestRestartedUpstreamReplacesItsEarlierIncarnation lets an upstream leave, or crash, and start again with the same
 // ID. The later start must become a member immediately, and late messages of the earlier one must change
 // nothing: at this leader, at the next one, and at one that was restored from a snapshot.
-func TestUpstreamThatStartsAgainReplacesItself(t *testing.T) {
+func TestRestartedUpstreamReplacesItsEarlierIncarnation(t *testing.T) {
 	const first, second = 1_700_000_000_000, 1_700_000_005_000
 	record := func(started uint64, leaving bool) wire.Member {
 		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", leaving).WithStartTime(started)
@@ -226,9 +226,9 @@
 	}
 }
 
-// TestUpstreamWhoseClockWentBack restarts an upstream whose clock was set back. It must become a member once
+// TestRestartedUpstreamWithEarlierClock restarts an upstream whose clock was set back. It must become a member once
 // the lease of its earlier start has expired.
-func TestUpstreamWhoseClockWentBack(t *testing.T) {
+func TestRestartedUpstreamWithEarlierClock(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
 	record := func(started uint64) wire.Member {
--- a/node/control/longpoll_test.go
+++ b/node/control/longpoll_test.go
@@ -49,9 +49,9 @@
 	h.view.Store(h.machine.View())
 }
 
-// TestHintEndsHold checks that a long poll returns immediately, without advancing the clock, when a fencing
+// TestHintEndsLongPoll checks that a long poll returns immediately, without advancing the clock, when a fencing
 // token is issued to the caller or the term changes, but not when one is issued to another process.
-func TestHintEndsHold(t *testing.T) {
+func TestHintEndsLongPoll(t *testing.T) {
 	h := &hintCluster{machine: state.New()}
 	h.view.Store(h.machine.View())
 	h.term.Store(1)
@@ -102,9 +102,9 @@
 	<-answers
 }
 
-// TestOutageEndsHold lets the disk of a control process fail during a long poll. That call, and the next one,
+// TestOutageEndsLongPoll lets the disk of a control process fail during a long poll. That call, and the next one,
 // must be redirected immediately, without advancing the clock.
-func TestOutageEndsHold(t *testing.T) {
+func TestOutageEndsLongPoll(t *testing.T) {
 	h := &hintCluster{machine: state.New()}
 	h.view.Store(h.machine.View())
 	clock := clockwork.NewFakeClock()
--- a/node/control/puts_test.go
+++ b/node/control/puts_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestAnotherChangeComesFirst commits another change between the computation of a delta and its proposal. The
+// TestDeltaIsRecomputedAfterAConcurrentChange commits another change between the computation of a delta and its proposal. The
 // delta must be computed again.
-func TestAnotherChangeComesFirst(t *testing.T) {
+func TestDeltaIsRecomputedAfterAConcurrentChange(t *testing.T) {
 	s, p := newRecordingCluster(t)
 	text := routes(100)
 	mustPut(t, s, 1, text)
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestResendJoinsTheChangeUnderWay sends a change again while it is in progress, after its first sender has
+// TestResendJoinsTheChangeInProgress sends a change again while it is in progress, after its first sender has
 // disconnected. It must be proposed once, and all waiting senders must get the result.
-func TestResendJoinsTheChangeUnderWay(t *testing.T) {
+func TestResendJoinsTheChangeInProgress(t *testing.T) {
 	synctest.Test(t, resendJoins)
 }
 
--- a/node/control/rollout_test.go
+++ b/node/control/rollout_test.go
@@ -8,9 +8,9 @@
 	"caperdrum.org/node/state"
 )
 
-// TestLeaderThatComesLate lets leaders start to track a roll-out at different times. If its span is over, or
+// TestLateRolloutLeader lets leaders start to track a roll-out at different times. If its span is over, or
 // so nearly that tracking ends after it, earlier counts may be missing.
-func TestLeaderThatComesLate(t *testing.T) {
+func TestLateRolloutLeader(t *testing.T) {
 	start := time.Unix(1000, 0)
 	r := wire.Rollout{Service: "desk", Target: "v2", Span: 10 * time.Second, State: wire.RolloutRunning, Order: 1, Started: start.UnixMilli()}
 	for passed, late := range map[time.Duration]bool{0: false, 5 * time.Second: false, 9 * time.Second: true, 10 * time.Second: true, time.Hour: true} {
--- a/node/control/selfforming_plan_test.go
+++ b/node/control/selfforming_plan_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestOffersAreForgotten lets an offer expire, and a second replica take the address of the first.
-func TestOffersAreForgotten(t *testing.T) {
+// TestOffersExpire lets an offer expire, and a second replica take the address of the first.
+func TestOffersExpire(t *testing.T) {
 	var o offers
 	start := time.Unix(1000, 0)
 	o.add(consensus.Peer{ID: "a/1", Address: "a"}, start)
--- a/node/control/stageowner_test.go
+++ b/node/control/stageowner_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestOwnerDoesNotLead makes the stage owner the leader. It must try to transfer leadership periodically
+// TestOwnerTransfersLeadership makes the stage owner the leader. It must try to transfer leadership periodically
 // until it succeeds, and must stay the owner.
-func TestOwnerDoesNotLead(t *testing.T) {
+func TestOwnerTransfersLeadership(t *testing.T) {
 	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
 	set := &settings.Settings{}
 	set.Node.Name = "owner"
@@ -83,10 +83,10 @@
 	}
 }
 
-// TestOwnerThatStartedAgainIsReplacedAtOnce restarts all processes. The leader gets renewals of the new
+// TestRestartedOwnerIsReplacedAtOnce restarts all processes. The leader gets renewals of the new
 // starts before the member list contains them. It must not assign an earlier start, and must assign a new one
 // as soon as that has renewed its lease.
-func TestOwnerThatStartedAgainIsReplacedAtOnce(t *testing.T) {
+func TestRestartedOwnerIsReplacedAtOnce(t *testing.T) {
 	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
 	set := &settings.Settings{}
 	set.Node.Name = "leader"
@@ -125,8 +125,8 @@
 func (aliveClient) ping(context.Context) error { return nil }
 func (aliveClient) Close()                     {}
 
-// TestUnheardProcessIsEventuallyAssigned loses the owner, and no other process renews its lease.
-func TestUnheardProcessIsEventuallyAssigned(t *testing.T) {
+// TestSilentProcessEventuallyBecomesOwner loses the owner, and no other process renews its lease.
+func TestSilentProcessEventuallyBecomesOwner(t *testing.T) {
 	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
 	set := &settings.Settings{}
 	set.Node.Name = "leader"
--- a/node/control/transport_test.go
+++ b/node/control/transport_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestNewLinkAsksForAnAnswer checks when an answer is required: always before the first one, and then once
+// TestAckDue checks when an answer is required: always before the first one, and then once
 // per ackInterval.
-func TestNewLinkAsksForAnAnswer(t *testing.T) {
+func TestAckDue(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
 		confirmed time.Time
--- a/node/gate/stop_test.go
+++ b/node/gate/stop_test.go
@@ -12,9 +12,9 @@
 	"caperdrum.org/node/settings"
 )
 
-// TestStopCountsWhatIsUnderWayNow ends the last attempt after Stop has checked, and the drain time right
+// TestStopCountsAttemptsInProgressAtTheEnd ends the last attempt after Stop has checked, and the drain time right
 // after that. Stop must not report the attempt as cut off.
-func TestStopCountsWhatIsUnderWayNow(t *testing.T) {
+func TestStopCountsAttemptsInProgressAtTheEnd(t *testing.T) {
 	set := &settings.Settings{Peers: settings.Peers{Control: []string{"127.0.0.1:1"}}, Agent: settings.AgentRole{Listen: "127.0.0.1:0", Upstream: "127.0.0.1:1", LeaveGrace: time.Hour}}
 	ring := timeline.NewRing("gate", "vm", 16)
 	s := New(Params{Settings: set, Log: logr.Discard(), Ring: ring, Sync: configsync.New(configsync.Params{Settings: set, Log: logr.Discard(), Ring: ring})})
--- a/node/ledger/settlequeue_test.go
+++ b/node/ledger/settlequeue_test.go
@@ -11,9 +11,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestUnrecorded fails every other settlement. Each must be recorded exactly once in the end, and the queue
+// TestFailedSettlementsAreRetried fails every other settlement. Each must be recorded exactly once in the end, and the queue
 // must respect its limits.
-func TestUnrecorded(t *testing.T) {
+func TestFailedSettlementsAreRetried(t *testing.T) {
 	u := newSettleQueue(nil, clockwork.NewFakeClock())
 	var mu sync.Mutex
 	tries, recorded := 0, map[string]int{}
--- a/node/logging/async_test.go
+++ b/node/logging/async_test.go
@@ -26,10 +26,10 @@
 	return s.Buffer.Write(p)
 }
 
-// TestStoppedReaderBlocksNobody logs from many goroutines to a blocked stream. All calls
+// TestBlockedLogWriterDoesNotBlockCallers logs from many goroutines to a blocked stream. All calls
 // must return, the queue must stay bounded, and once the stream is unblocked it must get
 // the number of dropped lines.
-func TestStoppedReaderBlocksNobody(t *testing.T) {
+func TestBlockedLogWriterDoesNotBlockCallers(t *testing.T) {
 	out := newBlockedWriter()
 	log, flush := New(out, "p", "info")
 	var wg sync.WaitGroup
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestFailuresGoFirst checks that queued failures are written before queued routine lines.
-func TestFailuresGoFirst(t *testing.T) {
+// TestFailuresAreWrittenFirst checks that queued failures are written before queued routine lines.
+func TestFailuresAreWrittenFirst(t *testing.T) {
 	out := newBlockedWriter()
 	log, flush := New(out, "p", "info")
 	log.V(Routine).Info("first")
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestKindsAreLimited floods the log with one kind of line. Other kinds must still be
+// TestLinesAreRateLimitedByKind floods the log with one kind of line. Other kinds must still be
 // admitted, and the flooding kind again at its rate a second later.
-func TestKindsAreLimited(t *testing.T) {
+func TestLinesAreRateLimitedByKind(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := newWriter(io.Discard, func() time.Time { return now })
 	defer w.Close()
--- a/node/peer/dial_test.go
+++ b/node/peer/dial_test.go
@@ -9,9 +9,9 @@
 	"github.com/juju/errors"
 )
 
-// TestFirstPacketIsLost leaves the first two connection attempts without an answer, as a VM does that is just
+// TestDialSurvivesALostFirstPacket leaves the first two connection attempts without an answer, as a VM does that is just
 // starting. The call must succeed with the third attempt, within its own time limit.
-func TestFirstPacketIsLost(t *testing.T) {
+func TestDialSurvivesALostFirstPacket(t *testing.T) {
 	s := NewServer()
 	Handle(s, MethodPing, Ping)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/node/peer/leader_search_test.go
+++ b/node/peer/leader_search_test.go
@@ -51,9 +51,9 @@
 	return c, clock
 }
 
-// TestSearchEnds makes calls without a deadline. They must fail when no leader was found for SearchTimeout,
+// TestLeaderSearchTimesOut makes calls without a deadline. They must fail when no leader was found for SearchTimeout,
 // later ones must fail immediately without being sent, and calls must succeed again once there is a leader.
-func TestSearchEnds(t *testing.T) {
+func TestLeaderSearchTimesOut(t *testing.T) {
 	for _, name := range []string{"does not lead", "hangs"} {
 		t.Run(name, func(t *testing.T) {
 			l := &fakeLeader{}
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestEndedCallIsNoAnswer calls with a cancelled context. Since no answer was read, there must be an error.
-func TestEndedCallIsNoAnswer(t *testing.T) {
+// TestCancelledCallReturnsAnError calls with a cancelled context. Since no answer was read, there must be an error.
+func TestCancelledCallReturnsAnError(t *testing.T) {
 	l := &fakeLeader{}
 	c, _ := l.control(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/node/pipeline/attempt_test.go
+++ b/node/pipeline/attempt_test.go
@@ -298,9 +298,9 @@
 	}
 }
 
-// TestErrorResponsesCostTraffic checks that one of four upstreams that returns 500 at once loses
+// TestErrorResponsesReduceTraffic checks that one of four upstreams that returns 500 at once loses
 // its traffic, instead of attracting it as the fastest one.
-func TestErrorResponsesCostTraffic(t *testing.T) {
+func TestErrorResponsesReduceTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		failed, bad := 0, 0
 		g := &fakeGate{}
--- a/node/pipeline/resume_test.go
+++ b/node/pipeline/resume_test.go
@@ -207,10 +207,10 @@
 	}
 }
 
-// TestStreamIsWhole cuts an engine's stream at any byte, any number of times, by a broken connection, a
+// TestResumedStreamIsComplete cuts an engine's stream at any byte, any number of times, by a broken connection, a
 // stall, an early end or an error event, with every engine formatting differently. The caller must read the
 // text of an uncut stream, under one id, with one role, one finish reason and one final event.
-func TestStreamIsWhole(t *testing.T) {
+func TestResumedStreamIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(rapidtest.NoDeadline{TB: t}, checkStream)
 	})
--- a/node/planner/planner_test.go
+++ b/node/planner/planner_test.go
@@ -398,8 +398,8 @@
 	}
 }
 
-// TestForecastWakesAhead checks that engines are warm before a burst that was seen on the day before.
-func TestForecastWakesAhead(t *testing.T) {
+// TestForecastLoadsEnginesBeforeABurst checks that engines are warm before a burst that was seen on the day before.
+func TestForecastLoadsEnginesBeforeABurst(t *testing.T) {
 	sp := spec()
 	sp.Forecast, sp.WakeLead = true, 5*time.Minute
 	f := newFleet(8, sp)
--- a/node/proxy/memory_test.go
+++ b/node/proxy/memory_test.go
@@ -8,9 +8,9 @@
 	"testing/synctest"
 )
 
-// TestAnswersDoNotWaitForEachOther has several large answers arrive at once. The budget has room for each, but
+// TestConcurrentAnswersDoNotDeadlock has several large answers arrive at once. The budget has room for each, but
 // not for all, and is exhausted when each has a part. All must be delivered, one after another.
-func TestAnswersDoNotWaitForEachOther(t *testing.T) {
+func TestConcurrentAnswersDoNotDeadlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			callers = 5
--- a/node/proxy/pause_test.go
+++ b/node/proxy/pause_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestUpstreamThatSpokeMeanwhile has an upstream announce that it leaves after it was selected for a call.
-func TestUpstreamThatSpokeMeanwhile(t *testing.T) {
+// TestUpstreamThatLeavesAfterSelectionGetsNoCall has an upstream announce that it leaves after it was selected for a call.
+func TestUpstreamThatLeavesAfterSelectionGetsNoCall(t *testing.T) {
 	f := newFixture(t)
 	var arrived atomic.Int32
 	f.upstream("desk", "i-1", func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// TestWhoMayCall checks which calls are refused before anything is sent.
-func TestWhoMayCall(t *testing.T) {
+// TestRouteAndKeyChecks checks which calls are refused before anything is sent.
+func TestRouteAndKeyChecks(t *testing.T) {
 	cases := map[string]struct {
 		path, key string
 		age       time.Duration
@@ -284,8 +284,8 @@
 	}
 }
 
-// TestWhatMayBeRepeated checks for failing upstreams how often a call may reach one.
-func TestWhatMayBeRepeated(t *testing.T) {
+// TestRepeatableCalls checks for failing upstreams how often a call may reach one.
+func TestRepeatableCalls(t *testing.T) {
 	serverError := func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "server error", http.StatusInternalServerError)
 	}
@@ -409,9 +409,9 @@
 	}
 }
 
-// TestStreamGoesOnElsewhere breaks a resumable stream in the middle of an event: the caller must get each event
+// TestStreamResumesAtAnotherUpstream breaks a resumable stream in the middle of an event: the caller must get each event
 // once, and the stages are run again.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+func TestStreamResumesAtAnotherUpstream(t *testing.T) {
 	f := newFixture(t)
 	var n callCounter
 	flaky := events(6, 4)
@@ -444,8 +444,8 @@
 	}
 }
 
-// TestCutStreamDoesNotLookWhole breaks a stream that may not be resumed: the caller must see an error.
-func TestCutStreamDoesNotLookWhole(t *testing.T) {
+// TestCutStreamIsReportedAsAnError breaks a stream that may not be resumed: the caller must see an error.
+func TestCutStreamIsReportedAsAnError(t *testing.T) {
 	f := newFixture(t)
 	f.upstream("llm", "e1", events(6, 4))
 	f.upstream("llm", "e2", events(6, 4))
@@ -525,8 +525,8 @@
 	})
 }
 
-// TestUpstreamThatLeftMeanwhile has the only known engine leave while the stages run.
-func TestUpstreamThatLeftMeanwhile(t *testing.T) {
+// TestEngineThatLeavesDuringTheStagesIsNotCalled has the only known engine leave while the stages run.
+func TestEngineThatLeavesDuringTheStagesIsNotCalled(t *testing.T) {
 	f := newFixture(t)
 	var left callCounter
 	f.upstream("llm", "left", left.count(events(1, 0)))
@@ -554,8 +554,8 @@
 	<-closed
 }
 
-// TestStoppingProcessAnswers checks that a call in progress gets a final answer when the process must end.
-func TestStoppingProcessAnswers(t *testing.T) {
+// TestCallInProgressIsAnsweredAtShutdown checks that a call in progress gets a final answer when the process must end.
+func TestCallInProgressIsAnsweredAtShutdown(t *testing.T) {
 	f := newFixture(t)
 	arrived := make(chan struct{})
 	f.upstream("desk", "d1", func(_ http.ResponseWriter, r *http.Request) {
@@ -606,9 +606,9 @@
 	}
 }
 
-// TestRefusalSendsTheCallerElsewhere checks that a process that is not ready closes the connection of a refused
+// TestRefusalClosesTheConnection checks that a process that is not ready closes the connection of a refused
 // call, as a kept connection would bring the caller back to it.
-func TestRefusalSendsTheCallerElsewhere(t *testing.T) {
+func TestRefusalClosesTheConnection(t *testing.T) {
 	f := newFixture(t)
 	for _, silent := range []time.Duration{0, time.Minute} {
 		f.stages.silent = silent
--- a/node/proxy/quarantine_test.go
+++ b/node/proxy/quarantine_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestStreamThatIsAnsweredGoesOn bars a call while its stream is being answered.
-func TestStreamThatIsAnsweredGoesOn(t *testing.T) {
+// TestBarredStreamInProgressContinues bars a call while its stream is being answered.
+func TestBarredStreamInProgressContinues(t *testing.T) {
 	f := newFixture(t)
 	f.upstream("llm", "i-1", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -202,9 +202,9 @@
 	return n
 }
 
-// TestSuspectThatMeetsAnotherUpstream has other upstreams answer at the announced addresses: a suspect is refused as
+// TestMisdirectedSuspectIsNotRetried has other upstreams answer at the announced addresses: a suspect is refused as
 // not run after one attempt, other calls try further upstreams.
-func TestSuspectThatMeetsAnotherUpstream(t *testing.T) {
+func TestMisdirectedSuspectIsNotRetried(t *testing.T) {
 	for _, suspect := range []bool{false, true} {
 		f := newFixture(t)
 		var arrived atomic.Int32
--- a/node/proxy/repeat_test.go
+++ b/node/proxy/repeat_test.go
@@ -43,9 +43,9 @@
 	return n
 }
 
-// TestNothingIsSentAgainBeyondTheLimit sends calls that no upstream runs, for different reasons, within one window, and
+// TestRepeatsAreLimited sends calls that no upstream runs, for different reasons, within one window, and
 // counts repeats as the users do.
-func TestNothingIsSentAgainBeyondTheLimit(t *testing.T) {
+func TestRepeatsAreLimited(t *testing.T) {
 	const calls = 400
 	refuse := func(status int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -97,9 +97,9 @@
 	f.announce(service, list)
 }
 
-// TestStartThatIsNoMemberHasNoPart has calls fail at a process whose view does not contain its incarnation. It must not
+// TestProcessOutsideTheMemberListDoesNotRepeat has calls fail at a process whose view does not contain its incarnation. It must not
 // repeat them: the repeats of its earlier incarnation still count.
-func TestStartThatIsNoMemberHasNoPart(t *testing.T) {
+func TestProcessOutsideTheMemberListDoesNotRepeat(t *testing.T) {
 	for name, members := range map[string][]wire.Member{
 		"it has not joined":                   {},
 		"its earlier incarnation is a member": {{ID: "proxy-1", Peer: "127.0.0.1:1"}},
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestResultsThatAreLostTwice checks that a call whose stage results are lost is sent once more and then refused as not
+// TestSecondLossOfStageResultsIsRefused checks that a call whose stage results are lost is sent once more and then refused as not
 // run.
-func TestResultsThatAreLostTwice(t *testing.T) {
+func TestSecondLossOfStageResultsIsRefused(t *testing.T) {
 	f := newFixture(t)
 	var n callCounter
 	for _, id := range []string{"e1", "e2", "e3"} {
@@ -136,9 +136,9 @@
 	}
 }
 
-// TestConnectionsAreSharedWithThoseSeenLately removes most processes from the view. They may be partitioned and keep
+// TestConnectionLimitCountsRecentMembers removes most processes from the view. They may be partitioned and keep
 // their connections, so this process's share may grow only when that is excluded.
-func TestConnectionsAreSharedWithThoseSeenLately(t *testing.T) {
+func TestConnectionLimitCountsRecentMembers(t *testing.T) {
 	f := newFixture(t)
 	self := f.views.Self()
 	see := func(n int) {
--- a/node/proxy/restart_test.go
+++ b/node/proxy/restart_test.go
@@ -7,10 +7,10 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestUpstreamThatStartsAgainIsNew restarts an upstream that failed a call and has another in progress. Its new
+// TestRestartedUpstreamHasNoFailureHistory restarts an upstream that failed a call and has another in progress. Its new
 // incarnation must not be avoided for earlier failures, may be tried by a call that the earlier one failed, and is
 // reported as restarted once.
-func TestUpstreamThatStartsAgainIsNew(t *testing.T) {
+func TestRestartedUpstreamHasNoFailureHistory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEndpoints(noNotices())
 	members := func(incarnation uint64) map[string][]wire.Member {
--- a/node/proxy/rollout_test.go
+++ b/node/proxy/rollout_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestTargetAlone checks that the target gets nothing beyond its share even if it is the only version left, as it may be
+// TestOnlyVersionStaysWithinItsShare checks that the target gets nothing beyond its share even if it is the only version left, as it may be
 // faulty.
-func TestTargetAlone(t *testing.T) {
+func TestOnlyVersionStaysWithinItsShare(t *testing.T) {
 	e := newEndpoints(noNotices())
 	e.setRollouts(rolloutWithShare(0.05))
 	var list []wire.Member
--- a/node/proxy/startup_test.go
+++ b/node/proxy/startup_test.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestNobodyWaitsPastTheStart checks that a call that waited for maxStartupWait, and one that comes later, are refused as
+// TestStartupWaitIsBounded checks that a call that waited for maxStartupWait, and one that comes later, are refused as
 // not run.
-func TestNobodyWaitsPastTheStart(t *testing.T) {
+func TestStartupWaitIsBounded(t *testing.T) {
 	f, clock := newStartingFixture(t)
 	status := f.callAsync()
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
--- a/node/proxy/unreachable_test.go
+++ b/node/proxy/unreachable_test.go
@@ -8,9 +8,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestDarkDataCenterIsPassedOver has the stage owner report an unreachable data centre. Calls for which the owner chooses
+// TestUnreachableDataCenterIsAvoided has the stage owner report an unreachable data centre. Calls for which the owner chooses
 // no upstream must go elsewhere, if they can, until the report is withdrawn or expires.
-func TestDarkDataCenterIsPassedOver(t *testing.T) {
+func TestUnreachableDataCenterIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var list []wire.Member
 	for i := range 4 {
--- a/node/quarantine/ledger_test.go
+++ b/node/quarantine/ledger_test.go
@@ -39,8 +39,8 @@
 	return out
 }
 
-// TestWhoIsBarred applies a sequence of reports and checks which calls are barred after it.
-func TestWhoIsBarred(t *testing.T) {
+// TestBarredCalls applies a sequence of reports and checks which calls are barred after it.
+func TestBarredCalls(t *testing.T) {
 	report := func(crashes ...wire.Crash) wire.CrashReport { return wire.CrashReport{Crashes: crashes} }
 	answered := func(f ...wire.Fingerprint) wire.CrashReport { return wire.CrashReport{Answered: answeredCalls(f...)} }
 	cases := map[string]struct {
--- a/node/replica/compact_test.go
+++ b/node/replica/compact_test.go
@@ -91,7 +91,7 @@
 
 // Snapshots are nearly always in progress while commands are applied, and the replica is stopped during one.
 // Stopping must wait for it, and no acknowledged token may be issued again.
-func TestSnapshotsBesideProposals(t *testing.T) {
+func TestSnapshotsDuringProposals(t *testing.T) {
 	fs, last := &slowFS{FS: openDir(t, t.TempDir())}, uint64(0)
 	for round := range 3 {
 		r, stop := open(t, fs, 1)
@@ -116,7 +116,7 @@
 }
 
 // Entries between the capture and the end of a snapshot must survive, also if no later snapshot follows.
-func TestInstallKeepsWhatCameAfterTheCapture(t *testing.T) {
+func TestInstallKeepsEntriesAfterTheCapture(t *testing.T) {
 	fs, ctx := openDir(t, t.TempDir()), context.Background()
 	r, stop := open(t, fs, compactBytes)
 	if r.Init(ctx) != nil {
@@ -139,7 +139,7 @@
 }
 
 // A received snapshot must wait for the one in progress and discard its result.
-func TestReceivedSnapshotMakesTheCaptureVoid(t *testing.T) {
+func TestReceivedSnapshotDiscardsTheCapture(t *testing.T) {
 	fs, ctx := &slowFS{FS: openDir(t, t.TempDir())}, context.Background()
 	r, stop := open(t, fs, compactBytes)
 	if r.Init(ctx) != nil {
--- a/node/replica/leadership_test.go
+++ b/node/replica/leadership_test.go
@@ -15,9 +15,9 @@
 	"caperdrum.org/node/replica"
 )
 
-// TestNewLeadIsConfirmedAtOnce restarts all replicas together, several times. The new leader must get a
+// TestNewLeaderIsConfirmedAtOnce restarts all replicas together, several times. The new leader must get a
 // quorum's confirmation within one round trip, since all processes wait for it.
-func TestNewLeadIsConfirmedAtOnce(t *testing.T) {
+func TestNewLeaderIsConfirmedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			size   = 3
--- a/node/residency/residency_test.go
+++ b/node/residency/residency_test.go
@@ -11,8 +11,8 @@
 
 var regions = Regions{"a1": "east", "a2": "east", "b1": "west", "c1": "north"}
 
-// TestWithin checks that a data centre is allowed exactly if every non-empty list names its region.
-func TestWithin(t *testing.T) {
+// TestAllowedDataCenters checks that a data centre is allowed exactly if every non-empty list names its region.
+func TestAllowedDataCenters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfN(rapid.SampledFrom([]string{"east", "west", "north", "nowhere"}), 0, 3)
 		lists := rapid.SliceOfN(names, 0, 3).Draw(t, "lists")
--- a/node/retry/quota_test.go
+++ b/node/retry/quota_test.go
@@ -199,9 +199,9 @@
 
 var sharedLimit = Limit{Ratio: 0.2, Fixed: 86, Window: 10 * time.Second}
 
-// TestProcessesKeepTheLimitTogether replays the failures described above, and other situations in
+// TestProcessesShareTheRepeatLimit replays the failures described above, and other situations in
 // which the shares could add up to more than the limit.
-func TestProcessesKeepTheLimitTogether(t *testing.T) {
+func TestProcessesShareTheRepeatLimit(t *testing.T) {
 	const settle = 30 * time.Second
 	cases := map[string]func(a *simulation){
 		"all are killed repeatedly": func(a *simulation) {
@@ -288,9 +288,9 @@
 	}
 }
 
-// TestProcessesKeepTheLimitWhateverHappens draws random failures of the processes and movements
+// TestRepeatLimitHoldsUnderRandomEvents draws random failures of the processes and movements
 // of their callers.
-func TestProcessesKeepTheLimitWhateverHappens(t *testing.T) {
+func TestRepeatLimitHoldsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newSimulation(rapid.IntRange(1, 30).Draw(t, "processes"), sharedLimit, rapid.Uint64().Draw(t, "seed"))
 		perSecond := rapid.Float64Range(1, 150).Draw(t, "requests a second")
--- a/node/retry/retry_test.go
+++ b/node/retry/retry_test.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// TestRareService checks that a service with one request an hour may retry every one.
-func TestRareService(t *testing.T) {
+// TestLowTrafficServiceMayRetry checks that a service with one request an hour may retry every one.
+func TestLowTrafficServiceMayRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(10)
 		for i := range 100 {
@@ -74,9 +74,9 @@
 	})
 }
 
-// TestShareIsExact checks that ten first attempts at ten percent earn exactly one retry, without
+// TestRetryPercentIsExact checks that ten first attempts at ten percent earn exactly one retry, without
 // rounding errors.
-func TestShareIsExact(t *testing.T) {
+func TestRetryPercentIsExact(t *testing.T) {
 	b := NewBudget(10)
 	for b.Take() {
 	}
--- a/node/retry/window_test.go
+++ b/node/retry/window_test.go
@@ -52,9 +52,9 @@
 	return n
 }
 
-// TestWindowSavesNothingUp checks that many first attempts in the past do not add to what is
+// TestWindowDoesNotAccumulateUnusedRepeats checks that many first attempts in the past do not add to what is
 // allowed now.
-func TestWindowSavesNothingUp(t *testing.T) {
+func TestWindowDoesNotAccumulateUnusedRepeats(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	w := NewWindow(10*time.Second, 0.2, clock)
 	for range 1000 {
--- a/node/rollout/decision_test.go
+++ b/node/rollout/decision_test.go
@@ -7,9 +7,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestNewLeaderHearsAllProcesses loses the leader at the end of a span, in deployments of several sizes. The
+// TestNewLeaderWaitsForAllReports loses the leader at the end of a span, in deployments of several sizes. The
 // next leader must not decide before each process had time to send a report.
-func TestNewLeaderHearsAllProcesses(t *testing.T) {
+func TestNewLeaderWaitsForAllReports(t *testing.T) {
 	for _, span := range []time.Duration{30 * time.Second, 10 * time.Minute} {
 		for _, processes := range []int{1, 90, 360, 720, 1440} {
 			if listens := RemainingTime(span, span, processes) - leadTime(span); listens < Interval(processes)+sendTimeout {
@@ -19,9 +19,9 @@
 	}
 }
 
-// TestLateLeaderWantsAnswers loses all processes, and their counts, near the end of a span. A leader that
+// TestLateLeaderRequiresTargetAnswers loses all processes, and their counts, near the end of a span. A leader that
 // takes over then must not give all calls to a version without known answers, unless calls are rare.
-func TestLateLeaderWantsAnswers(t *testing.T) {
+func TestLateLeaderRequiresTargetAnswers(t *testing.T) {
 	r := wire.Rollout{Service: "desk", Target: "v2", Span: 10 * time.Second, State: wire.RolloutRunning, Share: 0.09}
 	bad := Verdict{Bad: true, Suspected: true, Reason: "fails"}
 	for name, c := range map[string]struct {
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestLateLeaderMakesUpForSteps has a leader take over after the steps of a roll-out were missed. The target
+// TestLateLeaderCatchesUpOnMissedSteps has a leader take over after the steps of a roll-out were missed. The target
 // must get its full usable share: with the old share it would answer one call in fifty while the leader waits
 // for three answers.
-func TestLateLeaderMakesUpForSteps(t *testing.T) {
+func TestLateLeaderCatchesUpOnMissedSteps(t *testing.T) {
 	r := wire.Rollout{Service: "desk", Target: "v2", Span: 10 * time.Second, State: wire.RolloutRunning, Share: 0.02}
 	limits := Limits{Share: 0.1}
 	step := NextStep(r, 0, Evidence{Target: 1, Baseline: 102, LateLeader: true}, Upstreams{Target: 2, Baseline: 2}, limits)
--- a/node/security/security_test.go
+++ b/node/security/security_test.go
@@ -139,7 +139,7 @@
 	Eventually(func() error { return exchange(client, l.Addr().String()) }, "30s", "100ms").Should(Succeed())
 }
 
-func TestUnreadable(t *testing.T) {
+func TestUnreadableFileIsReported(t *testing.T) {
 	RegisterTestingT(t)
 	_, err := security.New(security.Files{CA: filepath.Join(t.TempDir(), "none")})
 	Expect(errors.Is(err, security.ErrUnreadable)).To(BeTrue(), err.Error())
--- a/node/stagework/admission_test.go
+++ b/node/stagework/admission_test.go
@@ -33,10 +33,10 @@
 	return !refused
 }
 
-// TestCallerThatComesBackIsTakenIn refuses a caller and lets it retry with another call ID:
+// TestRetryOfARefusedCallerIsAdmitted refuses a caller and lets it retry with another call ID:
 // the retry is admitted although it will be late. A first attempt is not, however short its
 // deadline, nor is a caller whose earlier attempt is past its deadline.
-func TestCallerThatComesBackIsTakenIn(t *testing.T) {
+func TestRetryOfARefusedCallerIsAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOverloadedWorld(t)
 		if o.offer("try 1", "k", 4) {
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestOrderOfTheQueue sorts pieces of each tier from every order: first attempts come
+// TestQueueOrder sorts pieces of each tier from every order: first attempts come
 // before retries, these before late ones, and within a tier the earliest latest start first.
-func TestOrderOfTheQueue(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spec := services["a"]
 	made := func(goal time.Duration, returned, late bool) *piece {
@@ -138,9 +138,9 @@
 	})
 }
 
-// TestNoWaitWithIdleUpstreams estimates a job on a service with an idle upstream: the estimate
+// TestEstimateWithAnIdleUpstreamHasNoQueueingTime estimates a job on a service with an idle upstream: the estimate
 // has no queueing time.
-func TestNoWaitWithIdleUpstreams(t *testing.T) {
+func TestEstimateWithAnIdleUpstreamHasNoQueueingTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		j := &job{Job: Job{TimeLeft: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1}}}, goal: w.now.Add(time.Minute)}
--- a/node/stagework/batching_test.go
+++ b/node/stagework/batching_test.go
@@ -25,9 +25,9 @@
 	return s, now
 }
 
-// TestPiecesThatCanWait lists the calls made for jobs of one piece each, by the jobs' goals and the time
+// TestPiecesWithTimeToSpareAreHeld lists the calls made for jobs of one piece each, by the jobs' goals and the time
 // that they have waited.
-func TestPiecesThatCanWait(t *testing.T) {
+func TestPiecesWithTimeToSpareAreHeld(t *testing.T) {
 	const soon, far = 300 * time.Millisecond, time.Minute
 	hold := services["a"].CallTime / holdDivisor
 	cases := map[string]struct {
--- a/node/stagework/canary_test.go
+++ b/node/stagework/canary_test.go
@@ -6,9 +6,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestNextIncarnationStaysACanary restarts an upstream of the target version during a roll-out, which its room report
+// TestRestartedCanaryStaysACanary restarts an upstream of the target version during a roll-out, which its room report
 // shows before the member list: it stays a canary, and does not count as healthy.
-func TestNextIncarnationStaysACanary(t *testing.T) {
+func TestRestartedCanaryStaysACanary(t *testing.T) {
 	s, _ := fleetOwner(10)
 	q := s.services["courier"]
 	first := q.list[0]
--- a/node/stagework/chain_test.go
+++ b/node/stagework/chain_test.go
@@ -132,8 +132,8 @@
 	return sums
 }
 
-// TestUsualChainLoadIsServed plays the site's usual load.
-func TestUsualChainLoadIsServed(t *testing.T) {
+// TestNormalChainLoadIsServed plays the site's usual load.
+func TestNormalChainLoadIsServed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	got := playChain(chainDays["usual"])
 	g.Expect(got[""]).To(gomega.BeNumerically(">", 0.99))
--- a/node/stagework/fetch_test.go
+++ b/node/stagework/fetch_test.go
@@ -63,8 +63,8 @@
 	g.Expect(x.prefill).To(gomega.Equal(prefillAfter(2000, 1000)))
 }
 
-// TestPartIsReadInstead lists the cases in which a part is prefilled instead of fetched.
-func TestPartIsReadInstead(t *testing.T) {
+// TestPartIsPrefilledInstead lists the cases in which a part is prefilled instead of fetched.
+func TestPartIsPrefilledInstead(t *testing.T) {
 	again := func(p *engineFleet, change func(*wire.Member)) {
 		list := append([]wire.Member(nil), p.members["llm"]...)
 		change(&list[1])
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestPartThatIsStillRead sends a call to an engine that has not answered yet: nobody fetches its parts.
-func TestPartThatIsStillRead(t *testing.T) {
+// TestPartInPrefillIsNotFetched sends a call to an engine that has not answered yet: nobody fetches its parts.
+func TestPartInPrefillIsNotFetched(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := newLinkedFleet(fastLinks)
 	p.assign(p.now, prompt("shared", 10), plan{engine: p.member("e1")})
--- a/node/stagework/fleet_test.go
+++ b/node/stagework/fleet_test.go
@@ -92,9 +92,9 @@
 	return calls
 }
 
-// TestQueueIsLookedAtOnceADataCenter has pieces wait for busy upstreams of one data centre, while those of
+// TestQueueIsScannedOncePerDataCenter has pieces wait for busy upstreams of one data centre, while those of
 // five others are idle: the owner checks each piece once for a data centre, not once for each upstream.
-func TestQueueIsLookedAtOnceADataCenter(t *testing.T) {
+func TestQueueIsScannedOncePerDataCenter(t *testing.T) {
 	const dataCenters = 6
 	for _, processes := range []int{90, 360, 720} {
 		s, now := fleetOwner(processes)
--- a/node/stagework/handover_test.go
+++ b/node/stagework/handover_test.go
@@ -94,9 +94,9 @@
 	r.owner.recordFreed(list)
 }
 
-// TestNextOwnerGoesOn loses the owner at any moment, by a crash or a handover: completed stages are not run
+// TestNextOwnerContinuesJobs loses the owner at any moment, by a crash or a handover: completed stages are not run
 // again, no job gets another's results, and all are answered.
-func TestNextOwnerGoesOn(t *testing.T) {
+func TestNextOwnerContinuesJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newHandoverWorld(t)
 		ids := []string{"a", "b", "c"}
@@ -150,9 +150,9 @@
 	})
 }
 
-// TestResultsOfAnUpstreamThatIsGoneAreMadeAgain submits a job with results at an upstream that left, and with
+// TestResultsOfARemovedUpstreamAreRecomputed submits a job with results at an upstream that left, and with
 // stages that do not match its own.
-func TestResultsOfAnUpstreamThatIsGoneAreMadeAgain(t *testing.T) {
+func TestResultsOfARemovedUpstreamAreRecomputed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newHandoverWorld(t)
 		claim := rapid.SampledFrom([]CompletedStage{
@@ -169,9 +169,9 @@
 	})
 }
 
-// TestJobThatMovedKeepsItsResults ends a submission that continues elsewhere: only the results that its caller
+// TestMovedJobKeepsItsResults ends a submission that continues elsewhere: only the results that its caller
 // was not told of are freed.
-func TestJobThatMovedKeepsItsResults(t *testing.T) {
+func TestMovedJobKeepsItsResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newHandoverWorld(t)
 		r.submit("a", "a1", nil)
@@ -190,9 +190,9 @@
 	})
 }
 
-// TestNewsOfAJob applies updates of a job: a later submission starts with what was known, a restart of the job
+// TestJobUpdates applies updates of a job: a later submission starts with what was known, a restart of the job
 // clears it, and updates after the end are ignored.
-func TestNewsOfAJob(t *testing.T) {
+func TestJobUpdates(t *testing.T) {
 	h := newSubmissions()
 	stage := func(n int) *CompletedStage {
 		return &CompletedStage{Stage: n, Pieces: []ResultLocation{{Upstream: "u", Handle: "h"}}}
@@ -215,8 +215,8 @@
 	}
 }
 
-// TestProcessIsToldOfItsJobs sends an update to a submitting process over a connection.
-func TestProcessIsToldOfItsJobs(t *testing.T) {
+// TestJobUpdateReachesTheSubmitter sends an update to a submitting process over a connection.
+func TestJobUpdateReachesTheSubmitter(t *testing.T) {
 	o := newFakeOwner(t)
 	s := newClientService(t)
 	s.dial, s.callers, s.log = peer.DialTCP, map[string]*peer.Client{}, logr.Discard()
@@ -258,9 +258,9 @@
 	})
 }
 
-// TestJobsOfALostOwnerAreNotSentAway resubmits a job to the next owner during an overload: it is admitted though
+// TestJobsOfALostOwnerAreAdmittedDuringOverload resubmits a job to the next owner during an overload: it is admitted though
 // it will be late, unlike a first attempt, unless its deadline cannot be met either.
-func TestJobsOfALostOwnerAreNotSentAway(t *testing.T) {
+func TestJobsOfALostOwnerAreAdmittedDuringOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOverloadedWorld(t)
 		for _, c := range []struct {
@@ -278,9 +278,9 @@
 	})
 }
 
-// TestOwnerThatHandsOverEndsItsCalls hands the queues over while calls are in progress: jobs without one move at
+// TestHandoverKeepsResultsOfCallsInProgress hands the queues over while calls are in progress: jobs without one move at
 // once, the others with the results of their calls, and the next owner repeats neither.
-func TestOwnerThatHandsOverEndsItsCalls(t *testing.T) {
+func TestHandoverKeepsResultsOfCallsInProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newHandoverWorld(t)
 		r.submit("under way", "u1", nil)
--- a/node/stagework/inputs_test.go
+++ b/node/stagework/inputs_test.go
@@ -83,9 +83,9 @@
 	c.endCall("a", "")
 }
 
-// TestInputsAreKeptWhereRoomIsNotShort has an input fetched while no job waits for its room: it is kept
+// TestInputsAreKeptWhileRoomIsAvailable has an input fetched while no job waits for its room: it is kept
 // until the piece is done.
-func TestInputsAreKeptWhereRoomIsNotShort(t *testing.T) {
+func TestInputsAreKeptWhileRoomIsAvailable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newTwoStages()
 	c.startSecondStage(0)
@@ -95,9 +95,9 @@
 	g.Expect(c.freed).To(gomega.Equal([]string{"a1"}))
 }
 
-// TestInputsAreGivenUpWhereRoomIsShort has an input fetched while a full batch waits for its room: it is
+// TestInputsAreFreedWhenRoomIsShort has an input fetched while a full batch waits for its room: it is
 // freed then, neither earlier nor twice, and the job succeeds.
-func TestInputsAreGivenUpWhereRoomIsShort(t *testing.T) {
+func TestInputsAreFreedWhenRoomIsShort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newTwoStages()
 	c.startSecondStage(services["a"].Batch)
@@ -121,8 +121,8 @@
 	g.Expect(c.freed).To(gomega.BeEmpty())
 }
 
-// TestCallThatFailsAfterItsInputsWereGivenUp restarts the job the first time, and fails it the second.
-func TestCallThatFailsAfterItsInputsWereGivenUp(t *testing.T) {
+// TestCallThatFailsAfterItsInputsWereFreed restarts the job the first time, and fails it the second.
+func TestCallThatFailsAfterItsInputsWereFreed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newTwoStages()
 	c.startSecondStage(services["a"].Batch)
--- a/node/stagework/isolation_test.go
+++ b/node/stagework/isolation_test.go
@@ -12,10 +12,10 @@
 	"caperdrum.org/node/peer"
 )
 
-// TestCutOffProcessRefusesAtOnce isolates a process from control and from the owner: once both have been
+// TestIsolatedProcessRefusesAtOnce isolates a process from control and from the owner: once both have been
 // silent for a while, its jobs are refused as not run, and callers are told to retry elsewhere at once.
 // While either answers, jobs wait as usual.
-func TestCutOffProcessRefusesAtOnce(t *testing.T) {
+func TestIsolatedProcessRefusesAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		owner, control time.Duration // how long each is silent
 		refused        bool
--- a/node/stagework/load_test.go
+++ b/node/stagework/load_test.go
@@ -210,9 +210,9 @@
 	return m
 }
 
-// TestPiecesThatCanWaitLeaveUpstreamsIdle compares calls filled with held pieces with calls that start for
+// TestHeldPiecesLeaveUpstreamsIdle compares calls filled with held pieces with calls that start for
 // each piece: there are fewer calls, and more jobs are in time in the burst.
-func TestPiecesThatCanWaitLeaveUpstreamsIdle(t *testing.T) {
+func TestHeldPiecesLeaveUpstreamsIdle(t *testing.T) {
 	g := gomega.NewWithT(t)
 	play := func(eager bool) (inTime float64, calls int64) {
 		before := 0 - mapValue(callsVar, "front") - mapValue(callsVar, "catalog") - mapValue(callsVar, "courier")
--- a/node/stagework/machine_test.go
+++ b/node/stagework/machine_test.go
@@ -238,8 +238,8 @@
 	}
 }
 
-// TestSchedulerKeepsResultsApart plays random events of links and upstreams, and then lets all jobs end.
-func TestSchedulerKeepsResultsApart(t *testing.T) {
+// TestSchedulerNeverMixesUpResults plays random events of links and upstreams, and then lets all jobs end.
+func TestSchedulerNeverMixesUpResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		t.Repeat(map[string]func(*rapid.T){
@@ -307,9 +307,9 @@
 	})
 }
 
-// TestCallThatIsHandedInAgain submits a call twice, and ends the first submission only after that, as
+// TestResubmittedCallContinues submits a call twice, and ends the first submission only after that, as
 // messages may be reordered: the second submission continues.
-func TestCallThatIsHandedInAgain(t *testing.T) {
+func TestResubmittedCallContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		answered := map[string]error{}
--- a/node/stagework/ownerlink_test.go
+++ b/node/stagework/ownerlink_test.go
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestJobStaysAtAnOwnerThatHandsOver names another owner while a job is in progress at one that leaves as
+// TestJobStaysAtTheOwnerDuringAHandover names another owner while a job is in progress at one that leaves as
 // planned: the job stays until that one answers, and continues at the next from the completed stages.
-func TestJobStaysAtAnOwnerThatHandsOver(t *testing.T) {
+func TestJobStaysAtTheOwnerDuringAHandover(t *testing.T) {
 	first, second := newFakeOwner(t, "job"), newFakeOwner(t, "job")
 	s := newClientService(t)
 	s.link.setOwner(wire.StageOwner{ID: "a", Incarnation: 1, Peer: first.address, Epoch: 1}, false)
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestOwnerThatAnswersNeedsNoPing checks an owner's activity repeatedly: it counts only if the owner has sent
+// TestActiveOwnerIsNotPinged checks an owner's activity repeatedly: it counts only if the owner has sent
 // something since the last check, and starts over with another owner.
-func TestOwnerThatAnswersNeedsNoPing(t *testing.T) {
+func TestActiveOwnerIsNotPinged(t *testing.T) {
 	o := newFakeOwner(t, "j")
 	client := peer.NewClient(o.address, peer.DialTCP)
 	defer client.Close()
--- a/node/stagework/ownership_test.go
+++ b/node/stagework/ownership_test.go
@@ -32,10 +32,10 @@
 	return err == nil
 }
 
-// TestNamedOwnerBelievesItsCallers submits jobs to a process before its own view names it the owner: it
+// TestNewOwnerAcceptsJobsBeforeItsOwnView submits jobs to a process before its own view names it the owner: it
 // accepts them if the caller's view names this incarnation, and an older view does not take the queues
 // away again.
-func TestNamedOwnerBelievesItsCallers(t *testing.T) {
+func TestNewOwnerAcceptsJobsBeforeItsOwnView(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newNamedOwner(t)
 	named := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
--- a/node/stagework/reachability_test.go
+++ b/node/stagework/reachability_test.go
@@ -12,9 +12,9 @@
 	"caperdrum.org/node/residency"
 )
 
-// TestDarkDataCenterIsFoundOnce has one of six data centres of a fleet lose power under the usual load: a few calls
+// TestUnreachableDataCenterIsDetectedOnce has one of six data centres of a fleet lose power under the usual load: a few calls
 // detect it, and the others go elsewhere, instead of each upstream there being detected by calls of its own.
-func TestDarkDataCenterIsFoundOnce(t *testing.T) {
+func TestUnreachableDataCenterIsDetectedOnce(t *testing.T) {
 	for _, processes := range []int{90, 360, 720} {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
 			s, now := fleetOwner(processes)
@@ -86,9 +86,9 @@
 	return rest
 }
 
-// TestDarkDataCenterIsTriedAgain has an unreachable data centre come back: a probe detects it, and its upstreams are
+// TestUnreachableDataCenterIsTriedAgain has an unreachable data centre come back: a probe detects it, and its upstreams are
 // used at once. While it is unreachable it gets one call a second.
-func TestDarkDataCenterIsTriedAgain(t *testing.T) {
+func TestUnreachableDataCenterIsTriedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newReachability()
 	at := func(i int) wire.Member { return wire.Member{ID: wire.MemberID(fmt.Sprint("u", i)), DataCenter: "dc0"} }
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestDarkDataCenterIsForgottenInTheEnd has too few calls to probe an unreachable data centre: its failures expire.
-func TestDarkDataCenterIsForgottenInTheEnd(t *testing.T) {
+// TestUnreachableDataCenterExpires has too few calls to probe an unreachable data centre: its failures expire.
+func TestUnreachableDataCenterExpires(t *testing.T) {
 	s, now := fleetOwner(90)
 	for i := range minUnreachable {
 		s.reachability.recordFailure(now, wire.Member{ID: wire.MemberID(fmt.Sprint("u", i)), DataCenter: "dc0"})
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestPiecesWithNowhereElseAreTried has all data centres in which a job may run be unreachable: the job is not held
+// TestPiecesWithoutAnAlternativeAreTried has all data centres in which a job may run be unreachable: the job is not held
 // until its deadline, but ends by failed attempts, no later than without knowledge of the data centres.
-func TestPiecesWithNowhereElseAreTried(t *testing.T) {
+func TestPiecesWithoutAnAlternativeAreTried(t *testing.T) {
 	all := []string{"dc0", "dc1", "dc2", "dc3", "dc4", "dc5"}
 	for name, c := range map[string]struct {
 		dark   []string
@@ -198,8 +198,8 @@
 	return 0
 }
 
-// TestDarkDataCenterIsLogged logs once that a data centre became unreachable, and once that it is reachable again.
-func TestDarkDataCenterIsLogged(t *testing.T) {
+// TestUnreachableDataCenterIsLogged logs once that a data centre became unreachable, and once that it is reachable again.
+func TestUnreachableDataCenterIsLogged(t *testing.T) {
 	var lines []string
 	sched, now := fleetOwner(90)
 	s := &Service{scheduler: sched, log: funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{})}
@@ -217,9 +217,9 @@
 	}
 }
 
-// TestUpstreamsThatFailAreNotADarkDataCenter has upstreams of a data centre be unreachable while others there answer,
+// TestFailingUpstreamsAreNotAnUnreachableDataCenter has upstreams of a data centre be unreachable while others there answer,
 // and upstreams refuse connections, which shows that their VMs run.
-func TestUpstreamsThatFailAreNotADarkDataCenter(t *testing.T) {
+func TestFailingUpstreamsAreNotAnUnreachableDataCenter(t *testing.T) {
 	s, now := fleetOwner(90)
 	submitBurst(s, now, 0)
 	var failing int
@@ -244,9 +244,9 @@
 	}
 }
 
-// TestEnginesOfADarkDataCenter has calls find the engines of a data centre unreachable: the next ones go elsewhere,
+// TestEnginesOfAnUnreachableDataCenter has calls find the engines of a data centre unreachable: the next ones go elsewhere,
 // though an engine there has cached their shared part, and come back when it answers.
-func TestEnginesOfADarkDataCenter(t *testing.T) {
+func TestEnginesOfAnUnreachableDataCenter(t *testing.T) {
 	p := newEngineFleet()
 	first, k := p.sendCall(prompt("shared", 1000))
 	p.finishAssignment(p.now, k, EngineStarted)
@@ -264,9 +264,9 @@
 	}
 }
 
-// TestEngineThatCannotBeReached ends an assignment at an unreachable engine: the engine backs off, and counts for
+// TestUnreachableEngineCountsForItsDataCenter ends an assignment at an unreachable engine: the engine backs off, and counts for
 // its data centre.
-func TestEngineThatCannotBeReached(t *testing.T) {
+func TestUnreachableEngineCountsForItsDataCenter(t *testing.T) {
 	p := newEngineFleet()
 	id, k := p.sendCall(prompt("shared", 1000))
 	p.finishAssignment(p.now, k, EngineUnreachable)
@@ -276,8 +276,8 @@
 	}
 }
 
-// TestResultsSayWhatIsDark checks that results list the data centres that the owner cannot reach.
-func TestResultsSayWhatIsDark(t *testing.T) {
+// TestResultsNameUnreachableDataCenters checks that results list the data centres that the owner cannot reach.
+func TestResultsNameUnreachableDataCenters(t *testing.T) {
 	s := newNamedOwner(t)
 	named := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
 	s.post(func(time.Time) { s.scheduler.setServices(services, nil) })
--- a/node/stagework/restart_test.go
+++ b/node/stagework/restart_test.go
@@ -50,9 +50,9 @@
 	return services
 }
 
-// TestResultsOfAnEarlierStartAreMadeAgain restarts an upstream that holds inputs of a job's next stage: the
+// TestResultsOfAnEarlierIncarnationAreRecomputed restarts an upstream that holds inputs of a job's next stage: the
 // job restarts at once, without a call that would find its inputs gone.
-func TestResultsOfAnEarlierStartAreMadeAgain(t *testing.T) {
+func TestResultsOfAnEarlierIncarnationAreRecomputed(t *testing.T) {
 	a := newRestartWorld(1)
 	var got Result
 	var failed error
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestResultOfACallBeforeTheStartIsNotUsed ends a call successfully after its upstream has restarted: the
+// TestResultsOfACallBeforeARestartAreLost ends a call successfully after its upstream has restarted: the
 // results are lost.
-func TestResultOfACallBeforeTheStartIsNotUsed(t *testing.T) {
+func TestResultsOfACallBeforeARestartAreLost(t *testing.T) {
 	a := newRestartWorld(1)
 	a.submit(a.now, chainJob("j", "j1", nil), func(Result, error) {})
 	calls := a.startCalls(a.now)
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestNextOwnerLeavesAnEarlierStartOut submits a job with results of an earlier incarnation of the upstream:
+// TestNextOwnerIgnoresResultsOfAnEarlierIncarnation submits a job with results of an earlier incarnation of the upstream:
 // they are ignored.
-func TestNextOwnerLeavesAnEarlierStartOut(t *testing.T) {
+func TestNextOwnerIgnoresResultsOfAnEarlierIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		made uint64
 		want string
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestEngineThatStartsAgainHasReadNothing restarts an engine that has cached a prompt and has a call waiting:
+// TestRestartedEngineHasAnEmptyCache restarts an engine that has cached a prompt and has a call waiting:
 // neither counts for its next incarnation, and the end of the call changes nothing there.
-func TestEngineThatStartsAgainHasReadNothing(t *testing.T) {
+func TestRestartedEngineHasAnEmptyCache(t *testing.T) {
 	p := newEngineFleet()
 	id, before := p.sendCall(prompt("p", 100))
 	var list []wire.Member
--- a/node/stagework/room_test.go
+++ b/node/stagework/room_test.go
@@ -19,9 +19,9 @@
 	return w
 }
 
-// TestNextOwnerAsksForTheRoom has two of three upstreams full with results of the previous owner: the job
+// TestNextOwnerRequestsRoomReports has two of three upstreams full with results of the previous owner: the job
 // goes to the third one, and to no other.
-func TestNextOwnerAsksForTheRoom(t *testing.T) {
+func TestNextOwnerRequestsRoomReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newTakeoverWorld(t)
 		if calls := w.s.startCalls(w.now); len(calls) > 0 {
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestSilentUpstreamIsUsedAfterAll takes the queues over while no upstream answers with a report.
-func TestSilentUpstreamIsUsedAfterAll(t *testing.T) {
+// TestUpstreamWithoutReportIsUsedEventually takes the queues over while no upstream answers with a report.
+func TestUpstreamWithoutReportIsUsedEventually(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newTakeoverWorld(t)
 		for _, a := range w.s.dueReports(w.now) {
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestUpstreamWithoutRoomIsAsked rejects a piece for want of room: a report is requested, and the upstream
+// TestFullUpstreamIsAskedForAReport rejects a piece for want of room: a report is requested, and the upstream
 // gets the piece again only when it has room.
-func TestUpstreamWithoutRoomIsAsked(t *testing.T) {
+func TestFullUpstreamIsAskedForAReport(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		w.members["a"] = w.members["a"][:1]
@@ -94,9 +94,9 @@
 	})
 }
 
-// TestWhatOthersHold lists what is known of others' results after reports and rejections, in room 1000, of
+// TestRoomHeldByOthers lists what is known of others' results after reports and rejections, in room 1000, of
 // which this owner's results take 200.
-func TestWhatOthersHold(t *testing.T) {
+func TestRoomHeldByOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name    string
--- a/node/stagework/stall_test.go
+++ b/node/stagework/stall_test.go
@@ -11,10 +11,10 @@
 	"caperdrum.org/node/upstream"
 )
 
-// TestStandstillIsNotTheUpstreams stalls an owner with calls in progress at all upstreams of a fleet, as when its VM
+// TestStallDoesNotCountAgainstUpstreams stalls an owner with calls in progress at all upstreams of a fleet, as when its VM
 // gets no CPU for seconds, and ends the calls afterwards, answered or timed out. The next burst is admitted as before,
 // and no upstream counts as slow or failing.
-func TestStandstillIsNotTheUpstreams(t *testing.T) {
+func TestStallDoesNotCountAgainstUpstreams(t *testing.T) {
 	const frozen = 8 * time.Second
 	for name, end := range map[string]func(c *call) outcome{
 		"answered":  successOutcome,
@@ -80,8 +80,8 @@
 	return o
 }
 
-// TestPulse distinguishes a stall from a goroutine that had nothing to do, or was busy.
-func TestPulse(t *testing.T) {
+// TestStallDetection distinguishes a stall from a goroutine that had nothing to do, or was busy.
+func TestStallDetection(t *testing.T) {
 	var p stallDetector
 	now := time.Unix(1000, 0)
 	step := func(d time.Duration) time.Duration {
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestStandstillIsNotTheEngines stalls an owner while a call waits for its first event at an engine: the predictions
+// TestStallDoesNotCountAgainstEngines stalls an owner while a call waits for its first event at an engine: the predictions
 // for that engine and all others stay the same.
-func TestStandstillIsNotTheEngines(t *testing.T) {
+func TestStallDoesNotCountAgainstEngines(t *testing.T) {
 	p := newEngineFleet()
 	_, first := p.sendCall(prompt("shared", 1000))
 	engine := p.loads[first.engine]
@@ -130,10 +130,10 @@
 	}
 }
 
-// TestOwnerThatStoodStillIsFenced stalls an owner with waiting jobs, as when its VM gets no CPU until another owner was
+// TestStalledOwnerIsFenced stalls an owner with waiting jobs, as when its VM gets no CPU until another owner was
 // named. It starts no calls, which would take upstreams from the next owner, until it is confirmed or maxUnconfirmed
 // has passed without word of an owner.
-func TestOwnerThatStoodStillIsFenced(t *testing.T) {
+func TestStalledOwnerIsFenced(t *testing.T) {
 	for name, c := range map[string]struct {
 		then  func(s *scheduler, now time.Time)
 		after time.Duration
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestStandstillOfAnotherProcess stalls a process that does not own the queues: it may be named owner at once.
-func TestStandstillOfAnotherProcess(t *testing.T) {
+// TestStallBeforeOwnershipDoesNotFence stalls a process that does not own the queues: it may be named owner at once.
+func TestStallBeforeOwnershipDoesNotFence(t *testing.T) {
 	s, now := fleetOwner(90)
 	s.setOwner(now, false, true)
 	s.recordStall(now)
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestDoubtEndsByAQuorum accepts only a confirmation of this owner, made after the stall.
-func TestDoubtEndsByAQuorum(t *testing.T) {
+// TestStalledOwnerNeedsANewConfirmation accepts only a confirmation of this owner, made after the stall.
+func TestStalledOwnerNeedsANewConfirmation(t *testing.T) {
 	self := wire.Member{ID: "self", Incarnation: 7}
 	mine := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
 	for name, c := range map[string]struct {
--- a/node/stagework/takeover_test.go
+++ b/node/stagework/takeover_test.go
@@ -9,9 +9,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestTakeOverAsksInParts has a process take the queues of more and more upstreams: the number of reports that it
+// TestTakeoverRequestsReportsInBatches has a process take the queues of more and more upstreams: the number of reports that it
 // requests at once does not grow with them, and all are requested soon.
-func TestTakeOverAsksInParts(t *testing.T) {
+func TestTakeoverRequestsReportsInBatches(t *testing.T) {
 	for _, upstreams := range []int{50, 426, 852} {
 		s, now := newScheduler(), time.Unix(1000, 0)
 		spec := &optext.Service{Name: "a", Kind: string(optext.Batch), Direct: optext.Direct{Batch: 4, Calls: 1, CallTime: 100 * time.Millisecond, ResultRoom: 1000, ResultTTL: 4 * time.Second}}
--- a/node/state/evacuations_test.go
+++ b/node/state/evacuations_test.go
@@ -122,8 +122,8 @@
 	})
 }
 
-// TestOrdersInARow checks the results of a fixed sequence of orders.
-func TestOrdersInARow(t *testing.T) {
+// TestEvacuationOrderSequence checks the results of a fixed sequence of orders.
+func TestEvacuationOrderSequence(t *testing.T) {
 	o := &evacuationMachine{machine: New()}
 	for i, c := range []struct {
 		name      string
--- a/node/state/machine_test.go
+++ b/node/state/machine_test.go
@@ -347,8 +347,8 @@
 	}
 }
 
-// TestImageStaysAsItIs encodes an image after the machine has applied more commands.
-func TestImageStaysAsItIs(t *testing.T) {
+// TestCapturedImageDoesNotChange encodes an image after the machine has applied more commands.
+func TestCapturedImageDoesNotChange(t *testing.T) {
 	m := New()
 	list := claims(0, 2)
 	apply(t, m, Command{Now: 1, Claims: list, Join: []wire.Member{{ID: "a", Incarnation: 1}}})
--- a/node/state/rollouts_test.go
+++ b/node/state/rollouts_test.go
@@ -119,8 +119,8 @@
 	})
 }
 
-// TestRolloutToWhatServes starts a rollout to the only version that serves: there is nothing to replace.
-func TestRolloutToWhatServes(t *testing.T) {
+// TestRolloutToTheOnlyServingVersion starts a rollout to the only version that serves: there is nothing to replace.
+func TestRolloutToTheOnlyServingVersion(t *testing.T) {
 	m := New()
 	one := wire.AnnouncedUpstream("i-1", "desk", "10.0.0.1:80", "north", false)
 	one.Version = "v1"
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestRolloutReplacesWhatServes checks which versions are listed as replaced at the start and at the end.
-func TestRolloutReplacesWhatServes(t *testing.T) {
+// TestReplacedVersionsOfARollout checks which versions are listed as replaced at the start and at the end.
+func TestReplacedVersionsOfARollout(t *testing.T) {
 	m := New()
 	for i, version := range []string{"v1", "v2", "v0", "v1"} {
 		x := wire.AnnouncedUpstream(wire.MemberID(fmt.Sprint("i-", i)), "desk", "10.0.0.1:80", "north", false)
--- a/node/upstream/notices_test.go
+++ b/node/upstream/notices_test.go
@@ -11,8 +11,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestPauseOf parses values of the header Retry-After.
-func TestPauseOf(t *testing.T) {
+// TestParseRetryAfter parses values of the header Retry-After.
+func TestParseRetryAfter(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for raw, want := range map[string]time.Duration{
 		"": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, " 2 ": 2 * time.Second, "0": 0, "-3": 0, "soon": 0, "NaN": 0, "Inf": maxPause, "1e300": maxPause, "31536000": maxPause, "3, 4": 0,
--- a/node/upstream/unreachable_test.go
+++ b/node/upstream/unreachable_test.go
@@ -11,9 +11,9 @@
 	"caperdrum.org/api/verdict"
 )
 
-// TestUnreached distinguishes a VM that does not respond from one that refuses a connection, and from a call
+// TestUnreachableUpstreamIsDistinguished distinguishes a VM that does not respond from one that refuses a connection, and from a call
 // that had no time to wait. In each case nothing was sent.
-func TestUnreached(t *testing.T) {
+func TestUnreachableUpstreamIsDistinguished(t *testing.T) {
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	for name, c := range map[string]struct {
--- a/node/upstream/upstream_test.go
+++ b/node/upstream/upstream_test.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestEndsOfBodies lists responses and whether their body is complete.
-func TestEndsOfBodies(t *testing.T) {
+// TestBodyCompleteness lists responses and whether their body is complete.
+func TestBodyCompleteness(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: 1\r\n"
 	cases := map[string]struct {
 		response string
@@ -285,9 +285,9 @@
 	}
 }
 
-// TestFreshConnectionIsNotKept makes calls that ask for a connection of their own to an upstream that would
+// TestNewConnectionIsNotReused makes calls that ask for a connection of their own to an upstream that would
 // keep it open: none stays open.
-func TestFreshConnectionIsNotKept(t *testing.T) {
+func TestNewConnectionIsNotReused(t *testing.T) {
 	s := newScript(t, textResponse("1", "one"))
 	p := NewPool(plainProtocol{}, NewNotices(logr.Discard(), clockwork.NewRealClock()))
 	r := s.request("1")
--- a/node/wal/reopen_test.go
+++ b/node/wal/reopen_test.go
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestDamageBehindANewBeginningIsIgnored damages the file in which a sync failed, after the folder was
+// TestDamageInAReplacedFileIsIgnored damages the file in which a sync failed, after the folder was
 // reopened: a crash may bring back the removed file.
-func TestDamageBehindANewBeginningIsIgnored(t *testing.T) {
+func TestDamageInAReplacedFileIsIgnored(t *testing.T) {
 	fs, l, _ := newLogWithEntries(t)
 	fs.SetFreeBytes(5)
 	if l.Save(hard(1), []consensus.Entry{entry(4, 1)}) == nil {
