--- a/node/configsync/confirmation_test.go
+++ b/node/configsync/confirmation_test.go
@@ -7,8 +7,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestContinuousConfirmation checks, for lists of confirmation times, for how long the view then counts as continuously
-// confirmed.
+// TestContinuousConfirmation checks, for lists of confirmation times, for how long the view then counts as
+// continuously confirmed.
 func TestContinuousConfirmation(t *testing.T) {
 	const moment = 100 * time.Millisecond
 	cases := map[string]struct {
--- a/node/configsync/listeners_test.go
+++ b/node/configsync/listeners_test.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestViewIsAppliedOnlyAfterListeners checks that a view that a listener is still processing does not count as taken over, although
-// View already returns it.
+// TestViewIsAppliedOnlyAfterListeners checks that a view that a listener is still processing does not count as
+// taken over, although View already returns it.
 func TestViewIsAppliedOnlyAfterListeners(t *testing.T) {
 	s := &Service{clock: clockwork.NewFakeClock(), holder: NewHolder(wire.Member{ID: "a"}), log: logr.Discard(), ring: timeline.NewRing("a", "v", 16)}
 	calls := 0
--- a/node/control/puts_test.go
+++ b/node/control/puts_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestDeltaIsRecomputedAfterAConcurrentChange commits another change between the computation of a delta and its proposal. The
-// delta must be computed again.
+// TestDeltaIsRecomputedAfterAConcurrentChange commits another change between the computation of a delta and its
+// proposal. The delta must be computed again.
 func TestDeltaIsRecomputedAfterAConcurrentChange(t *testing.T) {
 	s, p := newRecordingCluster(t)
 	text := routes(100)
--- a/node/ledger/settlequeue_test.go
+++ b/node/ledger/settlequeue_test.go
@@ -11,8 +11,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestFailedSettlementsAreRetried fails every other settlement. Each must be recorded exactly once in the end, and the queue
-// must respect its limits.
+// TestFailedSettlementsAreRetried fails every other settlement. Each must be recorded exactly once in the end,
+// and the queue must respect its limits.
 func TestFailedSettlementsAreRetried(t *testing.T) {
 	u := newSettleQueue(nil, clockwork.NewFakeClock())
 	var mu sync.Mutex
--- a/node/peer/dial_test.go
+++ b/node/peer/dial_test.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// TestDialSurvivesALostFirstPacket leaves the first two connection attempts without an answer, as a VM does that is just
-// starting. The call must succeed with the third attempt, within its own time limit.
+// TestDialSurvivesALostFirstPacket leaves the first two connection attempts without an answer, as a VM does
+// that is just starting. The call must succeed with the third attempt, within its own time limit.
 func TestDialSurvivesALostFirstPacket(t *testing.T) {
 	s := NewServer()
 	Handle(s, MethodPing, Ping)
--- a/node/proxy/pause_test.go
+++ b/node/proxy/pause_test.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestUpstreamThatLeavesAfterSelectionGetsNoCall has an upstream announce that it leaves after it was selected for a call.
+// TestUpstreamThatLeavesAfterSelectionGetsNoCall has an upstream announce that it leaves after it was selected
+// for a call.
 func TestUpstreamThatLeavesAfterSelectionGetsNoCall(t *testing.T) {
 	f := newFixture(t)
 	var arrived atomic.Int32
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -409,8 +409,8 @@
 	}
 }
 
-// TestStreamResumesAtAnotherUpstream breaks a resumable stream in the middle of an event: the caller must get each event
-// once, and the stages are run again.
+// TestStreamResumesAtAnotherUpstream breaks a resumable stream in the middle of an event: the caller must get
+// each event once, and the stages are run again.
 func TestStreamResumesAtAnotherUpstream(t *testing.T) {
 	f := newFixture(t)
 	var n callCounter
@@ -554,7 +554,8 @@
 	<-closed
 }
 
-// TestCallInProgressIsAnsweredAtShutdown checks that a call in progress gets a final answer when the process must end.
+// TestCallInProgressIsAnsweredAtShutdown checks that a call in progress gets a final answer when the process
+// must end.
 func TestCallInProgressIsAnsweredAtShutdown(t *testing.T) {
 	f := newFixture(t)
 	arrived := make(chan struct{})
--- a/node/proxy/repeat_test.go
+++ b/node/proxy/repeat_test.go
@@ -97,8 +97,8 @@
 	f.announce(service, list)
 }
 
-// TestProcessOutsideTheMemberListDoesNotRepeat has calls fail at a process whose view does not contain its incarnation. It must not
-// repeat them: the repeats of its earlier incarnation still count.
+// TestProcessOutsideTheMemberListDoesNotRepeat has calls fail at a process whose view does not contain its
+// incarnation. It must not repeat them: the repeats of its earlier incarnation still count.
 func TestProcessOutsideTheMemberListDoesNotRepeat(t *testing.T) {
 	for name, members := range map[string][]wire.Member{
 		"it has not joined":                   {},
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestSecondLossOfStageResultsIsRefused checks that a call whose stage results are lost is sent once more and then refused as not
-// run.
+// TestSecondLossOfStageResultsIsRefused checks that a call whose stage results are lost is sent once more and
+// then refused as not run.
 func TestSecondLossOfStageResultsIsRefused(t *testing.T) {
 	f := newFixture(t)
 	var n callCounter
--- a/node/proxy/restart_test.go
+++ b/node/proxy/restart_test.go
@@ -7,9 +7,9 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestRestartedUpstreamHasNoFailureHistory restarts an upstream that failed a call and has another in progress. Its new
-// incarnation must not be avoided for earlier failures, may be tried by a call that the earlier one failed, and is
-// reported as restarted once.
+// TestRestartedUpstreamHasNoFailureHistory restarts an upstream that failed a call and has another in progress.
+// Its new incarnation must not be avoided for earlier failures, may be tried by a call that the earlier one
+// failed, and is reported as restarted once.
 func TestRestartedUpstreamHasNoFailureHistory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEndpoints(noNotices())
--- a/node/proxy/rollout_test.go
+++ b/node/proxy/rollout_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestOnlyVersionStaysWithinItsShare checks that the target gets nothing beyond its share even if it is the only version left, as it may be
-// faulty.
+// TestOnlyVersionStaysWithinItsShare checks that the target gets nothing beyond its share even if it is the
+// only version left, as it may be faulty.
 func TestOnlyVersionStaysWithinItsShare(t *testing.T) {
 	e := newEndpoints(noNotices())
 	e.setRollouts(rolloutWithShare(0.05))
--- a/node/proxy/startup_test.go
+++ b/node/proxy/startup_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestStartupWaitIsBounded checks that a call that waited for maxStartupWait, and one that comes later, are refused as
-// not run.
+// TestStartupWaitIsBounded checks that a call that waited for maxStartupWait, and one that comes later, are
+// refused as not run.
 func TestStartupWaitIsBounded(t *testing.T) {
 	f, clock := newStartingFixture(t)
 	status := f.callAsync()
--- a/node/proxy/unreachable_test.go
+++ b/node/proxy/unreachable_test.go
@@ -8,8 +8,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestUnreachableDataCenterIsAvoided has the stage owner report an unreachable data centre. Calls for which the owner chooses
-// no upstream must go elsewhere, if they can, until the report is withdrawn or expires.
+// TestUnreachableDataCenterIsAvoided has the stage owner report an unreachable data centre. Calls for which the
+// owner chooses no upstream must go elsewhere, if they can, until the report is withdrawn or expires.
 func TestUnreachableDataCenterIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var list []wire.Member
--- a/node/stagework/handover_test.go
+++ b/node/stagework/handover_test.go
@@ -258,8 +258,8 @@
 	})
 }
 
-// TestJobsOfALostOwnerAreAdmittedDuringOverload resubmits a job to the next owner during an overload: it is admitted though
-// it will be late, unlike a first attempt, unless its deadline cannot be met either.
+// TestJobsOfALostOwnerAreAdmittedDuringOverload resubmits a job to the next owner during an overload: it is
+// admitted though it will be late, unlike a first attempt, unless its deadline cannot be met either.
 func TestJobsOfALostOwnerAreAdmittedDuringOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOverloadedWorld(t)
@@ -278,8 +278,8 @@
 	})
 }
 
-// TestHandoverKeepsResultsOfCallsInProgress hands the queues over while calls are in progress: jobs without one move at
-// once, the others with the results of their calls, and the next owner repeats neither.
+// TestHandoverKeepsResultsOfCallsInProgress hands the queues over while calls are in progress: jobs without one
+// move at once, the others with the results of their calls, and the next owner repeats neither.
 func TestHandoverKeepsResultsOfCallsInProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newHandoverWorld(t)
--- a/node/stagework/reachability_test.go
+++ b/node/stagework/reachability_test.go
@@ -12,8 +12,9 @@
 	"caperdrum.org/node/residency"
 )
 
-// TestUnreachableDataCenterIsDetectedOnce has one of six data centres of a fleet lose power under the usual load: a few calls
-// detect it, and the others go elsewhere, instead of each upstream there being detected by calls of its own.
+// TestUnreachableDataCenterIsDetectedOnce has one of six data centres of a fleet lose power under the usual
+// load: a few calls detect it, and the others go elsewhere, instead of each upstream there being detected by
+// calls of its own.
 func TestUnreachableDataCenterIsDetectedOnce(t *testing.T) {
 	for _, processes := range []int{90, 360, 720} {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
@@ -86,8 +87,8 @@
 	return rest
 }
 
-// TestUnreachableDataCenterIsTriedAgain has an unreachable data centre come back: a probe detects it, and its upstreams are
-// used at once. While it is unreachable it gets one call a second.
+// TestUnreachableDataCenterIsTriedAgain has an unreachable data centre come back: a probe detects it, and its
+// upstreams are used at once. While it is unreachable it gets one call a second.
 func TestUnreachableDataCenterIsTriedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newReachability()
@@ -141,8 +142,9 @@
 	}
 }
 
-// TestPiecesWithoutAnAlternativeAreTried has all data centres in which a job may run be unreachable: the job is not held
-// until its deadline, but ends by failed attempts, no later than without knowledge of the data centres.
+// TestPiecesWithoutAnAlternativeAreTried has all data centres in which a job may run be unreachable: the job is
+// not held until its deadline, but ends by failed attempts, no later than without knowledge of the data
+// centres.
 func TestPiecesWithoutAnAlternativeAreTried(t *testing.T) {
 	all := []string{"dc0", "dc1", "dc2", "dc3", "dc4", "dc5"}
 	for name, c := range map[string]struct {
@@ -198,7 +200,8 @@
 	return 0
 }
 
-// TestUnreachableDataCenterIsLogged logs once that a data centre became unreachable, and once that it is reachable again.
+// TestUnreachableDataCenterIsLogged logs once that a data centre became unreachable, and once that it is
+// reachable again.
 func TestUnreachableDataCenterIsLogged(t *testing.T) {
 	var lines []string
 	sched, now := fleetOwner(90)
@@ -217,8 +220,8 @@
 	}
 }
 
-// TestFailingUpstreamsAreNotAnUnreachableDataCenter has upstreams of a data centre be unreachable while others there answer,
-// and upstreams refuse connections, which shows that their VMs run.
+// TestFailingUpstreamsAreNotAnUnreachableDataCenter has upstreams of a data centre be unreachable while others
+// there answer, and upstreams refuse connections, which shows that their VMs run.
 func TestFailingUpstreamsAreNotAnUnreachableDataCenter(t *testing.T) {
 	s, now := fleetOwner(90)
 	submitBurst(s, now, 0)
@@ -244,8 +247,8 @@
 	}
 }
 
-// TestEnginesOfAnUnreachableDataCenter has calls find the engines of a data centre unreachable: the next ones go elsewhere,
-// though an engine there has cached their shared part, and come back when it answers.
+// TestEnginesOfAnUnreachableDataCenter has calls find the engines of a data centre unreachable: the next ones
+// go elsewhere, though an engine there has cached their shared part, and come back when it answers.
 func TestEnginesOfAnUnreachableDataCenter(t *testing.T) {
 	p := newEngineFleet()
 	first, k := p.sendCall(prompt("shared", 1000))
@@ -264,8 +267,8 @@
 	}
 }
 
-// TestUnreachableEngineCountsForItsDataCenter ends an assignment at an unreachable engine: the engine backs off, and counts for
-// its data centre.
+// TestUnreachableEngineCountsForItsDataCenter ends an assignment at an unreachable engine: the engine backs
+// off, and counts for its data centre.
 func TestUnreachableEngineCountsForItsDataCenter(t *testing.T) {
 	p := newEngineFleet()
 	id, k := p.sendCall(prompt("shared", 1000))
--- a/node/stagework/restart_test.go
+++ b/node/stagework/restart_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestNextOwnerIgnoresResultsOfAnEarlierIncarnation submits a job with results of an earlier incarnation of the upstream:
-// they are ignored.
+// TestNextOwnerIgnoresResultsOfAnEarlierIncarnation submits a job with results of an earlier incarnation of the
+// upstream: they are ignored.
 func TestNextOwnerIgnoresResultsOfAnEarlierIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		made uint64
--- a/node/stagework/stall_test.go
+++ b/node/stagework/stall_test.go
@@ -11,9 +11,9 @@
 	"caperdrum.org/node/upstream"
 )
 
-// TestStallDoesNotCountAgainstUpstreams stalls an owner with calls in progress at all upstreams of a fleet, as when its VM
-// gets no CPU for seconds, and ends the calls afterwards, answered or timed out. The next burst is admitted as before,
-// and no upstream counts as slow or failing.
+// TestStallDoesNotCountAgainstUpstreams stalls an owner with calls in progress at all upstreams of a fleet, as when
+// its VM gets no CPU for seconds, and ends the calls afterwards, answered or timed out. The next burst is admitted as
+// before, and no upstream counts as slow or failing.
 func TestStallDoesNotCountAgainstUpstreams(t *testing.T) {
 	const frozen = 8 * time.Second
 	for name, end := range map[string]func(c *call) outcome{
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestStallDoesNotCountAgainstEngines stalls an owner while a call waits for its first event at an engine: the predictions
-// for that engine and all others stay the same.
+// TestStallDoesNotCountAgainstEngines stalls an owner while a call waits for its first event at an engine: the
+// predictions for that engine and all others stay the same.
 func TestStallDoesNotCountAgainstEngines(t *testing.T) {
 	p := newEngineFleet()
 	_, first := p.sendCall(prompt("shared", 1000))
--- a/node/stagework/takeover_test.go
+++ b/node/stagework/takeover_test.go
@@ -9,8 +9,8 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestTakeoverRequestsReportsInBatches has a process take the queues of more and more upstreams: the number of reports that it
-// requests at once does not grow with them, and all are requested soon.
+// TestTakeoverRequestsReportsInBatches has a process take the queues of more and more upstreams: the number of
+// reports that it requests at once does not grow with them, and all are requested soon.
 func TestTakeoverRequestsReportsInBatches(t *testing.T) {
 	for _, upstreams := range []int{50, 426, 852} {
 		s, now := newScheduler(), time.Unix(1000, 0)
--- a/node/upstream/unreachable_test.go
+++ b/node/upstream/unreachable_test.go
@@ -11,8 +11,8 @@
 	"caperdrum.org/api/verdict"
 )
 
-// TestUnreachableUpstreamIsDistinguished distinguishes a VM that does not respond from one that refuses a connection, and from a call
-// that had no time to wait. In each case nothing was sent.
+// TestUnreachableUpstreamIsDistinguished distinguishes a VM that does not respond from one that refuses a
+// connection, and from a call that had no time to wait. In each case nothing was sent.
 func TestUnreachableUpstreamIsDistinguished(t *testing.T) {
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
