--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -46,8 +46,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// others returns the control processes but one.
-func others(s *harness.System, c *harness.Control) []*harness.Control {
+// otherControls returns all control processes but one.
+func otherControls(s *harness.System, c *harness.Control) []*harness.Control {
 	var out []*harness.Control
 	for _, x := range s.Controls {
 		if x != c {
@@ -67,7 +67,7 @@
 	cut(s, old)
 	s.Leader(old)
 	answersNothing(t, old)
-	applyAt(t, s, others(s, old), 2, harness.Text("while cut"))
+	applyAt(t, s, otherControls(s, old), 2, harness.Text("while cut"))
 	load.Await(phase)
 	time.Sleep(longCut())
 	if readsConfig(old) {
@@ -81,7 +81,7 @@
 	}
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 func applyAt(t *testing.T, s *harness.System, at []*harness.Control, number uint64, text string) {
@@ -110,7 +110,7 @@
 	cutLeader(t, func(s *harness.System, leader *harness.Control) { s.Network.Isolate(leader.Name, harness.Hold) })
 }
 
-// TestOneWayCutFromLeader lets the leader hear everybody and reach nobody.
+// TestOneWayCutFromLeader lets the leader receive from all processes and send to none.
 func TestOneWayCutFromLeader(t *testing.T) {
 	t.Parallel()
 	cutLeader(t, func(s *harness.System, leader *harness.Control) {
@@ -118,7 +118,7 @@
 	})
 }
 
-// TestOneWayCutToLeader lets the leader reach everybody and hear nobody.
+// TestOneWayCutToLeader lets the leader send to all processes and receive from none.
 func TestOneWayCutToLeader(t *testing.T) {
 	t.Parallel()
 	cutLeader(t, func(s *harness.System, leader *harness.Control) {
@@ -127,7 +127,7 @@
 }
 
 // TestFrozenLeader stops the leader's process for longer than any lease while
-// writes to it are under way, and lets it go on.
+// writes to it are in progress, and resumes it.
 func TestFrozenLeader(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -143,7 +143,7 @@
 		late <- err == nil && res.Accepted
 	}()
 	s.Leader(old)
-	applyAt(t, s, others(s, old), 2, harness.Text("while frozen"))
+	applyAt(t, s, otherControls(s, old), 2, harness.Text("while frozen"))
 	load.Await(phase)
 	time.Sleep(longCut() / 2)
 	old.Thaw()
@@ -157,7 +157,7 @@
 	}
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 // TestCutBetweenEntryAndAgent cuts an agent off from one entry, silently, and
@@ -179,5 +179,5 @@
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
--- a/e2e/disk_test.go
+++ b/e2e/disk_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestTornTail leaves a part of a record at the end of a log, as a crash in the
-// middle of a write does; the process must come back with all it had synced and
-// vote under the identity that it had.
+// TestTornTail leaves a part of a record at the end of a log, as a crash during a
+// write does. The process must restart with everything that it had synced, and vote
+// under its previous identity.
 func TestTornTail(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -47,7 +47,7 @@
 		voters := s.Status(victim).Voters
 		victim.Kill()
 		rewrite(t, newestLog(t, victim), func(data []byte) []byte {
-			return append(data, torn(data, tail.size)...)
+			return append(data, tornRecord(data, tail.size)...)
 		})
 		s.Leader(victim)
 		victim.Start()
@@ -59,7 +59,7 @@
 		load.Await(phase / 4)
 	}
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 // tornTails are what a crash leaves of a record of which the whole has more bytes.
@@ -75,15 +75,15 @@
 // headerSize is what stands before a record's body, in bytes (package wal).
 const headerSize = 12
 
-// torn returns the beginning of a record: of a copy of the log's first one.
-func torn(log []byte, size func(whole int) int) []byte {
+// tornRecord returns the beginning of a copy of the log's first record.
+func tornRecord(log []byte, size func(whole int) int) []byte {
 	whole := headerSize + int(binary.LittleEndian.Uint32(log))
 	return slices.Clone(log[:size(whole)])
 }
 
 // TestCorruptMiddle damages the log of a stopped process before its end. The
-// process must refuse to start and say what to do; done so, it is repaired in
-// under a new identity.
+// process must refuse to start and name the remedy; once that is followed, repair
+// adds it under a new identity.
 func TestCorruptMiddle(t *testing.T) {
 	t.Parallel()
 	for name, at := range map[string]func(size int) int{
@@ -127,7 +127,7 @@
 	s.AwaitVoters()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 func wipe(t *testing.T, c *harness.Control) {
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestWipedFolder brings a voter back with an empty folder: it must not vote
-// under its old name, and repair takes it in as a new replica.
+// TestWipedFolder restarts a voter with an empty folder: it must not vote under its
+// old identity, and repair adds it as a new replica.
 func TestWipedFolder(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -168,7 +168,7 @@
 	s.AwaitVersion(3)
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 // TestSecondLossAfterRepair loses a voter's disk for good, waits until repair
@@ -192,7 +192,7 @@
 	s.AwaitVersion(3)
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 // voter returns a voter that is not lost; the leader first.
@@ -212,9 +212,10 @@
 	})
 }
 
-// TestFullDisk limits the size of the leader's files so that a write fails: it must
-// take no part until it can write again, with a clear message, go on by itself in a
-// new file, and lose nothing that it had acknowledged, also when it is killed later.
+// TestFullDisk limits the size of the leader's files so that a write fails. It must
+// log a clear message and take no part until it can write again, resume by itself
+// in a new file, and lose nothing that it had acknowledged, also if it is killed
+// later.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -241,7 +242,7 @@
 	}
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 func fileSize(t *testing.T, path string) int64 {
--- a/e2e/fence_test.go
+++ b/e2e/fence_test.go
@@ -18,10 +18,10 @@
 	return strings.Replace(harness.Text(version), "concurrency = 16\n", "concurrency = 16\nmodels = m@"+version+"\nload_timeout = 30s\n", 1)
 }
 
-// TestFrozenLeaderWithOrder cuts the leader off and freezes it while its order
-// is under way at an engine that ignores fencing tokens, lets a new leader roll
-// another version out, and lets the old one go on before and after the cut is
-// healed. No engine may then see an old order, one twice, or two at a time.
+// TestFrozenLeaderWithOrder cuts the leader off and freezes it while its order is
+// in progress at an engine that ignores fencing tokens, lets a new leader roll out
+// another version, and resumes the old one before and after the cut is healed. No
+// engine may then see an old order, one order twice, or two at a time.
 func TestFrozenLeaderWithOrder(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{LoadTime: 3 * time.Second})
@@ -38,7 +38,7 @@
 	s.Network.Isolate(old.Name, harness.Hold)
 	old.Freeze()
 	s.Leader(old)
-	applyAt(t, s, others(s, old), 3, ordersText("2"))
+	applyAt(t, s, otherControls(s, old), 3, ordersText("2"))
 	awaitHolds(t, s, "2")
 	issued := orders(t, s)
 	old.Thaw()
--- a/e2e/freeze_test.go
+++ b/e2e/freeze_test.go
@@ -7,15 +7,15 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// TestFrozenEntry stops an entry's process under load while the other one
-// answers the resends, and lets it go on: what it does late must not count.
+// TestFrozenEntry stops an entry's process under load while the other entry answers
+// the retries, and resumes it: what it does late must not count.
 func TestFrozenEntry(t *testing.T) {
 	t.Parallel()
 	freeze(t, func(s *harness.System) *harness.Process { return s.Entries[0].Process })
 }
 
-// TestFrozenAgent stops an agent's process until its lease has ended and its
-// confirmations were given up, and lets it go on.
+// TestFrozenAgent stops an agent's process until its lease has expired and its
+// confirmations were abandoned, and resumes it.
 func TestFrozenAgent(t *testing.T) {
 	t.Parallel()
 	freeze(t, func(s *harness.System) *harness.Process { return s.Agents[0].Process })
@@ -33,5 +33,5 @@
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
--- a/e2e/harness/opener_test.go
+++ b/e2e/harness/opener_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestFindConnectionOpener finds the socket at the other end of a connection among all of the machine, by the
-// kernel's answer as by its table, and the process that holds it.
+// TestFindConnectionOpener finds the socket at the other end of a connection among all sockets of the machine,
+// both from the kernel's answer and from its table, and the process that holds it.
 func TestFindConnectionOpener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/e2e/kill_test.go
+++ b/e2e/kill_test.go
@@ -10,9 +10,9 @@
 // phase is the number of whole answers of each kind between two steps.
 const phase = 100
 
-// noneUnknown fails the test when a confirmation ended as perhaps run: only
-// the death of its agent may lead to that.
-func noneUnknown(t *testing.T, load *harness.Load) {
+// checkNoUnknownOutcome fails the test if a confirmation ended as may-have-run: only a crash of its
+// agent may cause that.
+func checkNoUnknownOutcome(t *testing.T, load *harness.Load) {
 	t.Helper()
 	if n := load.Unknown(); n > 0 {
 		t.Errorf("%d confirmations ended as perhaps run, though no agent died", n)
@@ -32,7 +32,7 @@
 	s.AwaitVoters()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 func TestKillEntry(t *testing.T) {
@@ -46,7 +46,7 @@
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 // TestKillAgentBeforeAnswer kills an agent whose upstream is working on
@@ -86,11 +86,11 @@
 	s.AwaitVersion(3)
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 // TestRestartStorm kills a third of the members at once, one agent of the desk
-// among them: what was under way there may end as perhaps run.
+// among them: attempts in progress there may end as may-have-run.
 func TestRestartStorm(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Desks: 3, Engines: 3})
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -40,7 +40,7 @@
 	s.AwaitReady()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
 func leave(t *testing.T, a *harness.Agent, query string) {
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -21,8 +21,8 @@
 	return res
 }
 
-// TestOperatorsRace lets two operators hand over the same number at once while
-// the leader is killed, and both resend much later.
+// TestOperatorsRace has two operators submit the same version number at once while
+// the leader is killed, and both retry much later.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -71,8 +71,8 @@
 	return out
 }
 
-// TestLostAnswer kills the leader right after a change was handed over; the
-// same change id again gets the answer, and the change is applied once.
+// TestLostAnswer kills the leader right after a change was submitted: a retry with
+// the same change ID gets the answer, and the change is applied once.
 func TestLostAnswer(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
@@ -97,8 +97,8 @@
 	s.AwaitVersion(6)
 }
 
-// TestProcessesCatchUpWithManyChanges stops an entry, an agent and a control process while 500
-// changes are accepted, and brings them back.
+// TestProcessesCatchUpWithManyChanges stops an entry, an agent and a control
+// process while 500 changes are accepted, and restarts them.
 func TestProcessesCatchUpWithManyChanges(t *testing.T) {
 	t.Parallel()
 	const changes = 500
@@ -121,5 +121,5 @@
 	load := s.StartLoad()
 	load.Await(phase / 4)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
--- a/e2e/quorum_test.go
+++ b/e2e/quorum_test.go
@@ -10,9 +10,9 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// TestNoQuorum kills a majority of the control processes. Keyed calls that
-// have long to wait are refused as not run, with a time to come back, far
-// before their deadline. Once there is a quorum again a resend runs once.
+// TestNoQuorum kills a majority of the control processes. Keyed calls with long
+// deadlines are refused as not run, with a Retry-After, far before their deadline.
+// Once there is a quorum again, a retry runs once.
 func TestNoQuorum(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{})
--- a/e2e/settings_test.go
+++ b/e2e/settings_test.go
@@ -9,8 +9,8 @@
 	"caperdrum.org/e2e/harness"
 )
 
-// TestExitStatus runs both binaries as an operator does and checks the exit
-// status and what is said.
+// TestExitStatus runs both binaries as an operator does, and checks the exit status
+// and the messages.
 func TestExitStatus(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -12,8 +12,8 @@
 	"caperdrum.org/fake/standin"
 )
 
-// TestRollingRestart stops every process, one by one, under load: none may
-// lose, refuse, double or cut a request, and each exits with status 0.
+// TestRollingRestart stops every process, one by one, under load: no request may be
+// lost, refused, run twice or cut, and each process exits with status 0.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Staged: true})
@@ -30,11 +30,11 @@
 		load.Await(phase / 4)
 	}
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
 
-// TestStopWithWorkInFlight stops each role while a confirmation and a stream
-// are in the middle of long work: both must come whole.
+// TestStopWithWorkInFlight stops each role during a long confirmation and a long
+// stream: both must complete.
 func TestStopWithWorkInFlight(t *testing.T) {
 	t.Parallel()
 	s := harness.New(t, harness.Options{Desks: 1, Engines: 1})
@@ -82,7 +82,7 @@
 	t.Helper()
 	hung := time.After(hungAfter)
 	for {
-		answered := sendAside(t, r)
+		answered := sendAsync(t, r)
 		select {
 		case <-began:
 			return answered
@@ -97,7 +97,7 @@
 	}
 }
 
-func sendAside(t *testing.T, r client.Request) <-chan *client.Response {
+func sendAsync(t *testing.T, r client.Request) <-chan *client.Response {
 	out := make(chan *client.Response, 1)
 	r.Customer, r.Timeout = harness.Customer, 10*longWork
 	go func() {
@@ -134,5 +134,5 @@
 	s.AwaitVoters()
 	load.Await(phase)
 	load.Finish()
-	noneUnknown(t, load)
+	checkNoUnknownOutcome(t, load)
 }
--- a/fake/pathbench/path_test.go
+++ b/fake/pathbench/path_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-func trust(t *testing.T, file string) {
+func addTrustedCA(t *testing.T, file string) {
 	ca, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	base := "http://" + *entry
 	if *caFile != "" {
 		base = "https://" + *entry
-		trust(t, *caFile)
+		addTrustedCA(t, *caFile)
 	}
 	for _, c := range []struct{ name, path, direct, body string }{
 		{"small call", base + "/v1/services/order-desk/call", "http://" + *plain + "/call", `{"lot":1}`},
--- a/node/control/sync_test.go
+++ b/node/control/sync_test.go
@@ -104,8 +104,8 @@
 	*p = process{held: configsync.NewHolder(m), alive: true, starts: p.starts + 1, source: i % nodeCount}
 }
 
-// drift may change the state between two reads.
-func (w *simulation) drift() {
+// changeStateRandomly may change the state between two reads.
+func (w *simulation) changeStateRandomly() {
 	if !w.drifting || rapid.IntRange(0, 15).Draw(w.t, "drift") != 7 {
 		return
 	}
@@ -122,13 +122,13 @@
 	w.drifting = true
 }
 
-func (n *node) View() *state.View { n.w.drift(); return n.machine.View() }
+func (n *node) View() *state.View { n.w.changeStateRandomly(); return n.machine.View() }
 func (n *node) Status() consensus.Status {
-	n.w.drift()
+	n.w.changeStateRandomly()
 	return consensus.Status{Committed: uint64(n.applied), Term: n.w.term}
 }
 func (n *node) StampAge() time.Duration {
-	n.w.drift()
+	n.w.changeStateRandomly()
 	if n.stamp.IsZero() {
 		return -1
 	}
--- a/node/control/system_test.go
+++ b/node/control/system_test.go
@@ -81,10 +81,10 @@
 	ends [2]string
 }
 
-func (c *countingConn) swallowed() bool { return c.n.isCut(c.ends[:]...) }
+func (c *countingConn) discardsData() bool { return c.n.isCut(c.ends[:]...) }
 
 func (c *countingConn) Write(p []byte) (int, error) {
-	if c.swallowed() {
+	if c.discardsData() {
 		return len(p), nil
 	}
 	n, err := c.Conn.Write(p)
@@ -95,7 +95,7 @@
 func (c *countingConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		if err != nil || !c.swallowed() {
+		if err != nil || !c.discardsData() {
 			c.n.bytes.Add(int64(n))
 			return n, err
 		}
--- a/node/dispatch/relay_test.go
+++ b/node/dispatch/relay_test.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			return
 		}
-		go r.pass(c, r.nextCut())
+		go r.forward(c, r.nextCut())
 	}
 }
 
@@ -56,7 +56,7 @@
 	return c
 }
 
-func (r *relay) pass(c net.Conn, at cut) {
+func (r *relay) forward(c net.Conn, at cut) {
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
--- a/node/ledger/fakes_test.go
+++ b/node/ledger/fakes_test.go
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("%s at entry %d, key %v, %v", r.call.Request, r.entry, r.key, r.attempts)
 }
 
-func (r *request) park(op *operation) {
+func (r *request) block(op *operation) {
 	r.pending = op
 	r.sim.parked <- struct{}{}
 	<-r.resume
@@ -81,7 +81,7 @@
 func exchange[T any](r *request, g *fakeGate, f func() (T, error)) (T, error) {
 	var out T
 	var err error
-	r.park(&operation{gate: g, exec: func() { out, err = f() }, fail: func() { err = errConnection }})
+	r.block(&operation{gate: g, exec: func() { out, err = f() }, fail: func() { err = errConnection }})
 	return out, err
 }
 
@@ -151,7 +151,7 @@
 	var answer *dispatch.Response
 	var err error
 	same := func() bool { return g.incarnation == e.Member.Incarnation && g.attempts[id] != nil }
-	r.park(&operation{gate: g,
+	r.block(&operation{gate: g,
 		ready: func() bool { return r.ctx.Err() != nil || !same() || g.attempts[id].ended() },
 		exec: func() {
 			if r.ctx.Err() != nil || !same() {
@@ -206,7 +206,7 @@
 }
 
 func (c requestClock) After(time.Duration) <-chan time.Time {
-	c.r.park(&operation{exec: func() {}, fail: func() {}})
+	c.r.block(&operation{exec: func() {}, fail: func() {}})
 	ch := make(chan time.Time, 1)
 	ch <- c.Now()
 	return ch
--- a/node/order/dispatcher_test.go
+++ b/node/order/dispatcher_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// giveUp ends the open order without a report, as a leader does after its timeout.
-func (s *simulation) giveUp(t *rapid.T) {
+// endOpenOrder ends the open order without a report, as a leader does after its timeout.
+func (s *simulation) endOpenOrder(t *rapid.T) {
 	rec := s.machine.View().Orders[upstream]
 	s.apply(t, &state.OrderCommand{Epoch: 1, End: []wire.OrderReport{{Upstream: upstream, Token: rec.Order.Token, State: wire.OrderFailed}}})
 }
@@ -154,7 +154,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSystem()
 		t.Repeat(map[string]func(*rapid.T){
-			"look": s.observe, "decide": s.decide, "give up": s.giveUp, "ask": s.sendPoll, "answer": s.answer,
+			"look": s.observe, "decide": s.decide, "give up": s.endOpenOrder, "ask": s.sendPoll, "answer": s.answer,
 			"deliver": s.deliver, "finish": s.finish, "restart": s.restart,
 			"": func(t *rapid.T) { s.observe(t); s.sendPoll(t) }, // gives the other actions something to act on
 		})
--- a/node/planner/day_test.go
+++ b/node/planner/day_test.go
@@ -295,7 +295,7 @@
 		if ir.Refused == "" {
 			o := plan.Issue[i].Order
 			o.Token = ir.Token
-			r.carryOut(t, second, o, measured)
+			r.executeOrder(t, second, o, measured)
 		}
 	}
 }
@@ -326,7 +326,7 @@
 	return out
 }
 
-func (r *run) carryOut(t *testing.T, second int, o wire.Order, measured bool) {
+func (r *run) executeOrder(t *testing.T, second int, o wire.Order, measured bool) {
 	for _, p := range r.pools {
 		for _, e := range p.engines {
 			if e.id != o.Upstream {
--- a/node/stagework/load_test.go
+++ b/node/stagework/load_test.go
@@ -27,9 +27,9 @@
 	return sum / float64(len(loadSeeds))
 }
 
-// burstOfNotes plays a burst of the longest prompts: two and a half times the usual rate of those
-// with stages, for six seconds.
-func burstOfNotes(seed uint64, byHash bool) *loadModel {
+// burstOfLongPrompts plays a burst of the longest prompts: two and a half times the usual rate of
+// those with stages, for six seconds.
+func burstOfLongPrompts(seed uint64, byHash bool) *loadModel {
 	m := newLoadModel(seed)
 	m.byHash = byHash
 	m.traffic(notes, 0, 14*time.Second, 8.4)
@@ -56,12 +56,12 @@
 	}
 	var hash, owner time.Duration
 	before := meanInTime(func(seed uint64) float64 {
-		m := burstOfNotes(seed, true)
+		m := burstOfLongPrompts(seed, true)
 		hash += slowest(m)
 		return m.inTime(3*time.Second, 9*time.Second)
 	})
 	now := meanInTime(func(seed uint64) float64 {
-		m := burstOfNotes(seed, false)
+		m := burstOfLongPrompts(seed, false)
 		owner += slowest(m)
 		return m.inTime(3*time.Second, 9*time.Second)
 	})
--- a/node/wal/reopen_test.go
+++ b/node/wal/reopen_test.go
@@ -71,7 +71,7 @@
 func TestDamageInAReplacedFileIsIgnored(t *testing.T) {
 	fs, l, _ := newLogWithEntries(t)
 	fs.SetFreeBytes(5)
-	if l.Save(hard(1), []consensus.Entry{entry(4, 1)}) == nil {
+	if l.Save(hardState(1), []consensus.Entry{entry(4, 1)}) == nil {
 		t.Fatal("saved on a full disk")
 	}
 	fs.SetFreeBytes(-1)
--- a/node/wal/wal_test.go
+++ b/node/wal/wal_test.go
@@ -18,7 +18,7 @@
 	return consensus.Entry{Index: index, Term: term, Data: []byte("command")}
 }
 
-func hard(term uint64) *consensus.HardState { return &consensus.HardState{Term: term} }
+func hardState(term uint64) *consensus.HardState { return &consensus.HardState{Term: term} }
 
 // newLogWithEntries returns a log with entries 1 to 3, one per record, and the file size after each.
 func newLogWithEntries(t *testing.T) (*disktest.FS, *wal.Log, []int64) {
@@ -30,7 +30,7 @@
 	}
 	var sizes []int64
 	for i := uint64(1); i <= 3; i++ {
-		if err := l.Save(hard(1), []consensus.Entry{entry(i, 1)}); err != nil {
+		if err := l.Save(hardState(1), []consensus.Entry{entry(i, 1)}); err != nil {
 			t.Fatal(err)
 		}
 		sizes = append(sizes, l.Size())
@@ -90,7 +90,7 @@
 func TestDamagedSnapshotIsCorrupt(t *testing.T) {
 	fs, l, _ := newLogWithEntries(t)
 	snap := &consensus.Snapshot{Index: 3, Term: 1, Data: []byte("state")}
-	if err := l.SaveSnapshot(snap, *hard(1), nil); err != nil {
+	if err := l.SaveSnapshot(snap, *hardState(1), nil); err != nil {
 		t.Fatal(err)
 	}
 	fs.FlipBit("snap-00000000000000000003", 20)
@@ -153,7 +153,7 @@
 func TestFullDiskIsNamed(t *testing.T) {
 	fs, l, _ := newLogWithEntries(t)
 	fs.SetFreeBytes(0)
-	if err := l.Save(hard(2), nil); errors.Cause(err) != syscall.ENOSPC {
+	if err := l.Save(hardState(2), nil); errors.Cause(err) != syscall.ENOSPC {
 		t.Fatal(err)
 	}
 }
@@ -170,7 +170,7 @@
 				snap.Term, after = 1, []consensus.Entry{entry(3, 1)}
 			}
 			fs.CrashAfter(ops)
-			saved := l.SaveSnapshot(snap, *hard(7), after) == nil
+			saved := l.SaveSnapshot(snap, *hardState(7), after) == nil
 			l, st := reopen(t, fs)
 			switch {
 			case st.Snapshot == nil && (saved || len(st.Entries) != 3):
@@ -184,7 +184,7 @@
 			if st.Snapshot != nil && !same {
 				next.Index = 3
 			}
-			if err := l.Save(hard(8), []consensus.Entry{next}); err != nil {
+			if err := l.Save(hardState(8), []consensus.Entry{next}); err != nil {
 				t.Fatal(err)
 			}
 			for range 2 {
