--- a/node/stagework/admission_test.go
+++ b/node/stagework/admission_test.go
@@ -11,14 +11,14 @@
 	"caperdrum.org/api/verdict"
 )
 
-// overloadedWorld has so many jobs in progress that another one would miss its goal.
-type overloadedWorld struct {
-	*world
+// overloadFixture has so many jobs in progress that another one would miss its goal.
+type overloadFixture struct {
+	*schedulerSimulation
 	ended map[string]error
 }
 
-func newOverloadedWorld(t *rapid.T) *overloadedWorld {
-	o := &overloadedWorld{world: newWorld(t), ended: map[string]error{}}
+func newOverloadFixture(t *rapid.T) *overloadFixture {
+	o := &overloadFixture{schedulerSimulation: newSchedulerSimulation(t), ended: map[string]error{}}
 	for i := range 60 {
 		o.offer(fmt.Sprint("first", i), fmt.Sprint("key", i), 4)
 	}
@@ -26,7 +26,7 @@
 }
 
 // offer submits a job of that many pieces and reports whether it was admitted.
-func (o *overloadedWorld) offer(id, key string, pieces int) bool {
+func (o *overloadFixture) offer(id, key string, pieces int) bool {
 	o.s.submit(o.now, Job{ID: id, SubmissionID: id, Key: key, TimeLeft: 9 * time.Second, Goal: time.Second, Stages: []Stage{{Service: "a", Pieces: pieces, ResultBytes: 10}}},
 		func(_ Result, err error) { o.ended[id] = err })
 	_, refused := o.ended[id]
@@ -38,7 +38,7 @@
 // deadline, nor is a caller whose earlier attempt is past its deadline.
 func TestRetryOfARefusedCallerIsAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOverloadedWorld(t)
+		o := newOverloadFixture(t)
 		if o.offer("try 1", "k", 4) {
 			t.Fatal("a job that misses its goal was admitted")
 		}
@@ -96,7 +96,7 @@
 // maxDeferred are admitted.
 func TestDeferredRetriesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOverloadedWorld(t)
+		o := newOverloadFixture(t)
 		taken := 0
 		most := o.s.maxDeferred(o.now)
 		for i := range 2 * most {
@@ -119,7 +119,7 @@
 // in time.
 func TestJobsThatCannotReachTheirGoalAreDeferred(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOverloadedWorld(t)
+		o := newOverloadFixture(t)
 		most, taken := o.s.maxDeferred(o.now), 0
 		for i := range 2 * most {
 			id := fmt.Sprint("hopeless", i)
@@ -142,7 +142,7 @@
 // has no queueing time.
 func TestEstimateWithAnIdleUpstreamHasNoQueueingTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSchedulerSimulation(t)
 		j := &job{Job: Job{TimeLeft: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1}}}, goal: w.now.Add(time.Minute)}
 		w.s.reset(j)
 		if got, _ := w.s.estimate(w.now, j); got != w.s.unloadedTime(j) {
--- a/node/stagework/handover_test.go
+++ b/node/stagework/handover_test.go
@@ -14,8 +14,8 @@
 	"caperdrum.org/node/upstream"
 )
 
-// handoverWorld is two owners in turn, their upstreams, and the submitting processes.
-type handoverWorld struct {
+// handoverSimulation is two owners in turn, their upstreams, and the submitting processes.
+type handoverSimulation struct {
 	t           *rapid.T
 	now         time.Time
 	owner       *scheduler
@@ -34,20 +34,20 @@
 		Stages: []Stage{{Service: "a", Pieces: 2, ResultBytes: 500}, {Service: "b", DependsOn: []int{0}, Pieces: 3, ResultBytes: 100}}}
 }
 
-func newHandoverWorld(t *rapid.T) *handoverWorld {
-	r := &handoverWorld{t: t, now: time.Unix(1000, 0), stored: map[string]string{}, runs: map[string]int{}, submissions: newSubmissions(), answers: map[string]Result{}, errs: map[string]error{}}
+func newHandoverSimulation(t *rapid.T) *handoverSimulation {
+	r := &handoverSimulation{t: t, now: time.Unix(1000, 0), stored: map[string]string{}, runs: map[string]int{}, submissions: newSubmissions(), answers: map[string]Result{}, errs: map[string]error{}}
 	r.owner = r.newOwner(false)
 	return r
 }
 
-func (r *handoverWorld) newOwner(after bool) *scheduler {
+func (r *handoverSimulation) newOwner(after bool) *scheduler {
 	s := newScheduler()
-	s.setServices(services, newWorld(r.t).members)
+	s.setServices(services, newSchedulerSimulation(r.t).members)
 	s.setOwner(r.now, true, after)
 	return s
 }
 
-func (r *handoverWorld) submit(id, handed string, before []CompletedStage) {
+func (r *handoverSimulation) submit(id, handed string, before []CompletedStage) {
 	r.submissions.begin(handed, before)
 	r.free(r.owner.submit(r.now, chainJob(id, handed, before), func(res Result, err error) {
 		r.answers[id], r.errs[id] = res, err
@@ -55,7 +55,7 @@
 }
 
 // runCalls runs the waiting pieces, in n calls at most.
-func (r *handoverWorld) runCalls(n int) {
+func (r *handoverSimulation) runCalls(n int) {
 	for ; n > 0; n-- {
 		r.running = append(r.running, r.owner.startCalls(r.now)...)
 		if len(r.running) == 0 {
@@ -84,7 +84,7 @@
 	}
 }
 
-func (r *handoverWorld) free(list []storedResult) {
+func (r *handoverSimulation) free(list []storedResult) {
 	for _, m := range list {
 		if r.stored[m.handle] == "" {
 			r.t.Fatalf("%s is freed twice", m.handle)
@@ -98,7 +98,7 @@
 // again, no job gets another's results, and all are answered.
 func TestNextOwnerContinuesJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newHandoverWorld(t)
+		r := newHandoverSimulation(t)
 		ids := []string{"a", "b", "c"}
 		for _, id := range ids {
 			r.submit(id, id+"1", nil)
@@ -154,7 +154,7 @@
 // stages that do not match its own.
 func TestResultsOfARemovedUpstreamAreRecomputed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newHandoverWorld(t)
+		r := newHandoverSimulation(t)
 		claim := rapid.SampledFrom([]CompletedStage{
 			{Stage: 0, Pieces: []ResultLocation{{Upstream: "a0", Handle: "x"}, {Upstream: "gone", Handle: "y"}}},
 			{Stage: 0, Pieces: []ResultLocation{{Upstream: "a0", Handle: "x"}}},
@@ -173,7 +173,7 @@
 // was not told of are freed.
 func TestMovedJobKeepsItsResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newHandoverWorld(t)
+		r := newHandoverSimulation(t)
 		r.submit("a", "a1", nil)
 		calls := 0
 		for ; len(r.submissions.completed["a1"]) == 0; calls++ {
@@ -236,7 +236,7 @@
 // process counts as lost.
 func TestInputsAreKeptUntilTheUpdateIsDelivered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newHandoverWorld(t)
+		r := newHandoverSimulation(t)
 		r.submit("a", "a1", nil)
 		for len(r.submissions.completed["a1"]) == 0 {
 			r.runCalls(1)
@@ -262,7 +262,7 @@
 // admitted though it will be late, unlike a first attempt, unless its deadline cannot be met either.
 func TestJobsOfALostOwnerAreAdmittedDuringOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOverloadedWorld(t)
+		o := newOverloadFixture(t)
 		for _, c := range []struct {
 			id    string
 			again bool
@@ -282,7 +282,7 @@
 // move at once, the others with the results of their calls, and the next owner repeats neither.
 func TestHandoverKeepsResultsOfCallsInProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newHandoverWorld(t)
+		r := newHandoverSimulation(t)
 		r.submit("under way", "u1", nil)
 		r.running = append(r.running, r.owner.startCalls(r.now)...)
 		r.submit("waiting", "w1", nil)
@@ -321,7 +321,7 @@
 // next owner runs neither again.
 func TestMovedJobKeepsFreedStages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newHandoverWorld(t)
+		r := newHandoverSimulation(t)
 		job := chainJob("j", "j1", nil)
 		job.Stages = append(job.Stages, Stage{Service: "b", DependsOn: []int{1}, Pieces: 1, ResultBytes: 10})
 		handIn := func(handed string, before []CompletedStage) {
--- a/node/stagework/machine_test.go
+++ b/node/stagework/machine_test.go
@@ -15,9 +15,9 @@
 	"caperdrum.org/node/upstream"
 )
 
-// world drives a scheduler with jobs, calls with every outcome, changing members and changes of ownership.
+// schedulerSimulation drives a scheduler with jobs, calls with every outcome, changing members and changes of ownership.
 // It checks invariants on everything that the scheduler returns.
-type world struct {
+type schedulerSimulation struct {
 	t        *rapid.T
 	s        *scheduler
 	now      time.Time
@@ -41,8 +41,8 @@
 	"b": {Name: "b", Direct: optext.Direct{Batch: 6, Calls: 1, CallTime: 200 * time.Millisecond, PieceTime: 5 * time.Millisecond, ResultRoom: 100_000_000, ResultTTL: 4 * time.Second}},
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, s: newScheduler(), now: time.Unix(1000, 0), jobs: map[string]*tracked{}, contents: map[string]string{}, stored: map[string]bool{}, members: map[string][]wire.Member{}}
+func newSchedulerSimulation(t *rapid.T) *schedulerSimulation {
+	w := &schedulerSimulation{t: t, s: newScheduler(), now: time.Unix(1000, 0), jobs: map[string]*tracked{}, contents: map[string]string{}, stored: map[string]bool{}, members: map[string][]wire.Member{}}
 	for _, service := range []string{"a", "b"} {
 		for i := range 3 {
 			w.members[service] = append(w.members[service], wire.Member{ID: wire.MemberID(fmt.Sprint(service, i)), Service: service, Direct: fmt.Sprint(service, i), DataCenter: fmt.Sprint("dc", i%2)})
@@ -53,7 +53,7 @@
 	return w
 }
 
-func (w *world) addJob() {
+func (w *schedulerSimulation) addJob() {
 	w.serial++
 	j := Job{ID: fmt.Sprint("job", w.serial), SubmissionID: fmt.Sprint("job", w.serial), Key: fmt.Sprint("k", rapid.IntRange(0, 9).Draw(w.t, "key")), DataCenter: "dc0", TimeLeft: time.Duration(rapid.IntRange(200, 4000).Draw(w.t, "left")) * time.Millisecond}
 	j.Goal = j.TimeLeft / 2
@@ -72,7 +72,7 @@
 }
 
 // start takes the calls to start and checks them.
-func (w *world) start() {
+func (w *schedulerSimulation) start() {
 	for _, c := range w.s.startCalls(w.now) {
 		spec := services[c.service]
 		if len(c.pieces) > spec.Batch || len(c.pieces) == 0 {
@@ -96,7 +96,7 @@
 
 // checkRequest checks that a piece gets all results of the stages that it depends on, each once, and
 // from its own job.
-func (w *world) checkRequest(p *piece, r upstream.Piece) {
+func (w *schedulerSimulation) checkRequest(p *piece, r upstream.Piece) {
 	j := w.jobs[r.ID].job
 	var want []string
 	for _, k := range j.Stages[r.Stage].DependsOn {
@@ -119,7 +119,7 @@
 }
 
 // finish ends one running call.
-func (w *world) finish() {
+func (w *schedulerSimulation) finish() {
 	if len(w.running) == 0 {
 		return
 	}
@@ -140,7 +140,7 @@
 	w.free(w.s.finishCall(w.now, c, o))
 }
 
-func (w *world) results(c *call, failing bool) []upstream.PieceResult {
+func (w *schedulerSimulation) results(c *call, failing bool) []upstream.PieceResult {
 	out := make([]upstream.PieceResult, len(c.pieces))
 	for i, r := range c.request {
 		if failing && rapid.Bool().Draw(w.t, "fails") {
@@ -155,7 +155,7 @@
 	return out
 }
 
-func (w *world) free(results []storedResult) {
+func (w *schedulerSimulation) free(results []storedResult) {
 	for _, m := range results {
 		if !w.stored[m.handle] {
 			w.t.Fatalf("%s was freed twice, or never stored", m.handle)
@@ -167,7 +167,7 @@
 
 // report answers the requested room reports: with room that a previous owner's results occupy, or not
 // at all.
-func (w *world) report() {
+func (w *schedulerSimulation) report() {
 	for _, asked := range w.s.dueReports(w.now) {
 		free := int64(rapid.IntRange(-1, 4000).Draw(w.t, "free"))
 		if free < 0 {
@@ -181,7 +181,7 @@
 	}
 }
 
-func (w *world) release() {
+func (w *schedulerSimulation) release() {
 	for _, tr := range w.jobs {
 		if tr.answered > 0 {
 			w.free(w.s.handleDone(w.now, Done{SubmissionID: tr.job.ID}))
@@ -190,7 +190,7 @@
 	}
 }
 
-func (w *world) changeMembers() {
+func (w *schedulerSimulation) changeMembers() {
 	service := rapid.SampledFrom([]string{"a", "b"}).Draw(w.t, "service")
 	if list := w.members[service]; len(list) > 1 && rapid.Bool().Draw(w.t, "leaves") {
 		w.members[service] = slices.Clone(list[1:])
@@ -203,7 +203,7 @@
 }
 
 // check runs after every step.
-func (w *world) check() {
+func (w *schedulerSimulation) check() {
 	for id, tr := range w.jobs {
 		if tr.answered > 1 {
 			w.t.Fatalf("%s is answered %d times", id, tr.answered)
@@ -219,7 +219,7 @@
 }
 
 // checkResult checks that the answer holds each result of the job's final stages once.
-func (w *world) checkResult(tr *tracked) {
+func (w *schedulerSimulation) checkResult(tr *tracked) {
 	var want, got []string
 	for i, final := range tr.job.finalStages() {
 		for n := range tr.job.Stages[i].Pieces {
@@ -241,7 +241,7 @@
 // TestSchedulerNeverMixesUpResults plays random events of links and upstreams, and then lets all jobs end.
 func TestSchedulerNeverMixesUpResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSchedulerSimulation(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"job":     func(*rapid.T) { w.addJob() },
 			"finish":  func(*rapid.T) { w.finish() },
@@ -288,7 +288,7 @@
 // TestGroupsStayTogether gives two upstreams five groups of two pieces: no group is split over two calls.
 func TestGroupsStayTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSchedulerSimulation(t)
 		for range 5 {
 			w.serial++
 			w.s.submit(w.now, Job{ID: fmt.Sprint(w.serial), SubmissionID: fmt.Sprint(w.serial), Key: "k", TimeLeft: 10 * time.Second, Goal: 5 * time.Second, Stages: []Stage{{Service: "a", Pieces: 2, ResultBytes: 10}}}, func(Result, error) {})
@@ -311,7 +311,7 @@
 // messages may be reordered: the second submission continues.
 func TestResubmittedCallContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSchedulerSimulation(t)
 		answered := map[string]error{}
 		for _, handed := range []string{"first", "second"} {
 			w.s.submit(w.now, Job{ID: "call", SubmissionID: handed, Key: "k", TimeLeft: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: 10}}},
@@ -331,7 +331,7 @@
 // is refused as not run long before its deadline, and jobs with a call in progress are not.
 func TestStarvedJobIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSchedulerSimulation(t)
 		ended := map[string]error{}
 		add := func(id string) {
 			w.s.submit(w.now, Job{ID: id, SubmissionID: id, Key: "k", TimeLeft: 20 * time.Second, Goal: -time.Second, Stages: []Stage{{Service: "a", Pieces: 4, ResultBytes: 10}}},
--- a/node/stagework/pause_test.go
+++ b/node/stagework/pause_test.go
@@ -10,7 +10,7 @@
 // TestPausedUpstreamMakesNoPieces has the only upstream of a service ask for a pause: a job that can wait does,
 // one that cannot is refused at once with the pause as retry-after. A room report does not end the pause.
 func TestPausedUpstreamMakesNoPieces(t *testing.T) {
-	a := newRestartWorld(1)
+	a := newRestartFixture(1)
 	a.submit(a.now, chainJob("j", "j1", nil), func(Result, error) {})
 	calls := a.startCalls(a.now)
 	if len(calls) != 1 {
@@ -43,7 +43,7 @@
 // TestLeavingUpstreamMakesNoPieces has an upstream announce in an answer that it leaves, before the member list
 // has it.
 func TestLeavingUpstreamMakesNoPieces(t *testing.T) {
-	a := newRestartWorld(1)
+	a := newRestartFixture(1)
 	a.submit(a.now, chainJob("j", "j1", nil), func(Result, error) {})
 	calls := a.startCalls(a.now)
 	a.finishCall(a.now, calls[0], outcome{full: true, leaving: true})
--- a/node/stagework/restart_test.go
+++ b/node/stagework/restart_test.go
@@ -11,14 +11,14 @@
 	"caperdrum.org/node/upstream"
 )
 
-// restartWorld is two services of one upstream each; the test sets the incarnation of the first.
-type restartWorld struct {
+// restartFixture is two services of one upstream each; the test sets the incarnation of the first.
+type restartFixture struct {
 	*scheduler
 	now time.Time
 }
 
-func newRestartWorld(incarnation uint64) *restartWorld {
-	a := &restartWorld{scheduler: newScheduler(), now: time.Unix(1000, 0)}
+func newRestartFixture(incarnation uint64) *restartFixture {
+	a := &restartFixture{scheduler: newScheduler(), now: time.Unix(1000, 0)}
 	a.setOwner(a.now, true, false)
 	a.setIncarnation(incarnation)
 	return a
@@ -26,7 +26,7 @@
 
 // setIncarnation sets the incarnation of the first service's upstream in the member list, and returns the
 // results to be freed.
-func (a *restartWorld) setIncarnation(incarnation uint64) []storedResult {
+func (a *restartFixture) setIncarnation(incarnation uint64) []storedResult {
 	spec := func() *optext.Service {
 		return &optext.Service{Kind: string(optext.Batch), Direct: optext.Direct{Batch: 4, Calls: 1, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond, ResultTTL: 4 * time.Second}}
 	}
@@ -37,7 +37,7 @@
 }
 
 // runCalls completes all calls that can start now, and returns their services.
-func (a *restartWorld) runCalls(t *testing.T, handle string) (services []string) {
+func (a *restartFixture) runCalls(t *testing.T, handle string) (services []string) {
 	t.Helper()
 	for _, c := range a.startCalls(a.now) {
 		services = append(services, c.service)
@@ -53,7 +53,7 @@
 // TestResultsOfAnEarlierIncarnationAreRecomputed restarts an upstream that holds inputs of a job's next stage: the
 // job restarts at once, without a call that would find its inputs gone.
 func TestResultsOfAnEarlierIncarnationAreRecomputed(t *testing.T) {
-	a := newRestartWorld(1)
+	a := newRestartFixture(1)
 	var got Result
 	var failed error
 	a.submit(a.now, chainJob("j", "j1", nil), func(r Result, err error) { got, failed = r, err })
@@ -77,7 +77,7 @@
 // TestResultsOfACallBeforeARestartAreLost ends a call successfully after its upstream has restarted: the
 // results are lost.
 func TestResultsOfACallBeforeARestartAreLost(t *testing.T) {
-	a := newRestartWorld(1)
+	a := newRestartFixture(1)
 	a.submit(a.now, chainJob("j", "j1", nil), func(Result, error) {})
 	calls := a.startCalls(a.now)
 	a.setIncarnation(2)
@@ -92,7 +92,7 @@
 
 // TestRestartsAreBounded restarts an upstream again and again: the job restarts a bounded number of times.
 func TestRestartsAreBounded(t *testing.T) {
-	a := newRestartWorld(1)
+	a := newRestartFixture(1)
 	var failed error
 	a.submit(a.now, chainJob("j", "j1", nil), func(_ Result, err error) { failed = err })
 	for start := uint64(2); start < 6 && failed == nil; start++ {
@@ -111,7 +111,7 @@
 		made uint64
 		want string
 	}{{made: 1, want: "a"}, {made: 2, want: "b"}} {
-		a := newRestartWorld(2)
+		a := newRestartFixture(2)
 		claim := CompletedStage{Stage: 0, Pieces: []ResultLocation{{"a0", c.made, "x"}, {"a0", c.made, "y"}}}
 		a.submit(a.now, chainJob("j", "j1", []CompletedStage{claim}), func(Result, error) {})
 		if got := a.runCalls(t, "z"); len(got) != 1 || got[0] != c.want {
@@ -150,7 +150,7 @@
 // restarts at once, and the member list changes nothing afterwards. A late report of the earlier incarnation
 // is ignored.
 func TestReportOfALaterIncarnation(t *testing.T) {
-	a := newRestartWorld(10)
+	a := newRestartFixture(10)
 	a.submit(a.now, chainJob("j", "j1", nil), func(Result, error) {})
 	a.runCalls(t, "old")
 	w := a.services["a"].workers["a0"]
@@ -179,7 +179,7 @@
 // TestRestartWithAnEarlierClock has the member list name an earlier incarnation than before, as after an
 // upstream's clock was set back: it counts as a restart all the same.
 func TestRestartWithAnEarlierClock(t *testing.T) {
-	a := newRestartWorld(10)
+	a := newRestartFixture(10)
 	before := a.services["a"].workers["a0"]
 	a.setIncarnation(7)
 	if after := a.services["a"].workers["a0"]; after == before || !before.restarted || after.member.Incarnation != 7 {
--- a/node/stagework/room_test.go
+++ b/node/stagework/room_test.go
@@ -9,10 +9,10 @@
 	"caperdrum.org/node/upstream"
 )
 
-// newTakeoverWorld returns a scheduler that has taken the queues over from another owner, and a job that
+// newTakeoverSimulation returns a scheduler that has taken the queues over from another owner, and a job that
 // fills a whole upstream of service a.
-func newTakeoverWorld(t *rapid.T) *world {
-	w := newWorld(t)
+func newTakeoverSimulation(t *rapid.T) *schedulerSimulation {
+	w := newSchedulerSimulation(t)
 	w.s.setOwner(w.now, false, true)
 	w.s.setOwner(w.now, true, true)
 	w.s.submit(w.now, Job{ID: "job", SubmissionID: "job", Key: "k", TimeLeft: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 4, ResultBytes: 1000}}}, func(Result, error) {})
@@ -23,7 +23,7 @@
 // goes to the third one, and to no other.
 func TestNextOwnerRequestsRoomReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTakeoverWorld(t)
+		w := newTakeoverSimulation(t)
 		if calls := w.s.startCalls(w.now); len(calls) > 0 {
 			t.Fatal("a call was made before any report")
 		}
@@ -55,7 +55,7 @@
 // TestUpstreamWithoutReportIsUsedEventually takes the queues over while no upstream answers with a report.
 func TestUpstreamWithoutReportIsUsedEventually(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTakeoverWorld(t)
+		w := newTakeoverSimulation(t)
 		for _, a := range w.s.dueReports(w.now) {
 			w.s.applyReport(w.now, a, nil)
 		}
@@ -70,7 +70,7 @@
 // gets the piece again only when it has room.
 func TestFullUpstreamIsAskedForAReport(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSchedulerSimulation(t)
 		w.members["a"] = w.members["a"][:1]
 		w.s.setServices(services, w.members)
 		w.s.submit(w.now, Job{ID: "job", SubmissionID: "job", Key: "k", TimeLeft: time.Minute, Goal: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: 1000}}}, func(Result, error) {})
@@ -123,7 +123,7 @@
 // reports.
 func TestOthersResultsAreForgotten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSchedulerSimulation(t)
 		for _, worker := range w.s.services["a"].workers {
 			worker.recordNoRoom(w.now, services["a"].ResultRoom, 1, services["a"].ResultTTL)
 		}
@@ -144,7 +144,7 @@
 // completed a call of this owner gets calls whatever an old report says.
 func TestUpstreamBusyForThePreviousOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTakeoverWorld(t)
+		w := newTakeoverSimulation(t)
 		idle := rapid.SampledFrom([]string{"a0", "a1", "a2"}).Draw(t, "idle")
 		room := services["a"].ResultRoom
 		for _, a := range w.s.dueReports(w.now) {
