--- a/e2e/harness/opener_test.go
+++ b/e2e/harness/opener_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestOpenerOfAConnection finds the remote socket of a connection, both through sock_diag and in
+// TestFindConnectionOpener finds the remote socket of a connection, both through sock_diag and in
 // /proc/net/tcp, and checks that this process holds it.
-func TestOpenerOfAConnection(t *testing.T) {
+func TestFindConnectionOpener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/node/stagework/admission_test.go
+++ b/node/stagework/admission_test.go
@@ -11,14 +11,14 @@
 	"caperdrum.org/api/verdict"
 )
 
-// overloadedWorld has so many jobs in progress that another one would miss its goal.
-type overloadedWorld struct {
-	*world
+// overloadFixture has so many jobs in progress that another one would miss its goal.
+type overloadFixture struct {
+	*schedulerSimulation
 	ended map[string]error
 }
 
-func newOverloadedWorld(t *rapid.T) *overloadedWorld {
-	o := &overloadedWorld{world: newWorld(t), ended: map[string]error{}}
+func newOverloadFixture(t *rapid.T) *overloadFixture {
+	o := &overloadFixture{schedulerSimulation: newSchedulerSimulation(t), ended: map[string]error{}}
 	for i := range 60 {
 		o.offer(fmt.Sprint("first", i), fmt.Sprint("key", i), 4)
 	}
@@ -26,19 +26,19 @@
 }
 
 // offer submits a job of that many pieces and reports whether it was admitted.
-func (o *overloadedWorld) offer(id, key string, pieces int) bool {
+func (o *overloadFixture) offer(id, key string, pieces int) bool {
 	o.s.submit(o.now, Job{ID: id, SubmissionID: id, Key: key, TimeLeft: 9 * time.Second, Goal: time.Second, Stages: []Stage{{Service: "a", Pieces: pieces, ResultBytes: 10}}},
 		func(_ Result, err error) { o.ended[id] = err })
 	_, refused := o.ended[id]
 	return !refused
 }
 
-// TestCallerThatComesBackIsTakenIn refuses a caller and lets it retry with another call ID:
+// TestRetryOfARefusedCallerIsAdmitted refuses a caller and lets it retry with another call ID:
 // the retry is admitted although it will be late. A first attempt is not, however short its
 // deadline, nor is a caller whose earlier attempt is past its deadline.
-func TestCallerThatComesBackIsTakenIn(t *testing.T) {
+func TestRetryOfARefusedCallerIsAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOverloadedWorld(t)
+		o := newOverloadFixture(t)
 		if o.offer("try 1", "k", 4) {
 			t.Fatal("a job that misses its goal was admitted")
 		}
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestOrderOfTheQueue sorts pieces of each tier from every order: first attempts come
+// TestQueueOrder sorts pieces of each tier from every order: first attempts come
 // before retries, these before late ones, and within a tier the earliest latest start first.
-func TestOrderOfTheQueue(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spec := services["a"]
 	made := func(goal time.Duration, returned, late bool) *piece {
@@ -96,7 +96,7 @@
 // maxDeferred are admitted.
 func TestDeferredRetriesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOverloadedWorld(t)
+		o := newOverloadFixture(t)
 		taken := 0
 		most := o.s.maxDeferred(o.now)
 		for i := range 2 * most {
@@ -119,7 +119,7 @@
 // in time.
 func TestJobsThatCannotReachTheirGoalAreDeferred(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOverloadedWorld(t)
+		o := newOverloadFixture(t)
 		most, taken := o.s.maxDeferred(o.now), 0
 		for i := range 2 * most {
 			id := fmt.Sprint("hopeless", i)
@@ -138,11 +138,11 @@
 	})
 }
 
-// TestNoWaitWithIdleUpstreams estimates a job on a service with an idle upstream: the estimate
+// TestEstimateWithAnIdleUpstreamHasNoQueueingTime estimates a job on a service with an idle upstream: the estimate
 // has no queueing time.
-func TestNoWaitWithIdleUpstreams(t *testing.T) {
+func TestEstimateWithAnIdleUpstreamHasNoQueueingTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSchedulerSimulation(t)
 		j := &job{Job: Job{TimeLeft: time.Minute, Stages: []Stage{{Service: "a", Pieces: 1}}}, goal: w.now.Add(time.Minute)}
 		w.s.reset(j)
 		if got, _ := w.s.estimate(w.now, j); got != w.s.unloadedTime(j) {
--- a/node/stagework/reachability_test.go
+++ b/node/stagework/reachability_test.go
@@ -12,9 +12,10 @@
 	"caperdrum.org/node/residency"
 )
 
-// TestDarkDataCenterIsFoundOnce has one of six data centres of a fleet lose power under the usual load: a few calls
-// detect it, and the others go elsewhere, instead of each upstream there being detected by calls of its own.
-func TestDarkDataCenterIsFoundOnce(t *testing.T) {
+// TestUnreachableDataCenterIsDetectedOnce has one of six data centres of a fleet lose power under the usual
+// load: a few calls detect it, and the others go elsewhere, instead of each upstream there being detected by
+// calls of its own.
+func TestUnreachableDataCenterIsDetectedOnce(t *testing.T) {
 	for _, processes := range []int{90, 360, 720} {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
 			s, now := fleetOwner(processes)
@@ -37,7 +38,7 @@
 type outageCalls struct{ later, pieces int }
 
 // playOutage plays the calls of a fleet on a virtual clock while connections to a data centre time out.
-func playOutage(s *scheduler, now time.Time, span time.Duration, dark string, jobsATick int) (l outageCalls) {
+func playOutage(s *scheduler, now time.Time, span time.Duration, unreachable string, jobsATick int) (l outageCalls) {
 	const dial = 400 * time.Millisecond
 	type ending struct {
 		at time.Time
@@ -47,7 +48,7 @@
 	began, number := now, 0
 	for end := now.Add(span); now.Before(end); now = now.Add(ownerTick) {
 		under = endCalls(s, now, under, func(e ending) time.Time { return e.at }, func(e ending) (*call, outcome) {
-			if e.c.worker.member.DataCenter == dark {
+			if e.c.worker.member.DataCenter == unreachable {
 				return e.c, outcome{err: "i/o timeout", unreachable: true}
 			}
 			return e.c, successOutcome(e.c)
@@ -60,7 +61,7 @@
 		s.expireJobs(now)
 		for _, c := range s.startCalls(now) {
 			takes := c.expected
-			if c.worker.member.DataCenter == dark {
+			if c.worker.member.DataCenter == unreachable {
 				takes = dial
 				if now.Sub(began) > time.Second {
 					l.later++
@@ -86,9 +87,9 @@
 	return rest
 }
 
-// TestDarkDataCenterIsTriedAgain has an unreachable data centre come back: a probe detects it, and its upstreams are
-// used at once. While it is unreachable it gets one call a second.
-func TestDarkDataCenterIsTriedAgain(t *testing.T) {
+// TestUnreachableDataCenterIsTriedAgain has an unreachable data centre come back: a probe detects it, and its
+// upstreams are used at once. While it is unreachable it gets one call a second.
+func TestUnreachableDataCenterIsTriedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newReachability()
 	at := func(i int) wire.Member { return wire.Member{ID: wire.MemberID(fmt.Sprint("u", i)), DataCenter: "dc0"} }
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestDarkDataCenterIsForgottenInTheEnd has too few calls to probe an unreachable data centre: its failures expire.
-func TestDarkDataCenterIsForgottenInTheEnd(t *testing.T) {
+// TestUnreachableDataCenterExpires has too few calls to probe an unreachable data centre: its failures expire.
+func TestUnreachableDataCenterExpires(t *testing.T) {
 	s, now := fleetOwner(90)
 	for i := range minUnreachable {
 		s.reachability.recordFailure(now, wire.Member{ID: wire.MemberID(fmt.Sprint("u", i)), DataCenter: "dc0"})
@@ -141,21 +142,22 @@
 	}
 }
 
-// TestPiecesWithNowhereElseAreTried has all data centres in which a job may run be unreachable: the job is not held
-// until its deadline, but ends by failed attempts, no later than without knowledge of the data centres.
-func TestPiecesWithNowhereElseAreTried(t *testing.T) {
+// TestPiecesWithoutAnAlternativeAreTried has all data centres in which a job may run be unreachable: the job is
+// not held until its deadline, but ends by failed attempts, no later than without knowledge of the data
+// centres.
+func TestPiecesWithoutAnAlternativeAreTried(t *testing.T) {
 	all := []string{"dc0", "dc1", "dc2", "dc3", "dc4", "dc5"}
 	for name, c := range map[string]struct {
-		dark   []string
-		within residency.AllowedDataCenters
+		unreachable []string
+		within      residency.AllowedDataCenters
 	}{
 		"all are unreachable":           {all, residency.AllowedDataCenters{}},
 		"the only one of its region is": {[]string{"dc0"}, residency.AllowedDataCenters{Restricted: true, DataCenters: []string{"dc0"}}},
 		"both of its region are":        {[]string{"dc0", "dc1"}, residency.AllowedDataCenters{Restricted: true, DataCenters: []string{"dc0", "dc1"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			known := timeToEnd(t, c.dark, c.within, func(*scheduler) {})
-			unknown := timeToEnd(t, c.dark, c.within, func(s *scheduler) { s.reachability.reset() })
+			known := timeToEnd(t, c.unreachable, c.within, func(*scheduler) {})
+			unknown := timeToEnd(t, c.unreachable, c.within, func(s *scheduler) { s.reachability.reset() })
 			if known > unknown {
 				t.Errorf("the job ends after %s, after %s without knowledge of data centres", known, unknown)
 			}
@@ -164,9 +166,9 @@
 }
 
 // timeToEnd is how long a job takes to end that may run in unreachable data centres only.
-func timeToEnd(t *testing.T, dark []string, within residency.AllowedDataCenters, tick func(*scheduler)) time.Duration {
+func timeToEnd(t *testing.T, unreachable []string, within residency.AllowedDataCenters, tick func(*scheduler)) time.Duration {
 	s, now := fleetOwner(90)
-	for _, dc := range dark {
+	for _, dc := range unreachable {
 		for i := range minUnreachable {
 			s.reachability.recordFailure(now, wire.Member{ID: wire.MemberID(fmt.Sprint("u", i)), DataCenter: dc})
 		}
@@ -198,8 +200,9 @@
 	return 0
 }
 
-// TestDarkDataCenterIsLogged logs once that a data centre became unreachable, and once that it is reachable again.
-func TestDarkDataCenterIsLogged(t *testing.T) {
+// TestUnreachableDataCenterIsLogged logs once that a data centre became unreachable, and once that it is
+// reachable again.
+func TestUnreachableDataCenterIsLogged(t *testing.T) {
 	var lines []string
 	sched, now := fleetOwner(90)
 	s := &Service{scheduler: sched, log: funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{})}
@@ -217,9 +220,9 @@
 	}
 }
 
-// TestUpstreamsThatFailAreNotADarkDataCenter has upstreams of a data centre be unreachable while others there answer,
-// and upstreams refuse connections, which shows that their VMs run.
-func TestUpstreamsThatFailAreNotADarkDataCenter(t *testing.T) {
+// TestFailingUpstreamsAreNotAnUnreachableDataCenter has upstreams of a data centre be unreachable while others
+// there answer, and upstreams refuse connections, which shows that their VMs run.
+func TestFailingUpstreamsAreNotAnUnreachableDataCenter(t *testing.T) {
 	s, now := fleetOwner(90)
 	submitBurst(s, now, 0)
 	var failing int
@@ -244,9 +247,9 @@
 	}
 }
 
-// TestEnginesOfADarkDataCenter has calls find the engines of a data centre unreachable: the next ones go elsewhere,
-// though an engine there has cached their shared part, and come back when it answers.
-func TestEnginesOfADarkDataCenter(t *testing.T) {
+// TestEnginesOfAnUnreachableDataCenter has calls find the engines of a data centre unreachable: the next ones
+// go elsewhere, though an engine there has cached their shared part, and come back when it answers.
+func TestEnginesOfAnUnreachableDataCenter(t *testing.T) {
 	p := newEngineFleet()
 	first, k := p.sendCall(prompt("shared", 1000))
 	p.finishAssignment(p.now, k, EngineStarted)
@@ -264,9 +267,9 @@
 	}
 }
 
-// TestEngineThatCannotBeReached ends an assignment at an unreachable engine: the engine backs off, and counts for
-// its data centre.
-func TestEngineThatCannotBeReached(t *testing.T) {
+// TestUnreachableEngineCountsForItsDataCenter ends an assignment at an unreachable engine: the engine backs
+// off, and counts for its data centre.
+func TestUnreachableEngineCountsForItsDataCenter(t *testing.T) {
 	p := newEngineFleet()
 	id, k := p.sendCall(prompt("shared", 1000))
 	p.finishAssignment(p.now, k, EngineUnreachable)
@@ -276,19 +279,19 @@
 	}
 }
 
-// TestResultsSayWhatIsDark checks that results list the data centres that the owner cannot reach.
-func TestResultsSayWhatIsDark(t *testing.T) {
+// TestResultsNameUnreachableDataCenters checks that results list the data centres that the owner cannot reach.
+func TestResultsNameUnreachableDataCenters(t *testing.T) {
 	s := newNamedOwner(t)
 	named := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
 	s.post(func(time.Time) { s.scheduler.setServices(services, nil) })
-	dark := func() []string {
+	unreachable := func() []string {
 		r, err := s.handleRun(t.Context(), &Job{ID: "j", SubmissionID: "j", TimeLeft: time.Minute, Goal: time.Minute, Owner: named})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r.UnreachableDataCenters
 	}
-	if got := dark(); got != nil {
+	if got := unreachable(); got != nil {
 		t.Errorf("unreachable: %v", got)
 	}
 	s.post(func(now time.Time) {
@@ -299,7 +302,7 @@
 		}
 		s.scheduler.reachability.recordFailure(now, wire.Member{ID: "v", DataCenter: "dc3"})
 	})
-	if got := fmt.Sprint(dark()); got != "[dc1 dc2]" {
+	if got := fmt.Sprint(unreachable()); got != "[dc1 dc2]" {
 		t.Errorf("unreachable: %s", got)
 	}
 }
