--- a/node/control/stageowner.go
+++ b/node/control/stageowner.go
@@ -17,9 +17,9 @@
 	// probeInterval is how often the leader probes the owner of the stage queues. It adds to the time in
 	// which a failure is detected.
 	probeInterval = 50 * time.Millisecond
-	// probeStall is the pause between two probes above which the leader cannot tell whether the owner did not
+	// probeStallThreshold is the pause between two probes above which the leader cannot tell whether the owner did not
 	// answer or the leader itself was stalled.
-	probeStall = baseProbeTimeout / 2
+	probeStallThreshold = baseProbeTimeout / 2
 	// newLeaderGrace is how long a new leader assigns ownership only to processes from which it has received
 	// a renewal: after a power failure, the member list contains earlier starts. It is above the interval at
 	// which a control process renews through a follower.
@@ -129,7 +129,7 @@
 		o.startProbe(m.Peer)
 	}
 	now := o.s.clock.Now()
-	if now.Sub(o.lastProbe) > probeStall {
+	if now.Sub(o.lastProbe) > probeStallThreshold {
 		o.probe.reset()
 	}
 	o.lastProbe = now
--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -133,7 +133,7 @@
 
 // Evacuate starts or ends the evacuation of a data centre on behalf of an operator who waits for the response
 // as long as ctx is valid. The order is based on the revision that this process knew when the request
-// arrived: if the process was frozen while later orders were acknowledged, the order is outdated and has no
+// arrived: if the process was stalled while later orders were acknowledged, the order is outdated and has no
 // effect.
 func (s *Service) Evacuate(ctx context.Context, dataCenter string, out bool) (wire.EvacuationResult, error) {
 	var result wire.EvacuationResult
--- a/node/stagework/engines.go
+++ b/node/stagework/engines.go
@@ -78,7 +78,7 @@
 	relativePace relativePace
 	sendingUntil time.Time // its link is busy until then with parts sent to other engines
 	failures     int
-	pausedUntil  time.Time // backs off until then
+	backoffUntil time.Time // backs off until then
 	coldChooser  coldstart.ChooserLimiter
 }
 
@@ -170,7 +170,7 @@
 		}
 		x.prefill = own.plus(missing)
 		x.ttft = x.fetch.duration + e.timeToFirstEvent(l, x.prefill)
-		r := rank{unavailable: now.Before(l.pausedUntil) || e.reachability.blocked(now, m.DataCenter), ttft: x.ttft, id: m.ID}
+		r := rank{unavailable: now.Before(l.backoffUntil) || e.reachability.blocked(now, m.DataCenter), ttft: x.ttft, id: m.ID}
 		r.late = now.Add(goalFactor * x.ttft).After(goal)
 		r.cost = x.fetch.transfer + e.cost(r, missing, all-bytes[m.DataCenter])
 		if best.engine.ID == "" || r.compare(least) < 0 {
@@ -326,7 +326,7 @@
 // recordFailure makes calls avoid the engine for a while.
 func (l *engineLoad) recordFailure(now time.Time) {
 	l.failures++
-	l.pausedUntil = now.Add(backoffAfter(l.failures))
+	l.backoffUntil = now.Add(backoffAfter(l.failures))
 }
 
 func (l *engineLoad) hasPart(part string) bool { return l.parts[part] != nil }
--- a/node/stagework/engines_test.go
+++ b/node/stagework/engines_test.go
@@ -90,7 +90,7 @@
 	g.Expect(other).NotTo(gomega.Equal(id))
 	p.finishAssignment(p.now, &assignment{engine: id}, EngineFailed)
 	p.now = p.now.Add(failureBackoff)
-	g.Expect(p.loads[id].pausedUntil).To(gomega.BeTemporally("~", p.now.Add(failureBackoff), time.Millisecond))
+	g.Expect(p.loads[id].backoffUntil).To(gomega.BeTemporally("~", p.now.Add(failureBackoff), time.Millisecond))
 	p.members["llm"] = p.members["llm"][:0:0]
 	p.members["llm"] = append(p.members["llm"], wire.Member{ID: id})
 	again, _ := p.sendCall(prompt("shared", 10))
@@ -143,7 +143,7 @@
 	g.Expect(s.engines.loads[got.Engine].waiting.tokens).To(gomega.BeEquivalentTo(10))
 	s.handleDone(now, Done{SubmissionID: "a1", Engine: EngineFailed})
 	g.Expect(s.engines.loads[got.Engine].waiting.tokens).To(gomega.BeZero())
-	g.Expect(s.engines.loads[got.Engine].pausedUntil).To(gomega.BeTemporally(">", now))
+	g.Expect(s.engines.loads[got.Engine].backoffUntil).To(gomega.BeTemporally(">", now))
 }
 
 // TestCallWithoutFirstEventIsNotObserved ends calls before their first event: neither the model nor the
@@ -155,7 +155,7 @@
 	id, k := p.sendCall(prompt("shared", 10))
 	p.finishAssignment(p.now.Add(time.Hour), k, EngineUnknown)
 	g.Expect(p.ttft).To(gomega.Equal(before))
-	g.Expect(p.loads[id].pausedUntil).To(gomega.BeZero())
+	g.Expect(p.loads[id].backoffUntil).To(gomega.BeZero())
 	g.Expect(p.loads[id].waiting.tokens).To(gomega.BeZero())
 }
 
--- a/node/stagework/ownerlink.go
+++ b/node/stagework/ownerlink.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// pingInterval and pingTimeout bound how long jobs wait for an owner that is frozen or
+	// pingInterval and pingTimeout bound how long jobs wait for an owner that is stalled or
 	// unreachable from this process.
 	pingInterval = 200 * time.Millisecond
 	pingTimeout  = 300 * time.Millisecond
--- a/node/stagework/reachability.go
+++ b/node/stagework/reachability.go
@@ -22,49 +22,51 @@
 // owner. The upstreams of a data centre are one failure domain, so a few failed calls decide for
 // all of them. Otherwise every process would spend a connection timeout on each upstream.
 type reachability struct {
-	outages map[string]*outage // by data centre; those with failed connections since the last answer
+	failures map[string]*connectionFailures // by data centre; those with failed connections since the last answer
 }
 
-// outage tracks the failed connections of one data centre.
-type outage struct {
-	unreached   map[wire.MemberID]bool
+// connectionFailures tracks the failed connections of one data centre.
+type connectionFailures struct {
+	upstreams   map[wire.MemberID]bool
 	lastFailure time.Time
 	nextProbe   time.Time // when a call may probe the data centre
 }
 
-func (c *outage) confirmed() bool { return c != nil && len(c.unreached) >= minUnreachable }
+func (c *connectionFailures) confirmed() bool { return c != nil && len(c.upstreams) >= minUnreachable }
 
-func newReachability() *reachability { return &reachability{outages: map[string]*outage{}} }
+func newReachability() *reachability {
+	return &reachability{failures: map[string]*connectionFailures{}}
+}
 
 // recordFailure records that a connection to an upstream failed.
 func (r *reachability) recordFailure(now time.Time, m wire.Member) {
-	c := r.outages[m.DataCenter]
+	c := r.failures[m.DataCenter]
 	if c == nil {
-		c = &outage{unreached: map[wire.MemberID]bool{}}
-		r.outages[m.DataCenter] = c
+		c = &connectionFailures{upstreams: map[wire.MemberID]bool{}}
+		r.failures[m.DataCenter] = c
 	}
 	before := c.confirmed()
-	c.unreached[m.ID], c.lastFailure = true, now
+	c.upstreams[m.ID], c.lastFailure = true, now
 	if c.confirmed() && !before {
 		c.nextProbe = now.Add(reachProbeInterval)
 	}
 }
 
 // recordAnswer records that an upstream of the data centre answered.
-func (r *reachability) recordAnswer(dataCenter string) { delete(r.outages, dataCenter) }
+func (r *reachability) recordAnswer(dataCenter string) { delete(r.failures, dataCenter) }
 
 // unreachable reports whether the data centre counts as unreachable.
-func (r *reachability) unreachable(dataCenter string) bool { return r.outages[dataCenter].confirmed() }
+func (r *reachability) unreachable(dataCenter string) bool { return r.failures[dataCenter].confirmed() }
 
 // blocked reports whether a data centre is unreachable and no probe is due.
 func (r *reachability) blocked(now time.Time, dataCenter string) bool {
-	c := r.outages[dataCenter]
+	c := r.failures[dataCenter]
 	return c.confirmed() && now.Before(c.nextProbe)
 }
 
 // recordCall records that a call is sent to the data centre, which counts as a probe.
 func (r *reachability) recordCall(now time.Time, dataCenter string) {
-	if c := r.outages[dataCenter]; c.confirmed() {
+	if c := r.failures[dataCenter]; c.confirmed() {
 		c.nextProbe = now.Add(reachProbeInterval)
 	}
 }
@@ -72,7 +74,7 @@
 // unreachableDataCenters returns the data centres that count as unreachable, sorted.
 func (r *reachability) unreachableDataCenters() []string {
 	var out []string
-	for dc, c := range r.outages {
+	for dc, c := range r.failures {
 		if c.confirmed() {
 			out = append(out, dc)
 		}
@@ -83,7 +85,7 @@
 
 // expireFailures forgets data centres whose last failure is older than failureTTL.
 func (r *reachability) expireFailures(now time.Time) {
-	for dc, c := range r.outages {
+	for dc, c := range r.failures {
 		if now.Sub(c.lastFailure) > failureTTL {
 			r.recordAnswer(dc)
 		}
@@ -91,7 +93,7 @@
 }
 
 // reset forgets all failures.
-func (r *reachability) reset() { clear(r.outages) }
+func (r *reachability) reset() { clear(r.failures) }
 
 // markStranded marks the pieces that may only run in unreachable data centres. If these were skipped,
 // the pieces would wait until their jobs' deadlines; they are sent there and fail by their own attempts.
--- a/node/stagework/reachability_test.go
+++ b/node/stagework/reachability_test.go
@@ -37,7 +37,7 @@
 type outageCalls struct{ later, pieces int }
 
 // playOutage plays the calls of a fleet on a virtual clock while connections to a data centre time out.
-func playOutage(s *scheduler, now time.Time, span time.Duration, dark string, jobsATick int) (l outageCalls) {
+func playOutage(s *scheduler, now time.Time, span time.Duration, unreachable string, jobsATick int) (l outageCalls) {
 	const dial = 400 * time.Millisecond
 	type ending struct {
 		at time.Time
@@ -47,7 +47,7 @@
 	began, number := now, 0
 	for end := now.Add(span); now.Before(end); now = now.Add(ownerTick) {
 		under = endCalls(s, now, under, func(e ending) time.Time { return e.at }, func(e ending) (*call, outcome) {
-			if e.c.worker.member.DataCenter == dark {
+			if e.c.worker.member.DataCenter == unreachable {
 				return e.c, outcome{err: "i/o timeout", unreachable: true}
 			}
 			return e.c, successOutcome(e.c)
@@ -60,7 +60,7 @@
 		s.expireJobs(now)
 		for _, c := range s.startCalls(now) {
 			takes := c.expected
-			if c.worker.member.DataCenter == dark {
+			if c.worker.member.DataCenter == unreachable {
 				takes = dial
 				if now.Sub(began) > time.Second {
 					l.later++
@@ -146,16 +146,16 @@
 func TestPiecesWithNowhereElseAreTried(t *testing.T) {
 	all := []string{"dc0", "dc1", "dc2", "dc3", "dc4", "dc5"}
 	for name, c := range map[string]struct {
-		dark   []string
-		within residency.AllowedDataCenters
+		unreachable []string
+		within      residency.AllowedDataCenters
 	}{
 		"all are unreachable":           {all, residency.AllowedDataCenters{}},
 		"the only one of its region is": {[]string{"dc0"}, residency.AllowedDataCenters{Restricted: true, DataCenters: []string{"dc0"}}},
 		"both of its region are":        {[]string{"dc0", "dc1"}, residency.AllowedDataCenters{Restricted: true, DataCenters: []string{"dc0", "dc1"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			known := timeToEnd(t, c.dark, c.within, func(*scheduler) {})
-			unknown := timeToEnd(t, c.dark, c.within, func(s *scheduler) { s.reachability.reset() })
+			known := timeToEnd(t, c.unreachable, c.within, func(*scheduler) {})
+			unknown := timeToEnd(t, c.unreachable, c.within, func(s *scheduler) { s.reachability.reset() })
 			if known > unknown {
 				t.Errorf("the job ends after %s, after %s without knowledge of data centres", known, unknown)
 			}
@@ -164,9 +164,9 @@
 }
 
 // timeToEnd is how long a job takes to end that may run in unreachable data centres only.
-func timeToEnd(t *testing.T, dark []string, within residency.AllowedDataCenters, tick func(*scheduler)) time.Duration {
+func timeToEnd(t *testing.T, unreachable []string, within residency.AllowedDataCenters, tick func(*scheduler)) time.Duration {
 	s, now := fleetOwner(90)
-	for _, dc := range dark {
+	for _, dc := range unreachable {
 		for i := range minUnreachable {
 			s.reachability.recordFailure(now, wire.Member{ID: wire.MemberID(fmt.Sprint("u", i)), DataCenter: dc})
 		}
@@ -271,8 +271,8 @@
 	id, k := p.sendCall(prompt("shared", 1000))
 	p.finishAssignment(p.now, k, EngineUnreachable)
 	l := p.loads[id]
-	if !p.now.Before(l.pausedUntil) || len(p.reachability.outages[l.member.DataCenter].unreached) != 1 {
-		t.Errorf("backs off until %s, %v", l.pausedUntil, p.reachability.outages)
+	if !p.now.Before(l.backoffUntil) || len(p.reachability.failures[l.member.DataCenter].upstreams) != 1 {
+		t.Errorf("backs off until %s, %v", l.backoffUntil, p.reachability.failures)
 	}
 }
 
@@ -281,14 +281,14 @@
 	s := newNamedOwner(t)
 	named := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
 	s.post(func(time.Time) { s.scheduler.setServices(services, nil) })
-	dark := func() []string {
+	reported := func() []string {
 		r, err := s.handleRun(t.Context(), &Job{ID: "j", SubmissionID: "j", TimeLeft: time.Minute, Goal: time.Minute, Owner: named})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r.UnreachableDataCenters
 	}
-	if got := dark(); got != nil {
+	if got := reported(); got != nil {
 		t.Errorf("unreachable: %v", got)
 	}
 	s.post(func(now time.Time) {
@@ -299,7 +299,7 @@
 		}
 		s.scheduler.reachability.recordFailure(now, wire.Member{ID: "v", DataCenter: "dc3"})
 	})
-	if got := fmt.Sprint(dark()); got != "[dc1 dc2]" {
+	if got := fmt.Sprint(reported()); got != "[dc1 dc2]" {
 		t.Errorf("unreachable: %s", got)
 	}
 }
--- a/node/stagework/stall.go
+++ b/node/stagework/stall.go
@@ -8,7 +8,7 @@
 )
 
 // stallThreshold is the delay from which on a goroutine with a timer of ownerTick counts as stalled:
-// its process was frozen or got no CPU time.
+// its process or VM was suspended, or got no CPU time.
 const stallThreshold = 500 * time.Millisecond
 
 // maxUnconfirmed bounds how long an owner starts no calls after a stall. While control has no leader
@@ -24,12 +24,12 @@
 // observe records that the goroutine runs, and returns for how long it was stalled; zero if it was not, or
 // if no timer was set that tells.
 func (p *stallDetector) observe(now time.Time) time.Duration {
-	silent := now.Sub(p.last)
+	gap := now.Sub(p.last)
 	p.last = now
-	if !p.armed || silent < stallThreshold {
+	if !p.armed || gap < stallThreshold {
 		return 0
 	}
-	return silent
+	return gap
 }
 
 // setArmed records whether the goroutine has a timer set until the next observe.
--- a/node/stagework/stall_test.go
+++ b/node/stagework/stall_test.go
@@ -15,7 +15,7 @@
 // gets no CPU for seconds, and ends the calls afterwards, answered or timed out. The next burst is admitted as before,
 // and no upstream counts as slow or failing.
 func TestStandstillIsNotTheUpstreams(t *testing.T) {
-	const frozen = 8 * time.Second
+	const stallTime = 8 * time.Second
 	for name, end := range map[string]func(c *call) outcome{
 		"answered":  successOutcome,
 		"timed out": func(*call) outcome { return outcome{err: "deadline exceeded"} },
@@ -27,7 +27,7 @@
 			if len(calls) < 60 {
 				t.Fatalf("%d calls in progress", len(calls))
 			}
-			now = now.Add(frozen)
+			now = now.Add(stallTime)
 			s.recordStall(now)
 			for _, c := range calls {
 				s.finishCall(now, c, end(c))
@@ -89,24 +89,24 @@
 		return p.observe(now)
 	}
 	p.setArmed(now, false)
-	if stood := step(time.Hour); stood != 0 {
-		t.Errorf("without a timer: %s", stood)
+	if stalled := step(time.Hour); stalled != 0 {
+		t.Errorf("without a timer: %s", stalled)
 	}
 	p.setArmed(now.Add(time.Minute), true)
-	if stood := step(time.Minute + ownerTick); stood != 0 {
-		t.Errorf("idle before the timer was set: %s", stood)
+	if stalled := step(time.Minute + ownerTick); stalled != 0 {
+		t.Errorf("idle before the timer was set: %s", stalled)
 	}
 	for range 100 {
-		if stood := step(stallThreshold - time.Millisecond); stood != 0 {
-			t.Fatalf("busy: %s", stood)
+		if stalled := step(stallThreshold - time.Millisecond); stalled != 0 {
+			t.Fatalf("busy: %s", stalled)
 		}
 		p.setArmed(now, true)
 	}
-	if stood := step(8 * time.Second); stood != 8*time.Second {
-		t.Errorf("frozen for 8 s: %s", stood)
+	if stalled := step(8 * time.Second); stalled != 8*time.Second {
+		t.Errorf("stalled for 8 s: %s", stalled)
 	}
-	if stood := step(ownerTick); stood != 0 {
-		t.Errorf("after the stall: %s", stood)
+	if stalled := step(ownerTick); stalled != 0 {
+		t.Errorf("after the stall: %s", stalled)
 	}
 }
 
