--- a/node/ledger/service.go
+++ b/node/ledger/service.go
@@ -18,9 +18,9 @@
 
 // Control methods that this package calls.
 const (
-	MethodClaim  = "control.claim"
-	MethodSettle = "control.settle"
-	MethodHeld   = "control.held"
+	MethodClaim           = "control.claim"
+	MethodSettle          = "control.settle"
+	MethodUnsettledClaims = "control.held"
 )
 
 // Params holds the dependencies of the service.
--- a/node/ledger/sweep.go
+++ b/node/ledger/sweep.go
@@ -26,7 +26,7 @@
 		case <-s.clock.After(sweepInterval/2 + rand.N(sweepInterval)):
 		}
 		var reply wire.UnsettledClaims
-		if s.sync.LeaderClient().CallLeader(ctx, MethodHeld, struct{}{}, &reply) == nil {
+		if s.sync.LeaderClient().CallLeader(ctx, MethodUnsettledClaims, struct{}{}, &reply) == nil {
 			s.sweepClaims(ctx, reply.Claims)
 		}
 	}
