--- a/node/configsync/holder.go
+++ b/node/configsync/holder.go
@@ -128,9 +128,9 @@
 // The confirmation's age was measured after the request was made, so asked minus the age is no later than the
 // confirmation.
 func (h *Holder) Apply(reply *wire.SyncReply, asked time.Time) (*View, error) {
-	fresh := reply.StampAge >= 0 && reply.StampAge <= maxConfirmationAge
+	confirmed := reply.StampAge >= 0 && reply.StampAge <= maxConfirmationAge
 	old := h.View()
-	if !fresh && old == nil {
+	if !confirmed && old == nil {
 		return nil, errUnconfirmed
 	}
 	next := emptyView()
@@ -160,7 +160,7 @@
 		h.view.Store(&next)
 		changed = &next
 	}
-	if !fresh {
+	if !confirmed {
 		return changed, errStale
 	}
 	h.recordConfirmation(asked.Add(-reply.StampAge))
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -73,7 +73,7 @@
 // viewSource is the part of configsync.Service that the proxy uses.
 type viewSource interface {
 	StampAge() time.Duration
-	// Steady returns for how long the view has been confirmed without a gap; see package configsync.
+	// ConfirmedFor returns for how long the view has been confirmed without a gap; see package configsync.
 	ConfirmedFor() time.Duration
 	Self() wire.Member
 	SetLeaving(leaving bool)
--- a/node/retry/peers.go
+++ b/node/retry/peers.go
@@ -92,8 +92,8 @@
 
 // Settled reports whether the process may use its share.
 func (p *Peers) Settled() bool {
-	now, steady := p.clock.Now(), p.confirmed.ConfirmedFor()
+	now, confirmedFor := p.clock.Now(), p.confirmed.ConfirmedFor()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.memberSince.IsZero() && min(now.Sub(p.memberSince), steady) >= p.settleTime
+	return !p.memberSince.IsZero() && min(now.Sub(p.memberSince), confirmedFor) >= p.settleTime
 }
--- a/node/retry/quota_test.go
+++ b/node/retry/quota_test.go
@@ -127,7 +127,7 @@
 			return
 		}
 		p.synced, p.since, p.joined = time.Time{}, time.Time{}, false
-		p.peers = NewPeers(p.sim.limit.Window, p.sim.clock, Confirmations{p.steady, longestGap})
+		p.peers = NewPeers(p.sim.limit.Window, p.sim.clock, Confirmations{p.confirmedFor, longestGap})
 		p.quota = NewQuota(p.sim.limit, p.sim.clock, p.peers)
 	}
 	if now.Before(p.cutOffUntil) || now.Sub(p.synced) < p.sim.jitter(syncEvery) {
@@ -145,7 +145,7 @@
 // longestGap is the longest time between two confirmations of a view that counts as uninterrupted.
 const longestGap = 3 * time.Second
 
-func (p *process) steady() time.Duration {
+func (p *process) confirmedFor() time.Duration {
 	if now := p.sim.clock.Now(); !p.synced.IsZero() && now.Sub(p.synced) <= longestGap {
 		return now.Sub(p.since)
 	}
