--- a/node/configsync/lists_test.go
+++ b/node/configsync/lists_test.go
@@ -9,7 +9,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestListsFollowMembers changes members one by one, together with evacuations and roll-outs. The view must
+// TestListsFollowMembers changes members one by one, together with evacuations and rollouts. The view must
 // equal one that is built from the same members, and earlier views must not change.
 func TestListsFollowMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/node/configsync/member_update.go
+++ b/node/configsync/member_update.go
@@ -67,7 +67,7 @@
 }
 
 // filterAnnounced rebuilds the lists of Announced named in touched, or all of them if it is nil, without the
-// upstreams of versions that roll-outs exclude. Upstreams of a replaced version stay while there are no
+// upstreams of versions that rollouts exclude. Upstreams of a replaced version stay while there are no
 // others, since that version has proved itself. Upstreams of a version that was rolled back are always
 // removed.
 func (v *View) filterAnnounced(touched map[string]bool) {
--- a/node/configsync/rollouts_test.go
+++ b/node/configsync/rollouts_test.go
@@ -7,7 +7,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestViewExcludesVersions completes and rolls back roll-outs. Upstreams of versions that were rolled back or
+// TestViewExcludesVersions completes and rolls back rollouts. Upstreams of versions that were rolled back or
 // replaced must not be in the lists of those that get calls. Replaced ones stay while there are no others.
 func TestViewExcludesVersions(t *testing.T) {
 	upstream := func(version string) wire.Member {
--- a/node/configsync/view.go
+++ b/node/configsync/view.go
@@ -28,7 +28,7 @@
 	Evacuations wire.Evacuations
 	// Suspects contains calls under which upstreams crashed.
 	Suspects wire.Suspects
-	// Rollouts contains the roll-outs of services. Upstreams of versions that they exclude are not in
+	// Rollouts contains the rollouts of services. Upstreams of versions that they exclude are not in
 	// Announced.
 	Rollouts wire.Rollouts
 
--- a/node/control/metrics.go
+++ b/node/control/metrics.go
@@ -66,7 +66,7 @@
 	return out
 }
 
-// rolloutMetrics describes a service's last roll-out. The answers are those reported to this leader.
+// rolloutMetrics describes a service's last rollout. The answers are those reported to this leader.
 type rolloutMetrics struct {
 	Target  string            `json:"target"`
 	State   wire.RolloutState `json:"state"`
--- a/node/control/rollout.go
+++ b/node/control/rollout.go
@@ -14,20 +14,20 @@
 	"caperdrum.org/node/state"
 )
 
-// RPC methods of roll-outs.
+// RPC methods of rollouts.
 const (
 	MethodStartRollout  = "control.rollout_start"
 	MethodRollout       = "control.rollout"
 	MethodReportRollout = "control.rollout_report"
 )
 
-// MaxRolloutSpan limits the duration of a roll-out.
+// MaxRolloutSpan limits the duration of a rollout.
 const MaxRolloutSpan = 24 * time.Hour
 
-// rolloutInterval is how often the leader evaluates running roll-outs.
+// rolloutInterval is how often the leader evaluates running rollouts.
 const rolloutInterval = 100 * time.Millisecond
 
-// rolloutTracker collects the counts of running roll-outs on the leader. A new leader starts without any,
+// rolloutTracker collects the counts of running rollouts on the leader. A new leader starts without any,
 // since processes always report all of their counts.
 type rolloutTracker struct {
 	mu        sync.Mutex
@@ -41,23 +41,23 @@
 	startedLate bool      // tracking began when the span was over or nearly so
 }
 
-// StartRollout commits an order to start a roll-out, and returns once a quorum has stored it. An order that
-// equals the running roll-out joins it.
+// StartRollout commits an order to start a rollout, and returns once a quorum has stored it. An order that
+// equals the running rollout joins it.
 func (s *Service) StartRollout(ctx context.Context, o *wire.RolloutOrder) (*wire.RolloutResult, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
 	}
 	if err := s.checkRolloutOrder(o); err != nil {
-		s.log.Info("roll-out refused", "service", o.Service, "target", o.Target, "span", o.Span, "reason", err.Error())
+		s.log.Info("rollout refused", "service", o.Service, "target", o.Target, "span", o.Span, "reason", err.Error())
 		return nil, err
 	}
 	res, err := s.cluster.Propose(ctx, state.Command{StartRollout: o})
 	if err != nil {
-		s.log.Info("roll-out not committed", "service", o.Service, "target", o.Target, "error", err.Error())
+		s.log.Info("rollout not committed", "service", o.Service, "target", o.Target, "error", err.Error())
 		return nil, s.leaderError(err)
 	}
 	r := res.Rollout
-	s.log.Info("roll-out order committed", "service", o.Service, "target", o.Target, "span", o.Span, "author", o.Author, "base", o.Base,
+	s.log.Info("rollout order committed", "service", o.Service, "target", o.Target, "span", o.Span, "author", o.Author, "base", o.Base,
 		"revision", r.Rollout.Revision, "changed", r.Changed, "refusal", r.Refusal, "replaced", r.Rollout.Replaced)
 	if r.Refusal != wire.RolloutAccepted {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "service %s: conflicting roll-out to version %s is %s at revision %d", o.Service, r.Rollout.Target, r.Rollout.State, r.Rollout.Revision)
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// AbortRollout rolls back a running roll-out.
+// AbortRollout rolls back a running rollout.
 func (s *Service) AbortRollout(ctx context.Context, service, author string) (*wire.RolloutResult, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
@@ -108,12 +108,12 @@
 	return s.proposeRolloutStep(ctx, &wire.RolloutStep{Service: service, Base: current.Revision, State: wire.RolloutRolledBack, Reason: "aborted by " + author})
 }
 
-// RolloutRequest is a request for the roll-out of a service.
+// RolloutRequest is a request for the rollout of a service.
 type RolloutRequest struct {
 	Service string `json:"service"`
 }
 
-// readRollout is a linearizable read of a service's roll-out.
+// readRollout is a linearizable read of a service's rollout.
 func (s *Service) readRollout(ctx context.Context, q *RolloutRequest) (*wire.Rollout, error) {
 	if err := s.replica.ReadBarrier(ctx); err != nil {
 		return nil, s.leaderError(err)
@@ -125,10 +125,10 @@
 	return &r, nil
 }
 
-// Rollouts returns the roll-outs that this process has applied.
+// Rollouts returns the rollouts that this process has applied.
 func (s *Service) Rollouts() wire.Rollouts { return s.cluster.View().Rollouts }
 
-// reportRollout adds a process's counts to the running roll-outs.
+// reportRollout adds a process's counts to the running rollouts.
 func (s *Service) reportRollout(_ context.Context, report *wire.RolloutReport) (*Empty, error) {
 	if !s.cluster.IsLeader() {
 		return nil, s.notLeader()
@@ -144,7 +144,7 @@
 	return &Empty{}, nil
 }
 
-// progress returns the state of a running roll-out, which it creates if needed.
+// progress returns the state of a running rollout, which it creates if needed.
 func (t *rolloutTracker) progress(r wire.Rollout, v *state.View, now time.Time) *trackedRollout {
 	j := t.byService[r.Service]
 	if j == nil || j.order != r.Order {
@@ -159,7 +159,7 @@
 	return j
 }
 
-// runRollouts lets the leader advance running roll-outs.
+// runRollouts lets the leader advance running rollouts.
 func (s *Service) runRollouts(ctx context.Context) {
 	periodic.Run(ctx, s.clock, rolloutInterval, func() {
 		view := s.cluster.View()
@@ -182,7 +182,7 @@
 	t.byService = nil
 }
 
-// nextRolloutStep returns the next step of a roll-out, or nil.
+// nextRolloutStep returns the next step of a rollout, or nil.
 func (s *Service) nextRolloutStep(r wire.Rollout, view *state.View) *wire.RolloutStep {
 	if !r.Running() {
 		return nil
@@ -227,7 +227,7 @@
 	ctx, cancel := context.WithTimeout(ctx, stallThreshold/2)
 	defer cancel()
 	if _, err := s.proposeRolloutStep(ctx, step); err != nil {
-		s.log.Info("roll-out step not committed", "service", step.Service, "state", step.State, "error", err.Error())
+		s.log.Info("rollout step not committed", "service", step.Service, "state", step.State, "error", err.Error())
 	}
 }
 
@@ -240,7 +240,7 @@
 	if r.Refusal != wire.RolloutAccepted {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeKeyConflict, "the roll-out of service %s has changed: it is at revision %d", step.Service, r.Rollout.Revision)
 	}
-	s.log.Info("roll-out step committed", "service", step.Service, "target", r.Rollout.Target, "state", r.Rollout.State, "share", r.Rollout.Share, "revision", r.Rollout.Revision, "reason", step.Reason)
+	s.log.Info("rollout step committed", "service", step.Service, "target", r.Rollout.Target, "state", r.Rollout.State, "share", r.Rollout.Share, "revision", r.Rollout.Revision, "reason", step.Reason)
 	s.ring.Record(timeline.Event{Kind: timeline.Kind("rollout-" + r.Rollout.State), Detail: step.Service + " to " + r.Rollout.Target + ": " + step.Reason})
 	return r, nil
 }
--- a/node/control/rollout_test.go
+++ b/node/control/rollout_test.go
@@ -8,7 +8,7 @@
 	"caperdrum.org/node/state"
 )
 
-// TestLeaderThatComesLate lets leaders start to track a roll-out at different times. If its span is over, or
+// TestLeaderThatComesLate lets leaders start to track a rollout at different times. If its span is over, or
 // so nearly that tracking ends after it, earlier counts may be missing.
 func TestLeaderThatComesLate(t *testing.T) {
 	start := time.Unix(1000, 0)
--- a/node/rollout/analyzer.go
+++ b/node/rollout/analyzer.go
@@ -57,7 +57,7 @@
 
 func (c *cusum) maxScore() float64 { return slices.Max(c[:]) }
 
-// Analyzer compares the answers of a roll-out's target version with those of the other versions, the baseline.
+// Analyzer compares the answers of a rollout's target version with those of the other versions, the baseline.
 // It reads no clock.
 type Analyzer struct {
 	target           string
@@ -92,7 +92,7 @@
 	return &Analyzer{target: target, lastCounts: map[wire.Start]map[countKey]wire.VersionCounts{}, baselineAnswers: map[string]*recentAnswers{}, tests: map[testKey]*cusum{}}
 }
 
-// Add adds the cumulative counts of a process since the start of the roll-out.
+// Add adds the cumulative counts of a process since the start of the rollout.
 func (a *Analyzer) Add(now time.Time, from wire.Start, counts []wire.VersionCounts) {
 	last := a.lastCounts[from]
 	if last == nil {
--- a/node/rollout/counter.go
+++ b/node/rollout/counter.go
@@ -29,7 +29,7 @@
 	return int(math.Log(ms) / math.Log(bucketRatio))
 }
 
-// Counter counts the answers that this process has received since the start of each running roll-out. It is
+// Counter counts the answers that this process has received since the start of each running rollout. It is
 // safe for concurrent use.
 type Counter struct {
 	mu       sync.Mutex
@@ -44,11 +44,11 @@
 
 type countKey struct{ version, route string }
 
-// NewCounter returns a Counter. It counts nothing until Update adds a running roll-out.
+// NewCounter returns a Counter. It counts nothing until Update adds a running rollout.
 func NewCounter() *Counter { return &Counter{services: map[string]*serviceCounts{}} }
 
-// Update takes the roll-outs of a view. Counts start at zero with each order and are dropped when the
-// roll-out ends.
+// Update takes the rollouts of a view. Counts start at zero with each order and are dropped when the
+// rollout ends.
 func (c *Counter) Update(r wire.Rollouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/rollout/decision.go
+++ b/node/rollout/decision.go
@@ -7,7 +7,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// Limits bound the traffic of a target version until its roll-out is completed.
+// Limits bound the traffic of a target version until its rollout is completed.
 type Limits struct {
 	// Share is the share of the service's calls, over all processes, that a bad version may get.
 	Share float64
@@ -51,7 +51,7 @@
 // Upstreams counts the upstreams of a service that are members and not leaving.
 type Upstreams struct{ Target, Baseline int }
 
-// Evidence is what a leader knows of a roll-out from the processes' reports.
+// Evidence is what a leader knows of a rollout from the processes' reports.
 type Evidence struct {
 	Verdict          Verdict
 	Target, Baseline uint64 // answers counted
@@ -64,7 +64,7 @@
 	return e.LateLeader && e.Target < minTargetAnswers && e.Baseline > 0 && left > -maxLateWait
 }
 
-// NextStep returns the leader's next step for a running roll-out, or nil. left is the time until the end of the
+// NextStep returns the leader's next step for a running rollout, or nil. left is the time until the end of the
 // span. The target gets only the bounded share until the decision: a version may turn bad late, and all calls
 // that it got until then count towards the bound.
 func NextStep(r wire.Rollout, left time.Duration, e Evidence, up Upstreams, l Limits) *wire.RolloutStep {
@@ -95,10 +95,10 @@
 	return nil
 }
 
-// leadTime returns how long before the end of its span a roll-out is decided.
+// leadTime returns how long before the end of its span a rollout is decided.
 func leadTime(span time.Duration) time.Duration { return min(max(span/leadDivisor, minLead), maxLead) }
 
-// RemainingTime returns the remaining time of the span for a leader that has just learned of the roll-out. passed is
+// RemainingTime returns the remaining time of the span for a leader that has just learned of the rollout. passed is
 // the time since the order by the leader's wall clock, which may have been set in between. At least enough
 // time remains to collect reports of all processes before the decision.
 func RemainingTime(span, passed time.Duration, processes int) time.Duration {
--- a/node/rollout/decision_test.go
+++ b/node/rollout/decision_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestLateLeaderMakesUpForSteps has a leader take over after the steps of a roll-out were missed. The target
+// TestLateLeaderMakesUpForSteps has a leader take over after the steps of a rollout were missed. The target
 // must get its full usable share: with the old share it would answer one call in fifty while the leader waits
 // for three answers.
 func TestLateLeaderMakesUpForSteps(t *testing.T) {
--- a/node/rollout/reporter.go
+++ b/node/rollout/reporter.go
@@ -17,7 +17,7 @@
 	sendTimeout        = 800 * time.Millisecond
 )
 
-// Reporter sends this process's counts to the leader while a roll-out runs.
+// Reporter sends this process's counts to the leader while a rollout runs.
 type Reporter struct {
 	Counter   *Counter
 	Clock     clockwork.Clock
--- a/node/rollout/simulation_test.go
+++ b/node/rollout/simulation_test.go
@@ -10,7 +10,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// The simulation runs roll-outs on a virtual clock, with upstreams of two versions and many processes that
+// The simulation runs rollouts on a virtual clock, with upstreams of two versions and many processes that
 // learn of the leader's decisions late and report their counts.
 const (
 	simStep        = 10 * time.Millisecond
@@ -56,7 +56,7 @@
 	}
 }
 
-// simulation describes a simulated roll-out.
+// simulation describes a simulated rollout.
 type simulation struct {
 	seed         uint64
 	processes    int
@@ -78,7 +78,7 @@
 	started time.Duration
 }
 
-// simResult is the outcome of a simulated roll-out.
+// simResult is the outcome of a simulated rollout.
 type simResult struct {
 	all, target  int           // calls to the service, and to the target version
 	bad          int           // bad answers of the target
@@ -305,7 +305,7 @@
 	}
 }
 
-// TestModelLeaderLost replaces the leader during a roll-out. The next one gets the cumulative counts of all
+// TestModelLeaderLost replaces the leader during a rollout. The next one gets the cumulative counts of all
 // processes.
 func TestModelLeaderLost(t *testing.T) {
 	for _, at := range []time.Duration{3 * time.Second, 9 * time.Second, 15 * time.Second} {
--- a/node/rollout/splitter.go
+++ b/node/rollout/splitter.go
@@ -19,7 +19,7 @@
 
 // Splitter divides the calls of one process between the versions. It is not safe for concurrent use.
 //
-// Each call of a service adds the roll-out's share to the service's credit; a call to the target
+// Each call of a service adds the rollout's share to the service's credit; a call to the target
 // costs 1. The initial credit is random between 0 and 1, so that the share also holds over many
 // processes with a few calls each.
 type Splitter struct {
@@ -30,7 +30,7 @@
 
 // credit is the calls that a service may send to the target, in fractions of a call.
 type credit struct {
-	order uint64 // of the roll-out, to reset the credit for a new one
+	order uint64 // of the rollout, to reset the credit for a new one
 	calls float64
 }
 
@@ -39,7 +39,7 @@
 	return &Splitter{rand: r, credits: map[string]*credit{}}
 }
 
-// Update takes the roll-outs of a view.
+// Update takes the rollouts of a view.
 func (s *Splitter) Update(r wire.Rollouts) { s.rollouts = r }
 
 // Track is the set of upstreams of a service to which a call may go.
--- a/node/stagework/canary.go
+++ b/node/stagework/canary.go
@@ -14,7 +14,7 @@
 	return rollout.NewSplitter(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// followRollouts applies the roll-outs of a view.
+// followRollouts applies the rollouts of a view.
 func (s *scheduler) followRollouts(r wire.Rollouts) {
 	s.split.Update(r)
 	for name, q := range s.services {
@@ -25,7 +25,7 @@
 	}
 }
 
-// markCanaries marks the upstreams with the target version of the service's roll-out.
+// markCanaries marks the upstreams with the target version of the service's rollout.
 func (q *serviceQueue) markCanaries() {
 	x := q.rollout
 	for _, w := range q.list {
@@ -54,7 +54,7 @@
 	return others
 }
 
-// countRolloutCall counts the outcome of a call during a roll-out. As calls take longer with each
+// countRolloutCall counts the outcome of a call during a rollout. As calls take longer with each
 // piece, durations are compared relative to the expected ones.
 func (s *scheduler) countRolloutCall(now time.Time, c *call, o outcome) {
 	how := rollout.Answered
--- a/node/stagework/canary_test.go
+++ b/node/stagework/canary_test.go
@@ -6,7 +6,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestNextIncarnationStaysACanary restarts an upstream of the target version during a roll-out, which its room report
+// TestNextIncarnationStaysACanary restarts an upstream of the target version during a rollout, which its room report
 // shows before the member list: it stays a canary, and does not count as healthy.
 func TestNextIncarnationStaysACanary(t *testing.T) {
 	s, _ := fleetOwner(10)
--- a/node/stagework/workers.go
+++ b/node/stagework/workers.go
@@ -30,7 +30,7 @@
 	restarted           bool      // it restarted: its results are lost
 	lastCallSucceeded   bool
 	incarnationReported bool          // its incarnation was learned from a report, before the member list has it
-	canary              bool          // runs the target version of the service's current roll-out
+	canary              bool          // runs the target version of the service's current rollout
 	reachability        *reachability // of its data centre and the others
 }
 
