--- a/node/discovery/discovery.go
+++ b/node/discovery/discovery.go
@@ -129,7 +129,7 @@
 	defer client.Close()
 	var where peer.ControlAddresses
 	if err := client.Call(ctx, peer.MethodControlAddresses, peer.Empty{}, &where); err != nil {
-		s.p.Log.V(logging.Detail).Info("seed did not respond", "address", seed, "error", err.Error())
+		s.p.Log.V(logging.Detail).Info("seed did not answer", "address", seed, "error", err.Error())
 		return
 	}
 	s.p.Directory.Learn(where.Control)
