--- a/node/control/stageowner.go
+++ b/node/control/stageowner.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// probeInterval is how often the leader probes the owner of the stage queues. It adds to the time in
+	// probeInterval is how often the leader probes the stage owner. It adds to the time in
 	// which a failure is detected.
 	probeInterval = 50 * time.Millisecond
 	// probeStallThreshold is the pause between two probes above which the leader cannot tell whether the owner did not
@@ -24,7 +24,7 @@
 	// a renewal: after a power failure, the member list contains earlier starts. It is above the interval at
 	// which a control process renews through a follower.
 	newLeaderGrace = 500 * time.Millisecond
-	// transferRetryInterval is how often a leader that is also the owner of the stage queues tries to
+	// transferRetryInterval is how often a leader that is also the stage owner tries to
 	// transfer leadership. It is above the longest election.
 	transferRetryInterval = 2 * time.Second
 )
--- a/node/rollout/splitter.go
+++ b/node/rollout/splitter.go
@@ -1,6 +1,6 @@
 // Package rollout shifts a service's calls step by step to upstreams of a new version, the target.
 //
-// Each process, and the owner of the stage queues, sends a share of its own calls to the target
+// Each process, and the stage owner, sends a share of its own calls to the target
 // (Splitter) and counts the answers of all versions (Counter). The leader adds up the counts, compares
 // the target with the other versions, the baseline, over the same period (Analyzer) and decides on the
 // next step (NextStep).
--- a/node/stagework/handover.go
+++ b/node/stagework/handover.go
@@ -9,7 +9,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// When the owner of the queues is lost, the submitting processes resubmit their jobs to the
+// When the stage owner is lost, the submitting processes resubmit their jobs to the
 // next owner. The owner reports the results of each completed stage to the submitting process,
 // so that the next owner continues from there: completed stages are not run twice, and their
 // results do not occupy room at the upstreams until they expire. Only results of incomplete
--- a/node/stagework/loadmodel_test.go
+++ b/node/stagework/loadmodel_test.go
@@ -162,7 +162,7 @@
 	return out
 }
 
-// replaceOwner makes another process the owner of the queues.
+// replaceOwner makes another process the stage owner.
 func (m *loadModel) replaceOwner(after bool) {
 	m.owner = newScheduler()
 	m.owner.setServices(m.specs, modelMembers())
--- a/node/stagework/ownerlink.go
+++ b/node/stagework/ownerlink.go
@@ -41,7 +41,7 @@
 	ownerRetryInterval = 150 * time.Millisecond
 )
 
-// ownerLink is the connection to the owner of the queues.
+// ownerLink is the connection to the stage owner.
 type ownerLink struct {
 	dial          peer.Dialer
 	log           logr.Logger
--- a/node/stagework/service.go
+++ b/node/stagework/service.go
@@ -45,8 +45,8 @@
 	Counter    *rollout.Counter
 }
 
-// Service submits jobs to the owner of the queues, and is the owner itself when the leader
-// has named this process.
+// Service submits jobs to the stage owner, the process that owns the stage queues, and is the owner
+// itself when the leader has named this process.
 type Service struct {
 	log      logr.Logger
 	protocol upstream.Protocol
@@ -115,7 +115,7 @@
 			since = now.UTC().Format(time.RFC3339)
 		}
 		ownerSince.Set(since)
-		s.log.Info("stage queue ownership changed", "taken", isOwner, "epoch", o.Epoch, "heard_by", source, "jobs", len(s.scheduler.jobs))
+		s.log.Info("stage ownership changed", "taken", isOwner, "epoch", o.Epoch, "heard_by", source, "jobs", len(s.scheduler.jobs))
 	}
 	s.scheduleFree(s.scheduler.setOwner(now, isOwner, o.Epoch > 1))
 }
