--- a/api/optext/optext.go
+++ b/api/optext/optext.go
@@ -1,4 +1,4 @@
-// Package optext parses the operators' text: the INI document that configures data
+// Package optext parses the operators' configuration: the INI document that configures data
 // centres, services, pipelines, routes and customers. Parse returns either a complete,
 // valid configuration or every error, each with its line and a remedy.
 package optext
--- a/api/wire/announce.go
+++ b/api/wire/announce.go
@@ -49,7 +49,7 @@
 	Incarnation uint64 `json:"incarnation,omitempty"`
 }
 
-// PutRequest replaces the operators' text if Version is above the one in force.
+// PutRequest replaces the operators' configuration if Version is above the one in force.
 type PutRequest struct {
 	Version uint64 `json:"version" cbor:"1,keyasint"`
 	Text    string `json:"text" cbor:"2,keyasint"`
--- a/api/wire/delta.go
+++ b/api/wire/delta.go
@@ -1,6 +1,6 @@
 package wire
 
-// ConfigDelta updates the operators' text from version Base to Version. The concatenated
+// ConfigDelta updates the operators' configuration from version Base to Version. The concatenated
 // Pieces are the new text.
 type ConfigDelta struct {
 	Base    uint64      `json:"base"`
--- a/api/wire/messages.go
+++ b/api/wire/messages.go
@@ -88,7 +88,7 @@
 	Term  uint64 `json:"term,omitempty"`  // Raft term of the answering control process
 }
 
-// ConfigText is one accepted version of the operators' text.
+// ConfigText is one accepted version of the operators' configuration.
 type ConfigText struct {
 	Version uint64 `json:"version"`
 	Text    string `json:"text"`
--- a/ctl/adminclient/adminclient.go
+++ b/ctl/adminclient/adminclient.go
@@ -184,14 +184,14 @@
 	return c.callLeader(ctx, http.MethodPost, "/v1/config/validate", wire.ChangeRequest{Text: text}, &out)
 }
 
-// Diff compares a configuration with the active one.
+// Diff compares a configuration with the one in force.
 func (c *Client) Diff(ctx context.Context, text string) (wire.ChangeResult, error) {
 	var res wire.ChangeResult
 	err := c.callLeader(ctx, http.MethodPost, "/v1/config/diff", wire.ChangeRequest{Text: text}, &res)
 	return res, err
 }
 
-// Config returns the active configuration.
+// Config returns the configuration in force.
 func (c *Client) Config(ctx context.Context) (wire.ConfigText, error) {
 	var out wire.ConfigText
 	err := c.callLeader(ctx, http.MethodGet, "/v1/config", nil, &out)
--- a/ctl/bench/bench.go
+++ b/ctl/bench/bench.go
@@ -23,7 +23,7 @@
 	Deployment   Deployment
 	Scenarios    []Scenario
 	Policies     []Policy
-	ConfigText   string // operator configuration, which the policies modify
+	ConfigText   string // operators' configuration, which the policies modify
 	Repeats      int
 	Seed         uint64
 	Entries      []string // addresses
--- a/ctl/bench/policy.go
+++ b/ctl/bench/policy.go
@@ -12,7 +12,7 @@
 	"caperdrum.org/api/strictini"
 )
 
-// Policy is a variant of the operator configuration.
+// Policy is a variant of the operators' configuration.
 type Policy struct {
 	Name string
 	Keys map[string]string // values by KIND.KEY; KIND is service or pipeline
--- a/ctl/bench/prepare.go
+++ b/ctl/bench/prepare.go
@@ -54,7 +54,7 @@
 }
 
 // Prepare writes the files of a loopback deployment into a directory: the settings of every process, the
-// stand-ins, the operator configuration and, for scripts, the list of processes in start order.
+// stand-ins, the operators' configuration and, for scripts, the list of processes in start order.
 func Prepare(dir string, d Deployment, l Layout, text string, seed uint64) error {
 	text, err := d.ConfigText(text)
 	if err != nil {
@@ -120,7 +120,7 @@
 
 func (d Deployment) dataCenterAt(i int) string { return d.DataCenters[i%len(d.DataCenters)] }
 
-// ConfigText returns the operator configuration with the concurrency of each service set to the number of slots of
+// ConfigText returns the operators' configuration with the concurrency of each service set to the number of slots of
 // its stand-ins.
 func (d Deployment) ConfigText(text string) (string, error) {
 	return editSections(text, func(s *ini.Section, kind string) {
--- a/ctl/bench/system.go
+++ b/ctl/bench/system.go
@@ -27,7 +27,7 @@
 	pollInterval       = 50 * time.Millisecond
 )
 
-// apply makes a configuration active on every member, unless it already is.
+// apply puts a configuration in force on every member, unless it already is.
 func (s *system) apply(ctx context.Context, text string) error {
 	if text == s.activeConfig {
 		return nil
@@ -46,7 +46,7 @@
 		return fmt.Errorf("the configuration was rejected: %s", res.Reason)
 	}
 	s.activeConfig = text
-	return s.waitForMembers(ctx, "active configuration", func(m wire.MemberStatus) bool { return m.ConfigVersion >= res.Version })
+	return s.waitForMembers(ctx, "the configuration in force", func(m wire.MemberStatus) bool { return m.ConfigVersion >= res.Version })
 }
 
 // waitReady waits until every agent accepts work and every entry is ready.
--- a/ctl/capacity/cluster.go
+++ b/ctl/capacity/cluster.go
@@ -146,7 +146,7 @@
 	return leader, followers, nil
 }
 
-// apply makes a configuration active and returns its version.
+// apply puts a configuration in force and returns its version.
 func (c *cluster) apply(ctx context.Context, text string) (uint64, error) {
 	res, err := c.admin.Apply(ctx, wire.ChangeRequest{Number: c.version + 1, Text: text, ChangeID: uuid.NewString()})
 	if err != nil {
--- a/ctl/capacity/measure.go
+++ b/ctl/capacity/measure.go
@@ -141,13 +141,13 @@
 				return err
 			}
 			accepted := time.Now()
-			if err := waitFor(ctx, "a change to become active", func() bool {
+			if err := waitFor(ctx, "a change to come into force", func() bool {
 				return r.members.allMatch(func(v *configsync.View) bool { return v.Version >= version })
 			}); err != nil {
 				return err
 			}
 			for _, m := range r.members.list {
-				if at, ok := m.activeSince.Load(version); ok {
+				if at, ok := m.inForceSince.Load(version); ok {
 					times = append(times, max(0, at.(time.Time).Sub(accepted).Seconds()*1000))
 				}
 			}
--- a/ctl/capacity/members.go
+++ b/ctl/capacity/members.go
@@ -26,7 +26,7 @@
 
 type member struct {
 	*configsync.Service
-	activeSince sync.Map // time at which each configuration version became active here
+	inForceSince sync.Map // time at which each configuration version came into force here
 }
 
 func (ms *members) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -68,7 +68,7 @@
 
 func (ms *members) startMember(i int) *member {
 	m := &member{Service: configsync.New(configsync.Params{Settings: ms.settingsOf(i), Log: logr.Discard(), Ring: timeline.NewRing("m", "v", 16), Dial: ms.dial})}
-	m.OnChange(func(v *configsync.View) { m.activeSince.LoadOrStore(v.Version, time.Now()) })
+	m.OnChange(func(v *configsync.View) { m.inForceSince.LoadOrStore(v.Version, time.Now()) })
 	m.Start(context.Background())
 	return m
 }
--- a/ctl/commands/bench.go
+++ b/ctl/commands/bench.go
@@ -42,7 +42,7 @@
 	f.StringVar(&b.deployment, "deployment", "argyris", "size and mix of load: argyris or blomsterhallen")
 	f.StringVar(&b.scenarios, "scenario", "main", "names, comma-separated; main is a short selection, all is all")
 	f.StringVar(&b.policies, "policies", "predicted,round-robin", "variants of the configuration to compare: text, a routing policy, or NAME[KEY=VALUE;...]")
-	f.StringVar(&b.text, "text", "", "operator configuration that the policies modify")
+	f.StringVar(&b.text, "text", "", "operators' configuration that the policies modify")
 	f.StringVar(&b.entries, "entries", "", "`addresses` of the entries, comma-separated")
 	f.StringVar(&b.control, "standins", "", "control `address` of the stand-ins")
 	f.StringVar(&b.net, "net", "127.1", "first two bytes of the loopback addresses that -prepare assigns")
@@ -70,7 +70,7 @@
 	}
 	text, err := os.ReadFile(b.text)
 	if err != nil {
-		return usage(fmt.Errorf("cannot read the operator configuration, see -text: %w", err))
+		return usage(fmt.Errorf("cannot read the operators' configuration, see -text: %w", err))
 	}
 	if b.prepare != "" {
 		if err := bench.Prepare(b.prepare, d, bench.Layout{Net: b.net}, string(text), b.seed); err != nil {
--- a/ctl/commands/common.go
+++ b/ctl/commands/common.go
@@ -66,7 +66,7 @@
 	return subcommands.ExitFailure
 }
 
-// readText reads the operator configuration from the file that the single argument names, or from standard
+// readText reads the operators' configuration from the file that the single argument names, or from standard
 // input if that is "-".
 func readText(f *flag.FlagSet) (string, error) {
 	if f.NArg() != 1 {
--- a/ctl/commands/config.go
+++ b/ctl/commands/config.go
@@ -20,7 +20,7 @@
 type Validate struct{}
 
 func (*Validate) Name() string             { return "validate" }
-func (*Validate) Synopsis() string         { return "check an operator configuration" }
+func (*Validate) Synopsis() string         { return "check the operators' configuration" }
 func (*Validate) Usage() string            { return "validate FILE\n" }
 func (*Validate) SetFlags(f *flag.FlagSet) {}
 
@@ -42,7 +42,7 @@
 type Diff struct{ adminFlags }
 
 func (*Diff) Name() string     { return "diff" }
-func (*Diff) Synopsis() string { return "compare a configuration with the active one" }
+func (*Diff) Synopsis() string { return "compare a configuration with the one in force" }
 func (*Diff) Usage() string    { return "diff [-admin ADDRESSES] FILE\n" }
 
 // Execute implements subcommands.Command.
@@ -61,11 +61,11 @@
 	if err != nil {
 		return failure(err)
 	}
-	fmt.Printf("active version: %d\n%s", res.Version, res.Diff)
+	fmt.Printf("version in force: %d\n%s", res.Version, res.Diff)
 	return subcommands.ExitSuccess
 }
 
-// Apply proposes a configuration and waits until it is active on all members.
+// Apply proposes a configuration and waits until it is in force on all members.
 type Apply struct {
 	adminFlags
 	number   uint64
@@ -83,7 +83,7 @@
 // SetFlags implements subcommands.Command.
 func (a *Apply) SetFlags(f *flag.FlagSet) {
 	a.adminFlags.SetFlags(f)
-	f.Uint64Var(&a.number, "number", 0, "number of the change; default the active version plus one")
+	f.Uint64Var(&a.number, "number", 0, "number of the change; default the version in force plus one")
 	f.StringVar(&a.changeID, "change-id", "", "ID of the change, the same for every resend; default random")
 	f.DurationVar(&a.timeout, "timeout", 20*time.Second, "how long to wait")
 }
@@ -112,11 +112,11 @@
 		return failure(err)
 	}
 	if !res.Accepted {
-		fmt.Printf("rejected: %s; version %d is active, by change %s\n%s", res.Reason, res.Version, res.Winner, res.Diff)
+		fmt.Printf("rejected: %s; version %d is in force, by change %s\n%s", res.Reason, res.Version, res.Winner, res.Diff)
 		return subcommands.ExitFailure
 	}
 	fmt.Printf("accepted: version %d, change %s\n", res.Version, change.ChangeID)
-	return waitActive(ctx, cl, res.Version)
+	return waitInForce(ctx, cl, res.Version)
 }
 
 func (a *Apply) change(ctx context.Context, cl *adminclient.Client, text string) (wire.ChangeRequest, error) {
@@ -139,7 +139,7 @@
 // waitActive waits until every member reports the version. On a timeout it lists the members that lag. When
 // all members that the leader hears from have the version it says so once, and waits for the others until
 // their leases expire, since they may still run.
-func waitActive(ctx context.Context, cl *adminclient.Client, version uint64) subcommands.ExitStatus {
+func waitInForce(ctx context.Context, cl *adminclient.Client, version uint64) subcommands.ExitStatus {
 	started := time.Now()
 	var members, behind []wire.MemberStatus
 	all := map[wire.MemberID]bool{}
@@ -152,20 +152,20 @@
 				all[m.ID] = true
 			}
 			if len(behind) == 0 {
-				fmt.Printf("active on %d of %d after %s\n", len(members), len(all), time.Since(started).Round(time.Millisecond))
+				fmt.Printf("in force on %d of %d after %s\n", len(members), len(all), time.Since(started).Round(time.Millisecond))
 				printDeparted(all, members)
 				return subcommands.ExitSuccess
 			}
 			if !reported && onlySilent(rows, behind) {
 				reported = true
-				fmt.Printf("active on %d of %d after %s, on all reachable members; waiting for the others or the end of their leases\n",
+				fmt.Printf("in force on %d of %d after %s, on all reachable members; waiting for the others or the end of their leases\n",
 					len(members)-len(behind), len(all), time.Since(started).Round(time.Millisecond))
 				printBehind(behind)
 			}
 		}
 		select {
 		case <-ctx.Done():
-			fmt.Printf("active on %d of %d\n", len(members)-len(behind), len(all))
+			fmt.Printf("in force on %d of %d\n", len(members)-len(behind), len(all))
 			printBehind(behind)
 			printDeparted(all, members)
 			return subcommands.ExitFailure
--- a/ctl/commands/demo.go
+++ b/ctl/commands/demo.go
@@ -40,7 +40,7 @@
 	d.adminFlags.SetFlags(f)
 	f.StringVar(&d.entries, "entries", "", "`addresses` of two entries, comma-separated")
 	f.StringVar(&d.desks, "desks", "", "`addresses` of the stand-ins that count confirmations")
-	f.StringVar(&d.text, "text", "", "active operator configuration; the demo changes it")
+	f.StringVar(&d.text, "text", "", "operators' configuration in force; the demo changes it")
 	f.IntVar(&d.kill, "kill", 0, "process `id` of an agent to kill while requests run")
 	f.IntVar(&d.killControl, "kill-control", 0, "process `id` of a control process to kill")
 }
@@ -291,8 +291,8 @@
 	if err != nil || !first.Accepted {
 		return fmt.Errorf("not accepted: %+v %v", first, err)
 	}
-	if status := waitActive(ctx, r.admin, first.Version); status != subcommands.ExitSuccess {
-		return fmt.Errorf("not active on every member")
+	if status := waitInForce(ctx, r.admin, first.Version); status != subcommands.ExitSuccess {
+		return fmt.Errorf("not in force on every member")
 	}
 	again, err := r.admin.Apply(ctx, c)
 	if err != nil || again.Version != first.Version || !again.Resent {
--- a/ctl/commands/get.go
+++ b/ctl/commands/get.go
@@ -11,11 +11,11 @@
 	"caperdrum.org/ctl/adminclient"
 )
 
-// Get prints the active operator configuration.
+// Get prints the operators' configuration in force.
 type Get struct{ adminFlags }
 
 func (*Get) Name() string     { return "get" }
-func (*Get) Synopsis() string { return "print the active configuration; its version goes to stderr" }
+func (*Get) Synopsis() string { return "print the configuration in force; its version goes to stderr" }
 func (*Get) Usage() string    { return "get [-admin ADDRESSES]\n" }
 
 // Execute implements subcommands.Command.
--- a/ctl/commands/teams.go
+++ b/ctl/commands/teams.go
@@ -162,7 +162,7 @@
 		w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 		fmt.Fprintln(w, "TIME\tNUMBER\tCHANGE\tTEAM\tRESULT\tSECTIONS")
 		for _, c := range rows {
-			result := "active"
+			result := "in force"
 			if !c.Accepted {
 				result = "rejected: " + c.Reason
 			}
--- a/ctl/orderstest/cluster_test.go
+++ b/ctl/orderstest/cluster_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// apply makes a configuration active. service contains further keys of the engines' service.
+// apply puts a configuration in force. service contains further keys of the engines' service.
 func (c *cluster) apply(service string) {
 	c.t.Helper()
 	text := "[data_center:here]\nregion = here\n[service:llm]\nkind = engine\nrepeatable = true\nweight_bytes = 1000000\n" + service +
--- a/e2e/harness/config.go
+++ b/e2e/harness/config.go
@@ -59,7 +59,7 @@
 share = 3
 `
 
-// Text returns a valid operators' text that the mark tells from others.
+// Text returns a valid operators' configuration that the mark tells from others.
 func Text(mark string) string { return "# " + mark + "\n" + textBody }
 
 // Change returns a change with a fresh change id.
--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -264,7 +264,7 @@
 }
 
 // checkRights records the author of the change and the sections that it modifies, and rejects it if the team
-// has no permission for one of them. It compares with the active text. If another change is committed in
+// has no permission for one of them. It compares with the text in force. If another change is committed in
 // between, this change's number is taken and it is rejected anyway.
 func (s *Service) checkRights(ctx context.Context, r *http.Request, c *wire.ChangeRequest) error {
 	if err := s.p.Control.Replica().ReadBarrier(ctx); err != nil {
--- a/node/admin/admin_test.go
+++ b/node/admin/admin_test.go
@@ -127,7 +127,7 @@
 	})
 
 	It("does not propose a change whose base version does not exist yet", func() {
-		// Permissions are checked against the active text. Without this rejection a change numbered further
+		// Permissions are checked against the text in force. Without this rejection a change numbered further
 		// ahead could be applied after another change, unchecked.
 		a := start()
 		root := a.init()
--- a/node/control/admin.go
+++ b/node/control/admin.go
@@ -16,7 +16,7 @@
 	MethodOffer    = "control.offer"
 )
 
-// readConfig is a linearizable read of the operator's configuration text in force. The reply omits the text if
+// readConfig is a linearizable read of the operators' configuration in force. The reply omits the text if
 // the caller already holds it, which is the case except right after a change.
 func (s *Service) readConfig(ctx context.Context, req *wire.ConfigRequest) (*wire.ConfigReply, error) {
 	if err := s.replica.ReadBarrier(ctx); err != nil {
--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -124,7 +124,7 @@
 	return s.control.CallLeader(ctx, control.MethodLeave, wire.LeaveRequest{ID: id, Incarnation: started}, nil)
 }
 
-// Put replaces the operator configuration if version is higher than the active one.
+// Put replaces the operators' configuration if version is higher than the one in force.
 func (s *Service) Put(ctx context.Context, version uint64, text string) (wire.PutResult, error) {
 	var result wire.PutResult
 	err := s.control.CallLeader(ctx, control.MethodPut, wire.PutRequest{Version: version, Text: text}, &result)
@@ -177,7 +177,7 @@
 	return result, err
 }
 
-// refusalIfCurrent returns the refusal if it is based on the active configuration, and errStaleConfig
+// refusalIfCurrent returns the refusal if it is based on the configuration in force, and errStaleConfig
 // otherwise: a newer configuration may contain the service.
 func (s *Service) refusalIfCurrent(ctx context.Context, refusal error) error {
 	version := s.view().Version
@@ -212,7 +212,7 @@
 	return s.control.CallLeader(ctx, control.MethodReportCrashes, report, nil)
 }
 
-// ConfirmedConfig is the active operator configuration, confirmed by a quorum.
+// ConfirmedConfig is the operators' configuration in force, confirmed by a quorum.
 type ConfirmedConfig struct {
 	wire.ConfigText
 	// Parsed is the parsed form of Text if this process already had it; else nil.
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// Config returns the active configuration, confirmed by a quorum. The text is only transferred if this
+// Config returns the configuration in force, confirmed by a quorum. The text is only transferred if this
 // process does not have it.
 func (s *Service) Config(ctx context.Context) (ConfirmedConfig, error) {
 	var req wire.ConfigRequest
