--- a/node/stagework/outcome.go
+++ b/node/stagework/outcome.go
@@ -170,8 +170,8 @@
 	return "failed"
 }
 
-// countRepeated counts the pieces of all started stages as retried.
-func (j *job) countRepeated(why string) {
+// countRetried counts the pieces of all started stages as retried.
+func (j *job) countRetried(why string) {
 	for i, st := range j.Stages {
 		if j.started[i] {
 			retriedVar.Add(st.Service+"/"+why, int64(st.Pieces))
@@ -181,7 +181,7 @@
 
 // restartJob starts a job again from its first stage.
 func (s *scheduler) restartJob(now time.Time, j *job) []storedResult {
-	j.countRepeated("begun-anew")
+	j.countRetried("begun-anew")
 	j.restarts++
 	s.queueUpdate(j, nil)
 	s.dequeue(j)
