--- a/ctl/commands/config.go
+++ b/ctl/commands/config.go
@@ -136,7 +136,7 @@
 
 const pollInterval = 50 * time.Millisecond
 
-// waitActive waits until every member reports the version. On a timeout it lists the members that lag. When
+// waitInForce waits until every member reports the version. On a timeout it lists the members that lag. When
 // all members that the leader hears from have the version it says so once, and waits for the others until
 // their leases expire, since they may still run.
 func waitInForce(ctx context.Context, cl *adminclient.Client, version uint64) subcommands.ExitStatus {
--- a/node/proxy/memory.go
+++ b/node/proxy/memory.go
@@ -46,7 +46,7 @@
 	return true
 }
 
-// reserve waits until the budget has room for n bytes and reserves them for a call. It returns ctx's error if
+// reserve waits until n bytes fit into the memory budget and reserves them for a call. It returns ctx's error if
 // that ends first. One call at a time, until its release, may exceed the budget: otherwise calls that each
 // hold a part of an answer would wait for each other forever.
 func (b *memoryBudget) reserve(ctx context.Context, call *callMemory, n int64) error {
--- a/node/proxy/memory_test.go
+++ b/node/proxy/memory_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 )
 
-// TestAnswersDoNotWaitForEachOther has several large answers arrive at once. The budget has room for each, but
-// not for all, and is exhausted when each has a part. All must be delivered, one after another.
+// TestAnswersDoNotWaitForEachOther has several large answers arrive at once. The memory budget suffices for
+// each, but not for all, and is exhausted when each has a part. All must be delivered, one after another.
 func TestAnswersDoNotWaitForEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
--- a/node/proxy/stream_buffer.go
+++ b/node/proxy/stream_buffer.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// add buffers bytes and reports whether reading may go on. It waits for room, but an empty buffer takes one chunk even
-// beyond the memory budget, so that every stream makes progress.
+// add buffers bytes and reports whether reading may go on. It waits for free memory, but an empty buffer takes one chunk
+// even beyond the memory budget, so that every stream makes progress.
 func (s *streamBuffer) add(p []byte, err error) bool {
 	for {
 		s.mu.Lock()
--- a/node/stagework/admission.go
+++ b/node/stagework/admission.go
@@ -14,8 +14,8 @@
 	// efficiencyWeight is the weight of one call in the average efficiency: the last dozen
 	// calls, about a second of five upstreams, determine most of it.
 	efficiencyWeight = 0.1
-	// resultHoldTime is how long a result occupies its upstream while room is short: until the
-	// next upstream or the engine starts and has fetched it.
+	// resultHoldTime is how long a result occupies its upstream while room (result memory, see
+	// room.go) is short: until the next upstream or the engine starts and has fetched it.
 	resultHoldTime = 200 * time.Millisecond
 	// retryAfterDivisor bounds the retry-after time: callers honour up to a third of the time
 	// that they have left.
--- a/node/stagework/engines.go
+++ b/node/stagework/engines.go
@@ -56,7 +56,7 @@
 // them. The owner of the stage queues sees all prompts and first events; a process by itself
 // sees a seventh of them on a site of seven. Choosing by the hash of the prefix alone gave long
 // prompts 0.2 s to 0.4 s to their first event on average, and 1 s for one in ten, as prompts
-// differ widely in length; their results meanwhile occupied the room of the stages.
+// differ widely in length; their results meanwhile occupied the result memory of the stages.
 type engines struct {
 	members       map[string][]wire.Member // by service
 	services      map[string]*optext.Service
--- a/node/stagework/handover.go
+++ b/node/stagework/handover.go
@@ -12,8 +12,8 @@
 // When the stage owner is lost, the submitting processes resubmit their jobs to the
 // next owner. The owner reports the results of each completed stage to the submitting process,
 // so that the next owner continues from there: completed stages are not run twice, and their
-// results do not occupy room at the upstreams until they expire. Only results of incomplete
-// stages are lost with an owner.
+// results do not occupy room (result memory) at the upstreams until they expire. Only results of
+// incomplete stages are lost with an owner.
 
 // CompletedStage lists the results of a completed stage.
 type CompletedStage struct {
--- a/node/stagework/inputs.go
+++ b/node/stagework/inputs.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// An upstream fetches the inputs of its pieces before it processes them. While room for results
-// is short, inputs are released as soon as they are fetched instead of when the pieces are done:
-// they occupy their upstreams for half as long, so that these can process up to a quarter more
-// in the same room. If a call fails after that, its jobs restart; one piece in 400 fails.
+// An upstream fetches the inputs of its pieces before it processes them. While room (memory for
+// results, see room.go) is short, inputs are released as soon as they are fetched instead of when
+// the pieces are done: they occupy their upstreams for half as long, so that these can process up
+// to a quarter more in the same room. If a call fails after that, its jobs restart; one piece in 400 fails.
 
 // inputFetchTime is how long after the start of a call its upstream has fetched the inputs: those
 // of a full call take 30 ms over a link of 10 Gbit/s shared by ten upstreams.
--- a/node/stagework/room.go
+++ b/node/stagework/room.go
@@ -6,7 +6,8 @@
 	"caperdrum.org/node/upstream"
 )
 
-// The owner accounts for the room of each upstream by the results of its own calls. It cannot
+// An upstream's room is its memory for results, configured as result_room. The owner accounts for the
+// free room of each upstream by the results of its own calls. It cannot
 // account for unreleased results of previous owners, so it requests a report from each upstream when
 // it takes the queues, and learns from each piece that was unexpectedly rejected for want of room.
 // Without that, a new owner sent 1,600 to 2,600 pieces a day to upstreams without room, and
--- a/node/stagework/scheduler.go
+++ b/node/stagework/scheduler.go
@@ -278,7 +278,7 @@
 	return out
 }
 
-// recordFreed records that results no longer occupy room.
+// recordFreed records that results no longer occupy room, the result memory of their upstreams.
 func (s *scheduler) recordFreed(results []storedResult) {
 	s.startPending = true
 	for _, m := range results {
--- a/node/stagework/service.go
+++ b/node/stagework/service.go
@@ -25,8 +25,8 @@
 	// freeInterval is how long results are collected before they are freed together.
 	freeInterval = 40 * time.Millisecond
 	freeTimeout  = time.Second
-	// reportTimeout bounds the wait for an upstream's room report: it allows for two
-	// retransmissions of a lost packet within a region.
+	// reportTimeout bounds the wait for an upstream's report of its free room (result memory): it allows
+	// for two retransmissions of a lost packet within a region.
 	reportTimeout  = 500 * time.Millisecond
 	maxAnswerBytes = 1 << 20 // of the response to a call with pieces
 )
