--- a/node/proxy/endpoints.go
+++ b/node/proxy/endpoints.go
@@ -32,7 +32,7 @@
 
 // endpoints is this process's state of upstreams, learned from its own calls.
 type endpoints struct {
-	notices *upstream.Notices // what upstreams announce in their answers, such as pauses
+	notices *upstream.Notices // what upstreams announce in their responses, such as pauses
 
 	mu               sync.Mutex
 	announced        map[string][]wire.Member // of the last view, by service
@@ -48,7 +48,7 @@
 	avoidUntil   time.Time // avoided until then after failures and refusals
 	addressTaken bool      // another upstream answered at its address
 	removed      bool      // no longer a member; deleted when its last call ends
-	silentSince  time.Time // start of the time without any answer to its calls; zero if there is none
+	silentSince  time.Time // start of the time without any response to its calls; zero if there is none
 }
 
 func newEndpoints(n *upstream.Notices) *endpoints {
@@ -262,8 +262,8 @@
 	return ep
 }
 
-// noteAnswer records that the upstream answered a call.
-func (e *endpoints) noteAnswer(start wire.Start, now time.Time) {
+// noteResponse records that the upstream answered a call.
+func (e *endpoints) noteResponse(start wire.Start, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ep := e.get(start)
@@ -278,7 +278,7 @@
 
 const (
 	callAnswered callOutcome = iota // it answered
-	callFailed                      // no answer, or the connection broke
+	callFailed                      // no response, or the connection broke
 	callRefused                     // it refused the call
 	callMoved                       // another upstream answered at its address
 	callUnknown                     // the caller left, or the deadline passed
--- a/node/proxy/memory.go
+++ b/node/proxy/memory.go
@@ -13,11 +13,11 @@
 	memoryDivisor = 5
 	// defaultMemoryBudget is the budget in bytes when the settings do not set the process's memory.
 	defaultMemoryBudget = 64 << 20
-	// uncountedBytes of each body and each answer are not counted, so that every call makes progress.
+	// uncountedBytes of each body and each response are not counted, so that every call makes progress.
 	uncountedBytes = readChunkBytes
 )
 
-// memoryBudget limits the bytes buffered for all calls: bodies, and answers that callers have not read yet.
+// memoryBudget limits the bytes buffered for all calls: bodies, and responses that callers have not read yet.
 type memoryBudget struct {
 	limit int64
 
@@ -48,7 +48,7 @@
 
 // reserve waits until n bytes fit into the memory budget and reserves them for a call. It returns ctx's error if
 // that ends first. One call at a time, until its release, may exceed the budget: otherwise calls that each
-// hold a part of an answer would wait for each other forever.
+// hold a part of a response would wait for each other forever.
 func (b *memoryBudget) reserve(ctx context.Context, call *callMemory, n int64) error {
 	for {
 		b.mu.Lock()
@@ -155,8 +155,8 @@
 	return n, err
 }
 
-// answerReader reads an upstream's answer and waits while the budget is exhausted.
-type answerReader struct {
+// responseReader reads an upstream's response and waits while the budget is exhausted.
+type responseReader struct {
 	ctx       context.Context
 	r         io.Reader
 	memory    *callMemory
@@ -164,7 +164,7 @@
 }
 
 // Read implements io.Reader.
-func (a *answerReader) Read(p []byte) (int, error) {
+func (a *responseReader) Read(p []byte) (int, error) {
 	if a.uncounted <= 0 {
 		p = p[:min(len(p), readChunkBytes)]
 		if err := a.memory.budget.reserve(a.ctx, a.memory, int64(len(p))); err != nil {
--- a/node/proxy/memory_test.go
+++ b/node/proxy/memory_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 )
 
-// TestAnswersDoNotWaitForEachOther has several large answers arrive at once. The memory budget suffices for
+// TestAnswersDoNotWaitForEachOther has several large responses arrive at once. The memory budget suffices for
 // each, but not for all, and is exhausted when each has a part. All must be delivered, one after another.
 func TestAnswersDoNotWaitForEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -24,7 +24,7 @@
 			wg.Go(func() {
 				mine := callMemory{budget: h}
 				defer mine.release()
-				r := &answerReader{ctx: t.Context(), r: bytes.NewReader(make([]byte, size)), memory: &mine, uncounted: uncountedBytes}
+				r := &responseReader{ctx: t.Context(), r: bytes.NewReader(make([]byte, size)), memory: &mine, uncounted: uncountedBytes}
 				if _, err := io.ReadFull(r, make([]byte, size/callers)); err != nil {
 					t.Error(err)
 				}
--- a/node/proxy/metrics.go
+++ b/node/proxy/metrics.go
@@ -16,7 +16,7 @@
 var (
 	callsVar           = expvar.NewMap("proxy_calls")          // admitted calls, by route
 	sendsVar           = expvar.NewMap("proxy_sends")          // attempts sent to upstreams, by service
-	failedSendsVar     = expvar.NewMap("proxy_failed_sends")   // attempts without an answer, by service
+	failedSendsVar     = expvar.NewMap("proxy_failed_sends")   // attempts without a response, by service
 	repeatsVar         = expvar.NewMap("proxy_repeats")        // attempts after the first of a call, by service/reason
 	deniedVar          = expvar.NewMap("proxy_repeats_denied") // repeats denied by the quota, by service/reason
 	refusedVar         = expvar.NewMap("proxy_refused")        // refused calls, by code/verdict
@@ -24,10 +24,10 @@
 	upstreamCrashesVar = expvar.NewMap("proxy_upstreams_ended_under_calls") // calls that broke because their upstream's process ended, by service
 	barredVar          = expvar.NewMap("proxy_barred")                      // calls refused because upstreams crashed on them, by route
 	streamsBrokenVar   = expvar.NewInt("proxy_streams_broken")
-	heldBytesVar       = expvar.NewInt("proxy_held_bytes")       // reserved for bodies, and for answers that callers have not read yet
-	overBudgetVar      = expvar.NewInt("proxy_held_over")        // answers read in excess of the memory budget, one at a time
+	heldBytesVar       = expvar.NewInt("proxy_held_bytes")       // reserved for bodies, and for responses that callers have not read yet
+	overBudgetVar      = expvar.NewInt("proxy_held_over")        // responses read in excess of the memory budget, one at a time
 	bodiesRefusedVar   = expvar.NewInt("proxy_bodies_refused")   // bodies refused for lack of memory
-	slowCallersVar     = expvar.NewInt("proxy_callers_too_slow") // answers aborted because the caller did not read them in time
+	slowCallersVar     = expvar.NewInt("proxy_callers_too_slow") // responses aborted because the caller did not read them in time
 )
 
 // Range of the latency histograms: 1 us to 10 min, with two significant digits.
@@ -36,7 +36,7 @@
 	latencyDigits = 2
 )
 
-// latencies are histograms of the time until the whole answer, in microseconds, by route.
+// latencies are histograms of the time until the complete response, in microseconds, by route.
 type latencies struct {
 	mu      sync.Mutex
 	byRoute map[string]*hdrhistogram.Histogram
--- a/node/proxy/plain.go
+++ b/node/proxy/plain.go
@@ -16,10 +16,10 @@
 	"caperdrum.org/node/logging"
 )
 
-// maxPlainAnswerBytes bounds an answer, which is buffered until it is complete.
-const maxPlainAnswerBytes = 8 << 20
+// maxPlainResponseBytes bounds a response, which is buffered until it is complete.
+const maxPlainResponseBytes = 8 << 20
 
-// servePlain serves a call whose answer is a single body. The answer is passed on only once it is complete, so
+// servePlain serves a call whose response is a single body. The response is passed on only once it is complete, so
 // that a truncated one can still be replaced by that of another upstream.
 func (x *exchange) servePlain(ctx context.Context) error {
 	x.s.repeats.First(x.service.Name)
@@ -28,9 +28,9 @@
 	c.shortCalls, c.affinity = true, 0
 	for {
 		a := x.send(ctx, &tried, c, "")
-		body, err := x.readAnswer(ctx, a)
+		body, err := x.readResponse(ctx, a)
 		if err == nil && !x.isRepeatableFailure(a) {
-			x.sendAnswer(a, body)
+			x.sendResponse(a, body)
 			return nil
 		}
 		if err == nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// readAnswer reads the body of the attempt's answer and ends the attempt.
-func (x *exchange) readAnswer(ctx context.Context, a *attempt) ([]byte, *verdict.Error) {
+// readResponse reads the body of the attempt's response and ends the attempt.
+func (x *exchange) readResponse(ctx context.Context, a *attempt) ([]byte, *verdict.Error) {
 	if a.response == nil {
 		return nil, a.err
 	}
@@ -52,15 +52,15 @@
 		x.discard(a, callRefused)
 		return nil, a.err
 	}
-	body, err := io.ReadAll(&answerReader{ctx: ctx, r: io.LimitReader(a.response.Body, maxPlainAnswerBytes+1), memory: &x.memory, uncounted: uncountedBytes})
+	body, err := io.ReadAll(&responseReader{ctx: ctx, r: io.LimitReader(a.response.Body, maxPlainResponseBytes+1), memory: &x.memory, uncounted: uncountedBytes})
 	outcome := callFailed
 	switch {
 	case err != nil && ctx.Err() != nil:
 		outcome = callUnknown
 	case err != nil:
 		x.investigateBreak(a.member)
-	case len(body) > maxPlainAnswerBytes:
-		err = errors.Errorf("the answer exceeds %d bytes", maxPlainAnswerBytes)
+	case len(body) > maxPlainResponseBytes:
+		err = errors.Errorf("the answer exceeds %d bytes", maxPlainResponseBytes)
 	}
 	if err != nil {
 		x.discard(a, outcome)
@@ -82,41 +82,41 @@
 	return a.response.Status >= http.StatusInternalServerError && x.route.Repeatable()
 }
 
-// saveFailure saves such an answer: the caller gets it unless a repeat brings a better one.
+// saveFailure saves such a response: the caller gets it unless a repeat brings a better one.
 func (x *exchange) saveFailure(a *attempt, body []byte) *verdict.Error {
 	x.savedFailure = &upstreamFailure{from: a, body: body}
 	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "%s answered %d", a.member.ID, a.response.Status)
 }
 
-// sendSavedFailure sends the saved answer to the caller. It returns false if there is none or the caller has left.
+// sendSavedFailure sends the saved response to the caller. It returns false if there is none or the caller has left.
 func (x *exchange) sendSavedFailure() bool {
 	if x.savedFailure == nil || x.r.Context().Err() != nil {
 		return false
 	}
-	x.sendAnswer(x.savedFailure.from, x.savedFailure.body)
+	x.sendResponse(x.savedFailure.from, x.savedFailure.body)
 	return true
 }
 
-// sendAnswer sends a complete answer to the caller.
-func (x *exchange) sendAnswer(a *attempt, body []byte) {
+// sendResponse sends a complete response to the caller.
+func (x *exchange) sendResponse(a *attempt, body []byte) {
 	x.firstByte = time.Since(x.began)
 	x.copyHeader(a)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(a.response.Status)
 	if x.r.Method != http.MethodHead {
 		defer x.setWriteDeadline(time.Now())()
-		x.write(body) // the error is ignored: a caller that left needs no answer
+		x.write(body) // the error is ignored: a caller that left needs no response
 	}
-	x.recordAnswer(a, "")
+	x.recordResponse(a, "")
 }
 
-// write writes a part of the answer to the caller.
+// write writes a part of the response to the caller.
 func (x *exchange) write(p []byte) error {
 	_, err := x.w.Write(p)
 	return x.noteWriteError(err)
 }
 
-// noteWriteError records that the caller no longer reads its answer, which is no fault of an upstream. It returns err.
+// noteWriteError records that the caller no longer reads its response, which is no fault of an upstream. It returns err.
 func (x *exchange) noteWriteError(err error) error {
 	if err == nil || x.callerGone {
 		return err
@@ -129,7 +129,7 @@
 	return err
 }
 
-// setWriteDeadline limits how long the caller may take to read the answer that begins now. The returned function
+// setWriteDeadline limits how long the caller may take to read the response that begins now. The returned function
 // removes the limit, as the connection serves further calls.
 func (x *exchange) setWriteDeadline(now time.Time) (end func()) {
 	latest := x.deadline
@@ -149,8 +149,8 @@
 	maps.Copy(x.w.Header(), header)
 }
 
-// recordAnswer records that the caller got an upstream's whole answer.
-func (x *exchange) recordAnswer(a *attempt, lastEvent string) {
+// recordResponse records that the caller got an upstream's complete response.
+func (x *exchange) recordResponse(a *attempt, lastEvent string) {
 	took := time.Since(x.began)
 	observe(x.route, took)
 	x.reportAnswered(a)
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -1,5 +1,5 @@
 // Package proxy serves callers on routes: it accepts a call, has its stages run, sends it to an announced upstream
-// and passes the answer on unchanged.
+// and passes the response on unchanged.
 package proxy
 
 import (
@@ -49,11 +49,11 @@
 	// staleAfter is the age of the last confirmation by a quorum above which refusals for an unknown route or key
 	// are no longer final, as it may be new.
 	staleAfter = 3 * time.Second
-	// writeGrace is how long after its deadline an answer is still sent to a slowly reading caller. A caller that
+	// writeGrace is how long after its deadline a response is still sent to a slowly reading caller. A caller that
 	// left cannot be told from one that reads nothing.
 	writeGrace = 10 * time.Second
-	// finalAnswerTime is the part of the time to stop that is reserved for final answers to calls in progress.
-	finalAnswerTime = 500 * time.Millisecond
+	// finalResponseTime is the part of the time to stop that is reserved for final responses to calls in progress.
+	finalResponseTime = 500 * time.Millisecond
 )
 
 // Params are the dependencies of New.
@@ -103,7 +103,7 @@
 	startup        *startupWait
 	stopping       atomic.Bool
 	notReadyReason atomic.Pointer[string] // last reported state: why this process is not ready, empty if it is; nil before the first report
-	callsContext   context.Context        // cancelled when calls must get their final answer
+	callsContext   context.Context        // cancelled when calls must get their final response
 	cancelCalls    context.CancelFunc
 	server         *http.Server
 	readyServer    *http.Server
@@ -116,7 +116,7 @@
 	answers        *quarantine.AnsweredCalls
 	running        *running
 	memory         *memoryBudget
-	counter        *rollout.Counter  // of answers per version during a rollout
+	counter        *rollout.Counter  // of responses per version during a rollout
 	rollouts       *rollout.Reporter // reports these counts
 }
 
@@ -209,7 +209,7 @@
 	s.views.SetLeaving(true)
 	s.log.Info("readiness changed", "ready", false, "reason", "stopping")
 	if deadline, ok := ctx.Deadline(); ok {
-		defer time.AfterFunc(time.Until(deadline)-finalAnswerTime, s.cancelCalls).Stop()
+		defer time.AfterFunc(time.Until(deadline)-finalResponseTime, s.cancelCalls).Stop()
 	}
 	select {
 	case <-time.After(s.set.Proxy.Rotation):
@@ -222,7 +222,7 @@
 	return err
 }
 
-// exchange is one call on a route and its answer.
+// exchange is one call on a route and its response.
 type exchange struct {
 	s            *Service
 	w            http.ResponseWriter
@@ -234,8 +234,8 @@
 	customer     *optext.Customer
 	allowed      residency.AllowedDataCenters // data centres in which it may be served
 	body         []byte
-	memory       callMemory // reserved for the call's body and answer
-	callerGone   bool       // the caller no longer reads the answer
+	memory       callMemory // reserved for the call's body and response
+	callerGone   bool       // the caller no longer reads the response
 	began        time.Time
 	deadline     time.Time
 	sends        int    // attempts so far
@@ -245,7 +245,7 @@
 	answering atomic.Bool // an upstream has begun to answer
 
 	savedFailure   *upstreamFailure // nil if no upstream has answered with a failure
-	firstByte      time.Duration    // time until the answer began
+	firstByte      time.Duration    // time until the response began
 	stagesDone     bool             // the results of the stages are available
 	inputs         []string         // handles of these results
 	releaseResults stagework.Release
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -320,7 +320,7 @@
 }
 
 // TestRefusalAfterARun has the first attempt of a repeatable call fail and the second refused as not run. The
-// caller must not be told that the call has not run, and gets the failed answer if there is one.
+// caller must not be told that the call has not run, and gets the failed response if there is one.
 func TestRefusalAfterARun(t *testing.T) {
 	fails := func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "server error", http.StatusInternalServerError)
@@ -540,7 +540,7 @@
 	}
 }
 
-// TestDeadline has an upstream stay silent: the caller must get its final answer at the deadline, and the upstream
+// TestDeadline has an upstream stay silent: the caller must get its final response at the deadline, and the upstream
 // see the connection close.
 func TestDeadline(t *testing.T) {
 	f := newFixture(t)
@@ -554,7 +554,7 @@
 	<-closed
 }
 
-// TestStoppingProcessAnswers checks that a call in progress gets a final answer when the process must end.
+// TestStoppingProcessAnswers checks that a call in progress gets a final response when the process must end.
 func TestStoppingProcessAnswers(t *testing.T) {
 	f := newFixture(t)
 	arrived := make(chan struct{})
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -82,7 +82,7 @@
 // reportAnswered records that an upstream answered the call, and reports it if the call is a suspect.
 func (x *exchange) reportAnswered(a *attempt) {
 	if a.response.Status/100 != http.StatusOK/100 || !a.response.Framed() {
-		return // an answer delimited by the end of its connection may be incomplete
+		return // a response delimited by the end of its connection may be incomplete
 	}
 	x.s.answers.Add(x.quarantineCall())
 	standing, fingerprint := x.s.guard.Check(x.quarantineCall(), true)
--- a/node/proxy/quarantine_test.go
+++ b/node/proxy/quarantine_test.go
@@ -251,7 +251,7 @@
 	}
 }
 
-// TestAnswerClearsASuspect checks that an answer clears a suspect, but no other suspect of the same shape.
+// TestAnswerClearsASuspect checks that a response clears a suspect, but no other suspect of the same shape.
 func TestAnswerClearsASuspect(t *testing.T) {
 	f := newFixture(t)
 	r := f.collectReports()
--- a/node/proxy/repeat.go
+++ b/node/proxy/repeat.go
@@ -11,7 +11,7 @@
 type reason string
 
 const (
-	afterFailure reason = "failed"        // no answer, an incomplete one, or a server error
+	afterFailure reason = "failed"        // no response, an incomplete one, or a server error
 	afterRefusal reason = "refused"       // not run: the upstream refused the call or could not be reached
 	inputsLost   reason = "inputs-lost"   // not run: results of the stages were lost
 	addressMoved reason = "address-moved" // not run: another upstream answered at the address
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -22,8 +22,8 @@
 type attempt struct {
 	member   wire.Member
 	response *upstream.Response // nil if there was none
-	err      *verdict.Error     // why there is no usable answer; nil if there is one
-	latency  time.Duration      // time until the answer began
+	err      *verdict.Error     // why there is no usable response; nil if there is one
+	latency  time.Duration      // time until the response began
 }
 
 // notRun reports whether the upstream has not run the call and never will.
@@ -108,7 +108,7 @@
 			"left", time.Until(x.deadline), "verdict", a.err.Verdict, "error", a.err.Message)
 		return a
 	}
-	x.s.endpoints.noteAnswer(m.Start(), now)
+	x.s.endpoints.noteResponse(m.Start(), now)
 	x.answering.Store(!resp.Info.NotRun)
 	a := &attempt{member: m, response: resp, latency: now.Sub(began)}
 	if resp.Info.NotRun {
@@ -195,7 +195,7 @@
 	return max(2, x.service.MaxConnections/(x.s.peers.MaxMembers()+1))
 }
 
-// discard closes an attempt's answer and ends the attempt.
+// discard closes an attempt's response and ends the attempt.
 func (x *exchange) discard(a *attempt, outcome callOutcome) {
 	a.response.Close()
 	x.s.endpoints.release(a.member.Start(), outcome, time.Now())
@@ -217,7 +217,7 @@
 	return errors.Is(ctx.Err(), context.DeadlineExceeded) && x.r.Context().Err() == nil
 }
 
-// refusal is the body of the answer to a call that no upstream answered.
+// refusal is the body of the response to a call that no upstream answered.
 type refusal struct {
 	Message string          `json:"message"`
 	Code    verdict.Code    `json:"code"`
--- a/node/proxy/slow_caller_test.go
+++ b/node/proxy/slow_caller_test.go
@@ -159,7 +159,7 @@
 	}
 	close(release)
 	wg.Wait()
-	for range 100 { // handlers return after their answers
+	for range 100 { // handlers return after their responses
 		if f.service.memory.inUse() == 0 {
 			return
 		}
--- a/node/proxy/stream.go
+++ b/node/proxy/stream.go
@@ -15,7 +15,7 @@
 
 const readChunkBytes = 16 << 10
 
-// serveStream serves a call whose answer is a stream of server-sent events.
+// serveStream serves a call whose response is a stream of server-sent events.
 func (x *exchange) serveStream(ctx context.Context) error {
 	x.s.repeats.First(x.service.Name)
 	defer func() { x.releaseStages() }()
@@ -76,14 +76,14 @@
 			x.discard(a, callFailed)
 			return false, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerCut, "%s answered %d to a resumed stream", a.member.ID, a.response.Status)
 		}
-		body, err := x.readAnswer(ctx, a)
+		body, err := x.readResponse(ctx, a)
 		if err != nil {
 			return false, err
 		}
 		if x.isRepeatableFailure(a) {
 			return false, x.saveFailure(a, body)
 		}
-		x.sendAnswer(a, body)
+		x.sendResponse(a, body)
 		return true, nil
 	}
 	out.begin(a)
@@ -94,7 +94,7 @@
 	case err == io.EOF:
 		x.discard(a, callAnswered)
 		out.finish()
-		x.recordAnswer(a, out.events.lastID)
+		x.recordResponse(a, out.events.lastID)
 		return true, nil
 	case ctx.Err() != nil, x.callerGone:
 		x.discard(a, callUnknown)
@@ -255,7 +255,7 @@
 	maxPromptTokens = 128 << 10
 )
 
-// engineTime returns the part of a goal that is reserved for the engine to read the prompt and begin its answer. Only
+// engineTime returns the part of a goal that is reserved for the engine to read the prompt and begin its response. Only
 // the last part of a prompt is certain to be read: engines cache shared ones.
 func engineTime(prompt []upstream.PromptPart) time.Duration {
 	if len(prompt) == 0 {
--- a/node/stagework/reachability.go
+++ b/node/stagework/reachability.go
@@ -22,27 +22,25 @@
 // owner. The upstreams of a data centre are one failure domain, so a few failed calls decide for
 // all of them. Otherwise every process would spend a connection timeout on each upstream.
 type reachability struct {
-	failures map[string]*connectionFailures // by data centre; those with failed connections since the last answer
+	failures map[string]*failureRecord // by data centre; those with failed connections since the last answer
 }
 
-// connectionFailures tracks the failed connections of one data centre.
-type connectionFailures struct {
+// failureRecord tracks the failed connections of one data centre.
+type failureRecord struct {
 	upstreams   map[wire.MemberID]bool
 	lastFailure time.Time
 	nextProbe   time.Time // when a call may probe the data centre
 }
 
-func (c *connectionFailures) confirmed() bool { return c != nil && len(c.upstreams) >= minUnreachable }
+func (c *failureRecord) confirmed() bool { return c != nil && len(c.upstreams) >= minUnreachable }
 
-func newReachability() *reachability {
-	return &reachability{failures: map[string]*connectionFailures{}}
-}
+func newReachability() *reachability { return &reachability{failures: map[string]*failureRecord{}} }
 
 // recordFailure records that a connection to an upstream failed.
 func (r *reachability) recordFailure(now time.Time, m wire.Member) {
 	c := r.failures[m.DataCenter]
 	if c == nil {
-		c = &connectionFailures{upstreams: map[wire.MemberID]bool{}}
+		c = &failureRecord{upstreams: map[wire.MemberID]bool{}}
 		r.failures[m.DataCenter] = c
 	}
 	before := c.confirmed()
