--- a/node/coldstart/coldstart.go
+++ b/node/coldstart/coldstart.go
@@ -1,5 +1,5 @@
 // Package coldstart limits the calls that all processes together send per second to an upstream
-// that has just started or come back. A cold upstream crashes well above that limit.
+// that has just started or become available again. A cold upstream crashes well above that limit.
 //
 // No process knows what the others send, and some may be partitioned. So the limit is divided
 // into fixed shares, and each sender keeps to its own. One share is for the process that chooses
--- a/node/configsync/member_update.go
+++ b/node/configsync/member_update.go
@@ -68,7 +68,7 @@
 
 // filterAnnounced rebuilds the lists of Announced named in touched, or all of them if it is nil, without the
 // upstreams of versions that rollouts exclude. Upstreams of a replaced version stay while there are no
-// others, since that version has proved itself. Upstreams of a version that was rolled back are always
+// others, since that version is known to work. Upstreams of a version that was rolled back are always
 // removed.
 func (v *View) filterAnnounced(touched map[string]bool) {
 	if touched == nil {
--- a/node/consensus/node_test.go
+++ b/node/consensus/node_test.go
@@ -275,7 +275,7 @@
 }
 
 // TestResign: a leader whose storage has failed names the voter with the longest log as its successor, which
-// then campaigns at once; a follower names nobody.
+// then campaigns at once; a follower names no successor.
 func TestResign(t *testing.T) {
 	n := newNode("a", 1, peers("a", "b", "c"), 1)
 	if got := n.HandoverMessages(); len(got) != 0 {
--- a/node/control/leases_test.go
+++ b/node/control/leases_test.go
@@ -251,24 +251,24 @@
 func TestOnlyChangedHeartbeatsAreReplicated(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
-	beat := func(number uint64, cold, leaving bool) wire.Member {
+	heartbeat := func(number uint64, cold, leaving bool) wire.Member {
 		return wire.AnnouncedUpstream("m0", "s", "10.0.0.1:80", "d", leaving).WithHeartbeat(number, cold)
 	}
 	for i, c := range []struct {
-		beat     wire.Member
-		commands int
-		cold     bool
+		heartbeat wire.Member
+		commands  int
+		cold      bool
 	}{
-		{beat(1, true, false), 1, true},
-		{beat(2, true, false), 1, true},
-		{beat(4, false, false), 2, false},
-		{beat(3, true, false), 2, false}, // late
-		{beat(5, false, false), 2, false},
-		{beat(6, true, false), 3, true}, // it returned
-		{beat(7, false, true), 4, false},
-		{beat(8, false, false), 4, false}, // sent before it left
+		{heartbeat(1, true, false), 1, true},
+		{heartbeat(2, true, false), 1, true},
+		{heartbeat(4, false, false), 2, false},
+		{heartbeat(3, true, false), 2, false}, // late
+		{heartbeat(5, false, false), 2, false},
+		{heartbeat(6, true, false), 3, true}, // it returned
+		{heartbeat(7, false, true), 4, false},
+		{heartbeat(8, false, false), 4, false}, // sent before it left
 	} {
-		lead.record([]Renewal{{Member: c.beat}})
+		lead.record([]Renewal{{Member: c.heartbeat}})
 		lead.step(context.Background())
 		w.nodes[0].catchUp(len(w.log))
 		if m := w.oracle.View().Members["m0"]; len(w.log) != c.commands || m.Cold != c.cold {
--- a/node/control/notifier.go
+++ b/node/control/notifier.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// changeNotifier wakes sync calls that are waiting (long polls) when something changes that their callers are
-// told of. Most commands change nothing of the kind.
+// changeNotifier wakes sync calls that are waiting (long polls) when a part of the state changes that their
+// replies contain. Most commands change no such part.
 type changeNotifier struct {
 	cluster cluster
 	last    syncState
--- a/node/formation/formation.go
+++ b/node/formation/formation.go
@@ -83,7 +83,7 @@
 			return Step{Seed: seed, Hello: Hello{Address: r.Self}}
 		case a.Founder == r.Self:
 			ownVotes++
-		case a.Founder != "": // a seed that was restarted since the first start votes for nobody
+		case a.Founder != "": // a seed that was restarted since the first start does not vote
 			return Step{}
 		}
 	}
--- a/node/formation/formation_test.go
+++ b/node/formation/formation_test.go
@@ -17,7 +17,7 @@
 }
 
 // TestNeverTwoFounders starts processes with the same seeds in a random order, with random restarts and lost
-// replies. A restarted process without a disk has forgotten its vote and votes for nobody; one with a disk
+// replies. A restarted process without a disk has lost its vote and does not vote again; one with a disk
 // starts over with its list of seeds. At most one process may become the founder, and exactly one must if
 // nothing restarts and all replies arrive in the end.
 func TestNeverTwoFounders(t *testing.T) {
--- a/node/pipeline/attempt.go
+++ b/node/pipeline/attempt.go
@@ -45,11 +45,11 @@
 }
 
 // nextEvent reads an event into e. The stream fails if the event does not arrive within the given time.
-func (s *stream) nextEvent(e *event, patience func() time.Duration) error {
+func (s *stream) nextEvent(e *event, timeout func() time.Duration) error {
 	if s.buffered() {
 		return readEvent(s.events, e)
 	}
-	if limit := patience(); s.timer == nil {
+	if limit := timeout(); s.timer == nil {
 		s.timer = time.AfterFunc(limit, s.failSilent)
 	} else {
 		s.timer.Reset(limit)
--- a/node/pipeline/transcript.go
+++ b/node/pipeline/transcript.go
@@ -108,24 +108,24 @@
 			delete(fields, name)
 		}
 	}
-	news, err := rewriteChoices(fields)
+	hasContent, err := rewriteChoices(fields)
 	if err != nil {
 		return nil, err
 	}
 	if usage := fields["usage"]; !absent(usage) {
-		news = true
+		hasContent = true
 		if fields["usage"], err = p.addUsage(usage); err != nil {
 			return nil, err
 		}
 	}
-	if !news {
+	if !hasContent {
 		return nil, nil
 	}
 	return json.Marshal(fields)
 }
 
 // rewriteChoices removes roles and reports whether any choice has new content.
-func rewriteChoices(fields map[string]json.RawMessage) (news bool, err error) {
+func rewriteChoices(fields map[string]json.RawMessage) (hasContent bool, err error) {
 	if absent(fields["choices"]) {
 		return true, nil
 	}
@@ -135,7 +135,7 @@
 	}
 	for _, c := range choices {
 		if !absent(c["finish_reason"]) {
-			news = true
+			hasContent = true
 		}
 		if absent(c["delta"]) {
 			continue
@@ -146,14 +146,14 @@
 		}
 		delete(d, "role")
 		for _, v := range d {
-			news = news || !absent(v) && !bytes.Equal(v, []byte(`""`))
+			hasContent = hasContent || !absent(v) && !bytes.Equal(v, []byte(`""`))
 		}
 		if c["delta"], err = json.Marshal(d); err != nil {
 			return false, err
 		}
 	}
 	fields["choices"], err = json.Marshal(choices)
-	return news, err
+	return hasContent, err
 }
 
 // addUsage counts the text generated before as completion and not as prompt.
--- a/node/proxy/plain.go
+++ b/node/proxy/plain.go
@@ -70,7 +70,7 @@
 	return body, nil
 }
 
-// upstreamFailure is a complete answer with which an upstream reports a failure.
+// upstreamFailure is a complete response with which an upstream reports a failure.
 type upstreamFailure struct {
 	from *attempt
 	body []byte
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -296,7 +296,7 @@
 }
 
 // outageRetryAfter returns a random Retry-After for calls refused while control is lost, so that callers do not
-// all come back at once.
+// all retry at the same time.
 func outageRetryAfter() time.Duration { return minOutageWait + rand.N(maxOutageWait-minOutageWait) }
 
 // stale reports whether a route or key that is unknown to this process may be known to others.
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -690,11 +690,11 @@
 	}{{"/chat/", false}, {"/quote/", false}, {"/quote/", true}} {
 		f := newFixture(t)
 		var mu sync.Mutex
-		told := map[string]string{}
+		fetchFrom := map[string]string{}
 		for _, id := range []string{"chosen", "other"} {
 			f.upstream("llm", id, func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
-				told[id] = r.Header.Get("Caperdrum-Fetch-From")
+				fetchFrom[id] = r.Header.Get("Caperdrum-Fetch-From")
 				mu.Unlock()
 				if c.fails && id == "chosen" {
 					panic(http.ErrAbortHandler)
@@ -705,8 +705,8 @@
 		f.stages.engine, f.stages.fetchFrom = "chosen", "10.0.0.9:80"
 		f.wantStatus(http.StatusOK, http.MethodPost, c.path, map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10", "Caperdrum-Pieces": "1", "Caperdrum-Fetch-From": "forged"})
 		mu.Lock()
-		if other, sent := told["other"]; told["chosen"] != "10.0.0.9:80" || other != "" || sent != c.fails {
-			t.Errorf("%+v: Caperdrum-Fetch-From by engine: %v", c, told)
+		if other, sent := fetchFrom["other"]; fetchFrom["chosen"] != "10.0.0.9:80" || other != "" || sent != c.fails {
+			t.Errorf("%+v: Caperdrum-Fetch-From by engine: %v", c, fetchFrom)
 		}
 		mu.Unlock()
 	}
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -72,17 +72,17 @@
 func (x *exchange) sendTo(ctx context.Context, m wire.Member, candidates int, lastEvent string) *attempt {
 	header := x.r.Header.Clone()
 	dropHopByHop(header)
-	told := upstream.CallMetadata{Remaining: time.Until(x.deadline), Instance: m.ID, LastEventID: lastEvent, Inputs: x.inputs}
+	metadata := upstream.CallMetadata{Remaining: time.Until(x.deadline), Instance: m.ID, LastEventID: lastEvent, Inputs: x.inputs}
 	if x.customer != nil {
-		told.Customer = x.customer.Name
+		metadata.Customer = x.customer.Name
 	}
 	if m.ID == x.engine {
-		told.FetchFrom = x.fetchFrom
+		metadata.FetchFrom = x.fetchFrom
 	}
-	x.s.protocol.SetHeaders(header, told)
+	x.s.protocol.SetHeaders(header, metadata)
 	began := time.Now()
 	x.s.log.V(logging.Routine).Info("attempt sent", "request", x.call.ID, "upstream", m.ID, "address", m.Direct, "data_center", m.DataCenter, "candidates", candidates,
-		"in_flight", x.s.endpoints.callsInFlight(m.Start()), "tried", x.sends, "again", x.repeatReason, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", told.FetchFrom, "left", told.Remaining, "members_seq", x.s.table.Load().membersSeq)
+		"in_flight", x.s.endpoints.callsInFlight(m.Start()), "tried", x.sends, "again", x.repeatReason, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", metadata.FetchFrom, "left", metadata.Remaining, "members_seq", x.s.table.Load().membersSeq)
 	resp, err := x.s.pool.Do(ctx, &upstream.Request{Upstream: m.Start(), Address: m.Direct, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
 		Header: header, Body: x.body, ID: x.call.ID, MaxConnections: x.maxConnections()})
 	now := time.Now()
--- a/node/quarantine/answered_calls.go
+++ b/node/quarantine/answered_calls.go
@@ -47,7 +47,7 @@
 	return had
 }
 
-// hash uses a random seed per process, so that nobody can craft a call that collides with an answered one. It
+// hash uses a random seed per process, so that no caller can craft a call that collides with an answered one. It
 // is cheaper than a fingerprint.
 func (a *AnsweredCalls) hash(c Call) uint64 {
 	var h maphash.Hash
--- a/node/quarantine/ledger.go
+++ b/node/quarantine/ledger.go
@@ -198,7 +198,7 @@
 		return true
 	}
 	if r.Cleared || l.ambiguous(r, byStart) {
-		return false // another call was in flight at all of these upstreams; the next crash tells them apart
+		return false // another call was in flight at all of these upstreams; the next crash distinguishes them
 	}
 	unexplained := 0
 	for _, start := range r.Starts {
--- a/node/replica/statuslog.go
+++ b/node/replica/statuslog.go
@@ -8,7 +8,7 @@
 )
 
 // loggedStatus is the consensus status that was logged last, so that each change is logged once. Without
-// these lines nobody can tell from outside why a configuration is late or cannot be read. Only the owning
+// these lines it is not visible from outside why a configuration is late or cannot be read. Only the owning
 // goroutine uses it.
 type loggedStatus struct {
 	role    consensus.Role
--- a/node/routing/score_prefix.go
+++ b/node/routing/score_prefix.go
@@ -8,7 +8,7 @@
 	priorPrefixGain = 0.5 // fraction of the whole time saved when the whole prompt is cached
 	minPrefixGain   = 0.2 // lower bound of that fraction when measurements show less: entries that spread a prompt evict each other's
 	maxPrefixGain   = 0.9
-	homeAccuracy    = 0.97 // accuracy assumed for a home, in place of a known holder's own
+	homeAccuracy    = 0.97 // accuracy assumed for a home endpoint (see ring), in place of a known holder's own
 )
 
 func (prefixScorer) score(e *Endpoint, r *choice) float64 {
--- a/node/stagework/admission_test.go
+++ b/node/stagework/admission_test.go
@@ -182,7 +182,7 @@
 			t.Fatal("refused too early")
 		}
 		c.advance(time.Millisecond)
-		if err, told := c.errs["j"]; told != late || late && verdict.Of(err) != verdict.NotRun || len(c.freed) == 1 != late {
+		if err, ended := c.errs["j"]; ended != late || late && verdict.Of(err) != verdict.NotRun || len(c.freed) == 1 != late {
 			t.Fatalf("late %v: %v, freed %v", late, err, c.freed)
 		}
 	}
--- a/node/stagework/canary_test.go
+++ b/node/stagework/canary_test.go
@@ -26,6 +26,6 @@
 	}
 	s.followRollouts(wire.Rollouts{Revision: 2, List: []wire.Rollout{{Service: "courier", Target: "v2", State: wire.RolloutCompleted, Replaced: []string{""}, Revision: 2, Order: 1}}})
 	if q.healthyWorkers() != len(q.list) {
-		t.Errorf("%d of %d healthy after the roll-out", q.healthyWorkers(), len(q.list))
+		t.Errorf("%d of %d healthy after the rollout", q.healthyWorkers(), len(q.list))
 	}
 }
--- a/node/stagework/chain_test.go
+++ b/node/stagework/chain_test.go
@@ -94,10 +94,10 @@
 func (m *loadModel) stop(service string, n int, from, until time.Duration) {
 	m.after(from, func() {
 		for i := range n {
-			m.dead[wire.MemberID(fmt.Sprintf("%s-%d", service, i))] = true
+			m.unresponsive[wire.MemberID(fmt.Sprintf("%s-%d", service, i))] = true
 		}
 	})
-	m.after(until, func() { clear(m.dead) })
+	m.after(until, func() { clear(m.unresponsive) })
 }
 
 // chainDays are the load patterns of the site's heavy days.
--- a/node/stagework/handover.go
+++ b/node/stagework/handover.go
@@ -64,7 +64,7 @@
 }
 
 // dropCaller ends the jobs of a process that cannot be reached; if it is alive it resubmits them
-// elsewhere. It returns the results that the process was not told of, to be freed.
+// elsewhere. It returns the results that were not reported to the process, to be freed.
 func (s *scheduler) dropCaller(address string) []storedResult {
 	var out []storedResult
 	for _, j := range s.jobs {
--- a/node/stagework/loadmodel_test.go
+++ b/node/stagework/loadmodel_test.go
@@ -37,7 +37,7 @@
 	noHolding        bool                      // baseline: pieces that can wait are not held
 	rate             float64                   // prefill rate of an engine, in tokens a second
 	slow             map[wire.MemberID]float64 // slowdown of upstreams
-	dead             map[wire.MemberID]bool    // upstreams that do not answer
+	unresponsive     map[wire.MemberID]bool    // upstreams that do not answer
 	cost             ownerCost                 // zero: the owner takes no time
 	oneEventPerRound bool                      // baseline: the owner starts calls after each event
 	queue            []func()                  // events waiting for the owner
@@ -144,7 +144,7 @@
 
 func newLoadModel(seed uint64) *loadModel {
 	m := &loadModel{specs: modelServices, rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), submissions: newSubmissions(), rooms: map[wire.MemberID]*modelRoom{},
-		calls: map[*call]bool{}, rate: modelPrefillRate, slow: map[wire.MemberID]float64{}, dead: map[wire.MemberID]bool{}, engineBusyUntil: map[wire.MemberID]time.Time{}, cached: map[string]bool{}, waiting: map[string]*modelCall{}}
+		calls: map[*call]bool{}, rate: modelPrefillRate, slow: map[wire.MemberID]float64{}, unresponsive: map[wire.MemberID]bool{}, engineBusyUntil: map[wire.MemberID]time.Time{}, cached: map[string]bool{}, waiting: map[string]*modelCall{}}
 	m.replaceOwner(false)
 	return m
 }
@@ -400,7 +400,7 @@
 		}
 		took = time.Duration(float64(took) * max(1, m.slow[c.worker.member.ID]))
 	}
-	if took > c.timeout || m.dead[c.worker.member.ID] {
+	if took > c.timeout || m.unresponsive[c.worker.member.ID] {
 		m.after(min(took, c.timeout), func() {
 			m.ownerEvent(s, func() { m.free(s, s.finishCall(m.now, c, outcome{err: "no answer"})) })
 		})
@@ -426,7 +426,7 @@
 
 // expireResult removes a result that nobody freed.
 func (m *loadModel) expireResult(room *modelRoom, handle string) {
-	if bytes, lies := room.results[handle]; lies {
+	if bytes, found := room.results[handle]; found {
 		room.used -= bytes
 		delete(room.results, handle)
 		m.wasted++
--- a/node/stagework/room.go
+++ b/node/stagework/room.go
@@ -79,7 +79,7 @@
 	// events a second and hundreds of upstreams.
 	reportCheckInterval = 10 * time.Millisecond
 	// reportBurst and reportRate limit the requested reports, at once and in a second. A new owner requests
-	// reports from all upstreams while all processes connect to it: without a limit it would answer nobody
+	// reports from all upstreams while all processes connect to it: without a limit it would not answer them
 	// meanwhile, and be considered lost.
 	reportBurst = 100
 	reportRate  = 400.0
--- a/node/stagework/stall.go
+++ b/node/stagework/stall.go
@@ -22,7 +22,7 @@
 }
 
 // observe records that the goroutine runs, and returns for how long it was stalled; zero if it was not, or
-// if no timer was set that tells.
+// if no timer was set, so that it is unknown.
 func (p *stallDetector) observe(now time.Time) time.Duration {
 	gap := now.Sub(p.last)
 	p.last = now
--- a/node/state/changes_test.go
+++ b/node/state/changes_test.go
@@ -28,10 +28,10 @@
 
 // changeAttempt is one operator's change, delivered any number of times and answered at most once.
 type changeAttempt struct {
-	request wire.ChangeRequest
-	call    int64
-	first   *wire.ChangeResult // result of some delivery
-	told    int64              // time at which the operator got the answer; zero if never
+	request    wire.ChangeRequest
+	call       int64
+	first      *wire.ChangeResult // result of some delivery
+	answeredAt int64              // time at which the operator got the answer; zero if never
 }
 
 // TestChangesAreLinearizable checks concurrent changes while messages are delayed, duplicated and lost, with
@@ -69,8 +69,8 @@
 				}
 				o.first = &res
 				version = m.View().Config.Version
-				if o.told == 0 && rapid.Bool().Draw(t, "answer comes") {
-					o.told = now
+				if o.answeredAt == 0 && rapid.Bool().Draw(t, "answer comes") {
+					o.answeredAt = now
 				}
 			}
 		}
@@ -84,8 +84,8 @@
 	var history []porcupine.Operation
 	for i, o := range ops {
 		op := porcupine.Operation{ClientId: i, Input: o.request.Number, Call: o.call, Return: math.MaxInt64}
-		if o.told > 0 {
-			op.Output, op.Return = *o.first, o.told
+		if o.answeredAt > 0 {
+			op.Output, op.Return = *o.first, o.answeredAt
 		}
 		if o.first != nil {
 			history = append(history, op)
