--- a/node/control/leases.go
+++ b/node/control/leases.go
@@ -60,7 +60,7 @@
 		old := l.renewals[r.Member.ID]
 		valid := ok || now.Sub(old.at) <= l.ttl
 		if valid && max(old.incarnation, known.Incarnation) > r.Member.Incarnation {
-			continue // a delayed message of an earlier start, or the VM's clock was set back
+			continue // a delayed message of an earlier incarnation, or the VM's clock was set back
 		}
 		l.renewals[r.Member.ID] = lastRenewal{at: now, incarnation: r.Member.Incarnation, version: r.ConfigVersion, fault: r.Fault}
 		pendingMember, queued := l.pending[r.Member.ID]
@@ -94,7 +94,7 @@
 }
 
 // leavingRecords returns the record that marks an announced upstream as leaving. There is none if the
-// upstream is neither in the member list nor about to join, or if the request belongs to an earlier start.
+// upstream is neither in the member list nor about to join, or if the request belongs to an earlier incarnation.
 func (l *leases) leavingRecords(req *wire.LeaveRequest) []wire.Member {
 	l.mu.Lock()
 	m, known := l.pending[req.ID]
--- a/node/control/leases_test.go
+++ b/node/control/leases_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestClockThatWentBack restarts a member with a lower incarnation. It must become a member again once the
-// lease of its earlier start has expired.
+// lease of its earlier incarnation has expired.
 func TestClockThatWentBack(t *testing.T) {
 	w := newSimulation(nil)
 	w.commit(state.Command{Join: []wire.Member{{ID: "m0", Incarnation: 9}}})
@@ -227,7 +227,7 @@
 }
 
 // TestUpstreamWhoseClockWentBack restarts an upstream whose clock was set back. It must become a member once
-// the lease of its earlier start has expired.
+// the lease of its earlier incarnation has expired.
 func TestUpstreamWhoseClockWentBack(t *testing.T) {
 	w := newSimulation(nil)
 	lead := w.nodes[0].svc.leases
--- a/node/control/stageowner.go
+++ b/node/control/stageowner.go
@@ -21,7 +21,7 @@
 	// answer or the leader itself was stalled.
 	probeStallThreshold = baseProbeTimeout / 2
 	// newLeaderGrace is how long a new leader assigns ownership only to processes from which it has received
-	// a renewal: after a power failure, the member list contains earlier starts. It is above the interval at
+	// a renewal: after a power failure, the member list contains earlier incarnations. It is above the interval at
 	// which a control process renews through a follower.
 	newLeaderGrace = 500 * time.Millisecond
 	// transferRetryInterval is how often a leader that is also the stage owner tries to
--- a/node/control/stageowner_test.go
+++ b/node/control/stageowner_test.go
@@ -84,7 +84,7 @@
 }
 
 // TestOwnerThatStartedAgainIsReplacedAtOnce restarts all processes. The leader gets renewals of the new
-// starts before the member list contains them. It must not assign an earlier start, and must assign a new one
+// starts before the member list contains them. It must not assign an earlier incarnation, and must assign a new one
 // as soon as that has renewed its lease.
 func TestOwnerThatStartedAgainIsReplacedAtOnce(t *testing.T) {
 	l, clock := &leaderCluster{machine: state.New()}, clockwork.NewFakeClock()
--- a/node/quarantine/crash_detector.go
+++ b/node/quarantine/crash_detector.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// MarkCrashed records that this start of an upstream has crashed. It does nothing if no call was interrupted there.
+// MarkCrashed records that this incarnation of an upstream has crashed. It does nothing if no call was interrupted there.
 func (d *CrashDetector) MarkCrashed(start wire.Start) {
 	d.mu.Lock()
 	check := d.checks[start]
