--- a/node/control/rollout_test.go
+++ b/node/control/rollout_test.go
@@ -8,7 +8,7 @@
 	"caperdrum.org/node/state"
 )
 
-// TestLateRolloutLeader lets leaders start to track a roll-out at different times. If its span is over, or
+// TestLateRolloutLeader lets leaders start to track a rollout at different times. If its span is over, or
 // so nearly that tracking ends after it, earlier counts may be missing.
 func TestLateRolloutLeader(t *testing.T) {
 	start := time.Unix(1000, 0)
--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -124,7 +124,7 @@
 	return s.control.CallLeader(ctx, control.MethodLeave, wire.LeaveRequest{ID: id, Incarnation: started}, nil)
 }
 
-// Put replaces the operator configuration if version is higher than the active one.
+// Put replaces the operators' configuration if version is higher than the one in force.
 func (s *Service) Put(ctx context.Context, version uint64, text string) (wire.PutResult, error) {
 	var result wire.PutResult
 	err := s.control.CallLeader(ctx, control.MethodPut, wire.PutRequest{Version: version, Text: text}, &result)
@@ -133,7 +133,7 @@
 
 // Evacuate starts or ends the evacuation of a data centre on behalf of an operator who waits for the response
 // as long as ctx is valid. The order is based on the revision that this process knew when the request
-// arrived: if the process was frozen while later orders were acknowledged, the order is outdated and has no
+// arrived: if the process was stalled while later orders were acknowledged, the order is outdated and has no
 // effect.
 func (s *Service) Evacuate(ctx context.Context, dataCenter string, out bool) (wire.EvacuationResult, error) {
 	var result wire.EvacuationResult
@@ -177,7 +177,7 @@
 	return result, err
 }
 
-// refusalIfCurrent returns the refusal if it is based on the active configuration, and errStaleConfig
+// refusalIfCurrent returns the refusal if it is based on the configuration in force, and errStaleConfig
 // otherwise: a newer configuration may contain the service.
 func (s *Service) refusalIfCurrent(ctx context.Context, refusal error) error {
 	version := s.view().Version
@@ -212,7 +212,7 @@
 	return s.control.CallLeader(ctx, control.MethodReportCrashes, report, nil)
 }
 
-// ConfirmedConfig is the active operator configuration, confirmed by a quorum.
+// ConfirmedConfig is the operators' configuration in force, confirmed by a quorum.
 type ConfirmedConfig struct {
 	wire.ConfigText
 	// Parsed is the parsed form of Text if this process already had it; else nil.
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// Config returns the active configuration, confirmed by a quorum. The text is only transferred if this
+// Config returns the configuration in force, confirmed by a quorum. The text is only transferred if this
 // process does not have it.
 func (s *Service) Config(ctx context.Context) (ConfirmedConfig, error) {
 	var req wire.ConfigRequest
--- a/node/proxy/memory_test.go
+++ b/node/proxy/memory_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 )
 
-// TestConcurrentAnswersDoNotDeadlock has several large answers arrive at once. The budget has room for each, but
-// not for all, and is exhausted when each has a part. All must be delivered, one after another.
+// TestConcurrentAnswersDoNotDeadlock has several large responses arrive at once. The memory budget suffices for
+// each, but not for all, and is exhausted when each has a part. All must be delivered, one after another.
 func TestConcurrentAnswersDoNotDeadlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -24,7 +24,7 @@
 			wg.Go(func() {
 				mine := callMemory{budget: h}
 				defer mine.release()
-				r := &answerReader{ctx: t.Context(), r: bytes.NewReader(make([]byte, size)), memory: &mine, uncounted: uncountedBytes}
+				r := &responseReader{ctx: t.Context(), r: bytes.NewReader(make([]byte, size)), memory: &mine, uncounted: uncountedBytes}
 				if _, err := io.ReadFull(r, make([]byte, size/callers)); err != nil {
 					t.Error(err)
 				}
--- a/node/proxy/proxy_test.go
+++ b/node/proxy/proxy_test.go
@@ -320,7 +320,7 @@
 }
 
 // TestRefusalAfterARun has the first attempt of a repeatable call fail and the second refused as not run. The
-// caller must not be told that the call has not run, and gets the failed answer if there is one.
+// caller must not be told that the call has not run, and gets the failed response if there is one.
 func TestRefusalAfterARun(t *testing.T) {
 	fails := func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "server error", http.StatusInternalServerError)
@@ -540,7 +540,7 @@
 	}
 }
 
-// TestDeadline has an upstream stay silent: the caller must get its final answer at the deadline, and the upstream
+// TestDeadline has an upstream stay silent: the caller must get its final response at the deadline, and the upstream
 // see the connection close.
 func TestDeadline(t *testing.T) {
 	f := newFixture(t)
@@ -554,7 +554,7 @@
 	<-closed
 }
 
-// TestCallInProgressIsAnsweredAtShutdown checks that a call in progress gets a final answer when the process
+// TestCallInProgressIsAnsweredAtShutdown checks that a call in progress gets a final response when the process
 // must end.
 func TestCallInProgressIsAnsweredAtShutdown(t *testing.T) {
 	f := newFixture(t)
@@ -691,11 +691,11 @@
 	}{{"/chat/", false}, {"/quote/", false}, {"/quote/", true}} {
 		f := newFixture(t)
 		var mu sync.Mutex
-		told := map[string]string{}
+		fetchFrom := map[string]string{}
 		for _, id := range []string{"chosen", "other"} {
 			f.upstream("llm", id, func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
-				told[id] = r.Header.Get("Caperdrum-Fetch-From")
+				fetchFrom[id] = r.Header.Get("Caperdrum-Fetch-From")
 				mu.Unlock()
 				if c.fails && id == "chosen" {
 					panic(http.ErrAbortHandler)
@@ -706,8 +706,8 @@
 		f.stages.engine, f.stages.fetchFrom = "chosen", "10.0.0.9:80"
 		f.wantStatus(http.StatusOK, http.MethodPost, c.path, map[string]string{"Caperdrum-Prompt-Parts": "a:10,b:10", "Caperdrum-Pieces": "1", "Caperdrum-Fetch-From": "forged"})
 		mu.Lock()
-		if other, sent := told["other"]; told["chosen"] != "10.0.0.9:80" || other != "" || sent != c.fails {
-			t.Errorf("%+v: Caperdrum-Fetch-From by engine: %v", c, told)
+		if other, sent := fetchFrom["other"]; fetchFrom["chosen"] != "10.0.0.9:80" || other != "" || sent != c.fails {
+			t.Errorf("%+v: Caperdrum-Fetch-From by engine: %v", c, fetchFrom)
 		}
 		mu.Unlock()
 	}
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -22,8 +22,8 @@
 type attempt struct {
 	member   wire.Member
 	response *upstream.Response // nil if there was none
-	err      *verdict.Error     // why there is no usable answer; nil if there is one
-	latency  time.Duration      // time until the answer began
+	err      *verdict.Error     // why there is no usable response; nil if there is one
+	latency  time.Duration      // time until the response began
 }
 
 // notRun reports whether the upstream has not run the call and never will.
@@ -72,17 +72,17 @@
 func (x *exchange) sendTo(ctx context.Context, m wire.Member, candidates int, lastEvent string) *attempt {
 	header := x.r.Header.Clone()
 	dropHopByHop(header)
-	told := upstream.CallMetadata{Remaining: time.Until(x.deadline), Instance: m.ID, LastEventID: lastEvent, Inputs: x.inputs}
+	metadata := upstream.CallMetadata{Remaining: time.Until(x.deadline), Instance: m.ID, LastEventID: lastEvent, Inputs: x.inputs}
 	if x.customer != nil {
-		told.Customer = x.customer.Name
+		metadata.Customer = x.customer.Name
 	}
 	if m.ID == x.engine {
-		told.FetchFrom = x.fetchFrom
+		metadata.FetchFrom = x.fetchFrom
 	}
-	x.s.protocol.SetHeaders(header, told)
+	x.s.protocol.SetHeaders(header, metadata)
 	began := time.Now()
 	x.s.log.V(logging.Routine).Info("attempt sent", "request", x.call.ID, "upstream", m.ID, "address", m.Direct, "data_center", m.DataCenter, "candidates", candidates,
-		"in_flight", x.s.endpoints.callsInFlight(m.Start()), "tried", x.sends, "again", x.repeatReason, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", told.FetchFrom, "left", told.Remaining, "members_seq", x.s.table.Load().membersSeq)
+		"in_flight", x.s.endpoints.callsInFlight(m.Start()), "tried", x.sends, "again", x.repeatReason, "last_event", lastEvent, "inputs", len(x.inputs), "fetch_from", metadata.FetchFrom, "left", metadata.Remaining, "members_seq", x.s.table.Load().membersSeq)
 	resp, err := x.s.pool.Do(ctx, &upstream.Request{Upstream: m.Start(), Address: m.Direct, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
 		Header: header, Body: x.body, ID: x.call.ID, MaxConnections: x.maxConnections()})
 	now := time.Now()
@@ -108,7 +108,7 @@
 			"left", time.Until(x.deadline), "verdict", a.err.Verdict, "error", a.err.Message)
 		return a
 	}
-	x.s.endpoints.noteAnswer(m.Start(), now)
+	x.s.endpoints.noteResponse(m.Start(), now)
 	x.answering.Store(!resp.Info.NotRun)
 	a := &attempt{member: m, response: resp, latency: now.Sub(began)}
 	if resp.Info.NotRun {
@@ -195,7 +195,7 @@
 	return max(2, x.service.MaxConnections/(x.s.peers.MaxMembers()+1))
 }
 
-// discard closes an attempt's answer and ends the attempt.
+// discard closes an attempt's response and ends the attempt.
 func (x *exchange) discard(a *attempt, outcome callOutcome) {
 	a.response.Close()
 	x.s.endpoints.release(a.member.Start(), outcome, time.Now())
@@ -217,7 +217,7 @@
 	return errors.Is(ctx.Err(), context.DeadlineExceeded) && x.r.Context().Err() == nil
 }
 
-// refusal is the body of the answer to a call that no upstream answered.
+// refusal is the body of the response to a call that no upstream answered.
 type refusal struct {
 	Message string          `json:"message"`
 	Code    verdict.Code    `json:"code"`
--- a/node/stagework/canary_test.go
+++ b/node/stagework/canary_test.go
@@ -6,7 +6,7 @@
 	"caperdrum.org/api/wire"
 )
 
-// TestRestartedCanaryStaysACanary restarts an upstream of the target version during a roll-out, which its room report
+// TestRestartedCanaryStaysACanary restarts an upstream of the target version during a rollout, which its room report
 // shows before the member list: it stays a canary, and does not count as healthy.
 func TestRestartedCanaryStaysACanary(t *testing.T) {
 	s, _ := fleetOwner(10)
@@ -26,6 +26,6 @@
 	}
 	s.followRollouts(wire.Rollouts{Revision: 2, List: []wire.Rollout{{Service: "courier", Target: "v2", State: wire.RolloutCompleted, Replaced: []string{""}, Revision: 2, Order: 1}}})
 	if q.healthyWorkers() != len(q.list) {
-		t.Errorf("%d of %d healthy after the roll-out", q.healthyWorkers(), len(q.list))
+		t.Errorf("%d of %d healthy after the rollout", q.healthyWorkers(), len(q.list))
 	}
 }
--- a/node/stagework/handover.go
+++ b/node/stagework/handover.go
@@ -9,11 +9,11 @@
 	"caperdrum.org/api/wire"
 )
 
-// When the owner of the queues is lost, the submitting processes resubmit their jobs to the
+// When the stage owner is lost, the submitting processes resubmit their jobs to the
 // next owner. The owner reports the results of each completed stage to the submitting process,
 // so that the next owner continues from there: completed stages are not run twice, and their
-// results do not occupy room at the upstreams until they expire. Only results of incomplete
-// stages are lost with an owner.
+// results do not occupy room (result memory) at the upstreams until they expire. Only results of
+// incomplete stages are lost with an owner.
 
 // CompletedStage lists the results of a completed stage.
 type CompletedStage struct {
@@ -64,7 +64,7 @@
 }
 
 // dropCaller ends the jobs of a process that cannot be reached; if it is alive it resubmits them
-// elsewhere. It returns the results that the process was not told of, to be freed.
+// elsewhere. It returns the results that were not reported to the process, to be freed.
 func (s *scheduler) dropCaller(address string) []storedResult {
 	var out []storedResult
 	for _, j := range s.jobs {
--- a/node/stagework/ownerlink.go
+++ b/node/stagework/ownerlink.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// pingInterval and pingTimeout bound how long jobs wait for an owner that is frozen or
+	// pingInterval and pingTimeout bound how long jobs wait for an owner that is stalled or
 	// unreachable from this process.
 	pingInterval = 200 * time.Millisecond
 	pingTimeout  = 300 * time.Millisecond
@@ -41,7 +41,7 @@
 	ownerRetryInterval = 150 * time.Millisecond
 )
 
-// ownerLink is the connection to the owner of the queues.
+// ownerLink is the connection to the stage owner.
 type ownerLink struct {
 	dial          peer.Dialer
 	log           logr.Logger
--- a/node/stagework/reachability_test.go
+++ b/node/stagework/reachability_test.go
@@ -274,8 +274,8 @@
 	id, k := p.sendCall(prompt("shared", 1000))
 	p.finishAssignment(p.now, k, EngineUnreachable)
 	l := p.loads[id]
-	if !p.now.Before(l.pausedUntil) || len(p.reachability.outages[l.member.DataCenter].unreached) != 1 {
-		t.Errorf("backs off until %s, %v", l.pausedUntil, p.reachability.outages)
+	if !p.now.Before(l.backoffUntil) || len(p.reachability.failures[l.member.DataCenter].upstreams) != 1 {
+		t.Errorf("backs off until %s, %v", l.backoffUntil, p.reachability.failures)
 	}
 }
 
@@ -284,14 +284,14 @@
 	s := newNamedOwner(t)
 	named := wire.StageOwner{ID: "self", Incarnation: 7, Epoch: 5}
 	s.post(func(time.Time) { s.scheduler.setServices(services, nil) })
-	unreachable := func() []string {
+	reported := func() []string {
 		r, err := s.handleRun(t.Context(), &Job{ID: "j", SubmissionID: "j", TimeLeft: time.Minute, Goal: time.Minute, Owner: named})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r.UnreachableDataCenters
 	}
-	if got := unreachable(); got != nil {
+	if got := reported(); got != nil {
 		t.Errorf("unreachable: %v", got)
 	}
 	s.post(func(now time.Time) {
@@ -302,7 +302,7 @@
 		}
 		s.scheduler.reachability.recordFailure(now, wire.Member{ID: "v", DataCenter: "dc3"})
 	})
-	if got := fmt.Sprint(unreachable()); got != "[dc1 dc2]" {
+	if got := fmt.Sprint(reported()); got != "[dc1 dc2]" {
 		t.Errorf("unreachable: %s", got)
 	}
 }
