--- a/e2e/harness/config.go
+++ b/e2e/harness/config.go
@@ -59,7 +59,7 @@
 share = 3
 `
 
-// Text returns a valid configuration configuration that is unique to the mark.
+// Text returns a valid configuration that is unique to the mark.
 func Text(mark string) string { return "# " + mark + "\n" + textBody }
 
 // Change returns a change request with a new change id.
