--- a/node/planner/reconcile.go
+++ b/node/planner/reconcile.go
@@ -117,7 +117,7 @@
 	return held[0]
 }
 
-// rankEngines sorts engines by how soon and how cheaply they can serve: warm ones, loading ones, those that
+// rank sorts engines by how soon and how cheaply they can serve: warm ones, loading ones, those that
 // hold other artifacts, those with cached weights, the rest. Engines whose last load failed come last. At
 // equal cost busy engines come first, so that an unload interrupts as few attempts as possible.
 func (p *Planner) rank(now time.Time, spec Spec, engines []Engine) []Engine {
--- a/node/proxy/proxy.go
+++ b/node/proxy/proxy.go
@@ -110,7 +110,7 @@
 	stopBackground context.CancelFunc
 	peers          *retry.Peers
 	repeats        *retry.Quota
-	inquiries      *quarantine.CrashDetector
+	crashDetector  *quarantine.CrashDetector
 	reporter       *quarantine.Reporter
 	guard          *quarantine.Guard
 	answers        *quarantine.AnsweredCalls
@@ -139,7 +139,7 @@
 	s.running, s.counter = newRunning(), rollout.NewCounter()
 	s.memory = newMemoryBudget(set.Node.MemoryMB)
 	s.guard, s.answers, s.reporter = quarantine.NewGuard(), quarantine.NewAnsweredCalls(), quarantine.NewReporter(noReports)
-	s.inquiries = quarantine.NewCrashDetector(s.pool.Probe, s.upstreamCrashed, boottime.System())
+	s.crashDetector = quarantine.NewCrashDetector(s.pool.Probe, s.upstreamCrashed, boottime.System())
 	s.callsContext, s.cancelCalls = context.WithCancel(context.Background())
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	s.readyServer = &http.Server{Handler: http.HandlerFunc(s.serveReady), ReadHeaderTimeout: headerTimeout}
@@ -162,7 +162,7 @@
 	self := s.views.Self()
 	here, known := v.Members.Get(self.ID)
 	s.peers.Update(retry.Membership{Members: t.proxyCount, IncludesSelf: known && here.Start() == self.Start()})
-	s.inquiries.UpdateMembers(v.Members)
+	s.crashDetector.UpdateMembers(v.Members)
 	if s.guard.Update(v.Suspects) {
 		s.running.cancelBarred()
 	}
--- a/node/proxy/quarantine.go
+++ b/node/proxy/quarantine.go
@@ -32,9 +32,9 @@
 	return quarantine.Call{Customer: x.customerName(), Method: x.r.Method, Host: x.r.Host, Target: x.r.RequestURI, Body: x.body}
 }
 
-// investigateBreak starts an inquiry into why the call's connection to the upstream broke.
+// investigateBreak starts a check of why the call's connection to the upstream broke.
 func (x *exchange) investigateBreak(m wire.Member) {
-	x.s.inquiries.Check(quarantine.InterruptedCall{Call: x.quarantineCall(), Request: x.call.ID, Route: x.route.Name, Upstream: m})
+	x.s.crashDetector.Check(quarantine.InterruptedCall{Call: x.quarantineCall(), Request: x.call.ID, Route: x.route.Name, Upstream: m})
 }
 
 // upstreamCrashed reports that an upstream's process ended while it had a call. An upstream that announced that it
--- a/node/proxy/send.go
+++ b/node/proxy/send.go
@@ -55,7 +55,7 @@
 		a := x.sendTo(ctx, m, len(list), lastEvent)
 		if a.moved() {
 			x.discard(a, callMoved)
-			x.s.inquiries.MarkCrashed(m.Start())
+			x.s.crashDetector.MarkCrashed(m.Start())
 			x.setEngineOutcome(m, stagework.EngineFailed)
 			a = &attempt{member: m, err: verdict.New(verdict.NotRun, verdict.CodeUpstreamFailed, "another upstream has the address of %s", m.ID).WithRetryAfter(defaultRetryAfter)}
 			if unsent < maxUnsentAttempts && ctx.Err() == nil && x.allowRepeat(addressMoved) {
--- a/node/stagework/engines.go
+++ b/node/stagework/engines.go
@@ -54,7 +54,7 @@
 // calls queued there, and the parts of the call's own prompt that the engine has not cached.
 // Shared parts are fetched from an engine that holds them where that is faster than prefilling
 // them. The owner of the stage queues sees all prompts and first events; a process by itself
-// sees a seventh of them on a site of seven. Choosing by the hash of the prefix alone gave long
+// sees a seventh of them in a cluster of seven. Choosing by the hash of the prefix alone gave long
 // prompts 0.2 s to 0.4 s to their first event on average, and 1 s for one in ten, as prompts
 // differ widely in length; their results meanwhile occupied the result memory of the stages.
 type engines struct {
--- a/node/state/encode.go
+++ b/node/state/encode.go
@@ -11,7 +11,7 @@
 // CBOR map, which is 0xa0 or above.
 const packedCommandTag = 1
 
-// Encode returns c in the form that Apply decodes. Commands of wire.PackFrom bytes or more are compressed,
+// Encode returns c in the form that Apply decodes. Commands of wire.MinCompressBytes bytes or more are compressed,
 // since a large command delays the heartbeats queued behind it; a long text of similar routes shrinks to a
 // tenth.
 func (c Command) Encode() ([]byte, error) {
