--- a/ctl/commands/status.go
+++ b/ctl/commands/status.go
@@ -25,7 +25,7 @@
 }
 
 func (*Init) Name() string     { return "init" }
-func (*Init) Synopsis() string { return "initialize a new cluster, once, on empty data directories" }
+func (*Init) Synopsis() string { return "initialize a new cluster, once, on empty data folders" }
 func (*Init) Usage() string {
 	return "init [-admin ADDRESSES] [-voters N]\n  The first address becomes the first voter; the others join automatically.\n"
 }
--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -52,7 +52,7 @@
 func New(p Params) *Service {
 	s := &Service{p: p}
 	r := chi.NewRouter()
-	r.Post("/v1/init", s.init) // unauthenticated: works only once, on empty data directories
+	r.Post("/v1/init", s.init) // unauthenticated: works only once, on empty data folders
 	r.Group(func(r chi.Router) {
 		r.Use(s.authenticate)
 		s.routes(r)
--- a/node/controlclient/controlclient.go
+++ b/node/controlclient/controlclient.go
@@ -1,4 +1,4 @@
-// Package controlclient forwards calls of operators and heartbeats of self-registering upstreams to the
+// Package controlclient forwards calls of operators and heartbeats of announced upstreams to the
 // leader, from whichever process received them.
 package controlclient
 
@@ -54,7 +54,7 @@
 	return &Service{control: p.ConfigSync.LeaderClient(), view: p.ConfigSync.View}
 }
 
-// ErrUnknownService says that the configuration has no such service with self-registering upstreams
+// ErrUnknownService says that the configuration has no such service with announced upstreams
 // (upstreams = announced).
 const ErrUnknownService = errors.ConstError("controlclient: no such service is configured")
 
--- a/node/disk/disk.go
+++ b/node/disk/disk.go
@@ -20,7 +20,7 @@
 	Truncate(size int64) error
 }
 
-// FS is one data directory. Names are relative to it and contain no separators. A created, renamed or removed
+// FS is one data folder. Names are relative to it and contain no separators. A created, renamed or removed
 // name is durable only after SyncDir.
 type FS interface {
 	// Create creates a file and opens it for writing. It fails if the name exists.
@@ -55,7 +55,7 @@
 	return &Dir{path: path}, nil
 }
 
-// ErrInUse says that another process has locked the data directory.
+// ErrInUse says that another process has locked the data folder.
 var ErrInUse = errors.New("the data folder is in use by another process; stop that one first")
 
 const lockName = "lock"
